--- a/tests/histories.py
+++ b/tests/histories.py
@@ -43,8 +43,9 @@
 TARIFFS = [
     TariffPlan("ask", 0.5, "rerunnable", 1, 8_000, 0, 25_000, 1_000, 300, 12, 1.0, 0.0, 0),
     TariffPlan("book", 0.3, "exclusive", 2, 9_000, 0, 30_000, 1_000, 300, 12, 1.0, 0.0, 0),
-    TariffPlan("mark", 0.2, "ticketed", 1, 8_000, 0, 25_000, 1_000, 300, 12, 1.0, 0.0, 0, 0.1, "zone",
-               window=12_000),
+    TariffPlan(
+        "mark", 0.2, "ticketed", 1, 8_000, 0, 25_000, 1_000, 300, 12, 1.0, 0.0, 0, 0.1, "zone", window=12_000
+    ),
 ]
 
 
@@ -96,9 +97,18 @@
     def begin(self, cold: bool) -> None:
         self.up, self.started, self.fell = True, now() if cold else 0, anyio.Event()
         make = self.make
-        self.say("engine_up", role=make.role, zone=make.zone, rack=make.rack, cold=cold,
-                 cold_from=make.cold_from, cold_time=make.cold_time, multiple=make.fall_multiple,
-                 fall_time=make.fall_time, work=make.work)
+        self.say(
+            "engine_up",
+            role=make.role,
+            zone=make.zone,
+            rack=make.rack,
+            cold=cold,
+            cold_from=make.cold_from,
+            cold_time=make.cold_time,
+            multiple=make.fall_multiple,
+            fall_time=make.fall_time,
+            work=make.work,
+        )
 
     def crash(self) -> None:
         self.up = False
@@ -161,8 +171,15 @@
         one, told = self.world.at(address), Ended(Ending.OVERDUE, Mishap.SILENT_AFTER_LAST_BYTE, arrived=True)
         request, try_ = headers["X-Request-Id"], headers["Runspool-Mark"]
         up, how = one.up, "left"
-        one.say("arrived", request=request, head=now(), peer=self.source, stage=stage if up else "knock",
-                tariff=headers["Runspool-Tariff"], **{"try": try_})
+        one.say(
+            "arrived",
+            request=request,
+            head=now(),
+            peer=self.source,
+            stage=stage if up else "knock",
+            tariff=headers["Runspool-Tariff"],
+            **{"try": try_},
+        )
         try:
             with anyio.CancelScope(deadline=anyio.current_time() + limit / 10_000) as scope:
                 how = await (work if up else self._refused)(one, request, try_, told, scope)
@@ -177,14 +194,14 @@
             told.ending = ENDINGS[told.mishap]
         return told
 
-    async def _refused(self, one: Played, request: str, try_: str, told: Ended,
-                       scope: anyio.CancelScope) -> str:
+    async def _refused(
+        self, one: Played, request: str, try_: str, told: Ended, scope: anyio.CancelScope
+    ) -> str:
         told.mishap = Mishap.REFUSED
         await anyio.sleep(self.world.rng.choice([1, 1, CONNECT]) / 10_000)
         return "refused"
 
-    async def read(self, address: Address, query: State, headers: Any, limit: int,
-                   permit: Permit) -> Ended:
+    async def read(self, address: Address, query: State, headers: Any, limit: int, permit: Permit) -> Ended:
         async def work(one: Played, request: str, try_: str, told: Ended, scope: anyio.CancelScope) -> str:
             row = self._mishap({"full": 0.3, "failed": 0.3, "cut": 0.2, "silent": 0.2})
             tokens = self.world.asked[try_][0]
@@ -193,8 +210,11 @@
             if row == "silent":
                 await anyio.sleep_forever()
             if row:
-                told.mishap = {"full": Mishap.TURNED_AWAY, "failed": Mishap.FAILED,
-                               "cut": Mishap.CUT_IN_ANSWER}[row]
+                told.mishap = {
+                    "full": Mishap.TURNED_AWAY,
+                    "failed": Mishap.FAILED,
+                    "cut": Mishap.CUT_IN_ANSWER,
+                }[row]
                 return "full" if row == "full" else "mishap"
             one.hold(request, tokens, try_)
             told.mishap, told.ending, told.read = None, Ending.READ, tokens
@@ -203,11 +223,29 @@
 
         return await self._shot(address, "read", headers, limit, work)
 
-    async def write(self, address: Address, query: State, state: State | None, headers: Any, limit: int,
-                    permit: Permit, most_out: int, listener: Listener[str]) -> Ended:
+    async def write(
+        self,
+        address: Address,
+        query: State,
+        state: State | None,
+        headers: Any,
+        limit: int,
+        permit: Permit,
+        most_out: int,
+        listener: Listener[str],
+    ) -> Ended:
         async def work(one: Played, request: str, try_: str, told: Ended, scope: anyio.CancelScope) -> str:
-            row = self._mishap({"full": 0.25, "failed": 0.1, "failed_after": 0.1, "cut": 0.2, "silent": 0.1,
-                                "silent_ran": 0.1, "cut_stream": 0.15})
+            row = self._mishap(
+                {
+                    "full": 0.25,
+                    "failed": 0.1,
+                    "failed_after": 0.1,
+                    "cut": 0.2,
+                    "silent": 0.1,
+                    "silent_ran": 0.1,
+                    "cut_stream": 0.15,
+                }
+            )
             tokens, out = self.world.asked[try_]
             await one.work(3)
             if row == "silent":
@@ -363,9 +401,13 @@
     def hear(self, news: News) -> None:
         if not self.up:
             return
-        self.world.say("told", front=self.world.plan.fronts[self.at].name, version=news.version,
-                       whole=news.whole, engines=[[one.engine, one.state, one.started_unix_ms]
-                                                  for one in news.engines])
+        self.world.say(
+            "told",
+            front=self.world.plan.fronts[self.at].name,
+            version=news.version,
+            whole=news.whole,
+            engines=[[one.engine, one.state, one.started_unix_ms] for one in news.engines],
+        )
         if changed := self.front.following.heard(now(), news):
             self.front.engines_changed(changed)
 
@@ -410,16 +452,28 @@
 
     def _planned(self) -> Plan:
         days, zones = self.days, ["a", "b"]
-        engines = [engine(f"e{at}", kind, zones[at % 2], at % 2, TARIFFS, self.rng)
-                   for at, kind in enumerate(days.kinds)]
+        engines = [
+            engine(f"e{at}", kind, zones[at % 2], at % 2, TARIFFS, self.rng)
+            for at, kind in enumerate(days.kinds)
+        ]
         for one in engines:
             one.make = replace(one.make, fall_multiple=days.fall_multiple)
         return Plan(
-            name="history", seed=self.seed, length=days.length, rate=days.rate, zones=zones, tariffs=TARIFFS,
+            name="history",
+            seed=self.seed,
+            length=days.length,
+            rate=days.rate,
+            zones=zones,
+            tariffs=TARIFFS,
             tenants=[TenantPlan("one", 0.5, days.rate), TenantPlan("two", 0.5, days.rate)],
-            fronts=[FrontPlan(f"front-{at}", zones[at % 2], f"127.0.0.{11 + at}")
-                    for at in range(days.fronts)],
-            engines=engines, clients=ClientsPlan(), troubles=[], fall_multiple=days.fall_multiple)
+            fronts=[
+                FrontPlan(f"front-{at}", zones[at % 2], f"127.0.0.{11 + at}") for at in range(days.fronts)
+            ],
+            engines=engines,
+            clients=ClientsPlan(),
+            troubles=[],
+            fall_multiple=days.fall_multiple,
+        )
 
     def say(self, what: str, **said: Any) -> None:
         self.events.append({"t": now(), "what": what, **said})
@@ -435,8 +489,15 @@
     def entry(self, at: int) -> Entry:
         one = self.engines[at]
         started = round(WALL_MS + one.started / 10) if one.started else 0
-        return Entry(one.make.name, one.plan.address, one.plan.kind, one.make.zone, one.make.rack,
-                     cast(Any, self.states[at]), started)
+        return Entry(
+            one.make.name,
+            one.plan.address,
+            one.plan.kind,
+            one.make.zone,
+            one.make.rack,
+            cast(Any, self.states[at]),
+            started,
+        )
 
     def whole(self) -> News:
         listed = [self.entry(at) for at, state in enumerate(self.states) if state != "gone"]
@@ -530,16 +591,35 @@
         """One try to its end; returns the kind of its answer."""
         prompt, out, stream, tenant, leaves = shape
         self.asked[try_] = prompt, out
-        self.say("asked", item=item, front=self.plan.fronts[life.at].name, tariff=row.name, tenant=tenant,
-                 limit=limit, due=row.due, prompt=prompt, out=out, number=1, stream=stream, **{"try": try_})
+        self.say(
+            "asked",
+            item=item,
+            front=self.plan.fronts[life.at].name,
+            tariff=row.name,
+            tenant=tenant,
+            limit=limit,
+            due=row.due,
+            prompt=prompt,
+            out=out,
+            number=1,
+            stream=stream,
+            **{"try": try_},
+        )
         if not life.up:
             self.say("answer", kind="unreachable", code="", at=now(), **{"try": try_})
             return "unreachable"
         self.say("sent", **{"try": try_})
-        headers = {"runspool-tariff": row.name, "runspool-tenant": tenant, "runspool-ticket": item,
-                   "runspool-session": f"s{crc32(item.encode()) % 50}", "runspool-prompt-tokens": str(prompt),
-                   "runspool-limit-ms": str(max(1, limit // 10)), "runspool-likely-tokens": str(out),
-                   "runspool-mark": try_, "runspool-try": try_.rpartition(".")[2]}
+        headers = {
+            "runspool-tariff": row.name,
+            "runspool-tenant": tenant,
+            "runspool-ticket": item,
+            "runspool-session": f"s{crc32(item.encode()) % 50}",
+            "runspool-prompt-tokens": str(prompt),
+            "runspool-limit-ms": str(max(1, limit // 10)),
+            "runspool-likely-tokens": str(out),
+            "runspool-mark": try_,
+            "runspool-try": try_.rpartition(".")[2],
+        }
         ear = Ear(self, try_, stream)
         body = msgspec.json.encode({"prompt": item, "max_tokens": 500, "stream": stream})
         wish = read_wish(headers, body, life.front.terms)
@@ -611,8 +691,9 @@
         self.rows = {row.name: row for row in plan.tariffs}
         self.numbers = {one.make.name: at for at, one in enumerate(plan.engines)}
         self.front_numbers = {one.name: at for at, one in enumerate(plan.fronts)}
-        self.left = {one["try"]: one["at"] for one in recording
-                     if one["what"] == "answer" and one["kind"] == "left"}
+        self.left = {
+            one["try"]: one["at"] for one in recording if one["what"] == "answer" and one["kind"] == "left"
+        }
 
     async def _play(self) -> None:
         start, first = now(), next(one["at"] for one in self.recording if one["what"] == "begin")
@@ -641,7 +722,8 @@
                     entry = self.entry(at)
                     entries.append(entry if started else msgspec.structs.replace(entry, started_unix_ms=0))
                 self.lives[self.front_numbers[event["front"]]].hear(
-                    News(event["version"], "epoch", whole=event["whole"], engines=entries))
+                    News(event["version"], "epoch", whole=event["whole"], engines=entries)
+                )
             case "engine_up":
                 self.engines[self.numbers[event["engine"]]].begin(event["cold"])
             case "killed" if "engine" in event:
@@ -665,8 +747,11 @@
         for one in rules.engines.values():
             books = {"reads": one.reads, "waiting": one.waiting, "streams": one.streams}
             found += [f"engine {one.id}: {name} {book}" for name, book in books.items() if book]
-            found += [f"engine {one.id}: unread {one.unread}, tokens {one.tokens}"
-                      ] if one.unread or one.tokens else []
+            found += (
+                [f"engine {one.id}: unread {one.unread}, tokens {one.tokens}"]
+                if one.unread or one.tokens
+                else []
+            )
     held = front.keeping
     found += [f"held {held.queries.held} {held.bytes.held}"] if held.queries.held or held.bytes.held else []
     return found + [f"out {held.moves.out}"] * bool(held.moves.out)
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -24,29 +24,64 @@
 
 SETTINGS: dict[str, Any] = {
     "classes": [
-        {"name": name, "aim-us": 1_500_000, "deadline-us": 6_000_000, "credit": 1.0, "late-value": 0.2,
-         "effect": effect, "key-scope": "all", "window-us": 5_000_000, "stream": True}
-        for name, effect in (("ask", "idempotent"), ("book", "at_most_once"))],
-    "family-info": {"ahead": False, "aim-us-per-1000-prompt-tokens": [40_000.0, 40_000.0],
-                    "cross-cell-price": 0.03, "kind-role": ["read", "write", "both"],
-                    "memory-tokens": [150_000, 110_000, 280_000], "read-in-place": False,
-                    "release-within-us": 300_000, "resume": True, "token-aim-us": [60_000.0, 60_000.0]},
+        {
+            "name": name,
+            "aim-us": 1_500_000,
+            "deadline-us": 6_000_000,
+            "credit": 1.0,
+            "late-value": 0.2,
+            "effect": effect,
+            "key-scope": "all",
+            "window-us": 5_000_000,
+            "stream": True,
+        }
+        for name, effect in (("ask", "idempotent"), ("book", "at_most_once"))
+    ],
+    "family-info": {
+        "ahead": False,
+        "aim-us-per-1000-prompt-tokens": [40_000.0, 40_000.0],
+        "cross-cell-price": 0.03,
+        "kind-role": ["read", "write", "both"],
+        "memory-tokens": [150_000, 110_000, 280_000],
+        "read-in-place": False,
+        "release-within-us": 300_000,
+        "resume": True,
+        "token-aim-us": [60_000.0, 60_000.0],
+    },
     "host-types": ["prefill", "decode", "mixed"],
-    "limits": {"cancel": True, "conn-idle-us": 30_000_000, "dial-timeout-us": 250_000, "max-attempts": 5,
-               "max-retry-after-us": 2_000_000, "retry-after": True, "second-copies": True},
-    "locality": "a", "me": 0, "over-share-worth": 0.1,
+    "limits": {
+        "cancel": True,
+        "conn-idle-us": 30_000_000,
+        "dial-timeout-us": 250_000,
+        "max-attempts": 5,
+        "max-retry-after-us": 2_000_000,
+        "retry-after": True,
+        "second-copies": True,
+    },
+    "locality": "a",
+    "me": 0,
+    "over-share-worth": 0.1,
     "prices": {"cross-zone": 0.011, "late-fail": 0.034, "waste": 0.08},
     "realms": [{"name": "one", "fraction": 1.0, "quota-rps": 100.0}],
-    "rules": {"answer-slack-us": 8_000, "cold-from": 0.27, "cold-us": 14_000_000, "drain-grace-us": 250_000,
-              "fall-us": 1_500_000, "tip-multiple": 2.5},
-    "siblings": 1, "zones": ["a", "b"],
+    "rules": {
+        "answer-slack-us": 8_000,
+        "cold-from": 0.27,
+        "cold-us": 14_000_000,
+        "drain-grace-us": 250_000,
+        "fall-us": 1_500_000,
+        "tip-multiple": 2.5,
+    },
+    "siblings": 1,
+    "zones": ["a", "b"],
 }
 
-EVENTS = [b'data: {"choices":[{"index":0,"delta":{"content":"oq"},"finish_reason":null}]}\n\n',
-          b'data: {"choices":[{"index":0,"delta":{"content":"vh"},"finish_reason":"stop"}]}\n\n',
-          b'data: {"choices":[],"usage":{"prompt_tokens":40,"completion_tokens":2,'
-          b'"prompt_tokens_details":{"cached_tokens":8}}}\n\n',
-          b"data: [DONE]\n\n"]
+EVENTS = [
+    b'data: {"choices":[{"index":0,"delta":{"content":"oq"},"finish_reason":null}]}\n\n',
+    b'data: {"choices":[{"index":0,"delta":{"content":"vh"},"finish_reason":"stop"}]}\n\n',
+    b'data: {"choices":[],"usage":{"prompt_tokens":40,"completion_tokens":2,'
+    b'"prompt_tokens_details":{"cached_tokens":8}}}\n\n',
+    b"data: [DONE]\n\n",
+]
 STREAM = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -107,19 +142,23 @@
 
 def says(data: bytes, go: asyncio.Event | None = None) -> Script:
     """Answers with these bytes, where `go` is given once that is set."""
+
     async def script(asked: Request) -> None:
         if go is not None:
             await go.wait()
         await asked.say(data)
+
     return script
 
 
 def waits_for(go: asyncio.Event) -> Script:
     """Begins a stream at once, and ends it when `go` is set."""
+
     async def script(asked: Request) -> None:
         await asked.say(STREAM + chunked(EVENTS[0]))
         await go.wait()
         await asked.say(REST)
+
     return script
 
 
@@ -236,9 +275,15 @@
 def post(name: str, kind: str = "ask", body: bytes = BODY, **fields: str | None) -> bytes:
     """A request's bytes; a field of None is left out."""
     said: dict[str, str | None] = {
-        "host": "origin.svc", "req-id": name, "req-kind": kind, "req-owner": "one", "req-key": f"k{name}",
-        "req-deadline": "4000m", "req-extra": "prefix=5c0f,prompt_len=40,prefix_len=8,max_out=40",
-        "content-length": str(len(body))}
+        "host": "origin.svc",
+        "req-id": name,
+        "req-kind": kind,
+        "req-owner": "one",
+        "req-key": f"k{name}",
+        "req-deadline": "4000m",
+        "req-extra": "prefix=5c0f,prompt_len=40,prefix_len=8,max_out=40",
+        "content-length": str(len(body)),
+    }
     said |= {key.replace("_", "-"): value for key, value in fields.items()}
     lines = "".join(f"{key}: {value}\r\n" for key, value in said.items() if value is not None)
     return f"POST /v1/chat/completions?v=1 HTTP/1.1\r\n{lines}\r\n".encode() + body
@@ -289,6 +334,7 @@
         async def tell() -> None:
             async with self.news:
                 self.news.notify_all()
+
         self.telling = asyncio.ensure_future(tell())
 
     async def until(self, true: Callable[[], bool]) -> None:
@@ -298,8 +344,12 @@
 
     def shots(self, name: str, role: str = "") -> list[Request]:
         """The requests that engines got for a query, without the calls that let go."""
-        return [one for one in self.seen if one.headers.get("req-id") == name
-                and (not role or (self.engines[one.engine].kind == "prefill") == (role == "read"))]
+        return [
+            one
+            for one in self.seen
+            if one.headers.get("req-id") == name
+            and (not role or (self.engines[one.engine].kind == "prefill") == (role == "read"))
+        ]
 
     def let_go(self, name: str) -> list[Request]:
         return [one for one in self.seen if one.target == f"/state/{name}"]
@@ -307,10 +357,25 @@
     # The list.
 
     def listed(self, snapshot: bool = True) -> bytes:
-        return json.dumps({"index": self.version, "snapshot": snapshot, "endpoints": [
-            {"name": name, "address": f"{HOST}:{engine.listed_port}", "zone": "a", "type": engine.kind,
-             "group": 1, "status": self.states[name], "weight": 1.0, "since_ms": 0}
-            for name, engine in self.engines.items()]}).encode()
+        return json.dumps(
+            {
+                "index": self.version,
+                "snapshot": snapshot,
+                "endpoints": [
+                    {
+                        "name": name,
+                        "address": f"{HOST}:{engine.listed_port}",
+                        "zone": "a",
+                        "type": engine.kind,
+                        "group": 1,
+                        "status": self.states[name],
+                        "weight": 1.0,
+                        "since_ms": 0,
+                    }
+                    for name, engine in self.engines.items()
+                ],
+            }
+        ).encode()
 
     def tell(self, **states: str) -> None:
         """News of the list."""
@@ -347,7 +412,8 @@
                         with suppress(TimeoutError):
                             await asyncio.wait_for(
                                 self.news.wait_for(lambda a=after: self.version != a),  # type: ignore[misc]
-                                int(asked.target.partition("wait_ms=")[2]) / 1000)
+                                int(asked.target.partition("wait_ms=")[2]) / 1000,
+                            )
                     body = self.listed(snapshot=False)
                 if body is None:
                     await reader.read()
@@ -358,10 +424,15 @@
 
     def write_config(self, **said: Any) -> Path:
         file = self.folder / "config.json"
-        config = {"name": "n0", "listen": f"{HOST}:{self.port}", "discovery": f"{HOST}:{self.agent_port}",
-                  "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192,
-                                                          "sockets": self.sockets},
-                  "known": json.loads(self.listed()), "settings": self.settings} | said
+        config = {
+            "name": "n0",
+            "listen": f"{HOST}:{self.port}",
+            "discovery": f"{HOST}:{self.agent_port}",
+            "seed": "8c1f30d27a5be964",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
+            "known": json.loads(self.listed()),
+            "settings": self.settings,
+        } | said
         file.write_text(json.dumps(config))
         return file
 
@@ -409,9 +480,13 @@
         self.port = free_port()
         file = self.write_config()
         self.process = await asyncio.create_subprocess_exec(
-            "/bin/sh", "-c", f'exec "$0" -m runspool.node {self.redirection}', sys.executable,
+            "/bin/sh",
+            "-c",
+            f'exec "$0" -m runspool.node {self.redirection}',
+            sys.executable,
             stderr=asyncio.subprocess.PIPE,
-            env=os.environ | {"BALANCER_CONFIG": str(file), "RUNSPOOL_LOG": "debug"})
+            env=os.environ | {"BALANCER_CONFIG": str(file), "RUNSPOOL_LOG": "debug"},
+        )
         logging = asyncio.ensure_future(self._keep_log())
         try:
             if self.redirection:
--- a/tests/soak/crowd.py
+++ b/tests/soak/crowd.py
@@ -67,8 +67,9 @@
             await asyncio.sleep(0.02)
             data = data[200:]
         client.send(data)
-        self.world.say("asked", request=name, node=node.name, kind=kind, deadline=deadline, new=new,
-                       body=body.decode())
+        self.world.say(
+            "asked", request=name, node=node.name, kind=kind, deadline=deadline, new=new, body=body.decode()
+        )
         if leaves:
             await asyncio.sleep(self.random.random() * 0.5)
             client.close()
@@ -101,12 +102,18 @@
     async def _bad(self, node: SoakNode, name: str) -> None:
         """Owed an error or a close; nothing of it may reach an engine."""
         good = post(name)
-        data = self.random.choice([
-            good[:300], b"\x00\xff" * 40, good.replace(b"content-length: ", b"content-length: -"),
-            good.replace(b"req-kind: ask", b"req-kind: odd"), b"GET / HTTP/1.1\r\n" + b"x" * 40_000,
-            good.replace(b"req-deadline: 4000m", b"req-deadline: soon"),
-            good.replace(b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n", 1),
-            good[:-1] + good.replace(name.encode(), b"hidden" + name.encode())])
+        data = self.random.choice(
+            [
+                good[:300],
+                b"\x00\xff" * 40,
+                good.replace(b"content-length: ", b"content-length: -"),
+                good.replace(b"req-kind: ask", b"req-kind: odd"),
+                b"GET / HTTP/1.1\r\n" + b"x" * 40_000,
+                good.replace(b"req-deadline: 4000m", b"req-deadline: soon"),
+                good.replace(b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n", 1),
+                good[:-1] + good.replace(name.encode(), b"hidden" + name.encode()),
+            ]
+        )
         client = Client(*await asyncio.open_connection(HOST, node.port))
         client.send(data)
         self.world.say("bad", request=name, node=node.name)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -54,8 +54,9 @@
 
         async def one(fault: Fault) -> None:
             await asyncio.sleep(max(0.0, began + fault.at - asyncio.get_running_loop().time()))
-            self.world.say("fault", kind=fault.kind, lasts=fault.lasts, engines=fault.engines,
-                           nodes=fault.nodes)
+            self.world.say(
+                "fault", kind=fault.kind, lasts=fault.lasts, engines=fault.engines, nodes=fault.nodes
+            )
             await KINDS[fault.kind](self, fault)
 
         await asyncio.gather(*map(one, faults))
@@ -65,8 +66,9 @@
 
     async def silence(self, fault: Fault) -> None:
         """Both ways: what has been written is acknowledged, and arrives when it is over, if it still can."""
-        await self._gates(fault, [way for edge in self.edges(fault)
-                                  for way in (edge.to_engine, edge.from_engine)])
+        await self._gates(
+            fault, [way for edge in self.edges(fault) for way in (edge.to_engine, edge.from_engine)]
+        )
 
     async def silence_there(self, fault: Fault) -> None:
         await self._gates(fault, [edge.to_engine for edge in self.edges(fault)])
@@ -176,7 +178,23 @@
 
 
 KINDS: dict[str, Callable[[Trouble, Fault], Awaitable[None]]] = {
-    one.__name__: one for one in (
-        Trouble.silence, Trouble.silence_there, Trouble.silence_back, Trouble.silent_after, Trouble.delay,
-        Trouble.reset, Trouble.hang, Trouble.slow, Trouble.failing, Trouble.drain, Trouble.agent_silent,
-        Trouble.reload, Trouble.pause, Trouble.restart, Trouble.kill, Trouble.wall_clock)}
+    one.__name__: one
+    for one in (
+        Trouble.silence,
+        Trouble.silence_there,
+        Trouble.silence_back,
+        Trouble.silent_after,
+        Trouble.delay,
+        Trouble.reset,
+        Trouble.hang,
+        Trouble.slow,
+        Trouble.failing,
+        Trouble.drain,
+        Trouble.agent_silent,
+        Trouble.reload,
+        Trouble.pause,
+        Trouble.restart,
+        Trouble.kill,
+        Trouble.wall_clock,
+    )
+}
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -52,8 +52,10 @@
         return [event for event in self.seen if event["what"] == what]
 
     def breaks(self, rule: str, text: str) -> None:
-        trail = ", ".join(f"{event['t']:.3f} {event['what']}" + (f" {event['engine']}" if "engine" in event
-                          else "") for event in self.seen[:40])
+        trail = ", ".join(
+            f"{event['t']:.3f} {event['what']}" + (f" {event['engine']}" if "engine" in event else "")
+            for event in self.seen[:40]
+        )
         self.verdict[rule].breaks(f"{self.name}: {text} [{trail}]")
 
     def judge(self) -> None:
@@ -78,13 +80,15 @@
             self.breaks("foreign", "answered with what no engine made for it")
 
     def _node_ended(self, asked: Event, until: float) -> bool:
-        return any(end["node"] == asked["node"] and asked["t"] - 4.0 < end["t"] < until + SLACK
-                   for end in self.ends)
+        return any(
+            end["node"] == asked["node"] and asked["t"] - 4.0 < end["t"] < until + SLACK for end in self.ends
+        )
 
     def _killed(self, asked: Event) -> bool:
         """What a node held that was killed outright is nobody's to let go of any more."""
-        return any(end["kill"] and end["node"] == asked["node"] and end["t"] > asked["t"]
-                   for end in self.ends)
+        return any(
+            end["kill"] and end["node"] == asked["node"] and end["t"] > asked["t"] for end in self.ends
+        )
 
     def _lost(self, asked: Event) -> None:
         if self.left is not None or self.answered is None:
@@ -111,8 +115,11 @@
         if asked["kind"] == "book" and ran and self.answered is not None and self.answered["status"] == 503:
             self.breaks("twice", "refused, though it ran")
         declined = {event["engine"] for event in self.all("declined")}  # by its own word it never ran there
-        writes = [event for event in self.all("sent_whole")
-                  if not event["engine"].startswith("prefill") and event["engine"] not in declined]
+        writes = [
+            event
+            for event in self.all("sent_whole")
+            if not event["engine"].startswith("prefill") and event["engine"] not in declined
+        ]
         if asked["kind"] == "pay" and writes and writes[-1]["t"] > writes[0]["t"] + WINDOW + SLACK:
             self.breaks("twice", "sent again after its window")
 
@@ -167,8 +174,11 @@
     for event in events:
         if event["what"] == "told":
             for engine in {change["engine"] for change in changes}:
-                last = [change for change in changes
-                        if change["engine"] == engine and change["version"] <= event["version"]]
+                last = [
+                    change
+                    for change in changes
+                    if change["engine"] == engine and change["version"] <= event["version"]
+                ]
                 key = event["node"], engine
                 if last and last[-1]["status"] == "leaving":
                     told.setdefault(key, event["t"])
@@ -178,8 +188,10 @@
             judged.cases += 1
             since = told.get((event["node"], event["engine"]))
             if since is not None and event["t"] > since + GRACE + SLACK:
-                judged.breaks(f"{event['request']} sent by {event['node']} to {event['engine']} "
-                              f"{event['t'] - since:.3f} s after it was told of the drain")
+                judged.breaks(
+                    f"{event['request']} sent by {event['node']} to {event['engine']} "
+                    f"{event['t'] - since:.3f} s after it was told of the drain"
+                )
 
 
 def _alive(events: list[Event], judged: Judged) -> None:
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -26,8 +26,10 @@
 def soak_settings() -> dict[str, Any]:
     """The tests' settings, with a class of each effect."""
     settings = copy.deepcopy(SETTINGS)
-    settings["classes"].append(copy.deepcopy(settings["classes"][0]) | {
-        "name": "pay", "effect": "deduplicated", "window-us": 2_000_000})
+    settings["classes"].append(
+        copy.deepcopy(settings["classes"][0])
+        | {"name": "pay", "effect": "deduplicated", "window-us": 2_000_000}
+    )
     settings["family-info"]["aim-us-per-1000-prompt-tokens"].append(40_000.0)
     settings["family-info"]["token-aim-us"].append(60_000.0)
     settings["realms"] = [{"name": "one", "fraction": 1.0, "quota-rps": 10_000.0}]
@@ -60,10 +62,19 @@
 
     def write_config(self) -> Path:
         file = self.folder / f"{self.name}.json"
-        file.write_text(json.dumps({
-            "name": self.name, "listen": f"{HOST}:{self.port}", "discovery": f"{HOST}:{self.agent.port}",
-            "seed": f"{hash((self.world.seed, self.name)) & 0xFFFF:x}", "limits": {"sockets": 512},
-            "known": json.loads(self.agent.listed()), "settings": soak_settings()}))
+        file.write_text(
+            json.dumps(
+                {
+                    "name": self.name,
+                    "listen": f"{HOST}:{self.port}",
+                    "discovery": f"{HOST}:{self.agent.port}",
+                    "seed": f"{hash((self.world.seed, self.name)) & 0xFFFF:x}",
+                    "limits": {"sockets": 512},
+                    "known": json.loads(self.agent.listed()),
+                    "settings": soak_settings(),
+                }
+            )
+        )
         return file
 
     async def start(self) -> None:
@@ -75,7 +86,8 @@
         began = asyncio.get_running_loop().time()
         self.ended_by_us = False
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, *command, stderr=asyncio.subprocess.PIPE, env=environment)
+            sys.executable, *command, stderr=asyncio.subprocess.PIPE, env=environment
+        )
         self.logging = asyncio.ensure_future(self._read_log())
         self.world.say("started", node=self.name)
         while not await self.healthy():
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -56,8 +56,12 @@
     everybody = tuple(range(nodes))
     readers = tuple(f"prefill-{at}" for at in range(8))
     writers = tuple(f"decode-{at}" for at in range(5))
-    kind, engines = {"held": ("silence", writers), "gone": ("slow", readers), "drain": ("drain", readers[:2]),
-                     "twice": ("failing", writers)}.get(rule, ("silence", writers[:2]))
+    kind, engines = {
+        "held": ("silence", writers),
+        "gone": ("slow", readers),
+        "drain": ("drain", readers[:2]),
+        "twice": ("failing", writers),
+    }.get(rule, ("silence", writers[:2]))
     return [Fault(0.5, kind, 4.0, engines, everybody)]
 
 
@@ -66,14 +70,17 @@
     world = World(soak.seed)
     await world.start()
     nodes = [SoakNode(world, f"n{at}", folder, soak.sabotage, soak.preload) for at in range(soak.nodes)]
-    faults = (at_stake(soak.sabotage, soak.nodes) if soak.sabotage
-              else schedule(soak.seed, soak.seconds, world, soak.nodes, soak.each))
+    faults = (
+        at_stake(soak.sabotage, soak.nodes)
+        if soak.sabotage
+        else schedule(soak.seed, soak.seconds, world, soak.nodes, soak.each)
+    )
     lag = asyncio.ensure_future(_lag(world))
     try:
         for node in nodes:
             await node.prepare(lambda node, engine: Edge(world, node, engine))
         for at in range(0, len(nodes), STARTED_AT_ONCE):
-            await asyncio.gather(*(node.start() for node in nodes[at:at + STARTED_AT_ONCE]))
+            await asyncio.gather(*(node.start() for node in nodes[at : at + STARTED_AT_ONCE]))
         trouble = asyncio.ensure_future(Trouble(world, nodes).run(faults))
         await Crowd(world, nodes, soak.rate).run(soak.seconds)
         await trouble
@@ -114,8 +121,13 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(description=__doc__)
-    for name, kind, default in (("seed", int, 1), ("seconds", float, 20.0), ("nodes", int, 24),
-                                ("rate", float, 8.0), ("each", float, 0.3)):
+    for name, kind, default in (
+        ("seed", int, 1),
+        ("seconds", float, 20.0),
+        ("nodes", int, 24),
+        ("rate", float, 8.0),
+        ("each", float, 0.3),
+    ):
         parser.add_argument(f"--{name}", type=kind, default=default)
     parser.add_argument("--sabotage", default="")
     parser.add_argument("--events", type=Path, help="where what was seen is written, a JSON object a line")
--- a/tests/soak/sabotage.py
+++ b/tests/soak/sabotage.py
@@ -57,6 +57,7 @@
 
 def lets_nothing_go() -> None:
     """Makes no call that lets go of what is held."""
+
     async def let_go(self: Releases, release: Any) -> None:
         self.withdraw(release.request)
 
@@ -101,8 +102,13 @@
 
 
 SABOTAGES: dict[str, Callable[[], None]] = {
-    "lost": loses_refusals, "twice": repeats_effects, "drain": hears_no_drains, "held": lets_nothing_go,
-    "gone": serves_who_has_gone, "deadline": tells_long_deadlines, "foreign": changes_bodies,
+    "lost": loses_refusals,
+    "twice": repeats_effects,
+    "drain": hears_no_drains,
+    "held": lets_nothing_go,
+    "gone": serves_who_has_gone,
+    "deadline": tells_long_deadlines,
+    "foreign": changes_bodies,
     "alive": ends_by_itself,
 }
 
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -43,8 +43,10 @@
 def stream_of(request: str) -> list[bytes]:
     """The events that any engine answers a request with: a client can tell whether it got them all."""
     words = [sha256(f"{request}.{at}".encode()).hexdigest()[:8] for at in range(4 + len(request) % 3)]
-    events = [b'data: {"choices":[{"index":0,"delta":{"content":"%b"},"finish_reason":null}]}\n\n' %
-              word.encode() for word in words]
+    events = [
+        b'data: {"choices":[{"index":0,"delta":{"content":"%b"},"finish_reason":null}]}\n\n' % word.encode()
+        for word in words
+    ]
     return [*events, b"data: [DONE]\n\n"]
 
 
@@ -80,8 +82,15 @@
 
     async def _attempt(self, asked: Any, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         name = asked.headers.get("req-id", "")
-        self.world.say("arrived", engine=self.name, kind=self.kind, request=name, body=asked.body.decode(),
-                       target=asked.target, deadline=asked.headers.get("req-deadline", ""))
+        self.world.say(
+            "arrived",
+            engine=self.name,
+            kind=self.kind,
+            request=name,
+            body=asked.body.decode(),
+            target=asked.target,
+            deadline=asked.headers.get("req-deadline", ""),
+        )
         work = asyncio.ensure_future(self._work(name, writer))
         gone = asyncio.ensure_future(reader.read(1))
         try:
@@ -152,10 +161,25 @@
 
     def listed(self) -> bytes:
         """The whole list, as it is told now."""
-        return json.dumps({"index": self.world.version, "snapshot": True, "endpoints": [
-            {"name": engine.name, "address": f"{HOST}:{self.port_of(engine.name)}", "zone": "a",
-             "type": engine.kind, "group": 1, "status": self.world.status[engine.name], "weight": 1.0,
-             "since_ms": 0} for engine in self.world.engines.values()]}).encode()
+        return json.dumps(
+            {
+                "index": self.world.version,
+                "snapshot": True,
+                "endpoints": [
+                    {
+                        "name": engine.name,
+                        "address": f"{HOST}:{self.port_of(engine.name)}",
+                        "zone": "a",
+                        "type": engine.kind,
+                        "group": 1,
+                        "status": self.world.status[engine.name],
+                        "weight": 1.0,
+                        "since_ms": 0,
+                    }
+                    for engine in self.world.engines.values()
+                ],
+            }
+        ).encode()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -16,8 +16,15 @@
 
 pytestmark = pytest.mark.anyio
 KINDS = {"r": "prefill", "s": "prefill", "w": "decode", "v": "decode", "m": "mixed"}
-ENDINGS = {"ok": "SUCCEEDED", "read": "READ", "declined": "FULL", "gone": "STATELESS", "error": "ERRORED",
-           "cut": "SEVERED", "reset": "SEVERED"}
+ENDINGS = {
+    "ok": "SUCCEEDED",
+    "read": "READ",
+    "declined": "FULL",
+    "gone": "STATELESS",
+    "error": "ERRORED",
+    "cut": "SEVERED",
+    "reset": "SEVERED",
+}
 
 
 async def test_each_shot_ends_as_its_engine_saw_it_end_and_took_as_long(tmp_path: Path) -> None:
@@ -28,8 +35,11 @@
         at = asyncio.get_running_loop().time()
         reads = platform.engines[asked.engine].kind == "prefill"
         how = draw.choices(["good", "declined", "gone", "error", "reset", "cut"], [12, 2, 1, 2, 1, 1])[0]
-        how = {"good": "read" if reads else "ok", "cut": "reset" if reads else "cut",
-               "gone": "declined" if reads else "gone"}.get(how, how)
+        how = {
+            "good": "read" if reads else "ok",
+            "cut": "reset" if reads else "cut",
+            "gone": "declined" if reads else "gone",
+        }.get(how, how)
         await asyncio.sleep(draw.random() * 0.05)
         if how in ("reset", "cut"):
             if how == "cut":
@@ -37,8 +47,15 @@
                 await asyncio.sleep(0.02)
             asked.reset()
         else:
-            await asked.say({"read": READ, "ok": GOOD, "declined": whole(503, b"", b"Srv-Declined: 1"),
-                             "gone": whole(410, b"", b"Srv-Declined: 1"), "error": whole(500)}[how])
+            await asked.say(
+                {
+                    "read": READ,
+                    "ok": GOOD,
+                    "declined": whole(503, b"", b"Srv-Declined: 1"),
+                    "gone": whole(410, b"", b"Srv-Declined: 1"),
+                    "error": whole(500),
+                }[how]
+            )
         seen.append((asked.headers["req-id"], asked.engine, how, asyncio.get_running_loop().time() - at))
 
     async with Platform(tmp_path, KINDS).open() as platform:
@@ -53,8 +70,11 @@
     assert Counter(one["ending"] for one in told)["READ"] > 20
     # The time a shot took, as the decisions learn it, is never shorter than it was at the engine.
     for one in told:
-        there = [took for name, engine, how, took in seen
-                 if (name, engine, ENDINGS[how]) == (one["query"], one["engine"], one["ending"])]
+        there = [
+            took
+            for name, engine, how, took in seen
+            if (name, engine, ENDINGS[how]) == (one["query"], one["engine"], one["ending"])
+        ]
         assert one["took"] / 10_000 >= min(there) - 0.002
 
 
@@ -84,16 +104,20 @@
     for engine in platform.engines.values():
         engine.scripts = [counted] * 1_000
     async with platform.inside() as running:
+
         def agree() -> bool:
             engines = running.node.quarter.desk.rules.engines
-            believed = {site.name: len(engines[index].reads if site.role is Role.READER
-                                       else engines[index].streams)
-                        for index, site in running.node.sites.items()}
+            believed = {
+                site.name: len(engines[index].reads if site.role is Role.READER else engines[index].streams)
+                for index, site in running.node.sites.items()
+            }
             return believed == {name: open_at[name] for name in KINDS}
 
         asks = [asyncio.ensure_future(platform.ask(post(f"q{at}"))) for at in range(12)]
-        await platform.until(lambda: sum(open_at.values()) == 12 and sum(
-            open_at[name] for name, kind in KINDS.items() if kind != "prefill") == 12)
+        await platform.until(
+            lambda: sum(open_at.values()) == 12
+            and sum(open_at[name] for name, kind in KINDS.items() if kind != "prefill") == 12
+        )
         await _true(agree)
         for end in (_ends, _cuts, _ends, _spoils, _ends, _cuts):
             steps.put_nowait(end)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -33,10 +33,12 @@
 
 # Placing.
 
+
 @settings(max_examples=60, deadline=None)
 @given(st.integers(8, 48), st.integers(2, 4), st.randoms(use_true_random=False))
 def test_every_cell_has_its_engines_once_whatever_order_the_list_came_in(
-        many: int, cells: int, rng: Any) -> None:
+    many: int, cells: int, rng: Any
+) -> None:
     chart = named(*(f"cell-{at}" for at in range(cells)))
     engines = fleet(many)
     placed = place(chart, engines)
@@ -44,7 +46,8 @@
     rng.shuffle(mixed)
     assert place(chart, mixed).cells == placed.cells
     assert Counter(engine for there in placed.cells.values() for engine in there) == Counter(
-        one.name for one in engines)
+        one.name for one in engines
+    )
 
 
 def test_every_cell_can_read_and_write_where_the_fleet_allows_it_and_says_so_where_not() -> None:
@@ -88,8 +91,9 @@
     same = sum(cells[one] == cells[two] for one, two in pairs)
     assert same == 0
     assert sum(len(cells[one] & cells[two]) for one, two in pairs) / len(pairs) < 1.5
-    fixed = CellMap(version=1, way="fixed", cells={
-        "x": Cell(engines=["engine-1*"]), "y": Cell(engines=["*-2"])})
+    fixed = CellMap(
+        version=1, way="fixed", cells={"x": Cell(engines=["engine-1*"]), "y": Cell(engines=["*-2"])}
+    )
     assert place(fixed, fleet(16)).cells["y"] == {"engine-2"}
 
 
@@ -102,19 +106,24 @@
     assert home(CellMap(version=0), "t", None) == "whole"
 
 
-@pytest.mark.parametrize(("wrong", "word"), [
-    ({"tenants": {"t": "nowhere"}}, "no cell"),
-    ({"reserve": "nowhere"}, "reserve"),
-    ({"reserve": "a", "tenants": {"t": "a"}}, "stands empty"),
-    ({"way": "shuffle"}, "numbered"),
-    ({"way": "fixed"}, "names its engines"),
-    ({"overflow": {"from_turned_away": 0.1, "until_turned_away": 0.2}}, "flap"),
-    ({"moves": [{"id": "m", "tenant": "t", "source": "a", "target": "z"}]}, "no cell"),
-    ({"moves": [{"id": "m", "tenant": "t", "source": "a", "target": "a"}]}, "itself"),
-    ({"moves": [{"id": at, "tenant": "t", "source": "a", "target": "b"} for at in "mn"]},
-     "already being moved"),
-    ({"unknown": 1}, "unknown"),
-])
+@pytest.mark.parametrize(
+    ("wrong", "word"),
+    [
+        ({"tenants": {"t": "nowhere"}}, "no cell"),
+        ({"reserve": "nowhere"}, "reserve"),
+        ({"reserve": "a", "tenants": {"t": "a"}}, "stands empty"),
+        ({"way": "shuffle"}, "numbered"),
+        ({"way": "fixed"}, "names its engines"),
+        ({"overflow": {"from_turned_away": 0.1, "until_turned_away": 0.2}}, "flap"),
+        ({"moves": [{"id": "m", "tenant": "t", "source": "a", "target": "z"}]}, "no cell"),
+        ({"moves": [{"id": "m", "tenant": "t", "source": "a", "target": "a"}]}, "itself"),
+        (
+            {"moves": [{"id": at, "tenant": "t", "source": "a", "target": "b"} for at in "mn"]},
+            "already being moved",
+        ),
+        ({"unknown": 1}, "unknown"),
+    ],
+)
 def test_a_map_that_contradicts_itself_is_refused(wrong: dict[str, Any], word: str) -> None:
     with pytest.raises(ValidationError, match=word):
         CellMap.model_validate({"version": 1, "cells": {"a": {}, "b": {}}, **wrong})
@@ -128,8 +137,9 @@
 
 
 def move(name: str = "m", starts: int = STARTS) -> Move:
-    return Move.model_validate({"id": name, "tenant": "t", "source": "a", "target": "b",
-                                "starts_unix_ms": starts})
+    return Move.model_validate(
+        {"id": name, "tenant": "t", "source": "a", "target": "b", "starts_unix_ms": starts}
+    )
 
 
 FIRST = named("a", "b", "c", tenants={"t": "a"})
@@ -154,8 +164,10 @@
 
 def test_changes_that_must_not_be_made_are_refused_with_a_reason() -> None:
     for chart, change, word in (
-            (PLANNED, move("n"), "already"), (FIRST, move().model_copy(update={"target": "z"}), "no cell"),
-            (FIRST, move().model_copy(update={"target": "a"}), "already")):
+        (PLANNED, move("n"), "already"),
+        (FIRST, move().model_copy(update={"target": "z"}), "no cell"),
+        (FIRST, move().model_copy(update={"target": "a"}), "already"),
+    ):
         with pytest.raises(moving.Refused, match=word):
             moving.planned(chart, change, [])
     with pytest.raises(moving.Refused, match="lacks a role"):
@@ -213,8 +225,10 @@
     if world.clock < LAST_TICK and not (world.at >= 0 and world.clock > world.taken):
         found.append(replace(world, clock=world.clock + 1))
     if len(world.published) < 3:
-        found += [replace(world, published=(*world.published, chart))
-                  for chart in _changes_of(newest, f"m{len(world.published)}", unix)]
+        found += [
+            replace(world, published=(*world.published, chart))
+            for chart in _changes_of(newest, f"m{len(world.published)}", unix)
+        ]
     for front, state in enumerate(world.fronts):
         for chart in world.published:
             if chart.version > state.chart.version:
@@ -261,21 +275,41 @@
         return found
     for front, state in enumerate(world.fronts):
         # A client library repeats what may have run only if it is ticketed, at the same front, in the window.
-        if world.last == "unknown" and (world.effect != "ticketed" or front != world.front or (
-                world.ran and world.clock - world.ran[0][1] >= 2)):
+        if world.last == "unknown" and (
+            world.effect != "ticketed"
+            or front != world.front
+            or (world.ran and world.clock - world.ran[0][1] >= 2)
+        ):
             continue
         moves = Moves(state.chart, state.adopted)
         if state.ticket is not None:
             moves.tickets["k"] = state.ticket
         ticket = "k" if world.effect == "ticketed" else None
-        there = way(moves, world.clock * TICK * 10, world.clock * TICK, "t", None, ticket, world.tries > 0,
-                    WINDOW + LIMIT)
+        there = way(
+            moves,
+            world.clock * TICK * 10,
+            world.clock * TICK,
+            "t",
+            None,
+            ticket,
+            world.tries > 0,
+            WINDOW + LIMIT,
+        )
         if there.unsure:
             continue  # scrapped: nothing is sent
         moves.taken(world.clock * TICK * 10, "t", there.cell, ticket, WINDOW + LIMIT)
         after = _with_front(world, front, replace(state, ticket=moves.tickets.get("k")))
-        found.append(replace(after, tries=world.tries + 1, at=front, cell=there.cell, front=front, last="",
-                             taken=world.clock))
+        found.append(
+            replace(
+                after,
+                tries=world.tries + 1,
+                at=front,
+                cell=there.cell,
+                front=front,
+                last="",
+                taken=world.clock,
+            )
+        )
     return found
 
 
@@ -294,8 +328,19 @@
 
 def _key(world: World) -> tuple[Any, ...]:
     fronts = tuple((id(front.chart), front.adopted, front.ticket) for front in world.fronts)
-    return (tuple(map(id, world.published)), world.clock, fronts, world.tries, world.at, world.cell,
-            world.ran, world.last, world.front, world.kills, world.taken)
+    return (
+        tuple(map(id, world.published)),
+        world.clock,
+        fronts,
+        world.tries,
+        world.at,
+        world.cell,
+        world.ran,
+        world.last,
+        world.front,
+        world.kills,
+        world.taken,
+    )
 
 
 def walk(effect: str, way: Callable[..., moving.Way] = Moves.way) -> tuple[int, list[World]]:
@@ -332,6 +377,7 @@
 
 # Rulings.
 
+
 def test_a_flooded_cell_sheds_its_own_and_takes_no_other_cells_guarantee() -> None:
     budget = ruling.Budget(100, {"a": 1, "b": 1, "c": 2})
     while budget.asks("a") is ruling.Verdict.IN:
--- a/tests/test_cells_at_work.py
+++ b/tests/test_cells_at_work.py
@@ -19,11 +19,20 @@
 from tests.town import Town
 
 KINDS = ["prefill", "decode", "prefill", "decode", "prefill", "decode"]
-CHART = CellMap.model_validate({
-    "version": 1, "way": "fixed", "reserve": "spare", "tenants": {"one": "a", "two": "b"},
-    "cells": {"a": {"engines": ["e0", "e1"]}, "b": {"engines": ["e2", "e3"]},
-              "spare": {"engines": ["e4", "e5"]}},
-    "overflow": {"from_turned_away": 0.3, "until_turned_away": 0.1, "settle_ms": 10.0}})
+CHART = CellMap.model_validate(
+    {
+        "version": 1,
+        "way": "fixed",
+        "reserve": "spare",
+        "tenants": {"one": "a", "two": "b"},
+        "cells": {
+            "a": {"engines": ["e0", "e1"]},
+            "b": {"engines": ["e2", "e3"]},
+            "spare": {"engines": ["e4", "e5"]},
+        },
+        "overflow": {"from_turned_away": 0.3, "until_turned_away": 0.1, "settle_ms": 10.0},
+    }
+)
 
 
 def moved(start: int = 1, **said: Any) -> CellMap:
@@ -81,6 +90,7 @@
 @pytest.mark.anyio
 async def test_a_move_sends_new_queries_to_the_new_cell_and_leaves_the_old_ones(tmp_path: Path) -> None:
     async with Town(tmp_path, KINDS, CHART).open() as town, anyio.create_task_group() as tasks:
+
         async def long_one() -> None:
             answer = await town.ask("book", out=60, runspool_tenant="one", runspool_mark="old")
             assert answer.status == 200
@@ -93,8 +103,12 @@
         moves = town.running.front.cells()["moves"]
         assert [(one["stage"], one["out"]) for one in moves] in ([("settling", 1)], [("settled", 0)])
         await until(town, "ran", "old")
-        await adopted(town, moved().model_copy(update={"version": 3, "moves": [
-            moved(step="turned_back", turned_unix_ms=2).moves[0]]}))
+        await adopted(
+            town,
+            moved().model_copy(
+                update={"version": 3, "moves": [moved(step="turned_back", turned_unix_ms=2).moves[0]]}
+            ),
+        )
         assert (await town.ask(runspool_tenant="one", runspool_mark="back")).status == 200
         assert engines_of(town, "back") == {"e0", "e1"}
     assert engines_of(town, "old") == {"e0", "e1"}
@@ -150,6 +164,7 @@
 @pytest.mark.anyio
 async def test_a_cell_that_vanishes_ends_what_it_holds(tmp_path: Path) -> None:
     async with Town(tmp_path, KINDS, CHART).open() as town, anyio.create_task_group() as tasks:
+
         async def held() -> None:
             assert (await town.ask(out=60, runspool_tenant="one", runspool_mark="held")).status == 200
 
@@ -184,7 +199,8 @@
 
 @pytest.mark.anyio
 async def test_a_query_that_brings_engines_down_is_stopped_and_not_taken_again(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     def fall(engine: Engine) -> None:
         assert engine.tasks is not None
         engine.tasks.cancel_scope.cancel()
@@ -214,6 +230,7 @@
 
 # The commands.
 
+
 @pytest.fixture
 def front(tmp_path: Path) -> Path:
     """A front's terms, with a last list of engines beside them."""
@@ -226,6 +243,7 @@
           front: r.front('f', 'z', 0, r.list('127.0.0.1', 1)) {{
             memory_file: '{tmp_path}/list', cells_file: '{tmp_path}/cells.map' }} }}""")
     from runspool.wire.listing import Entry
+
     keep(tmp_path / "list", 1, [Entry(f"e{at}", "127.0.0.1:1", KINDS[at], "z", at, "on") for at in range(6)])
     return terms
 
@@ -247,8 +265,12 @@
     assert "spare (reserve)" in run("show", front)
     planned = run("plan", front, "one", "b")
     assert "tenant one: from a to b" in planned and "0 changes of engines in 6" in planned
-    for wrong, why in ((["nobody", "b"], "none of the house"), (["one", "c"], "no cell c"),
-                       (["one", "a"], "already"), (["one", "spare"], "reserve")):
+    for wrong, why in (
+        (["nobody", "b"], "none of the house"),
+        (["one", "c"], "no cell c"),
+        (["one", "a"], "already"),
+        (["one", "spare"], "reserve"),
+    ):
         assert why in run("move", front, *wrong, "--yes", code=1)
     assert book.load(file) == CHART
     run("move", front, "one", "b", "--yes")
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -15,10 +15,25 @@
 from runspool.front.desk import BACKGROUND, Entered
 from tests.fakehost import MIXED, READER, WRITER, FakeHost, terms
 
-ENDS_OF_READS = [Ending.READ] * 6 + [Ending.FULL, Ending.ERRORED, Ending.SEVERED, Ending.OVERDUE,
-                                     Ending.UNREACHABLE, Ending.VOID, Ending.RECALLED]
-ENDS_OF_WRITES = [Ending.SUCCEEDED] * 3 + [Ending.FULL, Ending.STATELESS, Ending.ERRORED, Ending.SEVERED,
-                                           Ending.OVERDUE, Ending.UNREACHABLE, Ending.VOID, Ending.RECALLED]
+ENDS_OF_READS = [Ending.READ] * 6 + [
+    Ending.FULL,
+    Ending.ERRORED,
+    Ending.SEVERED,
+    Ending.OVERDUE,
+    Ending.UNREACHABLE,
+    Ending.VOID,
+    Ending.RECALLED,
+]
+ENDS_OF_WRITES = [Ending.SUCCEEDED] * 3 + [
+    Ending.FULL,
+    Ending.STATELESS,
+    Ending.ERRORED,
+    Ending.SEVERED,
+    Ending.OVERDUE,
+    Ending.UNREACHABLE,
+    Ending.VOID,
+    Ending.RECALLED,
+]
 
 
 def books(host: FakeHost) -> list[tuple[int, str, object]]:
@@ -44,7 +59,7 @@
 
     def shots(self) -> None:
         """Takes up shots asked for since."""
-        for query, engine, _ in self.host.shots[self.heard:]:
+        for query, engine, _ in self.host.shots[self.heard :]:
             self.numbers[query] += 1
             self.out[query] = self.numbers[query], engine, False
         self.heard = len(self.host.shots)
@@ -115,7 +130,7 @@
     for query in range(1, host.asked + 1):
         said = host.of(query)
         assert said.count("dismiss") + said.count("scrap") <= 1
-        assert set(said[said.index("dismiss") + 1:] if "dismiss" in said else []) <= {"release"}
+        assert set(said[said.index("dismiss") + 1 :] if "dismiss" in said else []) <= {"release"}
     assert len(host.shots) > 200
 
 
@@ -272,8 +287,13 @@
 
 def test_an_engine_is_itself_and_no_other_that_looks_like_it() -> None:
     host = FakeHost([READER, WRITER])
-    assert host.desk.rules.engines[0] != Engine(0, *[getattr(host.desk.rules.engines[0], name) for name in (
-        "mark", "role", "zone", "rack", "memory", "started")])
+    assert host.desk.rules.engines[0] != Engine(
+        0,
+        *[
+            getattr(host.desk.rules.engines[0], name)
+            for name in ("mark", "role", "zone", "rack", "memory", "started")
+        ],
+    )
 
 
 def test_an_unknown_ending_in_the_wrong_place_is_sound() -> None:
--- a/tests/test_doctored.py
+++ b/tests/test_doctored.py
@@ -38,8 +38,27 @@
 
 
 def items(count: int, tariff: int = ASK, gap: int = 50, limit: int = 20_000, out: int = 6) -> list[Item]:
-    return [Item(f"i{at}", at * gap, 0, tariff, 0, f"s{at}", [(f"text{at}", 50)], "", 0, 50, out, True,
-                 limit, limit, 0, 0) for at in range(count)]
+    return [
+        Item(
+            f"i{at}",
+            at * gap,
+            0,
+            tariff,
+            0,
+            f"s{at}",
+            [(f"text{at}", 50)],
+            "",
+            0,
+            50,
+            out,
+            True,
+            limit,
+            limit,
+            0,
+            0,
+        )
+        for at in range(count)
+    ]
 
 
 async def nothing(town: Town) -> None:
@@ -48,6 +67,7 @@
 
 # What goes wrong around the front.
 
+
 async def resets(town: Town) -> None:
     for one in town.engines:
         if one.make.role == "writer":
@@ -64,13 +84,17 @@
     await town.until("ran", 5)
     town.tell(0, "draining")
     with anyio.fail_after(10):
-        while not any(name == "e0" and state == "draining" for event in town.seen("told")
-                      for name, state, _ in event["engines"]):
+        while not any(
+            name == "e0" and state == "draining"
+            for event in town.seen("told")
+            for name, state, _ in event["engines"]
+        ):
             await anyio.sleep(0.01)
 
 
 # How a front is doctored.
 
+
 def forgets_that_it_may_have_run(patch: pytest.MonkeyPatch) -> None:
     for mishap in (Mishap.CUT_AFTER_LAST_BYTE, Mishap.CUT_IN_ANSWER, Mishap.FAILED):
         patch.setitem(ENDINGS, mishap, Ending.UNREACHABLE)
@@ -83,15 +107,17 @@
         taken = front.queries[query]
         second = taken.headers | {"X-Request-Id": f"{taken.id}.again"}
         if taken.shots:
-            front._spawn(_listenless, front, taken.wish.body, second, front.sites[engine].address,
-                         taken.state)
+            front._spawn(
+                _listenless, front, taken.wish.body, second, front.sites[engine].address, taken.state
+            )
         sound(front, query, engine, cap)
 
     patch.setattr(Front, "send", send)
 
 
-async def _listenless(front: Front, body: Any, headers: dict[str, str], address: tuple[str, int],
-                      state: Any) -> None:
+async def _listenless(
+    front: Front, body: Any, headers: dict[str, str], address: tuple[str, int], state: Any
+) -> None:
     class Deaf:
         async def begun(self) -> None:
             return
@@ -168,19 +194,35 @@
     "late answer": (answers_late, LOST, full_writers, items(4, limit=6_000), {}),
     "speaks after the end": (speaks_after_the_end, LOST, nothing, items(4), {}),
     "loses a token": (loses_a_token, LOST, nothing, items(4), {}),
-    "sends after a drain": (does_not_hear_of_drains, DRAINS, drained, items(50, gap=300),
-                            {"drain_grace": 500}),
-    "keeps states": (lets_no_state_go, PINNED, full_writers, items(6, limit=30_000),
-                     {"release_within": 4_000, "held_on": 1.5}),
-    "floods a cold engine": (takes_cold_for_warm, COLD, nothing, items(60, gap=100),
-                             {"cold": 0, "fall_multiple": 0.3}),
+    "sends after a drain": (
+        does_not_hear_of_drains,
+        DRAINS,
+        drained,
+        items(50, gap=300),
+        {"drain_grace": 500},
+    ),
+    "keeps states": (
+        lets_no_state_go,
+        PINNED,
+        full_writers,
+        items(6, limit=30_000),
+        {"release_within": 4_000, "held_on": 1.5},
+    ),
+    "floods a cold engine": (
+        takes_cold_for_warm,
+        COLD,
+        nothing,
+        items(60, gap=100),
+        {"cold": 0, "fall_multiple": 0.3},
+    ),
 }
 
 
 @pytest.mark.parametrize("doctored", [False, True], ids=["sound", "doctored"])
 @pytest.mark.parametrize("case", CASES)
-async def test_a_doctored_front_is_found_out(case: str, doctored: bool, tmp_path: Path,
-                                             monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_doctored_front_is_found_out(
+    case: str, doctored: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     doctor, rule, trouble, asked, said = CASES[case]
     if doctored:
         doctor(monkeypatch)
@@ -189,8 +231,9 @@
     slack = Slack(late=4_000, seen=4_000)
     town = Town(tmp_path, KINDS)
     for at, one in enumerate(town.plan.engines):
-        one.make = replace(one.make, zone="ab"[at % 2],
-                           fall_multiple=said.get("fall_multiple", one.make.fall_multiple))
+        one.make = replace(
+            one.make, zone="ab"[at % 2], fall_multiple=said.get("fall_multiple", one.make.fall_multiple)
+        )
         town.engines[at] = Engine(one.make, town.record, at == said.get("cold"), at)
         town.started[at] = int(time() * 1000) if at == said.get("cold") else 0
     for name in said.keys() - {"cold", "held_on"}:
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -22,10 +22,20 @@
 from tests.town import make
 
 SECOND = 10_000
-TERMS = EnginesTerms(connect_ms=300, idle_ms=15000, connections_each=4, idle_each=4,
-                     read_answer_bytes=65536, line_bytes=16384, source_address=None)
-QUERY: State = {"prompt": msgspec.Raw(b'"' + b"abcd" * 40 + b'"'), "max_tokens": msgspec.Raw(b"50"),
-                "standin": msgspec.Raw(b'{"try":"t","out":5}')}
+TERMS = EnginesTerms(
+    connect_ms=300,
+    idle_ms=15000,
+    connections_each=4,
+    idle_each=4,
+    read_answer_bytes=65536,
+    line_bytes=16384,
+    source_address=None,
+)
+QUERY: State = {
+    "prompt": msgspec.Raw(b'"' + b"abcd" * 40 + b'"'),
+    "max_tokens": msgspec.Raw(b"50"),
+    "standin": msgspec.Raw(b'{"try":"t","out":5}'),
+}
 
 
 class Heard:
@@ -41,13 +51,16 @@
 
 
 async def write(caller: Caller, address: Address, limit: int = 2 * SECOND, query: State = QUERY) -> Ended:
-    return await caller.write(address, query, None, {"X-Request-Id": "q.1"}, limit, FREE, 50,
-                              Heard())
+    return await caller.write(address, query, None, {"X-Request-Id": "q.1"}, limit, FREE, 50, Heard())
 
 
-async def shot_at(serve: Callable[[anyio.abc.SocketStream], Awaitable[None]], limit: int = SECOND,
-                  query: State = QUERY, warm: Callable[[Caller, Address], Awaitable[None]] | None = None,
-                  read: bool = False) -> Ended:
+async def shot_at(
+    serve: Callable[[anyio.abc.SocketStream], Awaitable[None]],
+    limit: int = SECOND,
+    query: State = QUERY,
+    warm: Callable[[Caller, Address], Awaitable[None]] | None = None,
+    read: bool = False,
+) -> Ended:
     """One shot at a peer that does what `serve` says with each connection."""
     caller = Caller(TERMS, now, 500)
     async with anyio.create_task_group() as tasks:
@@ -58,8 +71,9 @@
         if warm is not None:
             await warm(caller, address)
         with anyio.fail_after(20):
-            ended = await (caller.read(address, query, {}, limit, FREE) if read
-                           else write(caller, address, limit, query))
+            ended = await (
+                caller.read(address, query, {}, limit, FREE) if read else write(caller, address, limit, query)
+            )
         tasks.cancel_scope.cancel()
     caller.pool.close()
     await listener.aclose()
@@ -222,18 +236,21 @@
     assert (ended.mishap, ended.ending) == (Mishap.SILENT_BEFORE_LAST_BYTE, Ending.UNREACHABLE)
 
 
-@pytest.mark.parametrize(("raw", "mishap"), [
-    (b"HTTP/1.1 408 Late\r\nContent-Length: 0\r\n\r\n", Mishap.FAILED),
-    (b'HTTP/1.1 409 No\r\nContent-Length: 33\r\n\r\n{"error": {"code": "state_gone"}}', Mishap.NO_STATE),
-    (b"HTTP/1.1 409 No\r\nContent-Length: 2\r\n\r\n{}", Mishap.NOT_AN_ENGINE),
-    (b"HTTP/1.1 413 Big\r\nContent-Length: 0\r\n\r\n", Mishap.NOT_FOR_ENGINE),
-    (b"HTTP/1.1 401 Who\r\nContent-Length: 0\r\n\r\n", Mishap.NOT_AN_ENGINE),
-    (b"HTTP/1.1 502 Bad\r\nContent-Length: 0\r\n\r\n", Mishap.FAILED),
-    (b"HTTP/1.1 503 Full\r\nContent-Length: 100\r\n\r\ncut", Mishap.TURNED_AWAY),
-    (b"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", Mishap.TURNED_AWAY),
-    (b"HTTP/1.1 200 OK\r\n" + b"A: " + b"x" * 90_000, Mishap.GARBLED),
-    (b"HTTP/1.1 2", Mishap.CUT_AFTER_LAST_BYTE),
-])
+@pytest.mark.parametrize(
+    ("raw", "mishap"),
+    [
+        (b"HTTP/1.1 408 Late\r\nContent-Length: 0\r\n\r\n", Mishap.FAILED),
+        (b'HTTP/1.1 409 No\r\nContent-Length: 33\r\n\r\n{"error": {"code": "state_gone"}}', Mishap.NO_STATE),
+        (b"HTTP/1.1 409 No\r\nContent-Length: 2\r\n\r\n{}", Mishap.NOT_AN_ENGINE),
+        (b"HTTP/1.1 413 Big\r\nContent-Length: 0\r\n\r\n", Mishap.NOT_FOR_ENGINE),
+        (b"HTTP/1.1 401 Who\r\nContent-Length: 0\r\n\r\n", Mishap.NOT_AN_ENGINE),
+        (b"HTTP/1.1 502 Bad\r\nContent-Length: 0\r\n\r\n", Mishap.FAILED),
+        (b"HTTP/1.1 503 Full\r\nContent-Length: 100\r\n\r\ncut", Mishap.TURNED_AWAY),
+        (b"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", Mishap.TURNED_AWAY),
+        (b"HTTP/1.1 200 OK\r\n" + b"A: " + b"x" * 90_000, Mishap.GARBLED),
+        (b"HTTP/1.1 2", Mishap.CUT_AFTER_LAST_BYTE),
+    ],
+)
 @pytest.mark.anyio
 async def test_a_status_says_what_it_promises(raw: bytes, mishap: Mishap) -> None:
     async def answer(stream: anyio.abc.SocketStream) -> None:
@@ -285,9 +302,17 @@
 
 def test_only_what_cannot_have_run_counts_as_that() -> None:
     never = {mishap for mishap in Mishap if not may_have_run(mishap)}
-    assert never == {Mishap.NO_TIME, Mishap.OWN_CAP, Mishap.BARRED, Mishap.REFUSED,
-                     Mishap.CUT_BEFORE_LAST_BYTE,
-                     Mishap.SILENT_BEFORE_LAST_BYTE, Mishap.TURNED_AWAY, Mishap.NO_STATE,
-                     Mishap.NOT_FOR_ENGINE, Mishap.NOT_AN_ENGINE}
+    assert never == {
+        Mishap.NO_TIME,
+        Mishap.OWN_CAP,
+        Mishap.BARRED,
+        Mishap.REFUSED,
+        Mishap.CUT_BEFORE_LAST_BYTE,
+        Mishap.SILENT_BEFORE_LAST_BYTE,
+        Mishap.TURNED_AWAY,
+        Mishap.NO_STATE,
+        Mishap.NOT_FOR_ENGINE,
+        Mishap.NOT_AN_ENGINE,
+    }
     assert set(ENDINGS) == set(Mishap)
     assert all(ENDINGS[mishap] in NEVER_RAN for mishap in never)
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -114,7 +114,8 @@
 def test_a_large_fleet_of_which_hardly_any_is_on_still_finds_those() -> None:
     host = fleet(LARGE)
     left = [line for line in host.lines if line.kind == READER][:1] + [
-        line for line in host.lines if line.kind != READER][:1]
+        line for line in host.lines if line.kind != READER
+    ][:1]
     for line in host.lines:
         line.state = "on" if line in left else "draining"
     host.desk.roster(host.now, Roster(True, list(host.lines)))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -32,8 +32,10 @@
     for q, answered in asked:
         sessions[q.session or 0].append(answered)
     refused = 1 - share(asked)
-    return (sum(not any(turns) for turns in sessions.values()) / len(sessions),
-            sum(refused ** len(turns) for turns in sessions.values()) / len(sessions))
+    return (
+        sum(not any(turns) for turns in sessions.values()) / len(sessions),
+        sum(refused ** len(turns) for turns in sessions.values()) / len(sessions),
+    )
 
 
 @cache
@@ -49,9 +51,10 @@
 
 @pytest.mark.parametrize(("rates", "seed", "part"), [(QUIET, 1, 2 / 3), (QUIET, 2, 2 / 3), (JAM, 1, 1 / 2)])
 def test_the_longest_prompts_are_answered_about_as_often_as_the_others(
-        rates: tuple[int, ...], seed: int, part: float) -> None:
+    rates: tuple[int, ...], seed: int, part: float
+) -> None:
     asked = day(rates, seed)
-    longest = asked[-len(asked) // 10:]
+    longest = asked[-len(asked) // 10 :]
     assert share(longest) >= part * share(asked), (share(longest), share(asked))
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -28,7 +28,7 @@
 
 pytestmark = pytest.mark.anyio
 
-ASK = (b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nRunspool-Tariff: ask\r\nRunspool-Limit-Ms: 5000\r\n")
+ASK = b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nRunspool-Tariff: ask\r\nRunspool-Limit-Ms: 5000\r\n"
 
 
 async def test_an_answer_streams_and_comes_whole(tmp_path: Path) -> None:
@@ -61,14 +61,38 @@
             (await town.ask(tokens=900), 413, "query_bytes"),
             (await town.say(b"NONSENSE\r\n\r\n"), 400, "malformed"),
             (await town.say(b"GET /healthz HTTP/1.1\r\n\r\n"), 400, "malformed"),  # no host
-            (await town.say(b"GET /healthz HTTP/1.1\r\nHost: x\r\nRunspool-Tariff: a\r\n"
-                            b"Runspool-Tariff: b\r\n\r\n"), 400, "malformed"),
-            (await town.say(b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n"
-                            b"Transfer-Encoding: chunked\r\n\r\n"), 400, "malformed"),
-            (await town.say(b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
-                            b"fffff\r\n" + b"x" * 0xFFFFF + b"\r\n0\r\n\r\n"), 413, "query_bytes"),
-            (await town.say(b"GET /healthz HTTP/1.1\r\nHost: x\r\n" 
-                            + b"".join(b"A%d: b\r\n" % at for at in range(101)) + b"\r\n"), 431, "malformed"),
+            (
+                await town.say(
+                    b"GET /healthz HTTP/1.1\r\nHost: x\r\nRunspool-Tariff: a\r\nRunspool-Tariff: b\r\n\r\n"
+                ),
+                400,
+                "malformed",
+            ),
+            (
+                await town.say(
+                    b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n"
+                    b"Transfer-Encoding: chunked\r\n\r\n"
+                ),
+                400,
+                "malformed",
+            ),
+            (
+                await town.say(
+                    b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
+                    b"fffff\r\n" + b"x" * 0xFFFFF + b"\r\n0\r\n\r\n"
+                ),
+                413,
+                "query_bytes",
+            ),
+            (
+                await town.say(
+                    b"GET /healthz HTTP/1.1\r\nHost: x\r\n"
+                    + b"".join(b"A%d: b\r\n" % at for at in range(101))
+                    + b"\r\n"
+                ),
+                431,
+                "malformed",
+            ),
             (await town.say(b"GET / HTTP/1.1\r\nHost: x\r\nA: " + b"x" * 40_000), 431, "malformed"),
             (await town.say(b"GET /else HTTP/1.1\r\nHost: x\r\n\r\n"), 404, "path"),
         ]
@@ -90,8 +114,12 @@
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
         asked = b"GET %b HTTP/1.1\r\nHost: x\r\n%b\r\n"
         async with await anyio.connect_tcp("127.0.0.1", town.port) as stream:
-            await stream.send(asked % (b"/healthz", b"") + asked % (b"/nowhere", b"")
-                              + asked % (b"/healthz", b"Connection: close\r\n") + asked % (b"/healthz", b""))
+            await stream.send(
+                asked % (b"/healthz", b"")
+                + asked % (b"/nowhere", b"")
+                + asked % (b"/healthz", b"Connection: close\r\n")
+                + asked % (b"/healthz", b"")
+            )
             said = bytearray()
             with anyio.fail_after(10), suppress(anyio.EndOfStream):
                 while True:
@@ -101,8 +129,10 @@
 
 async def test_a_client_that_ends_its_sending_too_early_is_told(tmp_path: Path) -> None:
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
-        for raw in (b"POST /v1/completions HT", b"POST /v1/completions HTTP/1.1\r\nHost: x\r\n"
-                    b"Content-Length: 9\r\n\r\n{"):
+        for raw in (
+            b"POST /v1/completions HT",
+            b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{",
+        ):
             async with await anyio.connect_tcp("127.0.0.1", town.port) as stream:
                 await stream.send(raw)
                 await stream.send_eof()
@@ -199,8 +229,9 @@
     async with Town(tmp_path, ["prefill", "decode"], answer_write_ms=300).open() as town:
         # Tokens of a size that fills every buffer on the way soon.
         town.engines[1].token = "t" * 60_000
-        raw = msgspec.json.encode({"prompt": "abcd" * 40, "max_tokens": 900, "stream": True,
-                                   "standin": {"try": "t", "out": 800}})
+        raw = msgspec.json.encode(
+            {"prompt": "abcd" * 40, "max_tokens": 900, "stream": True, "standin": {"try": "t", "out": 800}}
+        )
         async with await anyio.connect_tcp("127.0.0.1", town.port) as stream:
             await stream.send(ASK + b"Content-Length: %d\r\n\r\n" % len(raw) + raw)
             await town.until("ended", how="left")
@@ -305,7 +336,8 @@
 
 
 async def test_a_shot_still_connecting_as_its_engine_drains_is_not_sent(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async with Town(tmp_path, ["prefill", "decode", "decode"]).open() as town:
         dialled, go, sound = anyio.Event(), anyio.Event(), lines.dial
         to: list[int] = []
@@ -357,8 +389,9 @@
         assert (await town.ask()).status == 200
 
 
-async def test_the_look_for_poison_holds_nobody_who_leaves(tmp_path: Path,
-                                                           monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_look_for_poison_holds_nobody_who_leaves(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
         front, looks = town.running.front, anyio.Event()
 
@@ -383,7 +416,8 @@
 
 
 async def test_an_engine_is_cold_to_a_front_whose_wall_clock_was_set_back(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async with Town(tmp_path, ["prefill", "decode", "decode"]).open() as town:
         front, hour = town.running.front, 3_600_000
         town.started[1] = unix_ms() - 30_000
@@ -416,7 +450,8 @@
 
 
 async def test_the_thread_that_keeps_the_list_has_a_copy_of_its_own(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     given: list[list[Entry]] = []
     monkeypatch.setattr("runspool.service.running.keep", lambda path, version, engines: given.append(engines))
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
@@ -438,8 +473,11 @@
         town.engines[2].fault("row", row="reset_after", share=0.2)
         async with anyio.create_task_group() as tasks:
             for number in range(40):
-                tasks.start_soon(lambda at=number: town.ask(  # type: ignore[misc]
-                    ["ask", "book"][at % 2], out=5, runspool_mark=f"m{at}", runspool_session=f"s{at % 7}"))
+                tasks.start_soon(
+                    lambda at=number: town.ask(  # type: ignore[misc]
+                        ["ask", "book"][at % 2], out=5, runspool_mark=f"m{at}", runspool_session=f"s{at % 7}"
+                    )
+                )
         town.running.front.quarter("whole").tape.close()
     found = retrace(tape)
     assert found.differs == ""
@@ -456,8 +494,15 @@
     async with town.open():
         async with anyio.create_task_group() as tasks:
             for number in range(30):
-                tasks.start_soon(lambda at=number: town.ask(  # type: ignore[misc]
-                    "book", out=5, runspool_mark=f"m{at}"))
+                tasks.start_soon(
+                    lambda at=number: town.ask(  # type: ignore[misc]
+                        "book", out=5, runspool_mark=f"m{at}"
+                    )
+                )
         assert len(town.seen("ran")) == 30
-        assert all(rule.broken == 0 for rule in audit(
-            [event for event in map(msgspec.json.decode, town.file.read_bytes().splitlines())]).values())
+        assert all(
+            rule.broken == 0
+            for rule in audit(
+                [event for event in map(msgspec.json.decode, town.file.read_bytes().splitlines())]
+            ).values()
+        )
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -45,8 +45,9 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_seeded_history_keeps_every_rule_and_leaves_nothing_behind(seed: int,
-                                                                     monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_seeded_history_keeps_every_rule_and_leaves_nothing_behind(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     world = played(seed, Days(), monkeypatch)
     assert broken(world) == {}
     assert world.left_over == []
@@ -56,11 +57,13 @@
 
 
 @pytest.mark.parametrize("night", sorted(NIGHTS.glob("*.xz")), ids=lambda file: str(file.name))
-def test_a_recorded_night_keeps_every_rule_and_so_does_its_replay(night: Path,
-                                                                 monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_recorded_night_keeps_every_rule_and_so_does_its_replay(
+    night: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Recorded on sockets; then what happened around the fronts happens again to the code of today."""
-    recording: list[Event] = [msgspec.json.decode(line)
-                              for line in lzma.decompress(night.read_bytes()).splitlines()]
+    recording: list[Event] = [
+        msgspec.json.decode(line) for line in lzma.decompress(night.read_bytes()).splitlines()
+    ]
     as_it_was = audit(recording)
     assert all(judged.cases and not judged.broken for judged in as_it_was.values())
     clockwork.wind(monkeypatch)
@@ -87,20 +90,29 @@
 
 def test_the_same_seed_is_the_same_history_in_every_process() -> None:
     """Whatever order the interpreter gives its sets, by hash or by address: the same news, the same picks."""
-    runs = [subprocess.run([sys.executable, "-c", DIGEST], capture_output=True, text=True, check=True,
-                           env=os.environ | {"PYTHONHASHSEED": hashing, "PYTHONMALLOC": memory})
-            for hashing, memory in (("1", "pymalloc"), ("2", "malloc"), ("3", "pymalloc"))]
+    runs = [
+        subprocess.run(
+            [sys.executable, "-c", DIGEST],
+            capture_output=True,
+            text=True,
+            check=True,
+            env=os.environ | {"PYTHONHASHSEED": hashing, "PYTHONMALLOC": memory},
+        )
+        for hashing, memory in (("1", "pymalloc"), ("2", "malloc"), ("3", "pymalloc"))
+    ]
     assert len({run.stdout.splitlines()[-1] for run in runs}) == 1
 
 
 # One breach a rule, in the real code; the same history without it is the test above, or the sound case below.
 
+
 def answers_nothing_when_it_cannot_serve(patch: pytest.MonkeyPatch) -> None:
     sound = Front._ring
     patch.setattr(Front, "dismiss", lambda front, query, hold_off: None)
     patch.setattr(Front, "scrap", lambda front, query: None)
-    patch.setattr(Front, "_ring",
-                  lambda front, token: None if token.startswith(GUARD) else sound(front, token))
+    patch.setattr(
+        Front, "_ring", lambda front, token: None if token.startswith(GUARD) else sound(front, token)
+    )
 
 
 def lets_no_state_go(patch: pytest.MonkeyPatch) -> None:
@@ -120,8 +132,9 @@
 
 
 @pytest.mark.parametrize("rule", RULES)
-def test_a_history_with_one_breach_is_refused_for_that_rule_alone(rule: str,
-                                                                  monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_history_with_one_breach_is_refused_for_that_rule_alone(
+    rule: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     breach, days = REFUSED[rule]
     days = replace(days, length=100_000)
     assert broken(played(3, days, monkeypatch)) == {}
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -13,7 +13,16 @@
 
 from runspool.sockets.lines import Line, dial
 from tests.platform import (
-    GOOD, READ, WAIT, Platform, Request, Script, post, says, silent, whole,
+    GOOD,
+    READ,
+    WAIT,
+    Platform,
+    Request,
+    Script,
+    post,
+    says,
+    silent,
+    whole,
 )
 
 pytestmark = pytest.mark.anyio
@@ -36,6 +45,7 @@
     async def script(asked: Request) -> None:
         await asked.say(READ)
         watch.stop()
+
     return script
 
 
@@ -48,7 +58,8 @@
 @pytest.mark.parametrize("effect", ["ask", "book"])
 @pytest.mark.parametrize("connection", ["fresh", "used"])
 async def test_a_state_is_let_go_while_its_write_has_not_arrived(
-        effect: str, connection: str, tmp_path: Path) -> None:
+    effect: str, connection: str, tmp_path: Path
+) -> None:
     """The writer's kernel takes connection and bytes, and nothing reaches its process."""
     platform = Platform(tmp_path, PAIR)
     proxy = platform.engines["w"].behind_proxy()
@@ -138,8 +149,10 @@
 
 
 async def test_the_time_told_to_an_engine_is_what_is_left_when_it_is_sent(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A connection that took long to come up has taken its time from the client's."""
+
     async def dials(address: tuple[str, int], source: str | None) -> Line:
         await asyncio.sleep(0.22)
         return await dial(address, source)
@@ -152,7 +165,7 @@
         client.send(post("q1", "book", req_deadline="2000m"))
         await platform.until(lambda: len(platform.shots("q1", "write")) == 1)
         left = 2.0 - (time.monotonic() - sent)
-        write, = platform.shots("q1", "write")
+        (write,) = platform.shots("q1", "write")
         assert left - 0.2 < int(write.headers["req-deadline"].removesuffix("u")) / 1e6 < left + 0.1
         assert (await asyncio.wait_for(client.answer(), WAIT)).whole
 
@@ -168,4 +181,4 @@
         await platform.until(lambda: len(platform.shots("q1", "write")) >= 1)
         assert (await client.answer()).status in (500, 503)
         last = platform.seen.index(platform.shots("q1")[-1])
-        await platform.until(lambda: any(one.method == "DELETE" for one in platform.seen[last + 1:]))
+        await platform.until(lambda: any(one.method == "DELETE" for one in platform.seen[last + 1 :]))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -101,29 +101,74 @@
     for seed in range(30):
         plan = bad_night(seed)
         assert {one.kind for one in plan.troubles} <= {*BENCH_KINDS, *OWN_KINDS}
-        most = max(sum(one.at <= at < one.at + max(one.length, SECOND) for one in plan.troubles)
-                   for at in range(0, plan.length, SECOND // 2))
+        most = max(
+            sum(one.at <= at < one.at + max(one.length, SECOND) for one in plan.troubles)
+            for at in range(0, plan.length, SECOND // 2)
+        )
         assert most >= 8, seed
 
 
 def bench_day(*kinds: str) -> dict[str, Any]:
     """A day in the shape that the bench draws; times in microseconds."""
-    rows = [{"name": "ask", "share": 0.8, "work": 90_000.0, "aim": 1_500_000, "deadline": 6_000_000,
-             "worth": 1.0, "late_worth": 0.1, "effect": "safe", "group": "all", "window": 5_000_000},
-            {"name": "book", "share": 0.3, "work": 300_000.0, "aim": 3_000_000, "deadline": 15_000_000,
-             "worth": 3.0, "late_worth": 0.1, "effect": "unsafe", "group": "all", "window": 5_000_000}]
+    rows = [
+        {
+            "name": "ask",
+            "share": 0.8,
+            "work": 90_000.0,
+            "aim": 1_500_000,
+            "deadline": 6_000_000,
+            "worth": 1.0,
+            "late_worth": 0.1,
+            "effect": "safe",
+            "group": "all",
+            "window": 5_000_000,
+        },
+        {
+            "name": "book",
+            "share": 0.3,
+            "work": 300_000.0,
+            "aim": 3_000_000,
+            "deadline": 15_000_000,
+            "worth": 3.0,
+            "late_worth": 0.1,
+            "effect": "unsafe",
+            "group": "all",
+            "window": 5_000_000,
+        },
+    ]
     return {
-        "site": "town", "noise": 7, "length": 8_000_000, "zones": ["a", "b"], "front_notice": 1_000_000,
-        "traffic": {"load": 0.3, "shape": [[0.0, 1.0], [8.0, 1.0]]}, "classes": rows,
+        "site": "town",
+        "noise": 7,
+        "length": 8_000_000,
+        "zones": ["a", "b"],
+        "front_notice": 1_000_000,
+        "traffic": {"load": 0.3, "shape": [[0.0, 1.0], [8.0, 1.0]]},
+        "classes": rows,
         "clients": {"retries": 1, "backoff_us": 50_000.0, "try_share": 0.8, "impatient": 0.0},
-        "discovery": {"notice": 500_000}, "drain_grace": 250_000, "fall_multiple": 2.5, "fall_for": 1_500_000,
-        "allow": {"max_attempts": 5}, "tenants": [{"name": "t0", "share": 0.6}, {"name": "t1", "share": 0.4}],
+        "discovery": {"notice": 500_000},
+        "drain_grace": 250_000,
+        "fall_multiple": 2.5,
+        "fall_for": 1_500_000,
+        "allow": {"max_attempts": 5},
+        "tenants": [{"name": "t0", "share": 0.6}, {"name": "t1", "share": 0.4}],
         "tiers": [{"kinds": [{"name": "prefill"}, {"name": "decode"}, {"name": "mixed"}]}],
         "servers": [{"zone": at % 2, "kind": at % 3, "cell": at % 2} for at in range(30)],
         "balancers": [{"zone": 0}] * 20,
-        "troubles": [{"kind": kind, "at": 2_000_000, "len": 2_000_000, "size": 2.0, "extra": 0.5, "which": 1,
-                      "on": [4, 9, 20], "steps": [{"at": 2_000_000, "stop": [3, 12], "start": []}],
-                      "how": "silence"} for kind in kinds]}
+        "troubles": [
+            {
+                "kind": kind,
+                "at": 2_000_000,
+                "len": 2_000_000,
+                "size": 2.0,
+                "extra": 0.5,
+                "which": 1,
+                "on": [4, 9, 20],
+                "steps": [{"at": 2_000_000, "stop": [3, 12], "start": []}],
+                "how": "silence",
+            }
+            for kind in kinds
+        ],
+    }
 
 
 def test_every_kind_that_the_bench_draws_is_playable_and_another_is_named(tmp_path: Path) -> None:
@@ -165,9 +210,12 @@
     writer = next(at for at, one in enumerate(plan.engines) if one.kind == "decode")
     reader = next(at for at, one in enumerate(plan.engines) if one.kind == "prefill")
     plan.troubles = [
-        Trouble("crash", 3 * SECOND, SECOND, on=[writer]), Trouble("front_kill", 4 * SECOND, SECOND, on=[1]),
-        Trouble("drain", 2 * SECOND, SECOND, on=[reader]), Trouble("list_noise", SECOND, 4 * SECOND),
-        Trouble("errors", 2 * SECOND, 3 * SECOND, size=0.3, on=[writer + 4])]
+        Trouble("crash", 3 * SECOND, SECOND, on=[writer]),
+        Trouble("front_kill", 4 * SECOND, SECOND, on=[1]),
+        Trouble("drain", 2 * SECOND, SECOND, on=[reader]),
+        Trouble("list_noise", SECOND, 4 * SECOND),
+        Trouble("errors", 2 * SECOND, 3 * SECOND, size=0.3, on=[writer + 4]),
+    ]
     file = anyio.run(Director(plan, tmp_path).play)
     said = verdict.verdict(recording.read(file))
     verdict.write(said, tmp_path)
@@ -180,8 +228,11 @@
 
 def test_every_kind_of_the_bench_at_once_through_real_fronts_keeps_every_rule(tmp_path: Path) -> None:
     day = bench_day(*BENCH_KINDS)
-    day["troubles"] += [{**row, "at": row["at"] + 500_000} for row in day["troubles"]
-                        if row["kind"] in ("ageing", "balancer_roll")]  # also on top of itself
+    day["troubles"] += [
+        {**row, "at": row["at"] + 500_000}
+        for row in day["troubles"]
+        if row["kind"] in ("ageing", "balancer_roll")
+    ]  # also on top of itself
     file = anyio.run(Director(from_bench(day, 2, 9, 0.5), tmp_path).play)
     said = verdict.verdict(recording.read(file))
     assert said["kept"], said["rules"]
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -8,16 +8,41 @@
 
 from runspool.decisions.interface import NEVER_RAN, Effect, Ending, Group, Role
 from runspool.decisions.lifecycle import (
-    DEADLINE_KEPT, HOLD_MARGIN, Allowance, Breach, Breaches, Lifecycle, Refusal, Target, hold_time,
+    DEADLINE_KEPT,
+    HOLD_MARGIN,
+    Allowance,
+    Breach,
+    Breaches,
+    Lifecycle,
+    Refusal,
+    Target,
+    hold_time,
 )
 
 WITHIN = 3_000
 READER, WRITER = Target(1, Role.READER, 0, 0), Target(2, Role.WRITER, 0, 0)
 FAR = Target(3, Role.WRITER, 1, 1)
-READ_ENDINGS = [Ending.READ, Ending.OVERDUE, Ending.SEVERED, Ending.ERRORED, Ending.FULL, Ending.UNREACHABLE,
-                Ending.RECALLED, Ending.VOID]
-WRITE_ENDINGS = [Ending.SUCCEEDED, Ending.OVERDUE, Ending.SEVERED, Ending.ERRORED, Ending.FULL,
-                 Ending.STATELESS, Ending.UNREACHABLE, Ending.RECALLED, Ending.VOID]
+READ_ENDINGS = [
+    Ending.READ,
+    Ending.OVERDUE,
+    Ending.SEVERED,
+    Ending.ERRORED,
+    Ending.FULL,
+    Ending.UNREACHABLE,
+    Ending.RECALLED,
+    Ending.VOID,
+]
+WRITE_ENDINGS = [
+    Ending.SUCCEEDED,
+    Ending.OVERDUE,
+    Ending.SEVERED,
+    Ending.ERRORED,
+    Ending.FULL,
+    Ending.STATELESS,
+    Ending.UNREACHABLE,
+    Ending.RECALLED,
+    Ending.VOID,
+]
 HEARD = {Ending.READ, Ending.FULL, Ending.STATELESS, Ending.SUCCEEDED, Ending.ERRORED}  # an engine's own word
 
 
@@ -104,8 +129,11 @@
         if not really and self.life.refuses_refusal() is None:
             self.life.final()
             effect, group = self.life.allowance.effect, self.life.allowance.group
-            assert not self.ran or effect is Effect.RERUNNABLE or (
-                effect is Effect.TICKETED and group is Group.ALL)
+            assert (
+                not self.ran
+                or effect is Effect.RERUNNABLE
+                or (effect is Effect.TICKETED and group is Group.ALL)
+            )
 
     @rule(really=st.integers(0, 9))
     def client_leaves(self, really: int) -> None:
@@ -141,8 +169,13 @@
 
 
 TestLife = Life.TestCase
-TestLife.settings = settings(max_examples=1_000, stateful_step_count=40, deadline=None, derandomize=True,
-                             suppress_health_check=list(HealthCheck))
+TestLife.settings = settings(
+    max_examples=1_000,
+    stateful_step_count=40,
+    deadline=None,
+    derandomize=True,
+    suppress_health_check=list(HealthCheck),
+)
 
 
 def test_a_write_that_has_not_arrived_does_not_stop_the_time() -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -17,8 +17,23 @@
 from runspool.node.node import Held
 from runspool.sockets.lines import Line, dial
 from tests.platform import (
-    BODY, EVENTS, GOOD, READ, SETTINGS, STREAM, WAIT, Platform, Request, Script, chunked, post, resets, says,
-    silent, waits_for, whole,
+    BODY,
+    EVENTS,
+    GOOD,
+    READ,
+    SETTINGS,
+    STREAM,
+    WAIT,
+    Platform,
+    Request,
+    Script,
+    chunked,
+    post,
+    resets,
+    says,
+    silent,
+    waits_for,
+    whole,
 )
 
 pytestmark = pytest.mark.anyio
@@ -44,9 +59,14 @@
 
 
 MAYBE_RAN: dict[str, Script] = {
-    "500": says(whole(500)), "503 undeclared": says(whole(503)), "410 undeclared": says(whole(410)),
-    "404": says(whole(404)), "202 from a writer": says(READ), "reset": resets,
-    "noise": says(b"\x00\xff" * 50), "half a stream": _half,
+    "500": says(whole(500)),
+    "503 undeclared": says(whole(503)),
+    "410 undeclared": says(whole(410)),
+    "404": says(whole(404)),
+    "202 from a writer": says(READ),
+    "reset": resets,
+    "noise": says(b"\x00\xff" * 50),
+    "half a stream": _half,
 }
 
 
@@ -114,8 +134,11 @@
             return None
 
         # All have been spoken to, that one last: it is the likeliest to be there still.
-        spoken = {site.address: [SimpleNamespace(idle_since=9 - abs(int(site.name[1:]) - 7))]
-                  for site in node.sites.values() if site.name != "r"}
+        spoken = {
+            site.address: [SimpleNamespace(idle_since=9 - abs(int(site.name[1:]) - 7))]
+            for site in node.sites.values()
+            if site.name != "r"
+        }
         node.calls.pool.idle = cast(Any, spoken)
         node.calls.pool.sweep = lambda: None  # type: ignore[method-assign]
         node.calls.release = release  # type: ignore[method-assign]
@@ -142,16 +165,19 @@
 
 
 SPOILT = {
-    "noise": b"\x00\x01\xfe" * 30, "no event": STREAM + chunked(b"hello\n\n"),
+    "noise": b"\x00\x01\xfe" * 30,
+    "no event": STREAM + chunked(b"hello\n\n"),
     "no json": STREAM + chunked(b"data: {oops\n\n"),
     "endless head": b"HTTP/1.1 200 OK\r\nA: " + b"x" * 70_000,
-    "bad size": STREAM + b"zz\r\n", "3 GB": STREAM + b"c0000000\r\n" + b"x" * 70_000,
+    "bad size": STREAM + b"zz\r\n",
+    "3 GB": STREAM + b"c0000000\r\n" + b"x" * 70_000,
 }
 
 
 @pytest.mark.parametrize("how", SPOILT)
-async def test_a_stream_spoilt_before_its_first_event_is_a_shot_that_may_have_run(how: str,
-                                                                                 tmp_path: Path) -> None:
+async def test_a_stream_spoilt_before_its_first_event_is_a_shot_that_may_have_run(
+    how: str, tmp_path: Path
+) -> None:
     async def spoils(asked: Request) -> None:
         await asked.say(SPOILT[how])
         await asked.closed()  # its connection is of no further use
@@ -168,9 +194,12 @@
 
 
 LATER = {
-    "bad size": b"zz\r\n", "does not fit": b"5\r\n" + EVENTS[1] + b"\r\n",
+    "bad size": b"zz\r\n",
+    "does not fit": b"5\r\n" + EVENTS[1] + b"\r\n",
     "no json": chunked(b"data: {oops\n\n"),
-    "3 GB": b"c0000000\r\n" + b"x" * 70_000, "half": chunked(EVENTS[1][:20]), "no end": b"0\r\n\r\n",
+    "3 GB": b"c0000000\r\n" + b"x" * 70_000,
+    "half": chunked(EVENTS[1][:20]),
+    "no end": b"0\r\n\r\n",
 }
 
 
@@ -197,21 +226,23 @@
 MORE = {
     "1xx": b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + GOOD,
     "report": GOOD.replace(b"Content-Type", b"Srv-Load: \xff;;=,{\r\nContent-Type"),
-    "second answer": GOOD + GOOD, "another answer": GOOD + whole(500, b"no"),
+    "second answer": GOOD + GOOD,
+    "another answer": GOOD + whole(500, b"no"),
     "trash": GOOD + b"\x00\x01 trash",
 }
 
 
 @pytest.mark.parametrize("how", MORE)
 @pytest.mark.parametrize("pieces", ["whole", "bytes"])
-async def test_a_good_stream_with_more_than_belongs_to_it_is_served(how: str, pieces: str,
-                                                                    tmp_path: Path) -> None:
+async def test_a_good_stream_with_more_than_belongs_to_it_is_served(
+    how: str, pieces: str, tmp_path: Path
+) -> None:
     async def says_more(asked: Request) -> None:
         if pieces == "whole":
             await asked.say(MORE[how])
         else:
             for at in range(len(MORE[how])):
-                await asked.say(MORE[how][at:at + 1])
+                await asked.say(MORE[how][at : at + 1])
                 await asyncio.sleep(0)
 
     async with Platform(tmp_path, PAIR).open() as platform:
@@ -222,23 +253,34 @@
 
 
 BAD: dict[str, bytes] = {
-    "noise": b"\x16\x03\x01\x00\xff" * 20, "endless head": b"GET / HTTP/1.1\r\nA: " + b"x" * 70_000,
+    "noise": b"\x16\x03\x01\x00\xff" * 20,
+    "endless head": b"GET / HTTP/1.1\r\nA: " + b"x" * 70_000,
     "both lengths": post("h1", transfer_encoding="chunked"),
     "two lengths": post("h1").replace(b"content-length: ", b"content-length: 5\r\ncontent-length: "),
-    "negative length": post("h1", content_length="-1"), "no number": post("h1", content_length="1e3"),
-    "huge length": post("h1", content_length="9" * 30), "60 MB": post("h1", content_length="62914560"),
+    "negative length": post("h1", content_length="-1"),
+    "no number": post("h1", content_length="1e3"),
+    "huge length": post("h1", content_length="9" * 30),
+    "60 MB": post("h1", content_length="62914560"),
     "other coding": post("h1", content_length=None, transfer_encoding="gzip"),
     "folded": post("h1").replace(b"\r\n\r\n", b"\r\n folded\r\n\r\n", 1),
-    "unknown class": post("h1", req_kind="nobody"), "no class": post("h1", req_kind=None),
-    "unknown owner": post("h1", req_owner="nobody"), "no id": post("h1", req_id=None),
-    "bad id": post("h1", req_id="a b"), "no deadline": post("h1", req_deadline=None),
-    "nan": post("h1", req_deadline="nanm"), "negative": post("h1", req_deadline="-5m"),
-    "no unit": post("h1", req_deadline="500"), "huge deadline": post("h1", req_deadline="9" * 12 + "m"),
-    "zero": post("h1", req_deadline="0m"), "negative prompt": post("h1", req_extra="prompt_len=-4,max_out=4"),
+    "unknown class": post("h1", req_kind="nobody"),
+    "no class": post("h1", req_kind=None),
+    "unknown owner": post("h1", req_owner="nobody"),
+    "no id": post("h1", req_id=None),
+    "bad id": post("h1", req_id="a b"),
+    "no deadline": post("h1", req_deadline=None),
+    "nan": post("h1", req_deadline="nanm"),
+    "negative": post("h1", req_deadline="-5m"),
+    "no unit": post("h1", req_deadline="500"),
+    "huge deadline": post("h1", req_deadline="9" * 12 + "m"),
+    "zero": post("h1", req_deadline="0m"),
+    "negative prompt": post("h1", req_extra="prompt_len=-4,max_out=4"),
     "huge prompt": post("h1", req_extra="prompt_len=999999999,max_out=4"),
     "nan prompt": post("h1", req_extra="prompt_len=nan,max_out=4"),
-    "no pairs": post("h1", req_extra="===,,"), "bad cost": post("h1", req_cost="inf"),
-    "no json": post("h1", body=b"{oops"), "a list": post("h1", body=b"[1]"),
+    "no pairs": post("h1", req_extra="===,,"),
+    "bad cost": post("h1", req_cost="inf"),
+    "no json": post("h1", body=b"{oops"),
+    "a list": post("h1", body=b"[1]"),
     "twice": post("h1").replace(b"req-kind: ask\r\n", b"req-kind: ask\r\nReq-Kind: ask\r\n"),
     "elsewhere": post("h1").replace(b"/v1/chat", b"/v1/talk"),
     "http 9": post("h1").replace(b"HTTP/1.1", b"HTTP/9.1"),
@@ -262,8 +304,11 @@
 async def test_two_lengths_hide_no_second_request_however_they_are_split(order: str, tmp_path: Path) -> None:
     fields = ["content-length: 5", "transfer-encoding: chunked"]
     lines = "\r\n".join(fields if order == "length first" else fields[::-1])
-    data = (f"POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\n{lines}\r\n\r\n".encode() + b"0\r\n\r\n"
-            + post("hidden"))
+    data = (
+        f"POST /v1/chat/completions HTTP/1.1\r\nhost: a\r\n{lines}\r\n\r\n".encode()
+        + b"0\r\n\r\n"
+        + post("hidden")
+    )
     async with Platform(tmp_path, PAIR).open() as platform:
         for at in range(20, 130, 3):
             client = await platform.client()
@@ -367,10 +412,19 @@
             other.engines["x"].server.close()
 
 
-@pytest.mark.parametrize("trouble", [b"{oops", b'{"index":-1,"snapshot":true}', None, whole(500),
-                                     b'{"index":9,"snapshot":true,"endpoints":[{"name":"r"}]}'])
-async def test_a_list_in_trouble_leaves_the_last_and_is_asked_again(trouble: bytes | None,
-                                                                    tmp_path: Path) -> None:
+@pytest.mark.parametrize(
+    "trouble",
+    [
+        b"{oops",
+        b'{"index":-1,"snapshot":true}',
+        None,
+        whole(500),
+        b'{"index":9,"snapshot":true,"endpoints":[{"name":"r"}]}',
+    ],
+)
+async def test_a_list_in_trouble_leaves_the_last_and_is_asked_again(
+    trouble: bytes | None, tmp_path: Path
+) -> None:
     async with Platform(tmp_path, PAIR).open() as platform:
         asked = len(platform.lists)
         platform.list_scripts = [trouble]
@@ -394,21 +448,31 @@
             assert [shot.engine for shot in platform.shots(f"q{at}")] == ["r", "w"]
 
 
-@pytest.mark.parametrize(("change", "key"), [
-    ({"discovery": "nowhere"}, "discovery"), ({"settings": {"classes": [{"effect": "odd"}]}},
-                                              "settings.classes[0].effect"),
-    ({"limits": {"sockets": "many"}}, "limits.sockets"), ({"seed": "xyz"}, "seed"),
-    ({"known": {"index": 1}}, "known"), ({"settings": None}, "settings.classes"),
-    ({"listen": "10.255.255.1:80"}, "listen"),
-])
-async def test_a_broken_configuration_names_its_key_and_exits_2(change: dict[str, Any], key: str,
-                                                                tmp_path: Path) -> None:
+@pytest.mark.parametrize(
+    ("change", "key"),
+    [
+        ({"discovery": "nowhere"}, "discovery"),
+        ({"settings": {"classes": [{"effect": "odd"}]}}, "settings.classes[0].effect"),
+        ({"limits": {"sockets": "many"}}, "limits.sockets"),
+        ({"seed": "xyz"}, "seed"),
+        ({"known": {"index": 1}}, "known"),
+        ({"settings": None}, "settings.classes"),
+        ({"listen": "10.255.255.1:80"}, "listen"),
+    ],
+)
+async def test_a_broken_configuration_names_its_key_and_exits_2(
+    change: dict[str, Any], key: str, tmp_path: Path
+) -> None:
     platform = Platform(tmp_path, {})
     platform.port, platform.agent_port = 1, 1
     file = platform.write_config(**change)
     done = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "runspool.node", stderr=asyncio.subprocess.PIPE,
-        env=os.environ | {"BALANCER_CONFIG": str(file)})
+        sys.executable,
+        "-m",
+        "runspool.node",
+        stderr=asyncio.subprocess.PIPE,
+        env=os.environ | {"BALANCER_CONFIG": str(file)},
+    )
     _, said = await done.communicate()
     assert (done.returncode, said.decode().startswith(f"runspool.node: {key}")) == (2, True), said
 
@@ -427,7 +491,8 @@
 
 
 async def test_a_kept_connection_reset_by_the_next_request_costs_no_doubt(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def far(address: tuple[str, int], source: str | None) -> Line:
         await asyncio.sleep(0.5)  # a round trip so long that the reset is always seen in it
         return await dial(address, source)
@@ -476,8 +541,9 @@
         assert (await platform.ask(post("last"))).status == 200
 
 
-async def test_a_drain_told_while_connecting_bars_the_shot(tmp_path: Path,
-                                                          monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_drain_told_while_connecting_bars_the_shot(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     connecting, go = asyncio.Event(), asyncio.Event()
 
     async def dials(address: tuple[str, int], source: str | None) -> Line:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -36,8 +36,10 @@
 def test_the_vigil_calls_once_for_what_has_waited_too_long_and_for_nothing_else() -> None:
     time, called = 1_000, []
     vigil = Vigil(lambda: time)
-    late, idle, quick, gone = (vigil.watch(500, lambda name=name: called.append(name))  # type: ignore[misc]
-                               for name in ("late", "idle", "quick", "gone"))
+    late, idle, quick, gone = (
+        vigil.watch(500, lambda name=name: called.append(name))  # type: ignore[misc]
+        for name in ("late", "idle", "quick", "gone")
+    )
     late.since = gone.since = 1_000
     vigil.forget(gone)
     time = 1_600
@@ -79,7 +81,7 @@
     at = turn = 0
     while at < len(raw):
         size = cuts[turn % len(cuts)]
-        reply.feed(raw[at: at + size])
+        reply.feed(raw[at : at + size])
         found += events.feed(reply.take())
         at, turn = at + size, turn + 1
     assert reply.complete and reply.status == 200 and reply.headers["x"] == "y"
@@ -138,8 +140,11 @@
 
 def test_pipelined_requests_ahead_of_a_fault_are_served_and_none_after_it() -> None:
     good = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-    for bad, status in ((b"NONSENSE\r\n\r\n", 400), (b"GET / HTTP/1.1\r\n\r\n", 400),
-                        (b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99\r\n\r\n", 413)):
+    for bad, status in (
+        (b"NONSENSE\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\n\r\n", 400),
+        (b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99\r\n\r\n", 413),
+    ):
         reading = Requests(1000, 10)
         reading.feed(good + good + bad + good)
         assert [one.complete for one in reading.ready] == [True, True]
@@ -152,9 +157,11 @@
 
 @given(st.lists(st.integers(1, 40), max_size=30))
 def test_requests_come_out_whole_however_the_bytes_were_cut(cuts: list[int]) -> None:
-    raw = (b"POST /v1/completions?x=1 HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\n"
-           b"Content-Length: 4\r\n\r\nabcd"
-           b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+    raw = (
+        b"POST /v1/completions?x=1 HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\n"
+        b"Content-Length: 4\r\n\r\nabcd"
+        b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+    )
     reading = Requests(1000, 10)
     for cut in cuts:
         reading.feed(raw[:cut])
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -28,8 +28,21 @@
 from runspool.sockets.lines import Line, dial
 from runspool.units import tenths
 from tests.platform import (
-    BODY, EVENTS, READ, SETTINGS, STREAM, WAIT, Client, Platform, Request, chunked, post, request_of, says,
-    silent, whole,
+    BODY,
+    EVENTS,
+    READ,
+    SETTINGS,
+    STREAM,
+    WAIT,
+    Client,
+    Platform,
+    Request,
+    chunked,
+    post,
+    request_of,
+    says,
+    silent,
+    whole,
 )
 
 pytestmark = pytest.mark.anyio
@@ -47,6 +60,7 @@
     def change(settings: dict[str, Any]) -> None:
         for row in settings["classes"]:
             row["deadline-us"] = milliseconds * 1000
+
     return changed(change)
 
 
@@ -55,7 +69,7 @@
     client = await platform.client()
     client.send(post("q0"))
     assert (await client.answer()).whole
-    intake, = running.clients
+    (intake,) = running.clients
     await until(lambda: intake.idle_since)  # a round or two after its answer is out
     return client, intake
 
@@ -71,7 +85,8 @@
 
 
 async def test_at_a_stop_with_short_hard_limits_what_still_comes_is_served(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     # So long that a slow machine cannot be late for it; where only hard limits count it is no time at all.
     monkeypatch.setattr(node_running, "STILL_COME", 10 * 10_000, raising=False)
     platform = Platform(tmp_path, PAIR)
@@ -89,7 +104,8 @@
 
 @pytest.mark.parametrize("moved", [True, False])
 async def test_a_stop_takes_late_requests_only_where_streams_can_be_moved(
-        moved: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    moved: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """What comes 0.7 s after SIGTERM and still streams at the kill is lost, unless it can be moved."""
     monkeypatch.setattr(node_running, "STILL_COME", 0)
     monkeypatch.setattr(node_running, "LAST_TAKEN", -60 * 10_000)  # as if there were a minute to the last
@@ -145,7 +161,8 @@
 
 
 async def test_hard_limits_beyond_the_kill_are_answered_and_let_go_before_it(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(node_running, "LONGEST_COUNTED", 1_000)  # a stop of 0.3 s in place of 3.2
     platform = Platform(tmp_path, PAIR)
     platform.settings = hard_limit(60_000)
@@ -161,7 +178,8 @@
 
 
 async def test_a_new_connection_is_given_a_moment_by_a_stop_and_a_served_one_none(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(node_running, "STILL_COME", 0)
     monkeypatch.setattr(node_running, "LAST_TAKEN", 600_000)
     monkeypatch.setattr(node_running, "FIRST_GIVEN", 600_000, raising=False)
@@ -195,8 +213,10 @@
     platform.list_gate.clear()
     async with platform.inside(wait=False) as running:
         # What this node had in an earlier life: the other reader was to go.
-        known = [replace(entry, state={"r": "draining"}.get(entry.engine, "on"))
-                 for entry in running.posting.known.engines]
+        known = [
+            replace(entry, state={"r": "draining"}.get(entry.engine, "on"))
+            for entry in running.posting.known.engines
+        ]
         running.node.engines_changed(running.node.following.recalled(known))
         await platform.until(lambda: bool(platform.lists))
         client = await platform.client()
@@ -210,7 +230,8 @@
 
 
 async def test_a_start_with_a_silent_agent_serves_on_the_last_list(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(node_running, "FIRST_LIST", 0.05)
     platform = Platform(tmp_path, PAIR)
     platform.list_gate.clear()
@@ -218,8 +239,9 @@
         assert (await platform.ask(post("q1"))).whole
 
 
-async def test_a_reset_watch_is_opened_anew_without_a_rest(tmp_path: Path,
-                                                            monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_reset_watch_is_opened_anew_without_a_rest(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(node_catalog, "RETRY", 600.0)
     platform = Platform(tmp_path, PAIR | {"s": "prefill"})
     async with platform.inside() as running:
@@ -233,7 +255,8 @@
 
 
 async def test_an_agent_that_never_answers_what_it_was_asked_in_an_outage_is_asked_anew(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(node_catalog, "GRACE_MS", 600_000)  # no try runs out: another is begun beside it
     platform = Platform(tmp_path, PAIR | {"s": "prefill"})
     async with platform.inside() as running:
@@ -252,9 +275,14 @@
     assert 2 * 1000 * node_catalog.RETRY <= 250  # a drain's grace, from the agent's return on
 
 
-@pytest.mark.parametrize("trouble", [
-    b"[" * 100_000, b'{"index":7,"snapshot":true,"endpoints":' + b"[" * 5_000,
-    b'{"index":7,"snapshot":false,"endpoints":[]}'])
+@pytest.mark.parametrize(
+    "trouble",
+    [
+        b"[" * 100_000,
+        b'{"index":7,"snapshot":true,"endpoints":' + b"[" * 5_000,
+        b'{"index":7,"snapshot":false,"endpoints":[]}',
+    ],
+)
 async def test_a_list_nested_too_deep_or_half_ends_nothing(trouble: bytes, tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
     platform.list_scripts = [trouble]
@@ -319,7 +347,8 @@
 
 
 async def test_a_fault_while_a_request_is_answered_is_answered_itself(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def fails(*said: Any) -> None:
         raise RuntimeError("a fault of the program")
 
@@ -345,7 +374,8 @@
     assert (await platform.ask(post(f"after-{name}"))).whole  # whatever waited would have gone with it
     assert len(platform.shots(name)) == shots
     assert not node.calls.pool.open or sum(map(len, node.calls.pool.idle.values())) == sum(
-        node.calls.pool.open.values())
+        node.calls.pool.open.values()
+    )
 
 
 async def until_listed(node: Node, state: str, *names: str) -> None:
@@ -400,7 +430,8 @@
 
 
 async def test_a_client_that_goes_while_its_shot_is_dialling_is_not_sent_on(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     dialling, go = asyncio.Event(), asyncio.Event()
 
     async def dials(address: tuple[str, int], source: str | None) -> Line:
@@ -421,10 +452,14 @@
         await settled(platform, running.node, "q1", 0)
 
 
-@pytest.mark.parametrize("anyio_backend", [("asyncio", {"use_uvloop": uvloop}) for uvloop in (False, True)],
-                         ids=["asyncio", "uvloop"])
+@pytest.mark.parametrize(
+    "anyio_backend",
+    [("asyncio", {"use_uvloop": uvloop}) for uvloop in (False, True)],
+    ids=["asyncio", "uvloop"],
+)
 async def test_a_client_that_goes_as_its_dial_ends_is_not_sent_on_and_leaves_no_connection(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def dials(address: tuple[str, int], source: str | None) -> Line:
         line = await dial(address, source)
         for taken in list(running.node.queries.values()):
@@ -451,7 +486,7 @@
         await platform.until(lambda: len(platform.shots("q1")) == 1)
         client.send(b"x" * 400_000)
         await asyncio.wait_for(client.writer.drain(), WAIT)
-        intake, = running.clients
+        (intake,) = running.clients
         await until(lambda: intake.line.shed)
         go.set()
         answer = await client.answer()
@@ -522,8 +557,11 @@
         assert (await client.rest(answer)).whole
 
 
-BAD = {"no json": chunked(EVENTS[1] + b"data: {oops\n\n"), "deep": chunked(EVENTS[1] + b'data: {"choices":'
-       + b"[" * 20_000 + b"\n\n"), "bad size": chunked(EVENTS[1]) + b"zz\r\n"}
+BAD = {
+    "no json": chunked(EVENTS[1] + b"data: {oops\n\n"),
+    "deep": chunked(EVENTS[1] + b'data: {"choices":' + b"[" * 20_000 + b"\n\n"),
+    "bad size": chunked(EVENTS[1]) + b"zz\r\n",
+}
 
 
 @pytest.mark.parametrize("how", BAD)
@@ -553,8 +591,10 @@
     deep = b'{"a":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
-        scripts = {"event": ("w", STREAM + chunked(b'data: {"choices":' + b"[" * 20_000 + b"\n\n")),
-                   "read": ("r", whole(202, deep[:30_000]))}
+        scripts = {
+            "event": ("w", STREAM + chunked(b'data: {"choices":' + b"[" * 20_000 + b"\n\n")),
+            "read": ("r", whole(202, deep[:30_000])),
+        }
         if where in scripts:
             engine, data = scripts[where]
             platform.engines[engine].scripts = [says(data)]
@@ -565,7 +605,8 @@
 
 
 async def test_writers_to_which_no_connection_comes_up_do_not_pin_a_state(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def dials(address: tuple[str, int], source: str | None) -> Line:
         if any(engine.port == address[1] for name, engine in platform.engines.items() if name != "r"):
             await asyncio.sleep(WAIT)  # its packets go nowhere
@@ -668,8 +709,9 @@
 
 @pytest.mark.parametrize("path", paths(SETTINGS), ids=lambda path: ".".join(map(str, path)))
 async def test_any_setting_absent_null_zero_or_extreme_is_named_or_served(
-        path: tuple[Any, ...], tmp_path: Path) -> None:
-    for value in (ABSENT, None, 0, 1, -1, 10 ** 14, "odd", [], {}):
+    path: tuple[Any, ...], tmp_path: Path
+) -> None:
+    for value in (ABSENT, None, 0, 1, -1, 10**14, "odd", [], {}):
         platform = Platform(tmp_path, PAIR)
         platform.settings = put(SETTINGS, path, value)
         with capture_logs() as logged:
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -25,7 +25,8 @@
 @settings(max_examples=300, deadline=None)
 @given(changes, st.randoms(use_true_random=False))
 def test_news_in_any_order_and_any_number_of_times_end_in_the_same_list(
-        said: list[tuple[str, str]], rng: object) -> None:
+    said: list[tuple[str, str]], rng: object
+) -> None:
     news = [News(at + 1, "e", engines=[entry(name, state)]) for at, (name, state) in enumerate(said)]
     mixed = [*news, *news[::2]]
     rng.shuffle(mixed)  # type: ignore[attr-defined]
@@ -39,7 +40,8 @@
             drained[changed.engine] = line.version
     last = {name: state for name, state in said}
     assert {one.engine: one.state for one in following.listed()} == {
-        name: state for name, state in last.items() if state != "gone"}
+        name: state for name, state in last.items() if state != "gone"
+    }
     assert (following.version, following.early, following.gap_since) == (len(said), set(), None)
 
 
@@ -85,11 +87,18 @@
     assert following.version == 2
 
 
-@pytest.mark.parametrize("line", [
-    b"", b"{", b'{"version": -1}', b'{"version": 1, "engines": [{"engine": "p"}]}', b"\xff\xfe",
-    write_news(News(1, engines=[entry("p", "on")]))[:-20],
-    write_news(News(1, engines=[Entry("p", "nowhere", "prefill", "a", 0, "on")])),
-])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"",
+        b"{",
+        b'{"version": -1}',
+        b'{"version": 1, "engines": [{"engine": "p"}]}',
+        b"\xff\xfe",
+        write_news(News(1, engines=[entry("p", "on")]))[:-20],
+        write_news(News(1, engines=[Entry("p", "nowhere", "prefill", "a", 0, "on")])),
+    ],
+)
 def test_a_torn_line_is_no_news(line: bytes) -> None:
     with pytest.raises(listing.Torn):
         read_news(line)
@@ -108,6 +117,6 @@
         with pytest.raises(Torn):
             recall(file)
     for at in range(len(raw)):
-        file.write_bytes(raw[:at] + bytes([raw[at] ^ 1]) + raw[at + 1:])
+        file.write_bytes(raw[:at] + bytes([raw[at] ^ 1]) + raw[at + 1 :])
         with pytest.raises(Torn):
             recall(file)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -37,9 +37,18 @@
         told = json.loads(super().listed(snapshot))
         if snapshot:
             told["endpoints"] += [
-                {"name": f"s-{at:08x}", "address": f"10.1.{at >> 8}.{at & 255}:8080", "zone": "ab"[at % 2],
-                 "type": "decode", "group": at // 12, "status": "leaving", "weight": 1.0, "since_ms": 0}
-                for at in range(THOUSANDS)]
+                {
+                    "name": f"s-{at:08x}",
+                    "address": f"10.1.{at >> 8}.{at & 255}:8080",
+                    "zone": "ab"[at % 2],
+                    "type": "decode",
+                    "group": at // 12,
+                    "status": "leaving",
+                    "weight": 1.0,
+                    "since_ms": 0,
+                }
+                for at in range(THOUSANDS)
+            ]
         return json.dumps(told).encode()
 
     @asynccontextmanager
@@ -112,17 +121,33 @@
 async def started(platform: Platform, write: bool = True) -> asyncio.subprocess.Process:
     file = platform.write_config() if write else platform.folder / "config.json"
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "runspool.node", stderr=asyncio.subprocess.DEVNULL,
-        env=os.environ | {"BALANCER_CONFIG": str(file)})
-
-
-ACCEPT_FAULTS = [errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR,
-                 errno.EPROTO, errno.ENETDOWN, errno.EHOSTUNREACH, errno.EPERM, errno.ETIMEDOUT]
+        sys.executable,
+        "-m",
+        "runspool.node",
+        stderr=asyncio.subprocess.DEVNULL,
+        env=os.environ | {"BALANCER_CONFIG": str(file)},
+    )
+
+
+ACCEPT_FAULTS = [
+    errno.ECONNABORTED,
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EINTR,
+    errno.EPROTO,
+    errno.ENETDOWN,
+    errno.EHOSTUNREACH,
+    errno.EPERM,
+    errno.ETIMEDOUT,
+]
 
 
 @pytest.mark.parametrize("fault", [*map(errno.errorcode.__getitem__, ACCEPT_FAULTS), "RuntimeError"])
 async def test_an_accept_that_fails_ends_nothing_and_holds_nobody_up(
-        fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     platform = Platform(tmp_path, PAIR)
     failures = 20
 
@@ -132,8 +157,11 @@
         if failures:
             failures -= 1
             taken.close()
-            raise RuntimeError("of the loop") if fault == "RuntimeError" else OSError(
-                getattr(errno, fault), fault)
+            raise (
+                RuntimeError("of the loop")
+                if fault == "RuntimeError"
+                else OSError(getattr(errno, fault), fault)
+            )
         return taken
 
     next_connection = lines.next_connection
@@ -154,13 +182,24 @@
             client.close()
 
 
-DIAL_FAULTS = [errno.ECONNREFUSED, errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EHOSTUNREACH,
-               errno.ETIMEDOUT, errno.ENOBUFS, errno.EMFILE, errno.ENFILE, errno.EINTR, errno.ECONNABORTED]
+DIAL_FAULTS = [
+    errno.ECONNREFUSED,
+    errno.EADDRNOTAVAIL,
+    errno.ENETUNREACH,
+    errno.EHOSTUNREACH,
+    errno.ETIMEDOUT,
+    errno.ENOBUFS,
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.EINTR,
+    errno.ECONNABORTED,
+]
 
 
 @pytest.mark.parametrize("fault", [*map(errno.errorcode.__getitem__, DIAL_FAULTS), "RuntimeError"])
 async def test_a_connection_that_cannot_be_made_never_ran_whatever_the_reason(
-        fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     platform = Platform(tmp_path, PAIR)
     failed = False
 
@@ -168,8 +207,11 @@
         nonlocal failed
         if address[1] == platform.engines["w"].port and not failed:
             failed = True
-            raise RuntimeError("of the loop") if fault == "RuntimeError" else OSError(
-                getattr(errno, fault), fault)
+            raise (
+                RuntimeError("of the loop")
+                if fault == "RuntimeError"
+                else OSError(getattr(errno, fault), fault)
+            )
         return await dial(address, source)
 
     dial = lines.dial
@@ -180,7 +222,8 @@
 
 
 async def test_a_standing_task_that_fails_again_and_again_does_not_fill_the_log(
-        tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     platform = Platform(tmp_path, PAIR)
     failures = 0
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -26,8 +26,13 @@
 
 def soaked(*said: str) -> Played:
     """Cases and breaks by rule, and all that was printed."""
-    done = subprocess.run([sys.executable, "-m", "tests.soak.run", *said], capture_output=True, text=True,
-                          timeout=LONGEST, check=False)
+    done = subprocess.run(
+        [sys.executable, "-m", "tests.soak.run", *said],
+        capture_output=True,
+        text=True,
+        timeout=LONGEST,
+        check=False,
+    )
     found = {rule: (int(cases), int(broken)) for rule, cases, broken in VERDICT.findall(done.stdout)}
     return found, done.stdout + done.stderr
 
@@ -36,16 +41,21 @@
 def soaks() -> Iterator[dict[str, Future[Played]]]:
     """All of them, a few at a time."""
     with ThreadPoolExecutor(AT_ONCE) as pool:
-        played = {str(seed): pool.submit(soaked, f"--seed={seed}", "--seconds=8", "--nodes=5", "--each=0.4")
-                  for seed in SEEDS}
-        played |= {rule: pool.submit(soaked, "--seed=1", "--seconds=5", "--nodes=2", "--rate=15",
-                                     f"--sabotage={rule}") for rule in RULES}
+        played = {
+            str(seed): pool.submit(soaked, f"--seed={seed}", "--seconds=8", "--nodes=5", "--each=0.4")
+            for seed in SEEDS
+        }
+        played |= {
+            rule: pool.submit(
+                soaked, "--seed=1", "--seconds=5", "--nodes=2", "--rate=15", f"--sabotage={rule}"
+            )
+            for rule in RULES
+        }
         yield played
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nodes_keep_every_rule_under_overlapping_faults(
-        seed: int, soaks: dict[str, Future[Played]]) -> None:
+def test_nodes_keep_every_rule_under_overlapping_faults(seed: int, soaks: dict[str, Future[Played]]) -> None:
     verdict, said = soaks[str(seed)].result()
     assert set(verdict) == set(RULES), said
     assert not [rule for rule, (_, broken) in verdict.items() if broken], said
@@ -53,7 +63,6 @@
 
 
 @pytest.mark.parametrize("rule", RULES)
-def test_a_node_that_breaks_a_rule_is_refused_for_it(
-        rule: str, soaks: dict[str, Future[Played]]) -> None:
+def test_a_node_that_breaks_a_rule_is_refused_for_it(rule: str, soaks: dict[str, Future[Played]]) -> None:
     verdict, said = soaks[rule].result()
     assert verdict[rule][1] > 0, said
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -35,10 +35,18 @@
         self.over = anyio.Event()
 
     async def ask(self, out: int, tokens: int = 50, half: bool = False) -> None:
-        body = msgspec.json.encode({"prompt": "abcd" * tokens, "max_tokens": 2000, "stream": True,
-                                    "standin": {"try": "t", "out": out}})
-        head = (f"POST /v1/completions HTTP/1.1\r\nHost: x\r\nRunspool-Tariff: book\r\nConnection: close\r\n"
-                f"Runspool-Limit-Ms: {self.limit_ms}\r\nContent-Length: {len(body)}\r\n\r\n").encode()
+        body = msgspec.json.encode(
+            {
+                "prompt": "abcd" * tokens,
+                "max_tokens": 2000,
+                "stream": True,
+                "standin": {"try": "t", "out": out},
+            }
+        )
+        head = (
+            f"POST /v1/completions HTTP/1.1\r\nHost: x\r\nRunspool-Tariff: book\r\nConnection: close\r\n"
+            f"Runspool-Limit-Ms: {self.limit_ms}\r\nContent-Length: {len(body)}\r\n\r\n"
+        ).encode()
         with self.scope:
             async with await anyio.connect_tcp("127.0.0.1", self.town.port) as stream:
                 await stream.send(head + (body[:20] if half else body))
@@ -108,18 +116,42 @@
 # which kinds of final answer a client that stays may get for its limit, the loss and the stop.
 STAGES: dict[str, tuple[Stage, list[int], int, int, dict[str, set[str]]]] = {
     "half read": (half_read, [], 5, 0, {"limit": {"408"}, "loss": {"408"}, "stop": {"cut", "408"}}),
-    "in the line": (in_the_line, [0], 5, 0, {
-        "limit": {"dismissed"}, "loss": {"dismissed"}, "stop": {"dismissed", "scrapped"}}),
-    "read out": (read_out, [0], 5, 0, {
-        "limit": {"dismissed"}, "loss": {"dismissed"}, "stop": {"dismissed", "scrapped"}}),
-    "state held": (state_held, [0], 5, 0, {
-        "limit": {"dismissed"}, "loss": {"dismissed"}, "stop": {"dismissed", "scrapped"}}),
-    "being placed": (being_placed, [0], 5, 0, {
-        "limit": {"dismissed"}, "loss": {"dismissed"}, "stop": {"dismissed", "scrapped"}}),
-    "write out": (write_out, [1], 5, 1, {
-        "limit": {"scrapped"}, "loss": {"scrapped"}, "stop": {"scrapped"}}),
-    "streaming": (streaming, [], 150, 1, {
-        "limit": {"succeeded"}, "loss": {"scrapped"}, "stop": {"scrapped"}}),
+    "in the line": (
+        in_the_line,
+        [0],
+        5,
+        0,
+        {"limit": {"dismissed"}, "loss": {"dismissed"}, "stop": {"dismissed", "scrapped"}},
+    ),
+    "read out": (
+        read_out,
+        [0],
+        5,
+        0,
+        {"limit": {"dismissed"}, "loss": {"dismissed"}, "stop": {"dismissed", "scrapped"}},
+    ),
+    "state held": (
+        state_held,
+        [0],
+        5,
+        0,
+        {"limit": {"dismissed"}, "loss": {"dismissed"}, "stop": {"dismissed", "scrapped"}},
+    ),
+    "being placed": (
+        being_placed,
+        [0],
+        5,
+        0,
+        {"limit": {"dismissed"}, "loss": {"dismissed"}, "stop": {"dismissed", "scrapped"}},
+    ),
+    "write out": (write_out, [1], 5, 1, {"limit": {"scrapped"}, "loss": {"scrapped"}, "stop": {"scrapped"}}),
+    "streaming": (
+        streaming,
+        [],
+        150,
+        1,
+        {"limit": {"succeeded"}, "loss": {"scrapped"}, "stop": {"scrapped"}},
+    ),
 }
 
 
@@ -128,8 +160,11 @@
     if got is None:
         return "cut"
     if got.status == 200:
-        return "succeeded" if got.body.endswith(b"data: [DONE]\n\n") else (
-            "scrapped" if b'"type":"scrapped"' in got.body else "cut")
+        return (
+            "succeeded"
+            if got.body.endswith(b"data: [DONE]\n\n")
+            else ("scrapped" if b'"type":"scrapped"' in got.body else "cut")
+        )
     return str(got.error["type"]) if got.status in (503, 424) else str(got.status)
 
 
@@ -141,8 +176,11 @@
         return leftovers(front) + states
     idle = {address: len(links) for address, links in front.caller.pool.idle.items()}
     found = leftovers(front)
-    found += [f"open {address}: {count}" for address, count in front.caller.pool.open.items()
-              if count != idle.get(address, 0)]
+    found += [
+        f"open {address}: {count}"
+        for address, count in front.caller.pool.open.items()
+        if count != idle.get(address, 0)
+    ]
     found += [f"watched {one}" for one in front.caller.vigil.watched]
     found += [f"releasing {front.releasing}"] if front.releasing else []
     return found + states
@@ -151,8 +189,9 @@
 @pytest.mark.anyio
 @pytest.mark.parametrize("way", ["cancel", "limit", "loss", "stop"])
 @pytest.mark.parametrize("stage", STAGES)
-async def test_a_stage_ends_cleanly(stage: str, way: str, tmp_path: Path,
-                                    monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_stage_ends_cleanly(
+    stage: str, way: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     come, hung, out, lost, kinds = STAGES[stage]
     town = Town(tmp_path, KINDS, drain_ms=100, body_ms=LIMIT_MS if way != "cancel" else LONG_MS)
     town.plan.release_within = 20_000  # a state held stays so until something ends it
@@ -188,8 +227,9 @@
             assert kind_of(query) in kinds[way]
         writes = town.seen("arrived", stage="write")
         assert len(writes) == (stage in ("write out", "streaming"))
-        assert town.running.front.counts["taken"] == (0 if stage == "half read" else
-                                                      2 if stage == "in the line" else 1)
+        assert town.running.front.counts["taken"] == (
+            0 if stage == "half read" else 2 if stage == "in the line" else 1
+        )
         tasks.cancel_scope.cancel()
 
 
@@ -218,8 +258,9 @@
         tasks.cancel_scope.cancel()
 
 
-@pytest.mark.parametrize("order", ["cancel and limit", "limit and cancel",
-                                   "end and cancel", "cancel and end"])
+@pytest.mark.parametrize(
+    "order", ["cancel and limit", "limit and cancel", "end and cancel", "cancel and end"]
+)
 def test_two_ends_at_one_instant_are_one(order: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """On one simulated clock, as no socket could bring it about; a reader's state is out both times."""
     clockwork.wind(monkeypatch)
@@ -240,8 +281,11 @@
         front = life.front
         world.asked["1.1"] = 500, 3
         told: list[str] = []
-        wish = read_wish({"runspool-tariff": "book", "runspool-mark": "1.1", "runspool-limit-ms": "2000"},
-                         b'{"prompt": "x", "stream": true}', front.terms)
+        wish = read_wish(
+            {"runspool-tariff": "book", "runspool-mark": "1.1", "runspool-limit-ms": "2000"},
+            b'{"prompt": "x", "stream": true}',
+            front.terms,
+        )
 
         class Reply:
             async def begun(self) -> None:
@@ -255,8 +299,10 @@
             await anyio.sleep(0.0001)
         guard = f"guard.{taken.index}"
         ends: dict[str, Callable[[], object]] = {
-            "cancel": lambda: front.left(taken), "limit": lambda: front._ring(guard),
-            "end": lambda: front._settle(taken, Final(Kind.SUCCEEDED))}
+            "cancel": lambda: front.left(taken),
+            "limit": lambda: front._ring(guard),
+            "end": lambda: front._settle(taken, Final(Kind.SUCCEEDED)),
+        }
         first, second = order.split(" and ")
         ends[first]()
         final = taken.final
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -56,7 +56,6 @@
         host.wait(SECOND + 1)
         self.assertEqual([word for word, _ in host.said].count("move"), 1)
 
-
     def test_a_front_that_is_stopped_moves_its_streams_in_the_last_second_newest_first(self) -> None:
         host = FakeHost([READER, WRITER])
         asked = []
@@ -436,8 +435,13 @@
     ATTACH = 'attach front=front/0 random-seed=1 profile-data={"classes":[{"name":"a"}]}'
 
     def test_a_batch_is_answered_and_unknown_words_are_passed_over(self) -> None:
-        said = self.play("tick time-us=100 seq=4", self.ATTACH, "novelty front=front/0 x=1",
-                         "inbound front=front/0 req=r qos=c time-budget-us=50000 new=1", "eof_batch")
+        said = self.play(
+            "tick time-us=100 seq=4",
+            self.ATTACH,
+            "novelty front=front/0 x=1",
+            "inbound front=front/0 req=r qos=c time-budget-us=50000 new=1",
+            "eof_batch",
+        )
         self.assertIn("finish_error front=front/0 req=r\n", said)
         self.assertTrue(said.endswith("done seq=4\n"))
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -40,18 +40,26 @@
         terms_of(found)
     paths = {fault.path: fault for fault in told.value.faults}
     assert set(paths) == {
-        "house.tariffs.staff-ask.due_ms", "house.tariffs.payout-close.effect", "house.kinds",
-        "front.listen.port", "front.bounds.querries", "front.list.quiet_ms"}
+        "house.tariffs.staff-ask.due_ms",
+        "house.tariffs.payout-close.effect",
+        "house.kinds",
+        "front.listen.port",
+        "front.bounds.querries",
+        "front.list.quiet_ms",
+    }
     assert paths["front.bounds.querries"].allowed == "no such field"
     assert paths["house.tariffs.staff-ask.due_ms"].value == "-1"
     assert "'ticketed'" in paths["house.tariffs.payout-close.effect"].allowed
 
 
-@pytest.mark.parametrize(("change", "named"), [
-    ({"zone": "nowhere"}, "front.zone"),
-    ({"number": 5}, "front.number"),
-    ({"default_tariff": "none"}, "front.default_tariff"),
-])
+@pytest.mark.parametrize(
+    ("change", "named"),
+    [
+        ({"zone": "nowhere"}, "front.zone"),
+        ({"number": 5}, "front.number"),
+        ({"default_tariff": "none"}, "front.default_tariff"),
+    ],
+)
 def test_a_front_must_fit_its_house(change: dict[str, Any], named: str) -> None:
     found = said()
     found["front"] |= change
--- a/tests/town.py
+++ b/tests/town.py
@@ -36,11 +36,19 @@
 
 def plan(kinds: list[str]) -> Plan:
     rng = Random(1)
-    return Plan(name="town", seed=1, length=1, rate=1, zones=["a", "b"], tariffs=TARIFFS,
-                tenants=[TenantPlan("one", 0.5, 100), TenantPlan("two", 0.5, 100)],
-                fronts=[FrontPlan("front-0", "a", "127.0.0.11")],
-                engines=[engine(f"e{at}", kind, "a", 0, TARIFFS, rng) for at, kind in enumerate(kinds)],
-                clients=ClientsPlan(), troubles=[])
+    return Plan(
+        name="town",
+        seed=1,
+        length=1,
+        rate=1,
+        zones=["a", "b"],
+        tariffs=TARIFFS,
+        tenants=[TenantPlan("one", 0.5, 100), TenantPlan("two", 0.5, 100)],
+        fronts=[FrontPlan("front-0", "a", "127.0.0.11")],
+        engines=[engine(f"e{at}", kind, "a", 0, TARIFFS, rng) for at, kind in enumerate(kinds)],
+        clients=ClientsPlan(),
+        troubles=[],
+    )
 
 
 def make(role: str = "writer") -> Make:
@@ -118,19 +126,52 @@
 
     def tell(self, at: int, state: str) -> None:
         one = self.plan.engines[at]
-        self.listing.set(msgspec.convert({
-            "engine": one.make.name, "address": one.address, "kind": one.kind, "zone": one.make.zone,
-            "rack": one.make.rack, "state": state, "started_unix_ms": self.started[at]}, Entry), at_once=True)
-
-    async def ask(self, tariff: str = "ask", tokens: int = 50, out: int = 10, stream: bool = True,
-                  body: bytes | None = None, poison: bool = False, **headers: str) -> Answered:
+        self.listing.set(
+            msgspec.convert(
+                {
+                    "engine": one.make.name,
+                    "address": one.address,
+                    "kind": one.kind,
+                    "zone": one.make.zone,
+                    "rack": one.make.rack,
+                    "state": state,
+                    "started_unix_ms": self.started[at],
+                },
+                Entry,
+            ),
+            at_once=True,
+        )
+
+    async def ask(
+        self,
+        tariff: str = "ask",
+        tokens: int = 50,
+        out: int = 10,
+        stream: bool = True,
+        body: bytes | None = None,
+        poison: bool = False,
+        **headers: str,
+    ) -> Answered:
         """One query on a connection of its own."""
-        raw = body if body is not None else msgspec.json.encode({
-            "prompt": "abcd" * tokens, "max_tokens": 500, "stream": stream,
-            "standin": {"try": headers.get("runspool_mark", "t"), "out": out, "poison": poison}})
-        said = {"Runspool-Tariff": tariff, "Content-Length": str(len(raw)), "Host": "x",
-                "Connection": "close",
-                **{name.replace("_", "-"): value for name, value in headers.items()}}
+        raw = (
+            body
+            if body is not None
+            else msgspec.json.encode(
+                {
+                    "prompt": "abcd" * tokens,
+                    "max_tokens": 500,
+                    "stream": stream,
+                    "standin": {"try": headers.get("runspool_mark", "t"), "out": out, "poison": poison},
+                }
+            )
+        )
+        said = {
+            "Runspool-Tariff": tariff,
+            "Content-Length": str(len(raw)),
+            "Host": "x",
+            "Connection": "close",
+            **{name.replace("_", "-"): value for name, value in headers.items()},
+        }
         lines = "".join(f"{name}: {value}\r\n" for name, value in said.items() if value)
         return await self.say(f"POST /v1/completions HTTP/1.1\r\n{lines}\r\n".encode() + raw)
 
@@ -140,8 +181,11 @@
             return await answered(stream)
 
     def seen(self, what: str, **said: Any) -> list[Event]:
-        return [event for event in recording.read(self.file) if event["what"] == what
-                and all(event.get(name) == value for name, value in said.items())]
+        return [
+            event
+            for event in recording.read(self.file)
+            if event["what"] == what and all(event.get(name) == value for name, value in said.items())
+        ]
 
     async def until(self, what: str, count: Any = 1, **said: Any) -> None:
         """Waits for an event at a far end, not for a time."""
