--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -25,25 +25,26 @@
 
 import anyio
 
-from runspool.cells.chart import Cell, CellMap, Shards
-from runspool.cells.keeping import Asked, Keeping, Stay
-from runspool.cells.placing import Place, home, place
-from runspool.decisions.interface import HouseTerms, Listed, Query, Role, Roster
-from runspool.front import Desk
+from runspool.cells.cell_map import Cell, CellMap, Shards
+from runspool.cells.cell_router import AdmissionRequest, CellAdmission, CellRouter
+from runspool.cells.engine_placement import EnginePlace, home, place
+from runspool.config import terms_of
 from runspool.lab import recording
 from runspool.lab.audit import history, judge
-from runspool.lab.cellplans import bad_release, flood, full_cell, poisoned
-from runspool.lab.director import Director, front_terms
+from runspool.lab.cell_plans import bad_release, flood, full_cell, poisoned
 from runspool.lab.plan import Plan
-from runspool.lab.verdict import _served
-from runspool.terms import terms_of
+from runspool.lab.report import _served
+from runspool.lab.scenario_runner import ScenarioRunner, front_terms
+from runspool.runtime.scheduler_driver import SchedulerDriver
+from runspool.scheduling.settings import RoutingSettings
+from runspool.scheduling.types import EndpointUpdate, EngineRecord, Request, Role
 
 STUDENT = {2: 12.706, 3: 4.303, 4: 3.182, 5: 2.776, 6: 2.571, 8: 2.365, 10: 2.262}  # two-sided, 95%
 
 
 def played(plan: Plan) -> list[dict[str, Any]]:
     with tempfile.TemporaryDirectory() as folder:
-        return list(recording.read(anyio.run(Director(plan, Path(folder)).play)))
+        return list(recording.read(anyio.run(ScenarioRunner(plan, Path(folder)).play)))
 
 
 def gains(events: list[dict[str, Any]], start: float = 0, end: float = 1e9) -> dict[str, tuple[float, float]]:
@@ -160,19 +161,19 @@
     return {"rows": rows, "change": round(mean, 4), "half_interval": round(half, 4)}
 
 
-def fleet(many: int) -> list[Place]:
+def fleet(many: int) -> list[EnginePlace]:
     """Half readers, three eighths writers, an eighth mixed, over four zones."""
     kinds = [
-        Role.READER,
-        Role.WRITER,
-        Role.READER,
+        Role.PREFILL,
+        Role.DECODE,
+        Role.PREFILL,
         Role.MIXED,
-        Role.READER,
-        Role.WRITER,
-        Role.READER,
-        Role.WRITER,
+        Role.PREFILL,
+        Role.DECODE,
+        Role.PREFILL,
+        Role.DECODE,
     ]
-    return [Place(f"engine-{at}", kinds[at % 8], f"zone-{at // 8 % 4}", at // 16) for at in range(many)]
+    return [EnginePlace(f"engine-{at}", kinds[at % 8], f"zone-{at // 8 % 4}", at // 16) for at in range(many)]
 
 
 def charts(many: int) -> dict[str, CellMap]:
@@ -203,8 +204,8 @@
             roles = {one.name: one.role for one in engines}
             able = {
                 cell: (
-                    frozenset(e for e in there if roles[e] is not Role.WRITER),
-                    frozenset(e for e in there if roles[e] is not Role.READER),
+                    frozenset(e for e in there if roles[e] is not Role.DECODE),
+                    frozenset(e for e in there if roles[e] is not Role.PREFILL),
                 )
                 for cell, there in placed.items()
             }
@@ -296,16 +297,17 @@
     tenants = [f"tenant-{at}" for at in range(1000)]
     said: dict[str, Any] = {}
     for way, chart in charts(64).items():
-        keeping = Keeping(chart, 10_000, 1 << 30, Random(1).random)
+        keeping = CellRouter(chart, 10_000, 1 << 30, Random(1).random)
         keeping.listed(engines, set())
         rng = Random(2)
         asked = [
-            Asked(tenants[rng.randrange(1000)], None, None, False, 0, 1000, str(at)) for at in range(queries)
+            AdmissionRequest(tenants[rng.randrange(1000)], None, None, False, 0, 1000, str(at))
+            for at in range(queries)
         ]
         begun = time.perf_counter()
         stays = [keeping.let_in(at, 1, one) for at, one in enumerate(asked)]
         for stay in stays:
-            assert isinstance(stay, Stay)
+            assert isinstance(stay, CellAdmission)
             keeping.ended(0, stay, False)
         spent = (time.perf_counter() - begun) / queries * 1e6
         begun = time.perf_counter()
@@ -338,28 +340,28 @@
     dismiss = scrap = release = move = subscribe = wake = note = forget = nothing
 
 
-def module(engines: list[Place], many: int, queries: int) -> float:
+def module(engines: list[EnginePlace], many: int, queries: int) -> float:
     """Microseconds that one query's arrival costs the module with `many` of the engines."""
     plan = flood(1)
-    house: HouseTerms = terms_of(front_terms(plan, 0, 1, Path("/nowhere"))).house_terms()
+    house: RoutingSettings = terms_of(front_terms(plan, 0, 1, Path("/nowhere"))).house_terms()
     out = _Out()
-    desk = Desk(house, 1, out, 0)
-    kinds = {Role.READER: "prefill", Role.WRITER: "decode", Role.MIXED: "mixed"}
+    desk = SchedulerDriver(house, 1, out, 0)
+    kinds = {Role.PREFILL: "prefill", Role.DECODE: "decode", Role.MIXED: "mixed"}
     names = list(terms_of(front_terms(plan, 0, 1, Path("/nowhere"))).house.kinds)
-    desk.roster(
+    desk.update_endpoints(
         0,
-        Roster(
+        EndpointUpdate(
             True,
             [
-                Listed(at, names.index(kinds[one.role]), 0, one.rack, 0, "on", at)
+                EngineRecord(at, names.index(kinds[one.role]), 0, one.rack, 0, "on", at)
                 for at, one in enumerate(engines[:many])
             ],
         ),
     )
     begun = time.perf_counter()
     for index in range(queries):
-        desk.arrive(index * 100, Query(index, 0, 0, index, None, 500, 0, 100, 50, 60_000, False, False))
-        desk.left(index * 100, index)
+        desk.submit(index * 100, Request(index, 0, 0, index, None, 500, 0, 100, 50, 60_000, False, False))
+        desk.client_disconnected(index * 100, index)
     return (time.perf_counter() - begun) / queries * 1e6
 
 
--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -28,30 +28,30 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from runspool.decisions.interface import Ending
-from runspool.engines.shots import Caller
+from runspool.config import EnginesTerms
+from runspool.engines.completions_client import CompletionsEngineClient
 from runspool.lab import recording
 from runspool.lab.clients import Clients, Entry, Seen
-from runspool.lab.crowd import Item, crowd
-from runspool.lab.director import Director
 from runspool.lab.plan import (
     SECOND,
     ClientsPlan,
     FrontPlan,
     Plan,
-    TariffPlan,
+    RequestClassPlan,
     TenantPlan,
     engine,
 )
 from runspool.lab.recording import Recorder
+from runspool.lab.scenario_runner import ScenarioRunner
+from runspool.lab.workload import Item, crowd
+from runspool.scheduling.types import AttemptStatus
 from runspool.service.clock import now
-from runspool.terms import EnginesTerms
 
 WARM = 5.0  # seconds at the start that are not counted
 
 
 def plan_of(engines: int, rate: float, seconds: float, out: int, seed: int = 1) -> Plan:
-    rows = [TariffPlan("ask", 1.0, "rerunnable", 1, 30_000, 0, 200_000, 2_000, 200, out, 2.0, 0.8, 800)]
+    rows = [RequestClassPlan("ask", 1.0, "rerunnable", 1, 30_000, 0, 200_000, 2_000, 200, out, 2.0, 0.8, 800)]
     rng = Random(seed)
     kinds = ["prefill", "decode", "prefill", "mixed"]
     there = [engine(f"engine-{at}", kinds[at % 4], "a", at // 4, rows, rng) for at in range(engines)]
@@ -84,7 +84,7 @@
             line_bytes=65536,
             source_address="127.0.0.12",
         )
-        self.caller = Caller(terms, now, 10_000)
+        self.caller = CompletionsEngineClient(terms, now, 10_000)
         self.direct = direct
         self.readers = [("127.0.0.1", one.port) for one in plan.engines if one.make.role == "reader"]
         self.writers = [("127.0.0.1", one.port) for one in plan.engines if one.make.role != "reader"]
@@ -101,7 +101,7 @@
         headers, address, state = {"X-Request-Id": name}, self.entry.addresses[0], None
         if directly:
             reader = self.readers[self.turn // 2 % len(self.readers)]
-            state = (await self.caller.read(reader, query, headers, limit)).state
+            state = (await self.caller.prefill(reader, query, headers, limit)).state
             headers, address = {"X-Request-Id": name + "w"}, self.writers[self.turn // 2 % len(self.writers)]
         else:
             headers = {
@@ -110,8 +110,8 @@
                 if key.startswith("Runspool-")
             }
         heard = _First(self.record, name)
-        ended = await self.caller.write(address, query, state, headers, limit, 2000, heard)
-        seen = "succeeded" if ended.ending is Ending.SUCCEEDED else ended.ending.name.lower()
+        ended = await self.caller.decode(address, query, state, headers, limit, 2000, heard)
+        seen = "succeeded" if ended.status is AttemptStatus.SUCCEEDED else ended.status.name.lower()
         self.record.line("answer", kind=seen, **{"try": name})
         return Seen(seen)
 
@@ -120,14 +120,14 @@
     def __init__(self, record: Recorder, name: str) -> None:
         self.record, self.name = record, name
 
-    async def begun(self) -> None:
+    async def stream_started(self) -> None:
         self.record.line("first", **{"try": self.name})
 
-    async def said(self, text: str) -> None:
+    async def data_received(self, text: str) -> None:
         return
 
 
-class Bench(Director):
+class Bench(ScenarioRunner):
     """A day without trouble whose clients run in processes of their own."""
 
     workers = 1
--- a/runspool/cells/ruling.py
+++ b/runspool/cells/admission_policy.py
@@ -10,7 +10,7 @@
 from enum import Enum, auto
 from math import exp2
 
-from runspool.cells.chart import CellMap
+from runspool.cells.cell_map import CellMap
 from runspool.units import tenths
 
 HALF_LIFE = 20_000  # of what a cell's outcomes tell
--- a/runspool/cells/keeping.py
+++ b/runspool/cells/cell_router.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from runspool.cells.chart import CellMap
-from runspool.cells.moving import Moves
-from runspool.cells.placing import Place, Placed, place
-from runspool.cells.ruling import Budget, Overflows, Poison, Verdict, panics
+from runspool.cells.admission_policy import Budget, Overflows, Poison, Verdict, panics
+from runspool.cells.cell_map import CellMap
+from runspool.cells.engine_placement import EnginePlace, Placement, place
+from runspool.cells.tenant_migration import TenantMigrations
 
 
-class Turned(Enum):
+class AdmissionRefusal(Enum):
     """Why a query is not let in. Nothing has been done for it."""
 
     CELL_FULL = auto()
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class AdmissionRequest:
     """What of a query bears on its cell. `ticket` only where its repeats a group smaller than all drops, and
     `binds` then says for how long: the tariff's window and the longest hard limit."""
 
@@ -41,12 +41,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stay:
+class CellAdmission:
     """A query let in: the cell that serves it, to its end, and the cell on whose account it is."""
 
     cell: str
     home: str
-    asked: Asked
+    asked: AdmissionRequest
 
     @property
     def lent(self) -> bool:
@@ -54,7 +54,7 @@
 
 
 @dataclass
-class Keeping:
+class CellRouter:
     """`draw` is a bound method of the front's seeded random numbers."""
 
     chart: CellMap
@@ -62,16 +62,16 @@
     most_bytes: int
     draw: Callable[[], float]
     adopted_unix_ms: int = 0
-    placed: Placed = field(default_factory=lambda: Placed({}))
+    placed: Placement = field(default_factory=lambda: Placement({}))
     panicking: frozenset[str] = frozenset()
 
     def __post_init__(self) -> None:
-        self.moves = Moves(self.chart, self.adopted_unix_ms)
+        self.moves = TenantMigrations(self.chart, self.adopted_unix_ms)
         self.overflows = Overflows(self.chart)
         self.poison = Poison(self.chart.poison_after)
         self.queries = Budget(self.most_queries, {})
         self.bytes = Budget(self.most_bytes, {})
-        self.engines: list[Place] = []
+        self.engines: list[EnginePlace] = []
         self.off: set[str] = set()
         self._weigh()
 
@@ -91,7 +91,7 @@
         self.listed(self.engines, self.off)
         return True
 
-    def listed(self, engines: list[Place], off: set[str]) -> Placed:
+    def listed(self, engines: list[EnginePlace], off: set[str]) -> Placement:
         """Places the engines of a list; those in `off` are drained or gone: they only tell its former size.
 
         A cell takes no engine that is off: its place goes to another, so that every role stays served.
@@ -113,21 +113,25 @@
         count = Counter(engine for there in self.placed.cells.values() for engine in there)
         return max(1.0, count.total() / len(count)) if count else 1.0
 
-    def let_in(self, now: int, unix_ms: int, asked: Asked) -> Stay | Turned:
+    def let_in(self, now: int, unix_ms: int, asked: AdmissionRequest) -> CellAdmission | AdmissionRefusal:
         """Where a query is served, or why it is not. Let in, it is on a cell's account until ended()."""
         if self.poison.poisonous(now, asked.fingerprint):
-            return Turned.POISONOUS
+            return AdmissionRefusal.POISONOUS
         way = self.moves.way(
             now, unix_ms, asked.tenant, asked.session, asked.ticket, asked.later_try, asked.binds
         )
         names = self.chart.names()
         if way.unsure or (way.cell not in names and asked.ticket is not None and asked.later_try):
-            return Turned.UNSURE
+            return AdmissionRefusal.UNSURE
         home = way.cell if way.cell in names else self.moves.home(unix_ms, asked.tenant, asked.session)
         for budget, amount in ((self.queries, 1), (self.bytes, asked.size)):
             verdict = budget.asks(home, amount)
             if verdict is not Verdict.IN:
-                return Turned.CELL_FULL if verdict is Verdict.CELL_FULL else Turned.FRONT_FULL
+                return (
+                    AdmissionRefusal.CELL_FULL
+                    if verdict is Verdict.CELL_FULL
+                    else AdmissionRefusal.FRONT_FULL
+                )
         cell = home
         # A later try of a ticketed query stays with those who know its ticket.
         bound = asked.ticket is not None and asked.later_try
@@ -140,9 +144,9 @@
         self.queries.take(home)
         self.bytes.take(home, asked.size)
         self.moves.taken(now, asked.tenant, cell, asked.ticket, asked.binds)
-        return Stay(cell, home, asked)
+        return CellAdmission(cell, home, asked)
 
-    def ended(self, now: int, stay: Stay, turned_away: bool | None) -> None:
+    def ended(self, now: int, stay: CellAdmission, turned_away: bool | None) -> None:
         """A query let in is over; `turned_away` where its cell could not serve it, None where that is not
         known, as with one whose client left."""
         self.queries.give_back(stay.home)
@@ -155,7 +159,7 @@
         if turned_away is False:
             self.poison.served(stay.asked.fingerprint)
 
-    def engine_lost(self, now: int, stay: Stay, engine: int) -> bool:
+    def engine_lost(self, now: int, stay: CellAdmission, engine: int) -> bool:
         """A connection broke with the query at the engine; True where it may be sent nowhere any more."""
         return self.poison.lost(now, stay.asked.fingerprint, engine)
 
--- a/runspool/cells/book.py
+++ b/runspool/cells/cell_store.py
@@ -15,9 +15,9 @@
 import msgspec
 from pydantic import ValidationError
 
-from runspool.cells.chart import CellMap
-from runspool.cells.moving import Refused
-from runspool.files.whole import Torn, read, replace, sealed
+from runspool.cells.cell_map import CellMap
+from runspool.cells.tenant_migration import MigrationRefusedError
+from runspool.storage.atomic_file import CorruptFileError, read, replace, sealed
 
 LOG_KEPT = 1_000  # changes; older ones are cut off
 
@@ -60,7 +60,7 @@
         said = "; ".join(
             f"{'.'.join(map(str, each['loc'])) or '(top)'}: {each['msg']}" for each in fault.errors()
         )
-        raise Torn(f"{source}: {said}") from None
+        raise CorruptFileError(f"{source}: {said}") from None
 
 
 def load(path: Path) -> CellMap | None:
@@ -81,7 +81,7 @@
     try:
         kept: Kept = msgspec.json.decode(body, type=Kept)
     except msgspec.DecodeError as fault:
-        raise Torn(f"{path}: {fault}") from None
+        raise CorruptFileError(f"{path}: {fault}") from None
     return decoded(bytes(kept.chart), str(path)), kept.adopted_unix_ms
 
 
@@ -111,7 +111,9 @@
     try:
         held = os.open(lock, os.O_CREAT | os.O_EXCL | os.O_WRONLY)
     except FileExistsError:
-        raise Refused(f"{lock} is there: another change is under way, or died; if so remove it") from None
+        raise MigrationRefusedError(
+            f"{lock} is there: another change is under way, or died; if so remove it"
+        ) from None
     try:
         yield
     finally:
@@ -133,7 +135,7 @@
     """The newest map that the log or the file tells of, put in place if the file has another or is torn."""
     try:
         chart = load(path)
-    except Torn:
+    except CorruptFileError:
         chart = None
     logged = changes(path)
     if logged and (chart is None or logged[-1].version > chart.version):
@@ -144,7 +146,7 @@
 
 __all__ = [
     "Change",
-    "Torn",
+    "CorruptFileError",
     "change",
     "changes",
     "changing",
--- a/runspool/cells/placing.py
+++ b/runspool/cells/engine_placement.py
@@ -16,15 +16,15 @@
 
 import xxhash
 
-from runspool.cells.chart import SPREAD, CellMap
-from runspool.decisions.interface import Role
+from runspool.cells.cell_map import SPREAD, CellMap
+from runspool.scheduling.types import Role
 
-ROLES = (Role.READER, Role.WRITER, Role.MIXED)
+ROLES = (Role.PREFILL, Role.DECODE, Role.MIXED)
 SPAN = float(1 << 64)
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class EnginePlace:
     """An engine as the placing sees it."""
 
     name: str
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Placed:
+class Placement:
     """Cells with their engines, and what is missing where."""
 
     cells: dict[str, frozenset[str]]
@@ -47,7 +47,7 @@
     return -weight / log(drawn)
 
 
-def place(chart: CellMap, engines: list[Place]) -> Placed:
+def place(chart: CellMap, engines: list[EnginePlace]) -> Placement:
     """The cells of a map over a list of engines, in any order."""
     if chart.way == "shuffle":
         cells = _shuffled(chart, engines)
@@ -58,7 +58,7 @@
         }
     else:
         cells = _drawn(chart, engines)
-    return Placed(cells, _lacks(chart, cells, {one.name: one for one in engines}))
+    return Placement(cells, _lacks(chart, cells, {one.name: one for one in engines}))
 
 
 def home(chart: CellMap, tenant: str | None, session: str | None) -> str:
@@ -77,7 +77,7 @@
     return not patterns or any(fnmatchcase(engine, pattern) for pattern in patterns)
 
 
-def _drawn(chart: CellMap, engines: list[Place]) -> dict[str, frozenset[str]]:
+def _drawn(chart: CellMap, engines: list[EnginePlace]) -> dict[str, frozenset[str]]:
     cells: dict[str, set[str]] = {name: set() for name in chart.cells}
     for role in ROLES:
         there = [one for one in engines if one.role is role]
@@ -127,27 +127,27 @@
     return quotas
 
 
-def _short(cells: dict[str, set[str]], engines: list[Place]) -> set[str]:
+def _short(cells: dict[str, set[str]], engines: list[EnginePlace]) -> set[str]:
     roles = {one.name: one.role for one in engines}
     short = set()
     for name, there in cells.items():
         have = Counter(roles[engine] for engine in there)
-        if have[Role.READER] < 1 or have[Role.WRITER] < 1:
+        if have[Role.PREFILL] < 1 or have[Role.DECODE] < 1:
             short.add(name)
     return short
 
 
-def _shuffled(chart: CellMap, engines: list[Place]) -> dict[str, frozenset[str]]:
+def _shuffled(chart: CellMap, engines: list[EnginePlace]) -> dict[str, frozenset[str]]:
     wanted = {
-        Role.READER: chart.shards.readers,
-        Role.WRITER: chart.shards.writers,
+        Role.PREFILL: chart.shards.readers,
+        Role.DECODE: chart.shards.writers,
         Role.MIXED: chart.shards.mixed,
     }
     cells = {}
     for shard in chart.names():
         picked: set[str] = set()
         for role in ROLES:
-            zones: defaultdict[str, list[Place]] = defaultdict(list)
+            zones: defaultdict[str, list[EnginePlace]] = defaultdict(list)
             for one in sorted(
                 (one for one in engines if one.role is role),
                 key=lambda one: (-affinity(one.name, shard), one.name),
@@ -165,15 +165,15 @@
     return cells
 
 
-def _lacks(chart: CellMap, cells: dict[str, frozenset[str]], engines: dict[str, Place]) -> list[str]:
+def _lacks(chart: CellMap, cells: dict[str, frozenset[str]], engines: dict[str, EnginePlace]) -> list[str]:
     lacks = []
     total = Counter(one.role for one in engines.values())
     for name, there in cells.items():
         have = Counter(engines[engine].role for engine in there)
         least = chart.cells.get(name)
         for role, word, wanted in (
-            (Role.READER, "reader", least.readers if least else 1),
-            (Role.WRITER, "writer", least.writers if least else 1),
+            (Role.PREFILL, "reader", least.readers if least else 1),
+            (Role.DECODE, "writer", least.writers if least else 1),
         ):
             got = have[role] + have[Role.MIXED]
             if got < wanted:
--- a/runspool/cells/moving.py
+++ b/runspool/cells/tenant_migration.py
@@ -19,14 +19,14 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from runspool.cells.chart import SPREAD, CellMap, Move
-from runspool.cells.placing import home
+from runspool.cells.cell_map import SPREAD, CellMap, Move
+from runspool.cells.engine_placement import home
 
 TICKETS_KEPT = 50_000
 HOMES_KEPT = 20_000  # homes drawn, of sessions mostly, until they are drawn anew
 
 
-class Stage(Enum):
+class MigrationStage(Enum):
     """Where a move stands at this front."""
 
     AHEAD = auto()  # its moment has not come
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class Moves:
+class TenantMigrations:
     """A front's moves under its map; times in tenths of a millisecond, moments in unix milliseconds."""
 
     chart: CellMap
@@ -125,16 +125,16 @@
         if self.out[key] <= 0:
             del self.out[key]
 
-    def stage(self, now: int, unix_ms: int, move: Move) -> Stage:
+    def stage(self, now: int, unix_ms: int, move: Move) -> MigrationStage:
         """Where a move stands at this front."""
         if move.step == "turned_back" and unix_ms >= move.turned_unix_ms:
-            return Stage.BACK
+            return MigrationStage.BACK
         if unix_ms < move.starts_unix_ms:
-            return Stage.AHEAD
+            return MigrationStage.AHEAD
         if self.out[move.tenant, move.source]:
-            return Stage.SETTLING
+            return MigrationStage.SETTLING
         bound = any(cell == move.source and now < until for cell, until in self.tickets.values())
-        return Stage.SETTLING if bound else Stage.SETTLED
+        return MigrationStage.SETTLING if bound else MigrationStage.SETTLED
 
     def _moved_lately(self, unix_ms: int, tenant: str | None, binds: int) -> bool:
         """Whether new queries of the tenant may have changed cells here less than `binds` ago: by a moment
@@ -151,7 +151,7 @@
         return any(0 <= unix_ms - moment < binds // 10 for moment in moments if moment)
 
 
-class Refused(Exception):
+class MigrationRefusedError(Exception):
     """A change of the map that must not be made; the reason says why."""
 
 
@@ -162,16 +162,18 @@
     role.
     """
     if any(one.tenant == move.tenant and one.step == "planned" for one in chart.moves):
-        raise Refused(f"{move.tenant} is already being moved; finish or undo that first")
+        raise MigrationRefusedError(f"{move.tenant} is already being moved; finish or undo that first")
     if move.target not in chart.names():
-        raise Refused(f"there is no cell {move.target}; there are {', '.join(chart.names())}")
+        raise MigrationRefusedError(f"there is no cell {move.target}; there are {', '.join(chart.names())}")
     if move.target == chart.reserve:
-        raise Refused(f"{move.target} is the reserve: a tenant there would leave overflow no room")
+        raise MigrationRefusedError(
+            f"{move.target} is the reserve: a tenant there would leave overflow no room"
+        )
     missing = [lack for lack in lacks if lack.startswith(f"{move.target}: 0 of")]
     if missing:
-        raise Refused(f"{move.target} lacks a role: {missing[0]}")
+        raise MigrationRefusedError(f"{move.target} lacks a role: {missing[0]}")
     if move.source == move.target:
-        raise Refused(f"{move.tenant} is in {move.target} already")
+        raise MigrationRefusedError(f"{move.tenant} is in {move.target} already")
     # A move that was finished or turned back before says nothing more once another is planned.
     return _next(chart, [*(one for one in chart.moves if one.tenant != move.tenant), move])
 
@@ -194,7 +196,9 @@
     found = _under_way(chart, move_id)
     left = found.starts_unix_ms + binds // 10 - unix_ms
     if left > 0:
-        raise Refused(f"{move_id} can be finished in {left} ms, when no ticket binds {found.source} any more")
+        raise MigrationRefusedError(
+            f"{move_id} can be finished in {left} ms, when no ticket binds {found.source} any more"
+        )
     moves = [one.model_copy(update={"step": "done"}) if one is found else one for one in chart.moves]
     return _next(chart, moves, chart.tenants | {found.tenant: found.target})
 
@@ -202,9 +206,9 @@
 def _under_way(chart: CellMap, move_id: str) -> Move:
     found = next((one for one in chart.moves if one.id == move_id), None)
     if found is None:
-        raise Refused(f"there is no move {move_id}")
+        raise MigrationRefusedError(f"there is no move {move_id}")
     if found.step != "planned":
-        raise Refused(f"{move_id} is {found.step}; plan a move the other way")
+        raise MigrationRefusedError(f"{move_id} is {found.step}; plan a move the other way")
     return found
 
 
--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -15,16 +15,18 @@
 from rich.console import Console
 from rich.table import Table
 
-from runspool.cells import book, moving
-from runspool.cells.chart import CellMap, Move
-from runspool.cells.placing import Place, home, place
+from runspool.cells import cell_store as book
+from runspool.cells import tenant_migration as moving
+from runspool.cells.cell_map import CellMap, Move
+from runspool.cells.engine_placement import EnginePlace, home, place
 from runspool.cli.terms import Vars, read
-from runspool.decisions.interface import Role
-from runspool.roster import memory
+from runspool.config import FrontConfig
+from runspool.config.loader import InvalidConfigError, evaluate
+from runspool.config.schema import ROLES
+from runspool.discovery import snapshot as memory
+from runspool.scheduling.types import Role
 from runspool.service.clock import unix_ms
-from runspool.terms import Terms
 from runspool.units import tenths
-from runspool.terms.reading import Unreadable, evaluate
 
 app = typer.Typer(no_args_is_help=True, help="Show the cell map; plan, make, watch, undo moves of tenants.")
 out = Console(highlight=False, soft_wrap=True)
@@ -42,7 +44,12 @@
     """A refusal or a damaged file ends in one line on standard error and exit 1."""
     try:
         yield
-    except (moving.Refused, book.Torn, memory.Torn, Unreadable) as fault:
+    except (
+        moving.MigrationRefusedError,
+        book.CorruptFileError,
+        memory.CorruptFileError,
+        InvalidConfigError,
+    ) as fault:
         typer.echo(f"refused: {fault}", err=True)
         raise typer.Exit(1) from None
 
@@ -51,7 +58,7 @@
     """The files that a front's terms name, and the engines that it last knew."""
 
     def __init__(self, file: Path, var: list[str] | None) -> None:
-        self.terms: Terms = read(file, var)
+        self.terms: FrontConfig = read(file, var)
         if self.terms.front.cells_file is None:
             typer.echo(f"{file}: front.cells_file is not set; this front has no cells", err=True)
             raise typer.Exit(2)
@@ -60,14 +67,16 @@
     def chart(self) -> CellMap:
         chart = book.mend(self.path)
         if chart is None:
-            raise moving.Refused(f"{self.path}: there is no map yet; `runspool cells adopt` makes one")
+            raise moving.MigrationRefusedError(
+                f"{self.path}: there is no map yet; `runspool cells adopt` makes one"
+            )
         return chart
 
-    def engines(self) -> list[Place]:
-        last = memory.recall(Path(self.terms.front.memory_file or ""))
+    def engines(self) -> list[EnginePlace]:
+        last = memory.load_snapshot(Path(self.terms.front.memory_file or ""))
         kinds = self.terms.house.kinds
         return [
-            Place(one.engine, Role[kinds[one.kind].role.upper()], one.zone, one.rack)
+            EnginePlace(one.engine, ROLES[kinds[one.kind].role], one.zone, one.rack)
             for one in (last.engines if last else [])
             if one.state == "on" and one.kind in kinds
         ]
@@ -103,10 +112,10 @@
         said["version"] = (before.version if before else 0) + 1
         after = book.decoded(json.dumps(said).encode(), str(source))
         if before is not None and any(move.step == "planned" for move in before.moves):
-            raise moving.Refused("a move is under way; finish or undo it first")
+            raise moving.MigrationRefusedError("a move is under way; finish or undo it first")
         engines = desk.engines()
         if engines and (missing := [lack for lack in place(after, engines).lacks if ": 0 of" in lack]):
-            raise moving.Refused("; ".join(missing))
+            raise moving.MigrationRefusedError("; ".join(missing))
         _differences(before, after, engines)
         _write(desk, yes, f"adopt {source.name}", before, after)
 
@@ -238,9 +247,9 @@
     with said_plainly():
         before = desk.chart()
         if tenant not in desk.terms.house.tenants:
-            raise moving.Refused(f"{tenant} is none of the house's tenants")
+            raise moving.MigrationRefusedError(f"{tenant} is none of the house's tenants")
         wall = unix_ms()
-        source = moving.Moves(before).home(wall, tenant, None)
+        source = moving.TenantMigrations(before).home(wall, tenant, None)
         engines = desk.engines()
         asked = Move(
             id=f"m-{before.version + 1}",
@@ -264,12 +273,12 @@
     with book.changing(desk.path):
         now = book.mend(desk.path)
         if (now and now.version) != (before and before.version):
-            raise moving.Refused("the map has been changed meanwhile; look again")
+            raise moving.MigrationRefusedError("the map has been changed meanwhile; look again")
         book.change(desk.path, what, after, unix_ms())
     out.print(f"{desk.path}: version {after.version}")
 
 
-def _differences(before: CellMap | None, after: CellMap, engines: list[Place]) -> None:
+def _differences(before: CellMap | None, after: CellMap, engines: list[EnginePlace]) -> None:
     old = place(before, engines).cells if before is not None else {}
     changed = 0
     for name, there in place(after, engines).cells.items():
@@ -283,8 +292,8 @@
     far = 1 << 60  # after every moment that a map states
     tenants = {*after.tenants, *(one.tenant for one in after.moves), *(before.tenants if before else ())}
     for tenant in sorted(tenants):
-        was = moving.Moves(before).home(far, tenant, None) if before else "nowhere"
-        will = moving.Moves(after).home(far, tenant, None)
+        was = moving.TenantMigrations(before).home(far, tenant, None) if before else "nowhere"
+        will = moving.TenantMigrations(after).home(far, tenant, None)
         if was != will:
             out.print(f"tenant {tenant}: from {was} to {will}")
 
--- a/runspool/cli/lab.py
+++ b/runspool/cli/lab.py
@@ -9,18 +9,19 @@
 
 import anyio
 import anyio.to_thread
-from rich.console import Console
-from rich.progress import Progress
 import msgspec
 import typer
+from rich.console import Console
+from rich.progress import Progress
 
 from runspool.lab import audit as auditing
-from runspool.lab import recording, verdict
-from runspool.lab import retrace as retracing
-from runspool.lab.director import Director, Failed
+from runspool.lab import recording
+from runspool.lab import replay as retracing
+from runspool.lab import report as verdict
+from runspool.lab.cell_plans import DAYS
 from runspool.lab.engine import Engine
-from runspool.lab.cellplans import DAYS
-from runspool.lab.plan import Plan, Unplayable, from_bench
+from runspool.lab.plan import Plan, UnplayableDayError, from_bench
+from runspool.lab.scenario_runner import ScenarioFailedError, ScenarioRunner
 
 app = typer.Typer(no_args_is_help=True, help="The laboratory: stand-ins on loopback, scripted days, audits.")
 
@@ -61,7 +62,7 @@
         plan = from_bench(json.loads(file.read_text()), fronts, engines, scale)
     except (OSError, ValueError) as fault:
         _fail(f"{file}: {fault}")
-    except Unplayable as fault:
+    except UnplayableDayError as fault:
         _fail(f"{file}: {fault}")
     _play(plan, out, tapes, all_rules=False)
 
@@ -72,7 +73,7 @@
     file = folder / "wire.jsonl" if folder.is_dir() else folder
     try:
         rules = auditing.audit(recording.read(file))
-    except recording.Unreadable as fault:
+    except recording.UnreadableRecordingError as fault:
         _fail(str(fault))
     for name, rule in rules.items():
         typer.echo(f"{name}: {rule.cases} cases, {rule.broken} broken")
@@ -87,11 +88,11 @@
     differs = False
     for tape in tapes:
         try:
-            found = retracing.retrace(tape)
-        except (OSError, retracing.Unplayable) as fault:
+            found = retracing.replay(tape)
+        except (OSError, retracing.UnreadableEventsError) as fault:
             _fail(str(fault))
-        same = f"{tape}: {found.news} news, {found.asks} asks, all the same"
-        typer.echo(found.differs or (same if found.news else f"{tape}: nothing on it, nothing shown"))
+        same = f"{tape}: {found.events} news, {found.actions} asks, all the same"
+        typer.echo(found.differs or (same if found.events else f"{tape}: nothing on it, nothing shown"))
         differs = differs or bool(found.differs)
     raise typer.Exit(BROKEN if differs else 0)
 
@@ -139,13 +140,15 @@
     console = Console(stderr=True)
     with Progress(console=console, transient=True) as progress:
         task = progress.add_task(f"{plan.name} {plan.seed}", total=1.0)
-        director = Director(plan, out, tapes, lambda part: progress.update(task, completed=min(1.0, part)))
+        director = ScenarioRunner(
+            plan, out, tapes, lambda part: progress.update(task, completed=min(1.0, part))
+        )
         try:
             file = anyio.run(director.play)
-        except Failed as fault:
+        except ScenarioFailedError as fault:
             _fail(str(fault), NOT_PLAYED)
         except BaseExceptionGroup as group:
-            failed = group.subgroup(Failed)
+            failed = group.subgroup(ScenarioFailedError)
             if failed is None:
                 raise
             leaf: BaseException = failed
--- a/runspool/cli/main.py
+++ b/runspool/cli/main.py
@@ -12,7 +12,7 @@
 from runspool.cli import cells as cells_commands
 from runspool.cli import terms as terms_commands
 from runspool.logs import start_logs
-from runspool.service.running import run_front
+from runspool.service.front_server import run_front
 
 # Measured on the benchmark of a front: a sixth less CPU than with the loop of the standard library.
 LOOP = {"use_uvloop": True}
--- a/runspool/cli/terms.py
+++ b/runspool/cli/terms.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from runspool.terms import Terms, Unreadable, read_terms
+from runspool.config import FrontConfig, InvalidConfigError, read_terms
 
 app = typer.Typer(no_args_is_help=True, help="Check and show terms files (Jsonnet).")
 
@@ -28,11 +28,11 @@
     return found
 
 
-def read(file: Path, pairs: list[str] | None) -> Terms:
+def read(file: Path, pairs: list[str] | None) -> FrontConfig:
     """Checked terms, or every fault on standard error and exit 2."""
     try:
         return read_terms(file, given(pairs))
-    except Unreadable as fault:
+    except InvalidConfigError as fault:
         typer.echo(str(fault), err=True)
         raise typer.Exit(2) from None
 
--- a/runspool/terms/reading.py
+++ b/runspool/config/loader.py
@@ -11,13 +11,13 @@
 import _jsonnet
 from pydantic import ValidationError
 
-from runspool.terms.checked import Terms
+from runspool.config.schema import FrontConfig
 
 LIBRARY = Path(__file__).parent / "library"
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class ConfigFault:
     """One thing wrong in a terms file."""
 
     path: str
@@ -28,10 +28,10 @@
         return f"{self.path}: {self.value} - {self.allowed}"
 
 
-class Unreadable(Exception):
+class InvalidConfigError(Exception):
     """Terms that cannot be used; `faults` names every one of them."""
 
-    def __init__(self, source: str, faults: list[Fault]) -> None:
+    def __init__(self, source: str, faults: list[ConfigFault]) -> None:
         super().__init__("\n".join([f"{source}: {len(faults)} fault(s)", *(f"  {each}" for each in faults)]))
         self.source = source
         self.faults = faults
@@ -46,34 +46,38 @@
         text = _jsonnet.evaluate_file(str(path), jpathdir=[str(LIBRARY)], ext_vars=dict(given or {}))
     except (RuntimeError, OSError) as fault:
         said = " ".join(str(fault).split())
-        raise Unreadable(str(path), [Fault("(template)", said, "a Jsonnet file that evaluates")]) from None
+        raise InvalidConfigError(
+            str(path), [ConfigFault("(template)", said, "a Jsonnet file that evaluates")]
+        ) from None
     found = json.loads(text)
     if not isinstance(found, dict):
-        raise Unreadable(str(path), [Fault("(top)", type(found).__name__, "an object with house and front")])
+        raise InvalidConfigError(
+            str(path), [ConfigFault("(top)", type(found).__name__, "an object with house and front")]
+        )
     return found
 
 
-def terms_of(found: Mapping[str, Any], source: str = "terms") -> Terms:
+def terms_of(found: Mapping[str, Any], source: str = "terms") -> FrontConfig:
     """Checked terms from plain data; raises Unreadable with all faults."""
     try:
-        return Terms.model_validate(found)
+        return FrontConfig.model_validate(found)
     except ValidationError as fault:
-        raise Unreadable(source, [_fault(error) for error in fault.errors()]) from None
+        raise InvalidConfigError(source, [_fault(error) for error in fault.errors()]) from None
 
 
-def read_terms(path: Path, given: Mapping[str, str] | None = None) -> Terms:
+def read_terms(path: Path, given: Mapping[str, str] | None = None) -> FrontConfig:
     """Evaluates and checks a terms file; raises Unreadable with all faults."""
     return terms_of(evaluate(path, given), str(path))
 
 
-def _fault(error: Any) -> Fault:
+def _fault(error: Any) -> ConfigFault:
     path = ".".join(str(step) for step in error["loc"] if step != "[key]") or "(top)"
     kind, value = error["type"], error.get("input")
     if kind == "extra_forbidden":
-        return Fault(path, _short(value), "no such field")
+        return ConfigFault(path, _short(value), "no such field")
     if kind == "missing":
-        return Fault(path, "missing", "must be given")
-    return Fault(path, _short(value), str(error["msg"]).removeprefix("Value error, "))
+        return ConfigFault(path, "missing", "must be given")
+    return ConfigFault(path, _short(value), str(error["msg"]).removeprefix("Value error, "))
 
 
 def _short(value: object) -> str:
--- a/runspool/terms/checked.py
+++ b/runspool/config/schema.py
@@ -6,15 +6,13 @@
 
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
-from runspool.decisions.interface import (
-    Effect,
-    Group,
-    HouseTerms,
-    KindTerms,
-    Role,
-    TariffTerms,
-    TenantTerms,
+from runspool.scheduling.settings import (
+    EngineTypeSettings,
+    RequestClassSettings,
+    RoutingSettings,
+    TenantSettings,
 )
+from runspool.scheduling.types import DeduplicationScope, Idempotency, Role
 from runspool.units import tenths
 
 Millis = Annotated[float, Field(ge=0, le=86_400_000)]
@@ -26,6 +24,20 @@
 Port = Annotated[int, Field(ge=0, le=65535)]
 
 
+# The templates' words for the scheduler's types.
+IDEMPOTENCY = {
+    "rerunnable": Idempotency.IDEMPOTENT,
+    "ticketed": Idempotency.KEYED,
+    "exclusive": Idempotency.AT_MOST_ONCE,
+}
+DEDUPLICATION_SCOPES = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "rack": DeduplicationScope.RACK,
+}
+ROLES = {"reader": Role.PREFILL, "writer": Role.DECODE, "mixed": Role.MIXED}
+
+
 class Part(BaseModel):
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
@@ -162,7 +174,7 @@
     log_level: Literal["debug", "info", "warning", "error"]
 
 
-class Terms(Part):
+class FrontConfig(Part):
     """All that a front is told at its start."""
 
     house: House
@@ -183,48 +195,50 @@
             raise ValueError("; ".join(faults))
         return self
 
-    def house_terms(self) -> HouseTerms:
+    def house_terms(self) -> RoutingSettings:
         """The module's view: indices by order, times in tenths of a millisecond."""
         house, rules, limits = self.house, self.house.rules, self.house.limits
-        return HouseTerms(
-            me=self.front.number,
-            fronts=house.fronts,
+        return RoutingSettings(
+            front_index=self.front.number,
+            front_count=house.fronts,
             zone=house.zones.index(self.front.zone),
-            tariffs=[
-                TariffTerms(
+            request_classes=[
+                RequestClassSettings(
                     tenths(row.due_ms),
                     tenths(row.due_per_1000_tokens_ms),
                     tenths(row.pace_ms_per_token),
                     row.gain,
                     row.late_share,
-                    Effect[row.effect.upper()],
-                    Group[row.group.upper()],
+                    IDEMPOTENCY[row.effect],
+                    DEDUPLICATION_SCOPES[row.group],
                     tenths(row.window_ms),
                 )
                 for row in house.tariffs.values()
             ],
-            tenants=[TenantTerms(row.queries_per_second) for row in house.tenants.values()],
-            kinds=[KindTerms(Role[row.role.upper()], row.memory_tokens) for row in house.kinds.values()],
-            over_share=house.over_share,
-            answer_slack=tenths(rules.answer_slack_ms),
-            cold_from=rules.cold_from,
-            cold_time=tenths(rules.cold_ms),
-            fall_multiple=rules.fall_multiple,
-            fall_time=tenths(rules.fall_ms),
-            release_within=tenths(rules.release_within_ms),
-            max_shots=limits.max_shots,
-            second_copies=limits.second_copies,
-            may_recall=True,
+            tenants=[TenantSettings(row.queries_per_second) for row in house.tenants.values()],
+            engine_types=[
+                EngineTypeSettings(ROLES[row.role], row.memory_tokens) for row in house.kinds.values()
+            ],
+            over_quota_value=house.over_share,
+            response_slack=tenths(rules.answer_slack_ms),
+            slow_start_initial_fraction=rules.cold_from,
+            slow_start_duration=tenths(rules.cold_ms),
+            slow_start_overload_multiple=rules.fall_multiple,
+            slow_start_overload_window=tenths(rules.fall_ms),
+            state_release_timeout=tenths(rules.release_within_ms),
+            max_attempts=limits.max_shots,
+            may_hedge=limits.second_copies,
+            may_cancel=True,
             may_probe=False,
-            may_hold=False,
-            may_say_when=True,
-            longest_wait_told=tenths(limits.longest_wait_told_ms),
-            resumes=False,  # a stopped stream cannot yet go on elsewhere, so none is stopped
-            writers_read=limits.writers_read,
-            must_ask=False,
-            ask_within=0,
-            far_price=house.prices.far,
-            zone_price=house.prices.zone,
-            late_price=house.prices.late,
-            waste_price=house.prices.waste,
+            may_reserve=False,
+            may_send_retry_after=True,
+            max_retry_after=tenths(limits.longest_wait_told_ms),
+            streams_can_resume=False,  # a stopped stream cannot yet go on elsewhere, so none is stopped
+            decode_engines_prefill=limits.writers_read,
+            must_subscribe=False,
+            subscribe_interval=0,
+            cross_rack_price=house.prices.far,
+            cross_zone_price=house.prices.zone,
+            late_failure_price=house.prices.late,
+            wasted_work_price=house.prices.waste,
         )
--- a/runspool/roster/following.py
+++ b/runspool/discovery/endpoint_tracker.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass, field
 
-from runspool.wire.listing import Entry, News
+from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
 
 GAP_PATIENCE = 2_000  # tenths of a millisecond that missing versions may still come by themselves
 MOST_EARLY = 256  # versions held beyond a gap; with more the whole list is cheaper
@@ -19,24 +19,24 @@
 
 
 @dataclass(slots=True)
-class Following:
+class EndpointTracker:
     """The list as known so far."""
 
     epoch: str = ""
     version: int = -1  # all news up to this one has been heard
-    entries: dict[str, Entry] = field(default_factory=dict)  # those on or draining, and some gone
-    told: dict[str, int] = field(default_factory=dict)  # engine: version that last named it
+    entries: dict[str, EndpointEntry] = field(default_factory=dict)  # those on or draining, and some gone
+    last_versions: dict[str, int] = field(default_factory=dict)  # engine: version that last named it
     early: set[int] = field(default_factory=set)
     gap_since: int | None = None
 
-    def heard(self, now: int, news: News) -> list[Entry]:
+    def apply(self, now: int, news: EndpointListMessage) -> list[EndpointEntry]:
         """The entries that changed by this news, gone ones as "gone"; `now` in tenths of a millisecond."""
         if news.epoch != self.epoch:
             if not news.whole:
                 self._gap(now)
                 return []
             self.epoch, self.version, self.early = news.epoch, -1, set()
-            self.told = dict.fromkeys(self.told, -1)
+            self.last_versions = dict.fromkeys(self.last_versions, -1)
         if news.beat:
             if news.version > self.version:
                 self._gap(now)
@@ -60,27 +60,27 @@
         self._forget()
         return changed
 
-    def recalled(self, entries: list[Entry]) -> list[Entry]:
+    def restore(self, entries: list[EndpointEntry]) -> list[EndpointEntry]:
         """Takes a list kept by an earlier life: anything the service says is newer."""
         return [entry for entry in entries if self._take(entry, -1)]
 
-    def wants_whole(self, now: int) -> bool:
+    def needs_snapshot(self, now: int) -> bool:
         """True once a gap is not worth waiting for."""
         waited = self.gap_since is not None and now - self.gap_since >= GAP_PATIENCE
         return waited or len(self.early) > MOST_EARLY
 
-    def listed(self) -> list[Entry]:
+    def listed(self) -> list[EndpointEntry]:
         """All that are on or draining."""
         return [entry for entry in self.entries.values() if entry.state != "gone"]
 
-    def _whole(self, news: News) -> list[Entry]:
+    def _whole(self, news: EndpointListMessage) -> list[EndpointEntry]:
         if news.version < self.version:
             return []  # older than what is known: a repeat of an old list
         named = {entry.engine for entry in news.engines}
         changed = [entry for entry in news.engines if self._take(entry, news.version)]
         for entry in self.listed():
-            if entry.engine not in named and self.told[entry.engine] <= news.version:
-                gone = Entry(
+            if entry.engine not in named and self.last_versions[entry.engine] <= news.version:
+                gone = EndpointEntry(
                     entry.engine,
                     entry.address,
                     entry.kind,
@@ -97,14 +97,14 @@
         self._forget()
         return changed
 
-    def _take(self, entry: Entry, version: int) -> bool:
-        if version < self.told.get(entry.engine, -1):
+    def _take(self, entry: EndpointEntry, version: int) -> bool:
+        if version < self.last_versions.get(entry.engine, -1):
             return False
         if entry.engine not in self.entries and len(self.entries) >= MOST_ENGINES:
             return False
         before = self.entries.get(entry.engine)
         self.entries[entry.engine] = entry
-        self.told[entry.engine] = version
+        self.last_versions[entry.engine] = version
         return before != entry
 
     def _gap(self, now: int) -> None:
@@ -113,5 +113,5 @@
 
     def _forget(self) -> None:
         gone = [name for name, entry in self.entries.items() if entry.state == "gone"]
-        for name in sorted(gone, key=lambda name: self.told[name])[: max(0, len(gone) - GONE_KEPT)]:
-            del self.entries[name], self.told[name]
+        for name in sorted(gone, key=lambda name: self.last_versions[name])[: max(0, len(gone) - GONE_KEPT)]:
+            del self.entries[name], self.last_versions[name]
--- a/runspool/roster/watching.py
+++ b/runspool/discovery/watch_client.py
@@ -9,29 +9,29 @@
 import h11
 from anyio.abc import SocketStream
 
-from runspool.roster.following import Following
-from runspool.roster.hearing import Hearer
-from runspool.terms import ListTerms
-from runspool.wire.listing import Entry, Torn, read_news
+from runspool.config import ListTerms
+from runspool.discovery.endpoint_tracker import EndpointTracker
+from runspool.discovery.watch_listener import WatchListener
+from runspool.wire.endpoint_list import EndpointEntry, MalformedListLineError, read_news
 
 RECEIVED = 65536
 WATCH_PATH = "/v1/engines/watch"
 
 
-class Broken(Exception):
+class WatchInterruptedError(Exception):
     """The watch cannot go on as it is."""
 
 
-class Watch:
+class WatchClient:
     """Feeds `changed` with entries as they become known, and `lost` once for each break."""
 
     def __init__(
         self,
         terms: ListTerms,
         front: str,
-        following: Following,
+        following: EndpointTracker,
         now: Callable[[], int],
-        changed: Callable[[list[Entry]], None],
+        changed: Callable[[list[EndpointEntry]], None],
         lost: Callable[[], None],
         source_address: str | None,
     ) -> None:
@@ -39,7 +39,7 @@
         self.front = front
         self.following = following
         self.now = now
-        self.hearer = Hearer(following, now, changed, lost)
+        self.hearer = WatchListener(following, now, changed, lost)
         self.source_address = source_address
         self.whole_next = True
 
@@ -49,15 +49,15 @@
             try:
                 await self._once()
             except (
-                Broken,
-                Torn,
+                WatchInterruptedError,
+                MalformedListLineError,
                 OSError,
                 TimeoutError,
                 anyio.BrokenResourceError,
                 anyio.EndOfStream,
                 h11.RemoteProtocolError,
             ) as fault:
-                self.hearer.broke(fault)
+                self.hearer.connection_lost(fault)
             self.hearer.lost()
             await anyio.sleep(self.terms.retry_ms / 1000)
 
@@ -77,7 +77,7 @@
                 *lines, tail = bytes(rest).split(b"\n")
                 rest = bytearray(tail)
                 if len(rest) > self.terms.line_bytes:
-                    raise Broken(f"a line of over {self.terms.line_bytes} bytes")
+                    raise WatchInterruptedError(f"a line of over {self.terms.line_bytes} bytes")
                 for line in lines:
                     self._line(line)
 
@@ -102,21 +102,21 @@
                 return bytes(event.data)
             elif isinstance(event, h11.Response):
                 if event.status_code != 200:
-                    raise Broken(f"status {event.status_code}")
+                    raise WatchInterruptedError(f"status {event.status_code}")
             elif not isinstance(event, h11.InformationalResponse):
-                raise Broken("the watch ended")
+                raise WatchInterruptedError("the watch ended")
 
     def _line(self, line: bytes) -> None:
         if not line.strip():
             return
         try:
             news = read_news(line)
-        except Torn:
+        except MalformedListLineError:
             self.whole_next = True  # what it said is not known
             raise
         if news.whole:
             self.whole_next = False
-        self.hearer.hear(news)
-        if self.following.wants_whole(self.now()):
+        self.hearer.receive(news)
+        if self.following.needs_snapshot(self.now()):
             self.whole_next = True
-            raise Broken(f"news is missing after version {self.following.version}")
+            raise WatchInterruptedError(f"news is missing after version {self.following.version}")
--- a/runspool/roster/hearing.py
+++ b/runspool/discovery/watch_listener.py
@@ -6,18 +6,18 @@
 
 import structlog
 
-from runspool.roster.following import Following
-from runspool.wire.listing import Entry, News
+from runspool.discovery.endpoint_tracker import EndpointTracker
+from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
 
 
-class Hearer:
+class WatchListener:
     """Feeds `changed` with entries as they become known; the watch calls `lost`, once for each break."""
 
     def __init__(
         self,
-        following: Following,
+        following: EndpointTracker,
         now: Callable[[], int],
-        changed: Callable[[list[Entry]], None],
+        changed: Callable[[list[EndpointEntry]], None],
         lost: Callable[[], None],
     ) -> None:
         self.following = following
@@ -27,12 +27,12 @@
         self.log = structlog.get_logger()
         self.losses = 0  # one after the other, with no news between
 
-    def hear(self, news: News) -> None:
+    def receive(self, news: EndpointListMessage) -> None:
         self.losses = 0
-        changed = self.following.heard(self.now(), news)
+        changed = self.following.apply(self.now(), news)
         if changed:
             self.log.info(
-                "list_changed",
+                "endpoint_list_changed",
                 version=news.version,
                 whole=news.whole,
                 engines={entry.engine: entry.state for entry in changed[:20]},
@@ -40,11 +40,11 @@
             )
             self.changed(changed)
 
-    def broke(self, fault: Exception) -> None:
+    def connection_lost(self, fault: Exception) -> None:
         self.losses += 1
         if self.losses.bit_count() == 1:  # the 1st, 2nd, 4th, 8th: a long loss must not fill the log
             self.log.warning(
-                "list_lost",
+                "endpoint_list_lost",
                 reason=str(fault) or type(fault).__name__,
                 losses=self.losses,
                 version=self.following.version,
--- a/runspool/engines/vigil.py
+++ b/runspool/engines/idle_watchdog.py
@@ -11,44 +11,46 @@
 
 import anyio
 
-LOOK = 0.1  # seconds between looks: a bound is kept to within this
+CHECK_INTERVAL = 0.1  # seconds between looks: a bound is kept to within this
 
 
 @dataclass(slots=True, eq=False)
-class Watched:
+class WatchedWait:
     """Something that waits for a peer. `since` is the time the wait began, 0 while nothing is waited for."""
 
-    patience: int
-    out: Callable[[], None]
-    since: int = 0
-    ran_out: bool = False
+    timeout: int
+    on_timeout: Callable[[], None]
+    waiting_since: int = 0
+    timed_out: bool = False
 
 
-class Vigil:
+class IdleWatchdog:
     """Calls `out`, once, for what has waited past its patience; times in tenths of a millisecond."""
 
     def __init__(self, now: Callable[[], int]) -> None:
         self.now = now
-        self.watched: set[Watched] = set()
+        self.watched: set[WatchedWait] = set()
 
-    def watch(self, patience: int, out: Callable[[], None]) -> Watched:
+    def watch(self, patience: int, out: Callable[[], None]) -> WatchedWait:
         """To be handed back to forget(), whatever happens between."""
-        one = Watched(patience, out)
+        one = WatchedWait(patience, out)
         self.watched.add(one)
         return one
 
-    def forget(self, one: Watched) -> None:
+    def unwatch(self, one: WatchedWait) -> None:
         self.watched.discard(one)
 
     async def run(self) -> None:
         """Looks until cancelled."""
         while True:
-            await anyio.sleep(LOOK)
-            self.look()
+            await anyio.sleep(CHECK_INTERVAL)
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         at = self.now()
-        for one in [one for one in self.watched if one.since and at - one.since > one.patience]:
-            one.ran_out = True
-            self.forget(one)
-            one.out()
+        for one in [
+            one for one in self.watched if one.waiting_since and at - one.waiting_since > one.timeout
+        ]:
+            one.timed_out = True
+            self.unwatch(one)
+            one.on_timeout()
--- a/runspool/engines/replies.py
+++ b/runspool/engines/response_parser.py
@@ -11,28 +11,28 @@
 MOST_HEADERS = 64
 
 
-class BadReply(Exception):
+class MalformedHttpResponseError(Exception):
     """Bytes that are no HTTP answer."""
 
 
-class Reply:
+class ResponseParser:
     """One answer; feed() it until `complete`."""
 
     def __init__(self, head_bytes: int) -> None:
         self._head_bytes = head_bytes
         self._body: list[bytes] = []
         self._parser = httptools.HttpResponseParser(self)
-        self.renew()
+        self.reset()
 
-    def renew(self) -> None:
+    def reset(self) -> None:
         """Makes it ready for the next answer on the same connection."""
         self.status = 0
         self.headers: dict[str, str] = {}
-        self.head_done = self.complete = self.keeps_alive = False
+        self.head_complete = self.complete = self.keep_alive = False
         self._body.clear()
         self._left = self._head_bytes
 
-    def free(self) -> None:
+    def detach_parser(self) -> None:
         """Lets the parser go, which holds this by its callbacks: left to the collector, such knots stopped a
         front for 20 to 35 ms at a time. To be fed no more."""
         del self._parser
@@ -43,20 +43,22 @@
         What comes in the same bytes after the end is not looked at: the answer stands, the link has served.
         """
         if self.complete:
-            raise BadReply("bytes after the answer's end")
-        if not self.head_done:
+            raise MalformedHttpResponseError("bytes after the answer's end")
+        if not self.head_complete:
             self._left -= len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserUpgrade, httptools.HttpParserError) as fault:
             if not self.complete:
                 asked = not isinstance(fault, httptools.HttpParserUpgrade)
-                raise BadReply(str(fault) if asked else "an upgrade nobody asked for") from None
-            self.keeps_alive = False
-        if not self.head_done and self._left < 0:
-            raise BadReply("a head without end")
-
-    def take(self) -> bytes:
+                raise MalformedHttpResponseError(
+                    str(fault) if asked else "an upgrade nobody asked for"
+                ) from None
+            self.keep_alive = False
+        if not self.head_complete and self._left < 0:
+            raise MalformedHttpResponseError("a head without end")
+
+    def take_body(self) -> bytes:
         """The body's bytes that have come since the last call."""
         if len(self._body) == 1:
             return self._body.pop()
@@ -68,7 +70,7 @@
 
     def on_message_begin(self) -> None:
         if self.complete:  # a second answer nobody asked for
-            self.keeps_alive = False
+            self.keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if not self.complete and len(self.headers) < MOST_HEADERS:
@@ -78,8 +80,8 @@
         if self.complete:
             return
         self.status = self._parser.get_status_code()
-        self.head_done = self.status >= 200
-        if not self.head_done:
+        self.head_complete = self.status >= 200
+        if not self.head_complete:
             self.headers.clear()  # an interim answer; the real one follows
 
     def on_body(self, body: bytes) -> None:
@@ -89,4 +91,4 @@
     def on_message_complete(self) -> None:
         if self.status >= 200 and not self.complete:
             self.complete = True
-            self.keeps_alive = self._parser.should_keep_alive()
+            self.keep_alive = self._parser.should_keep_alive()
--- a/runspool/lab/audit.py
+++ b/runspool/lab/audit.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from runspool.lab.model import SLACK_WORK
-from runspool.lab.plan import EnginePlan, Plan, TariffPlan
-from runspool.lab.recording import Event, Unreadable
+from runspool.lab.plan import EnginePlan, Plan, RequestClassPlan
+from runspool.lab.recording import Event, UnreadableRecordingError
 
 EXAMPLES = 20
 
@@ -105,17 +105,17 @@
     """Raises Unreadable where the recording has no plan or names what it never introduced."""
     day = next((event for event in events if event["what"] == "day"), None)
     if day is None:
-        raise Unreadable("the recording has no day line")
+        raise UnreadableRecordingError("the recording has no day line")
     try:
         found = History(msgspec.convert(day["plan"], Plan), events, slack)
     except (msgspec.ValidationError, KeyError) as fault:
-        raise Unreadable(f"its day line: {fault}") from None
+        raise UnreadableRecordingError(f"its day line: {fault}") from None
     sources = {front.source: front.name for front in found.plan.fronts}
     for number, event in enumerate(events, 1):
         try:
             _sort(found, event, sources)
         except KeyError as fault:
-            raise Unreadable(f"event {number} ({event['what']}): no {fault}") from None
+            raise UnreadableRecordingError(f"event {number} ({event['what']}): no {fault}") from None
     found.last = max((event["t"] for event in events), default=0)
     return found
 
@@ -275,7 +275,12 @@
 
 
 def _ticketed(
-    judged: Judged, item: str, seen: TrySeen, row: TariffPlan, engines: dict[str, EnginePlan], slack: int
+    judged: Judged,
+    item: str,
+    seen: TrySeen,
+    row: RequestClassPlan,
+    engines: dict[str, EnginePlan],
+    slack: int,
 ) -> None:
     writes = sorted((shot for shot in seen.shots if shot.stage == "write"), key=lambda shot: shot.at)
     ran = next((shot for shot in writes if shot.may_have_run), None)
--- a/runspool/lab/clients.py
+++ b/runspool/lab/clients.py
@@ -9,11 +9,11 @@
 import msgspec
 from anyio.abc import SocketStream
 
-from runspool.lab.crowd import Item, text_of
 from runspool.lab.plan import Plan
 from runspool.lab.recording import Recorder
+from runspool.lab.workload import Item, text_of
 from runspool.service.clock import now
-from runspool.wire.engine import Events
+from runspool.wire.engine_messages import Events
 
 GRACE = 3_000  # tenths of a millisecond that an answer is still listened for after the client's time is up
 STALL = 20.0  # seconds after which a stream that says nothing is taken to say nothing more
--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -13,17 +13,17 @@
 from typing import Any
 
 import anyio
-from anyio.abc import SocketListener, SocketStream, TaskGroup, TaskStatus
 import msgspec
 import xxhash
+from anyio.abc import SocketListener, SocketStream, TaskGroup, TaskStatus
 
-from runspool.engines.endings import STATE_GONE
-from runspool.lab.httpd import Asked, Left, serve, serve_all
+from runspool.engines.failure_classification import STATE_GONE
+from runspool.lab.http_server import Asked, PeerClosedError, serve, serve_all
 from runspool.lab.model import BLOCK, Job, Make, Model, Step, Verdict
 from runspool.lab.recording import Recorder
 from runspool.service.clock import now
 from runspool.wire.completions import DONE, chunk, error_body
-from runspool.wire.engine import REPORT_HEADER
+from runspool.wire.engine_messages import REPORT_HEADER
 from runspool.wire.fields import TOKEN_BYTES
 
 FETCH_LIMIT = 10.0  # seconds that a writer waits for a state to come
@@ -363,7 +363,7 @@
                     how = "stateless"
                 else:
                     how = await self._work(live, body, row, tariff)
-        except Left:
+        except PeerClosedError:
             how = "left"
         finally:
             self.record.line(
@@ -391,7 +391,7 @@
                 tasks.cancel_scope.cancel()
             return how
         except BaseExceptionGroup as group:
-            if group.split(Left)[1] is not None:
+            if group.split(PeerClosedError)[1] is not None:
                 raise
             return "left"
         finally:
@@ -408,7 +408,7 @@
         await live.out.wait()
         live.out = anyio.Event()
         if live.asked.left.is_set():
-            raise Left
+            raise PeerClosedError
 
     async def _read(self, live: Live) -> str:
         while live.job.to_read > 0 or live.job.phase.name in ("WAITING", "FETCHING"):
@@ -440,7 +440,7 @@
                 },
                 self._report(),
             )
-        except Left:
+        except PeerClosedError:
             if self.model.let_go(live.request):
                 self.record.line("dropped", engine=self.make.name, state=live.request)
             raise
--- a/runspool/lab/httpd.py
+++ b/runspool/lab/http_server.py
@@ -10,16 +10,16 @@
 
 import anyio
 import h11
-from anyio.abc import SocketAttribute, SocketListener, SocketStream, TaskGroup
 import msgspec
+from anyio.abc import SocketAttribute, SocketListener, SocketStream, TaskGroup
 
-from runspool.sockets.lines import next_connection
+from runspool.transport.tcp import next_connection
 
 RECEIVED = 65536
 GONE = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
 
 
-class Left(Exception):
+class PeerClosedError(Exception):
     """The peer has gone."""
 
 
@@ -40,7 +40,7 @@
         body = bytearray()
         while not isinstance(event := await _next(self.stream, self.state), h11.EndOfMessage):
             if isinstance(event, h11.ConnectionClosed):
-                raise Left
+                raise PeerClosedError
             if isinstance(event, h11.Data):
                 body += event.data
         self.body = bytes(body)
@@ -84,7 +84,7 @@
         try:
             await self.stream.send(raw)
         except GONE:
-            raise Left from None
+            raise PeerClosedError from None
 
 
 async def serve_all(
@@ -109,7 +109,7 @@
                 if state.our_state is not h11.DONE or state.their_state is not h11.DONE:
                     return
                 state.start_next_cycle()
-        except (*GONE, Left, h11.RemoteProtocolError, h11.LocalProtocolError):
+        except (*GONE, PeerClosedError, h11.RemoteProtocolError, h11.LocalProtocolError):
             return
 
 
--- a/runspool/lab/listing.py
+++ b/runspool/lab/listing.py
@@ -9,10 +9,10 @@
 import anyio
 from anyio.abc import SocketListener, SocketStream, TaskStatus
 
-from runspool.lab.httpd import Asked, Left, serve, serve_all
+from runspool.lab.http_server import Asked, PeerClosedError, serve, serve_all
 from runspool.lab.recording import Recorder
 from runspool.service.clock import now
-from runspool.wire.listing import Entry, News, write_news
+from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, write_news
 
 BEAT = 1.0
 HISTORY = 64
@@ -29,14 +29,14 @@
         self.rng = Random(seed)
         self.epoch = f"{now():x}"
         self.version = 0
-        self.known: dict[str, Entry] = {}
-        self.history: deque[News] = deque(maxlen=HISTORY)
+        self.known: dict[str, EndpointEntry] = {}
+        self.history: deque[EndpointListMessage] = deque(maxlen=HISTORY)
         self.watchers: list[_Watcher] = []
-        self.pending: deque[tuple[int, Entry]] = deque()
+        self.pending: deque[tuple[int, EndpointEntry]] = deque()
         self.more = anyio.Event()
         self.port = 0
 
-    def set(self, entry: Entry, at_once: bool = False) -> None:
+    def set(self, entry: EndpointEntry, at_once: bool = False) -> None:
         """News of an engine, told after the delay that holds now."""
         due = now() + (0 if at_once else self.delay)
         # Late news never overtakes earlier news: the service is late as a whole.
@@ -67,13 +67,13 @@
             with anyio.move_on_after(max(0.001, wait)):
                 await self.more.wait()
 
-    def _tell(self, entry: Entry) -> None:
+    def _tell(self, entry: EndpointEntry) -> None:
         self.version += 1
         if entry.state == "gone":
             self.known.pop(entry.engine, None)
         else:
             self.known[entry.engine] = entry
-        news = News(self.version, self.epoch, engines=[entry])
+        news = EndpointListMessage(self.version, self.epoch, engines=[entry])
         self.history.append(news)
         for watcher in list(self.watchers):
             watcher.put(news)
@@ -93,7 +93,9 @@
         watcher = _Watcher(self, asked, front)
         missed = [news for news in self.history if news.version > after]
         if after < 0 or after > self.version or len(missed) != self.version - after:
-            missed = [News(self.version, self.epoch, whole=True, engines=list(self.known.values()))]
+            missed = [
+                EndpointListMessage(self.version, self.epoch, whole=True, engines=list(self.known.values()))
+            ]
         for news in missed:
             watcher.put(news, plain=True)
         self.watchers.append(watcher)
@@ -108,7 +110,7 @@
                 await watcher.run()
                 tasks.cancel_scope.cancel()
         except BaseExceptionGroup as group:
-            if group.split(Left)[1] is not None:
+            if group.split(PeerClosedError)[1] is not None:
                 raise
         finally:
             self.watchers.remove(watcher)
@@ -119,11 +121,11 @@
         self.listing = listing
         self.asked = asked
         self.front = front
-        self.lines: deque[tuple[News, bytes]] = deque()
+        self.lines: deque[tuple[EndpointListMessage, bytes]] = deque()
         self.more = anyio.Event()
         self.over = False
 
-    def put(self, news: News, plain: bool = False) -> None:
+    def put(self, news: EndpointListMessage, plain: bool = False) -> None:
         if len(self.lines) >= QUEUE:
             self.over = True  # it reads too slowly; it comes again and gets the whole list
         raw, rng = write_news(news), self.listing.rng
@@ -155,4 +157,6 @@
             with anyio.move_on_after(BEAT):
                 await self.more.wait()
                 continue
-            await self.asked.chunk(write_news(News(self.listing.version, self.listing.epoch, beat=True)))
+            await self.asked.chunk(
+                write_news(EndpointListMessage(self.listing.version, self.listing.epoch, beat=True))
+            )
--- a/runspool/lab/moves.py
+++ b/runspool/lab/migration_script.py
@@ -8,8 +8,9 @@
 import anyio
 import anyio.abc
 
-from runspool.cells import book, moving
-from runspool.cells.chart import CellMap, Move
+from runspool.cells import cell_store as book
+from runspool.cells import tenant_migration as moving
+from runspool.cells.cell_map import CellMap, Move
 from runspool.lab.plan import Plan, Trouble
 from runspool.lab.recording import Recorder
 from runspool.service.clock import unix_ms
@@ -46,7 +47,7 @@
         over, _, strike = one.how.partition(" ")
         who, _, step = strike.partition(" ")
         tenant = self.plan.tenants[one.on[0]].name
-        source = moving.Moves(self.chart).home(unix_ms(), tenant, None)
+        source = moving.TenantMigrations(self.chart).home(unix_ms(), tenant, None)
         cells = [name for name in self.chart.names() if name != source]
         target = cells[one.which % len(cells)]
         asked = Move(
--- a/runspool/lab/plan.py
+++ b/runspool/lab/plan.py
@@ -12,7 +12,7 @@
 SECOND = 10_000
 
 
-class TariffPlan(msgspec.Struct):
+class RequestClassPlan(msgspec.Struct):
     """A tariff as its clients know it; times in tenths of a millisecond, lengths in tokens."""
 
     name: str
@@ -85,7 +85,7 @@
     length: int
     rate: float  # queries a second
     zones: list[str]
-    tariffs: list[TariffPlan]
+    tariffs: list[RequestClassPlan]
     tenants: list[TenantPlan]
     fronts: list[FrontPlan]
     engines: list[EnginePlan]
@@ -140,10 +140,12 @@
 )
 
 
-def tariffs() -> list[TariffPlan]:
+def tariffs() -> list[RequestClassPlan]:
     return [
-        TariffPlan("staff-ask", 0.5, "rerunnable", 1, 15_000, 400, 60_000, 600, 250, 60, 2.5, 0.8, 1600, 0.2),
-        TariffPlan(
+        RequestClassPlan(
+            "staff-ask", 0.5, "rerunnable", 1, 15_000, 400, 60_000, 600, 250, 60, 2.5, 0.8, 1600, 0.2
+        ),
+        RequestClassPlan(
             "manager-check",
             0.3,
             "ticketed",
@@ -160,7 +162,7 @@
             0.1,
             "zone",
         ),
-        TariffPlan(
+        RequestClassPlan(
             "payout-close", 0.2, "exclusive", 3, 30_000, 1200, 150_000, 800, 1500, 40, 1.2, 0.2, 700, 0.2
         ),
     ]
@@ -171,7 +173,7 @@
     kind: str,
     zone: str,
     rack: int,
-    plan_tariffs: list[TariffPlan],
+    plan_tariffs: list[RequestClassPlan],
     rng: Random,
     strength: float = 1.0,
 ) -> EnginePlan:
@@ -310,7 +312,7 @@
     return plan
 
 
-class Unplayable(Exception):
+class UnplayableDayError(Exception):
     """A day that cannot be played; names what is wrong."""
 
 
@@ -323,7 +325,7 @@
     try:
         unknown = sorted({row["kind"] for row in day["troubles"]} - {*BENCH_KINDS})
         if unknown:
-            raise Unplayable(f"kind of trouble that is not known: {', '.join(unknown)}")
+            raise UnplayableDayError(f"kind of trouble that is not known: {', '.join(unknown)}")
         rng = Random(int(day.get("noise", 0)) % (1 << 32))
         zones = [str(zone) for zone in day["zones"]]
         rows = [_bench_tariff(row) for row in day["classes"]]
@@ -400,14 +402,14 @@
             ),
         )
     except (KeyError, TypeError, IndexError, ValueError) as fault:
-        raise Unplayable(f"not a bench day: {type(fault).__name__} at {fault}") from None
+        raise UnplayableDayError(f"not a bench day: {type(fault).__name__} at {fault}") from None
 
 
-def _bench_tariff(row: dict[str, Any]) -> TariffPlan:
+def _bench_tariff(row: dict[str, Any]) -> RequestClassPlan:
     effect = {"safe": "rerunnable", "keyed": "ticketed", "unsafe": "exclusive"}[row["effect"]]
     group = {"all": "all", "zone": "zone", "cell": "rack"}[row["group"]]
     heavy = float(row["work"]) > 200_000
-    return TariffPlan(
+    return RequestClassPlan(
         row["name"],
         float(row["share"]),
         effect,  # type: ignore[arg-type]
@@ -422,9 +424,9 @@
         0.2 if heavy else 0.8,
         1500,
         float(row["late_worth"]),
-        group,
+        group,  # type: ignore[arg-type]
         int(row["window"]) // 100,
-    )  # type: ignore[arg-type]
+    )
 
 
 def _kind(name: str) -> str:
--- a/runspool/lab/recording.py
+++ b/runspool/lab/recording.py
@@ -48,7 +48,7 @@
     return len(lines)
 
 
-class Unreadable(Exception):
+class UnreadableRecordingError(Exception):
     """A recording that cannot be judged."""
 
 
@@ -58,15 +58,15 @@
     try:
         raws = path.read_bytes().split(b"\n")
     except OSError as fault:
-        raise Unreadable(f"{path}: {fault.strerror}") from None
+        raise UnreadableRecordingError(f"{path}: {fault.strerror}") from None
     for number, raw in enumerate(raws, 1):
         if not raw:
             continue
         try:
             event = msgspec.json.decode(raw)
         except msgspec.DecodeError as fault:
-            raise Unreadable(f"{path}:{number}: {fault}") from None
+            raise UnreadableRecordingError(f"{path}:{number}: {fault}") from None
         if not isinstance(event, dict) or not isinstance(event.get("t"), int) or "what" not in event:
-            raise Unreadable(f"{path}:{number}: no event with t and what")
+            raise UnreadableRecordingError(f"{path}:{number}: no event with t and what")
         events.append(event)
     return events
--- a/runspool/lab/retrace.py
+++ b/runspool/lab/replay.py
@@ -8,22 +8,24 @@
 
 import msgspec
 
-from runspool.decisions.interface import HouseTerms, Listed, Outcome, Query, Roster
-from runspool.front import Desk
+from runspool.runtime.scheduler_driver import SchedulerDriver
+from runspool.scheduling.settings import RoutingSettings
+from runspool.scheduling.types import AttemptOutcome, EndpointUpdate, EngineRecord, Request
+from runspool.service.recording_format import Event, from_stored
 
-NEWS = {"start", "arrive", "begun", "closed", "left", "rang", "roster", "list_failed", "drop", "leave"}
+EVENTS = frozenset(Event)
 
 
-class Unplayable(Exception):
+class UnreadableEventsError(Exception):
     """A tape that cannot be played; names file and line."""
 
 
 @dataclass(slots=True)
-class Retraced:
+class ReplayResult:
     """How far a tape went: its news, its asks, and the first place where they differ, if any."""
 
-    news: int = 0
-    asks: int = 0
+    events: int = 0
+    actions: int = 0
     differs: str = ""
 
 
@@ -33,38 +35,38 @@
     def __init__(self) -> None:
         self.asked: list[list[Any]] = []
 
-    def send(self, query: int, engine: int, cap: int) -> None:
+    def start_attempt(self, query: int, engine: int, cap: int) -> None:
         self.asked.append(["send", query, engine, cap])
 
-    def dismiss(self, query: int, hold_off: int) -> None:
+    def reject(self, query: int, hold_off: int) -> None:
         self.asked.append(["dismiss", query, hold_off])
 
-    def scrap(self, query: int) -> None:
+    def fail_indeterminate(self, query: int) -> None:
         self.asked.append(["scrap", query])
 
-    def release(self, query: int) -> None:
+    def release_state(self, query: int) -> None:
         self.asked.append(["release", query])
 
-    def move(self, query: int) -> None:
+    def migrate_stream(self, query: int) -> None:
         self.asked.append(["move", query])
 
-    def subscribe(self) -> None:
+    def subscribe_to_endpoints(self) -> None:
         self.asked.append(["subscribe"])
 
-    def wake(self, token: str, at: int) -> None:
+    def set_timer(self, token: str, at: int) -> None:
         self.asked.append(["wake", token, at])
 
-    def note(self, text: str) -> None:
+    def log_message(self, text: str) -> None:
         self.asked.append(["note", text])
 
-    def forget(self, query: int) -> None:
+    def forget_request(self, query: int) -> None:
         self.asked.append(["forget", query])
 
 
-def retrace(tape: Path) -> Retraced:
+def replay(tape: Path) -> ReplayResult:
     """Plays a tape; raises Unplayable where it is no tape. A last line cut by a kill is passed over."""
-    found, hearing = Retraced(), _Hearing()
-    desk: Desk | None = None
+    found, hearing = ReplayResult(), _Hearing()
+    desk: SchedulerDriver | None = None
     lines = tape.read_bytes().split(b"\n")
     for number, raw in enumerate(lines, 1):
         if not raw:
@@ -74,8 +76,8 @@
         except (msgspec.DecodeError, ValueError, TypeError) as fault:
             if number >= len(lines) - 1:
                 break
-            raise Unplayable(f"{tape}:{number}: {fault}") from None
-        if word not in NEWS:
+            raise UnreadableEventsError(f"{tape}:{number}: {fault}") from None
+        if word not in EVENTS:
             if not hearing.asked:
                 found.differs = f"{tape}:{number}: {word} {said} was asked then and is not now"
                 return found
@@ -83,41 +85,43 @@
             if now != [word, *said]:
                 found.differs = f"{tape}:{number}: {[word, *said]} then, {now} now"
                 return found
-            found.asks += 1
+            found.actions += 1
             continue
         if hearing.asked:
             found.differs = f"{tape}:{number}: {hearing.asked[0]} is asked now and was not then"
             return found
-        found.news += 1
+        found.events += 1
         try:
             if word == "start":
-                desk = Desk(msgspec.convert(said[1], HouseTerms), said[0], hearing, at)
+                desk = SchedulerDriver(from_stored(said[1], RoutingSettings), said[0], hearing, at)
             elif desk is None:
-                raise Unplayable(f"{tape}:{number}: {word} before start")
+                raise UnreadableEventsError(f"{tape}:{number}: {word} before start")
             else:
                 _tell(desk, at, word, said)
         except (msgspec.ValidationError, IndexError) as fault:
-            raise Unplayable(f"{tape}:{number}: {fault}") from None
+            raise UnreadableEventsError(f"{tape}:{number}: {fault}") from None
     return found
 
 
-def _tell(desk: Desk, at: int, word: str, said: list[Any]) -> None:
+def _tell(desk: SchedulerDriver, at: int, word: str, said: list[Any]) -> None:
     match word:
         case "arrive":
-            desk.arrive(at, msgspec.convert(said[0], Query))
+            desk.submit(at, from_stored(said[0], Request))
         case "begun":
-            desk.begun(at, said[0], said[1], said[2])
+            desk.stream_started(at, said[0], said[1], said[2])
         case "closed":
-            desk.closed(at, said[0], said[1], msgspec.convert(said[2], Outcome), said[3])
+            desk.attempt_ended(at, said[0], said[1], from_stored(said[2], AttemptOutcome), said[3])
         case "left":
-            desk.left(at, said[0])
+            desk.client_disconnected(at, said[0])
         case "drop":
-            desk.drop(at, said[0])
+            desk.abandon(at, said[0])
         case "rang":
-            desk.rang(at, said[0])
+            desk.timer_fired(at, said[0])
         case "roster":
-            desk.roster(at, Roster(said[0], msgspec.convert(said[1], list[Listed])))
+            desk.update_endpoints(
+                at, EndpointUpdate(said[0], [from_stored(one, EngineRecord) for one in said[1]])
+            )
         case "leave":
-            desk.leave(at, said[0])
+            desk.begin_shutdown(at, said[0])
         case "list_failed":
-            desk.list_failed(at)
+            desk.subscription_lost(at)
--- a/runspool/lab/director.py
+++ b/runspool/lab/scenario_runner.py
@@ -19,16 +19,16 @@
 import anyio.abc
 import msgspec
 
+from runspool.config.loader import LIBRARY
 from runspool.lab import recording
 from runspool.lab.clients import Clients, Entry
-from runspool.lab.crowd import Item, crowd
 from runspool.lab.listing import Listing
-from runspool.lab.moves import Mover
+from runspool.lab.migration_script import Mover
 from runspool.lab.plan import SECOND, Plan, Trouble
 from runspool.lab.recording import Recorder
+from runspool.lab.workload import Item, crowd
 from runspool.service.clock import now
-from runspool.terms.reading import LIBRARY
-from runspool.wire import listing as wire
+from runspool.wire import endpoint_list as wire
 
 # Blocks of ports under the range from which the kernel takes those for calls going out. A day holds the first
 # port of its block for as long as it runs: two days at once must not find each other's engines.
@@ -41,7 +41,7 @@
 Span = tuple[int, str, dict[str, Any], dict[str, Any]]  # engine, fault, how it begins, how it ends
 
 
-class Failed(Exception):
+class ScenarioFailedError(Exception):
     """The day could not be played; the reason names the process."""
 
 
@@ -58,7 +58,7 @@
         if len(found) >= count:
             return claim, found[:count]
         claim.close()
-    raise Failed(f"no block of ports with {count} free ones")
+    raise ScenarioFailedError(f"no block of ports with {count} free ones")
 
 
 def _free(port: int) -> bool:
@@ -158,7 +158,7 @@
     coming_back: bool = False  # killed, and its next life is under way: no other trouble may start another
 
 
-class Director:
+class ScenarioRunner:
     """Owns every process of a day; all of them end when it does."""
 
     def __init__(
@@ -341,13 +341,15 @@
         deadline = time.monotonic() + START_LIMIT
         while time.monotonic() < deadline:
             if process.child is not None and process.child.returncode is not None:
-                raise Failed(f"{process.name} ended with {process.child.returncode} before it listened")
+                raise ScenarioFailedError(
+                    f"{process.name} ended with {process.child.returncode} before it listened"
+                )
             try:
                 async with await anyio.connect_tcp("127.0.0.1", port):
                     return
             except OSError:
                 await anyio.sleep(0.05)
-        raise Failed(f"{process.name} does not listen on {port}")
+        raise ScenarioFailedError(f"{process.name} does not listen on {port}")
 
     async def _kill(self, process: Process, **said: Any) -> None:
         child = process.child
@@ -378,7 +380,7 @@
                 await process.child.wait()
                 await process.child.aclose()
 
-    def _line(self, at: int, state: str) -> wire.Entry:
+    def _line(self, at: int, state: str) -> wire.EndpointEntry:
         one = self.plan.engines[at]
         return msgspec.convert(
             {
@@ -390,7 +392,7 @@
                 "state": state,
                 "started_unix_ms": self.started[at],
             },
-            wire.Entry,
+            wire.EndpointEntry,
         )
 
     async def _fault(self, at: int, name: str, **said: Any) -> None:
--- a/runspool/lab/crowd.py
+++ b/runspool/lab/workload.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from runspool.lab.plan import SECOND, Plan, TariffPlan, Trouble
+from runspool.lab.plan import SECOND, Plan, RequestClassPlan, Trouble
 from runspool.wire.fields import TOKEN_BYTES
 
 MOST_PROMPT = 60_000
@@ -141,7 +141,7 @@
 def _item(
     plan: Plan,
     rng: Random,
-    row: TariffPlan,
+    row: RequestClassPlan,
     name: str,
     at: int,
     zone: int,
--- a/runspool/node/__main__.py
+++ b/runspool/node/__main__.py
@@ -14,14 +14,14 @@
     import anyio
 
     from runspool.logs import keep_standard_descriptors, start_logs
-    from runspool.node.posting import BadPosting
-    from runspool.node.running import run_node
+    from runspool.node.config import InvalidNodeConfigError
+    from runspool.node.server import run_node
 
     keep_standard_descriptors()
     start_logs(os.environ.get("RUNSPOOL_LOG", "info"))
     try:
         anyio.run(run_node, os.environ, backend_options={"use_uvloop": True})
-    except BadPosting as fault:
+    except InvalidNodeConfigError as fault:
         print(f"runspool.node: {fault}", file=sys.stderr)
         return 2
     return 0
--- a/runspool/node/catalog.py
+++ b/runspool/node/discovery_client.py
@@ -8,15 +8,15 @@
 import msgspec
 import structlog
 
-from runspool.engines.endings import Mishap
-from runspool.engines.connections import Address, Speaking
-from runspool.engines.exchange import Call, Exchanges, Stopped, worded
-from runspool.engines.replies import Reply
-from runspool.node.members import BadList, read_list, target
-from runspool.roster.following import Following
-from runspool.roster.hearing import Hearer
+from runspool.discovery.endpoint_tracker import EndpointTracker
+from runspool.discovery.watch_listener import WatchListener
+from runspool.engines.connection_pool import Address, ClientSettings
+from runspool.engines.failure_classification import FailureCause
+from runspool.engines.http_exchange import Exchange, ExchangeAbortedError, HttpExchangeClient, encode_request
+from runspool.engines.response_parser import ResponseParser
+from runspool.node.endpoint_list import InvalidEndpointListError, read_list, target
 from runspool.units import TENTHS, tenths
-from runspool.wire.listing import Entry
+from runspool.wire.endpoint_list import EndpointEntry
 
 # What a silent watch misses counts as told 6 s after it fell silent, or later; what an agent gets at its
 # return counts at once, and what it was asked before that it never answers. So silence is to be known within
@@ -28,21 +28,21 @@
 SLOW_RETRY_MS = 1_000  # between two tries while an answer is coming: each makes the others slower
 
 
-class Catalog(Exchanges):
+class DiscoveryClient(HttpExchangeClient):
     """Feeds `changed` with entries as they become known, and `lost` once for each break."""
 
     def __init__(
         self,
-        terms: Speaking,
+        terms: ClientSettings,
         address: Address,
-        following: Following,
+        following: EndpointTracker,
         now: Callable[[], int],
-        changed: Callable[[list[Entry]], None],
+        changed: Callable[[list[EndpointEntry]], None],
         lost: Callable[[], None],
     ) -> None:
         super().__init__(terms, now, 0)
         self.address = address
-        self.hearer = Hearer(following, now, changed, lost)
+        self.hearer = WatchListener(following, now, changed, lost)
         self.log = structlog.get_logger()
         self.lists = 0  # whole ones, each the start of a count of its own
         self.scope: anyio.CancelScope | None = None
@@ -50,8 +50,8 @@
         self.heard = anyio.Event()  # a first whole list
         self.progressed = 0  # when a piece of an answer came last
 
-    def said_no(self, reply: Reply, body: bytes) -> tuple[Mishap, str]:
-        return Mishap.FAILED, ""
+    def classify_response(self, reply: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
+        return FailureCause.SERVER_ERROR, ""
 
     def move(self, address: Address) -> None:
         """The list is at another address from now on; asked there at once."""
@@ -68,8 +68,8 @@
                 self.began = self.now()
                 try:
                     await self._watch(self.address)
-                except (Stopped, BadList) as fault:
-                    self.hearer.broke(fault)
+                except (ExchangeAbortedError, InvalidEndpointListError) as fault:
+                    self.hearer.connection_lost(fault)
                 self.pool.close()
                 self.hearer.lost()
                 # No rest after what has stood for a while: a drain may be told meanwhile, and its grace run.
@@ -88,8 +88,8 @@
         async def ask() -> None:
             try:
                 told.append(await self._get(address, None))
-            except Stopped as fault:
-                self.hearer.broke(fault)
+            except ExchangeAbortedError as fault:
+                self.hearer.connection_lost(fault)
             else:
                 tries.cancel_scope.cancel()
 
@@ -113,26 +113,26 @@
         # that a whole list is always the newest word, whatever its number.
         news, faults = read_list(raw, since)
         if since is None and not news.whole:
-            raise BadList("changes in place of the whole list")
+            raise InvalidEndpointListError("changes in place of the whole list")
         self.lists += news.whole
         for fault in faults[:3]:
-            self.log.warning("list_line_unusable", fault=fault)
-        self.hearer.hear(msgspec.structs.replace(news, epoch=str(self.lists)))
+            self.log.warning("endpoint_list_line_unusable", fault=fault)
+        self.hearer.receive(msgspec.structs.replace(news, epoch=str(self.lists)))
         self.heard.set()
         return news.version
 
     async def _get(self, address: Address, after: int | None) -> bytes:
         limit = tenths((WAIT_MS if after is not None else 0) + GRACE_MS)
-        call = Call()
-        with self._clock(limit) as clock, self._carried(call):
-            words = worded("GET", target(after, WAIT_MS), {"Host": f"{address[0]}:{address[1]}"})
-            await self._asked(call, clock, address, lambda left: words)
+        call = Exchange()
+        with self._start_timer(limit) as clock, self._managed_connection(call):
+            words = encode_request("GET", target(after, WAIT_MS), {"Host": f"{address[0]}:{address[1]}"})
+            await self._send_request(call, clock, address, lambda left: words)
             with anyio.move_on_after(LONGEST_MS / 1000 if after is None else (WAIT_MS + LONGEST_MS) / 1000):
-                await self._head(call)
-                return await self._whole(call)
-        raise Stopped(Mishap.SILENT_AFTER_LAST_BYTE, "an answer that does not end")
+                await self._read_head(call)
+                return await self._read_body(call)
+        raise ExchangeAbortedError(FailureCause.TIMED_OUT_BEFORE_RESPONSE, "an answer that does not end")
 
-    async def _more(self, call: Call, cut: Mishap) -> None:
-        await super()._more(call, cut)
+    async def _read_more(self, call: Exchange, cut: FailureCause) -> None:
+        await super()._read_more(call, cut)
         self.progressed = self.now()
-        call.clock.extend(tenths(GRACE_MS))
+        call.timer.extend(tenths(GRACE_MS))
--- a/runspool/node/members.py
+++ b/runspool/node/endpoint_list.py
@@ -4,15 +4,15 @@
 
 import msgspec
 
+from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, address_of
 from runspool.wire.fields import UNREADABLE
-from runspool.wire.listing import Entry, News, address_of
 
 STATES = {"active": "on", "leaving": "draining", "left": "gone"}
 PATH = "/catalog/members"
 MOST_MS = 1 << 53  # a start after this is no time
 
 
-class BadList(Exception):
+class InvalidEndpointListError(Exception):
     """An answer that is no list; the message names what is wrong."""
 
 
@@ -36,7 +36,7 @@
 _line: msgspec.json.Decoder[_Line] = msgspec.json.Decoder(_Line)
 
 
-def read_list(raw: bytes, since: int | None = None) -> tuple[News, list[str]]:
+def read_list(raw: bytes, since: int | None = None) -> tuple[EndpointListMessage, list[str]]:
     """The news, and what was wrong with each line passed over; raises BadList where nothing can be used.
 
     `since` is the version that changes were asked after: they hold everything from there on.
@@ -44,9 +44,9 @@
     try:
         told = _told.decode(raw)
     except UNREADABLE as fault:
-        raise BadList(str(fault)) from None
+        raise InvalidEndpointListError(str(fault)) from None
     if told.index < 0:
-        raise BadList(f"index: {told.index} is below 0")
+        raise InvalidEndpointListError(f"index: {told.index} is below 0")
     entries, faults = [], []
     for at, line in enumerate(told.endpoints):
         try:
@@ -55,13 +55,13 @@
             faults.append(f"endpoints[{at}]: {fault}")
     # Against a list of which nothing could be read passing for one that says every engine is gone.
     if told.snapshot and faults:
-        raise BadList(faults[0])
-    return News(
+        raise InvalidEndpointListError(faults[0])
+    return EndpointListMessage(
         told.index, whole=told.snapshot, engines=entries, since=None if told.snapshot else since
     ), faults
 
 
-def _entry(line: _Line) -> Entry:
+def _entry(line: _Line) -> EndpointEntry:
     state = STATES.get(line.status)
     if state is None:
         raise ValueError(f"status {line.status!r} is none of {', '.join(STATES)}")
@@ -69,7 +69,7 @@
         raise ValueError(f"name {line.name!r}, address {line.address!r}: no name or no host:port")
     if not 0 <= line.since_ms < MOST_MS:
         raise ValueError(f"since_ms {line.since_ms!r} is no time")
-    return Entry(
+    return EndpointEntry(
         line.name,
         line.address,
         line.type,
--- a/runspool/node/events.py
+++ b/runspool/node/event_stream.py
@@ -11,11 +11,10 @@
 
 from runspool.wire.fields import UNREADABLE
 
-
 ENDS = re.compile(rb"\n\r?\n|\r\r\n?")  # a line's end and an empty line, whichever of the three ends it has
 
 
-class Spoilt(Exception):
+class MalformedEventStreamError(Exception):
     """Bytes that cannot belong to a good stream."""
 
 
@@ -41,7 +40,7 @@
 _events: msgspec.json.Decoder[_Event] = msgspec.json.Decoder(_Event)
 
 
-class Events:
+class EventStreamParser:
     """One stream. `done` once its last event has come; `kept`, `read` and `made` as the usage says."""
 
     def __init__(self, cap: int) -> None:
@@ -49,7 +48,7 @@
         self.cap = cap
         self.done = False
         self.kept = self.read = self.made = 0
-        self.fault: Spoilt | None = None  # what was found after the events last handed out
+        self.fault: MalformedEventStreamError | None = None  # what was found after the events last handed out
         self._rest = b""
 
     def feed(self, data: bytes) -> bytes:
@@ -60,7 +59,7 @@
         for end in ENDS.finditer(come):
             try:
                 self._look(come[whole : end.end()])
-            except Spoilt as fault:
+            except MalformedEventStreamError as fault:
                 # Against good events being kept from the client by a bad one that came in the same bytes.
                 if not whole:
                     raise
@@ -69,7 +68,7 @@
             whole = end.end()
         self._rest = come[whole:]
         if len(self._rest) > self.cap and self.fault is None:
-            self.fault = Spoilt(f"an event of over {self.cap} bytes")
+            self.fault = MalformedEventStreamError(f"an event of over {self.cap} bytes")
             if not whole:
                 raise self.fault
         return come[:whole]
@@ -77,14 +76,14 @@
     def ended(self) -> None:
         """The answer's body is over; raises Spoilt where it lacks its last event or has half of one."""
         if not self.done or self._rest.strip():
-            raise Spoilt("the stream ends without its last event")
+            raise MalformedEventStreamError("the stream ends without its last event")
 
     def _look(self, event: bytes) -> None:
         for line in event.splitlines():
             if line.startswith(b"data:"):
                 self._data(line[5:].strip())
             elif line and not line.startswith((b":", b"event:", b"id:", b"retry:")):
-                raise Spoilt(f"no event: {line[:40]!r}")
+                raise MalformedEventStreamError(f"no event: {line[:40]!r}")
 
     def _data(self, data: bytes) -> None:
         if data == b"[DONE]":
@@ -93,7 +92,7 @@
         try:
             said = _events.decode(data)
         except UNREADABLE as fault:
-            raise Spoilt(f"an event that does not read: {fault}") from None
+            raise MalformedEventStreamError(f"an event that does not read: {fault}") from None
         if said.usage is not None:
             self.read, self.made = said.usage.prompt_tokens, said.usage.completion_tokens
             if said.usage.prompt_tokens_details is not None:
--- a/runspool/node/running.py
+++ b/runspool/node/server.py
@@ -10,18 +10,23 @@
 from contextlib import suppress
 
 import anyio
+import structlog
 from anyio.abc import SocketAttribute, SocketStream, TaskStatus
 from anyio.streams.stapled import MultiListener
-import structlog
 
-from runspool.node.catalog import Catalog
-from runspool.node.intake import Intake
-from runspool.node.node import Node, Speech
-from runspool.node.posting import BadPosting, HalfWritten, Posting, read_posting
-from runspool.service.accepting import accept_all
+from runspool.node.config import (
+    InvalidNodeConfigError,
+    NodeConfig,
+    UnreadableNodeConfigError,
+    read_node_config,
+)
+from runspool.node.discovery_client import DiscoveryClient
+from runspool.node.executor import ConnectionSettings, NodeExecutor
+from runspool.node.request_handler import RequestHandler
+from runspool.service.accept_loop import accept_all
 from runspool.service.clock import now
-from runspool.sockets.lines import Gone, Line
-from runspool.wire.requests import head
+from runspool.transport.tcp import ConnectionClosedError, TcpConnection
+from runspool.wire.http_requests import head
 
 SWEEP = 0.5  # seconds between looks for idle connections
 AGAIN, LONGEST_AGAIN = 0.02, 1.0  # seconds before a standing task that failed begins again, doubled each time
@@ -44,31 +49,31 @@
 FULL = head(503, [("Connection", "close"), ("Content-Length", "0")])
 
 
-class Running:
+class NodeServer:
     """A node with its listener, its watch on the list and its stop."""
 
-    def __init__(self, posting: Posting, again: Callable[[], Posting], may_hold: int) -> None:
+    def __init__(self, posting: NodeConfig, again: Callable[[], NodeConfig], may_hold: int) -> None:
         """`again` reads the posting anew, as at SIGHUP; `may_hold` is this process's share of descriptors."""
-        self.posting, self.again = posting, again
+        self.config, self.read_config = posting, again
         self.log = structlog.get_logger()
         room = may_hold - RESERVE
-        self.most = int(room * CLIENTS_PART)
-        self.node = Node(posting, room - self.most)
-        speech = Speech(
+        self.max_clients = int(room * CLIENTS_PART)
+        self.executor = NodeExecutor(posting, room - self.max_clients)
+        speech = ConnectionSettings(
             connect_ms=1_000, idle_ms=60_000, connections_each=6, idle_each=1, read_answer_bytes=LIST_BYTES
         )
-        self.catalog = Catalog(
+        self.discovery = DiscoveryClient(
             speech,
             posting.discovery,
-            self.node.following,
+            self.executor.endpoint_tracker,
             now,
-            self.node.engines_changed,
-            self.node.quarter.list_lost,
+            self.executor.endpoints_changed,
+            self.executor.scheduler.subscription_lost,
         )
-        self.clients: set[Intake] = set()
-        self.busy = 0
-        self.turned = 0
-        self.postings = 0  # times that the configuration was to be read again
+        self.clients: set[RequestHandler] = set()
+        self.busy_handlers = 0
+        self.rejected_connections = 0
+        self.config_reloads = 0  # times that the configuration was to be read again
         self.stopping = anyio.Event()
         self.port = 0
 
@@ -80,8 +85,8 @@
     ) -> None:
         """Serves until stop(), or a signal to; reports the port it listens on as started. Raises BadPosting
         where it cannot listen. Cancelled, it ends at once."""
-        node, posting = self.node, self.posting
-        node.engines_changed(node.following.recalled(posting.known.engines))
+        node, posting = self.executor, self.config
+        node.endpoints_changed(node.endpoint_tracker.restore(posting.last_endpoints.engines))
         listener = await self._listen()
         try:
             async with listener, anyio.create_task_group() as tasks:
@@ -89,34 +94,34 @@
                 self.port = listener.extra(SocketAttribute.local_port)
                 for work in (
                     node.timers.run,
-                    node.calls.vigil.run,
-                    node.releases.run,
+                    node.engine_client.watchdog.run,
+                    node.state_releaser.run,
                     self._sweep,
-                    self.catalog.follow,
+                    self.discovery.follow,
                 ):
                     tasks.start_soon(self._standing, work)
                 if signals is not None:
                     tasks.start_soon(self._obey, signals)
                 # Against sending on what was known in an earlier life: what the agent has counts as told.
                 with anyio.move_on_after(FIRST_LIST):
-                    await self.catalog.heard.wait()
+                    await self.discovery.heard.wait()
                 for each in listener.listeners:
                     tasks.start_soon(accept_all, each.extra(SocketAttribute.raw_socket), tasks, self._client)
                 self.log.info(
                     "node_listening",
                     node=posting.name,
                     port=self.port,
-                    clients=self.most,
-                    engines=node.calls.pool.most,
-                    known=len(posting.known.engines),
+                    clients=self.max_clients,
+                    engines=node.engine_client.pool.max_connections,
+                    known=len(posting.last_endpoints.engines),
                 )
                 task_status.started(self.port)
                 await self.stopping.wait()
                 await self._stop()
                 tasks.cancel_scope.cancel()
         finally:
-            node.calls.pool.close()
-            self.catalog.pool.close()
+            node.engine_client.pool.close()
+            self.discovery.pool.close()
         self.log.info("node_stopped", node=posting.name, counts=dict(node.counts))
 
     async def _standing(self, work: Callable[[], Awaitable[None]]) -> None:
@@ -136,14 +141,14 @@
     async def _listen(self) -> MultiListener[SocketStream]:
         """Waits for a port that is held, by the process before this or by a connection that went out from it:
         both end. Raises BadPosting where it is held for long, or cannot be had for another reason."""
-        host, port = self.posting.listen
+        host, port = self.config.listen
         until, waited = anyio.current_time() + HELD_PORT, False
         while True:
             try:
                 return await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=1024)
             except OSError as fault:
                 if fault.errno != errno.EADDRINUSE or anyio.current_time() > until:
-                    raise BadPosting(f"listen: {host}:{port}: {fault}") from None
+                    raise InvalidNodeConfigError(f"listen: {host}:{port}: {fault}") from None
                 if not waited:
                     self.log.warning("port_held", listen=f"{host}:{port}")
                 waited = True
@@ -156,41 +161,41 @@
     async def _obey(self, signals: AsyncIterator[signal.Signals]) -> None:
         async for number in signals:
             if number == signal.SIGHUP:
-                assert self.node.tasks is not None
-                self.node.tasks.start_soon(self.posted_again)
+                assert self.executor.tasks is not None
+                self.executor.tasks.start_soon(self.reload_config)
             else:
                 self.stop()
 
-    async def posted_again(self) -> None:
+    async def reload_config(self) -> None:
         """A new configuration: the list's address is taken at once. A bad one leaves all as it was, and is
         looked at again for a while: it may be half written."""
-        self.postings += 1
-        mine, until = self.postings, now() + LOOK_AGAIN
+        self.config_reloads += 1
+        mine, until = self.config_reloads, now() + LOOK_AGAIN
         while True:
             try:
-                posting = self.again()
+                posting = self.read_config()
                 break
-            except BadPosting as fault:
-                self.log.error("posting_unusable", fault=str(fault))
+            except InvalidNodeConfigError as fault:
+                self.log.error("config_unusable", fault=str(fault))
             await anyio.sleep(LOOK_REST)
-            if mine != self.postings or now() > until:
+            if mine != self.config_reloads or now() > until:
                 return
-        if posting.granted.terms != self.posting.granted.terms or posting.listen != self.posting.listen:
-            self.log.warning("posting_needs_restart", what="settings or listen changed; the old ones hold")
-        self.log.info("posting_read", discovery=f"{posting.discovery[0]}:{posting.discovery[1]}")
-        self.catalog.move(posting.discovery)
+        if posting.settings.routing != self.config.settings.routing or posting.listen != self.config.listen:
+            self.log.warning("config_needs_restart", what="settings or listen changed; the old ones hold")
+        self.log.info("config_loaded", discovery=f"{posting.discovery[0]}:{posting.discovery[1]}")
+        self.discovery.move(posting.discovery)
 
     async def _stop(self) -> None:
         """The listener stays open to the end: what the kernel accepted counts as taken."""
-        node = self.node
-        self.log.info("node_stopping", node=self.posting.name, queries=len(node.queries))
+        node = self.executor
+        self.log.info("node_stopping", node=self.config.name, requests=len(node.requests))
         at = now()
-        longest = max(self.posting.granted.hard_limits) or LONGEST_COUNTED
+        longest = max(self.config.settings.deadlines) or LONGEST_COUNTED
         by = at + min(LONGEST_COUNTED, longest) + KILL_AFTER - KILL_MARGIN
-        node.leave(by)
+        node.begin_shutdown(by)
         # Against short hard limits ending the process while new connections still come; and, where streams
         # cannot be moved, against taking any that would still run when the kill comes.
-        last = by - LAST_TAKEN - at if node.house.resumes else STILL_COME
+        last = by - LAST_TAKEN - at if node.settings.streams_can_resume else STILL_COME
         await anyio.sleep(max(STILL_COME, last) / 10_000)
         node.closing = True
         with anyio.move_on_after(LONGEST_STOP):
@@ -198,16 +203,21 @@
                 await self._nothing_held()
             if in_time.cancelled_caught:
                 self.log.warning(
-                    "node_still_holds",
-                    answers=self.busy,
-                    releases=node.releasing,
-                    queries={
-                        taken.id: [taken.begun, taken.shots, taken.final is not None, taken.limit - now()]
-                        for taken in list(node.queries.values())[:20]
+                    "node_stop_timed_out",
+                    answers=self.busy_handlers,
+                    releases=node.releases_in_progress,
+                    requests={
+                        taken.id: [
+                            taken.stream_started,
+                            taken.attempt_count,
+                            taken.final_response is not None,
+                            taken.deadline - now(),
+                        ]
+                        for taken in list(node.requests.values())[:20]
                     },
                 )
                 # Against hard limits beyond the kill: what is held is answered and let go of before it.
-                node.scrap_all(begun=False)
+                node.fail_all(begun=False)
                 await self._nothing_held()
 
     async def _nothing_held(self) -> None:
@@ -216,16 +226,21 @@
             for intake in list(self.clients):
                 # A new connection's first request is a moment behind it: closed then, nobody has answered it.
                 if not intake.first or now() - intake.idle_since > FIRST_GIVEN:
-                    intake.end_wait()
-            if not (self.busy or self.clients or self.node.queries or self.node.releasing):
+                    intake.close_if_waiting()
+            if not (
+                self.busy_handlers
+                or self.clients
+                or self.executor.requests
+                or self.executor.releases_in_progress
+            ):
                 return
             await anyio.sleep(0.02)
 
-    async def _client(self, line: Line) -> None:
-        if len(self.clients) >= self.most and not self._make_room():
+    async def _client(self, line: TcpConnection) -> None:
+        if len(self.clients) >= self.max_clients and not self._make_room():
             await self._turn_away(line)
             return
-        intake = Intake(self.node, line, self._working)
+        intake = RequestHandler(self.executor, line, self._working)
         self.clients.add(intake)
         try:
             await intake.run()
@@ -233,19 +248,19 @@
             self.log.exception("client_failed", fault=repr(fault))
         finally:
             self.clients.discard(intake)
-            line.drop()
+            line.close()
 
-    async def _turn_away(self, line: Line) -> None:
+    async def _turn_away(self, line: TcpConnection) -> None:
         """What it sends is swallowed briefly, or a reset would eat the answer; a few at a time, as each takes
         a descriptor of the reserve."""
-        self.turned += 1
-        with anyio.move_on_after(TURNED_TIME), suppress(Gone):
+        self.rejected_connections += 1
+        with anyio.move_on_after(TURNED_TIME), suppress(ConnectionClosedError):
             await line.send(FULL)
-            line.say_end()
-            while self.turned <= TURNED:
+            line.send_eof()
+            while self.rejected_connections <= TURNED:
                 await line.receive()
-        self.turned -= 1
-        line.drop()
+        self.rejected_connections -= 1
+        line.close()
 
     def _make_room(self) -> bool:
         """Against silent connections keeping out those that ask: the one idle for longest goes, or one that
@@ -254,15 +269,17 @@
             (intake for intake in self.clients if intake.idle_since),
             key=lambda intake: (intake.served, intake.idle_since),
         )
-        return any(intake.end_wait() for intake in idle) or any(intake.end_wait(True) for intake in idle)
+        return any(intake.close_if_waiting() for intake in idle) or any(
+            intake.close_if_waiting(True) for intake in idle
+        )
 
     def _working(self, change: int) -> None:
-        self.busy += change
+        self.busy_handlers += change
 
     async def _sweep(self) -> None:
         while True:
             await anyio.sleep(SWEEP)
-            self.node.calls.pool.sweep()
+            self.executor.engine_client.pool.close_idle()
 
 
 def descriptors(wanted: int) -> int:
@@ -273,14 +290,14 @@
     return may
 
 
-async def first_posting(environ: Mapping[str, str]) -> Posting:
+async def first_posting(environ: Mapping[str, str]) -> NodeConfig:
     """What a start is told. A file that is not there or half written is looked at again for a while. Raises
     BadPosting."""
     until = now() + LOOK_AGAIN
     while True:
         try:
-            return read_posting(environ)
-        except HalfWritten:
+            return read_node_config(environ)
+        except UnreadableNodeConfigError:
             if now() > until:
                 raise
         await anyio.sleep(LOOK_REST)
@@ -290,7 +307,7 @@
     """Runs a node in this process until SIGTERM or SIGINT. Raises BadPosting."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         posting = await first_posting(environ)
-        running = Running(posting, lambda: read_posting(environ), descriptors(posting.sockets))
+        running = NodeServer(posting, lambda: read_node_config(environ), descriptors(posting.max_descriptors))
         # What is there at the start stays: looking through it again would stop a node for tens of ms.
         gc.collect()
         gc.freeze()
--- a/runspool/node/releasing.py
+++ b/runspool/node/state_releaser.py
@@ -15,9 +15,9 @@
 import anyio
 import structlog
 
-from runspool.engines.connections import Address
-from runspool.engines.endings import Mishap
-from runspool.service.owed import Site
+from runspool.engines.connection_pool import Address
+from runspool.engines.failure_classification import FailureCause
+from runspool.service.pending_request import Endpoint
 from runspool.units import TENTHS
 
 TRIES_IN_HALF = 6  # engines asked within half of the time that the settings grant
@@ -29,41 +29,45 @@
 REPEATS = (0.1, 0.4)  # seconds after which the call is made again where an attempt may have ended there since
 
 
-class Caller(Protocol):
+class ReleaseClient(Protocol):
     """Makes the call at one engine."""
 
-    async def release(self, address: Address, request: str, limit: int) -> Mishap | None: ...
+    async def release_state(self, address: Address, request: str, limit: int) -> FailureCause | None: ...
 
 
 @dataclass(slots=True, eq=False)
-class Release:
+class PendingRelease:
     """One request's call: where its state waits, what is told when an engine has confirmed it, and whether
     an attempt may still end after that."""
 
     request: str
-    site: Site
+    site: Endpoint
     confirmed: Callable[[], None]
     unsure: Callable[[], bool]
     scope: anyio.CancelScope | None = None
     done: anyio.Event = field(default_factory=anyio.Event)  # confirmed, withdrawn or given up
 
 
-class Releases:
+class StateReleaser:
     """The calls that are owed, by request. The newest for a request replaces those before it."""
 
     def __init__(
-        self, caller: Caller, within: int, engines: Callable[[], list[Site]], count: Callable[[int], None]
+        self,
+        caller: ReleaseClient,
+        within: int,
+        engines: Callable[[], list[Endpoint]],
+        count: Callable[[int], None],
     ) -> None:
         """`within`: the time granted, in tenths of a millisecond. `engines`: whom to ask, the likeliest to
         answer first. `count` hears +1 and -1 for each that is owed."""
         self.caller, self.within, self.engines, self.count = caller, within, engines, count
-        self.owed: dict[str, Release] = {}
-        self.overdue: dict[str, Release] = {}  # those of them that a first round has not settled
+        self.owed: dict[str, PendingRelease] = {}
+        self.overdue: dict[str, PendingRelease] = {}  # those of them that a first round has not settled
         self.waiting = anyio.Event()
         self.turn = 0
         self.log = structlog.get_logger()
 
-    async def let_go(self, release: Release) -> None:
+    async def let_go(self, release: PendingRelease) -> None:
         """Makes the call until it is confirmed, withdrawn, or left to later rounds."""
         self.withdraw(release.request)
         self.owed[release.request] = release
@@ -106,9 +110,9 @@
     async def _later_round(self, together: int) -> bool:
         """Whether any of the oldest was confirmed."""
         oldest = list(self.overdue.values())[:together]
-        done: list[Release] = []
+        done: list[PendingRelease] = []
 
-        async def again(release: Release) -> None:
+        async def again(release: PendingRelease) -> None:
             if await self._round(release, self._next_engines()):
                 done.append(release)
 
@@ -124,7 +128,7 @@
                 release.confirmed()
         return bool(done)
 
-    async def _repeat(self, release: Release) -> None:
+    async def _repeat(self, release: PendingRelease) -> None:
         """An attempt whose connection was closed here may end there after the call: it is made again."""
         for rest in REPEATS:
             if not release.unsure():
@@ -133,15 +137,15 @@
             if release.unsure():
                 await self._round(release, self._first_round(release.site))
 
-    async def _round(self, release: Release, engines: Iterable[Site]) -> bool:
+    async def _round(self, release: PendingRelease, engines: Iterable[Endpoint]) -> bool:
         """Asks one engine beside the other, each a while after the one before; whether any confirmed it."""
         patience = self.within // (2 * TRIES_IN_HALF) / (1000 * TENTHS)
         confirmed = False
         async with anyio.create_task_group() as calls:
 
-            async def call(at: Site, failed: anyio.Event) -> None:
+            async def call(at: Endpoint, failed: anyio.Event) -> None:
                 nonlocal confirmed
-                if await self.caller.release(at.address, release.request, self.within) is None:
+                if await self.caller.release_state(at.address, release.request, self.within) is None:
                     confirmed = True
                     calls.cancel_scope.cancel()
                 failed.set()
@@ -153,13 +157,13 @@
                     await failed.wait()
         return confirmed
 
-    def _first_round(self, site: Site) -> Iterator[Site]:
+    def _first_round(self, site: Endpoint) -> Iterator[Endpoint]:
         """The others are put in order only where the state's own engine has not confirmed at once."""
         yield site
         others = (other for other in self.engines() if other.address != site.address)
         yield from islice(others, MOST_ENGINES - 1)
 
-    def _next_engines(self) -> list[Site]:
+    def _next_engines(self) -> list[Endpoint]:
         """Others each time, so that no part of the fleet that is cut off is all that is ever asked."""
         engines = self.engines()
         likeliest, rest = engines[: AGAIN_ENGINES // 2], engines[AGAIN_ENGINES // 2 :]
@@ -167,14 +171,17 @@
             self.turn = (self.turn + AGAIN_ENGINES // 2) % len(rest)
         return likeliest + (rest[self.turn :] + rest[: self.turn])[: AGAIN_ENGINES // 2]
 
-    def _put_off(self, release: Release) -> None:
+    def _put_off(self, release: PendingRelease) -> None:
         self.log.warning(
-            "release_overdue", query=release.request, engine=release.site.name, overdue=len(self.overdue) + 1
+            "release_overdue",
+            request=release.request,
+            engine=release.site.name,
+            overdue=len(self.overdue) + 1,
         )
         self.overdue[release.request] = release
         if len(self.overdue) > MOST_OWED:
             oldest = next(iter(self.overdue.values()))
-            self.log.error("release_abandoned", query=oldest.request, engine=oldest.site.name)
+            self.log.error("release_abandoned", request=oldest.request, engine=oldest.site.name)
             self._settled(oldest)
         self.waiting.set()
 
@@ -185,7 +192,7 @@
             with anyio.move_on_after(seconds):
                 await release.done.wait()
 
-    def _settled(self, release: Release) -> None:
+    def _settled(self, release: PendingRelease) -> None:
         release.done.set()
         if self.owed.get(release.request) is release:
             del self.owed[release.request]
--- a/runspool/front/door.py
+++ b/runspool/runtime/interning.py
@@ -2,16 +2,15 @@
 
 from __future__ import annotations
 
-
 from zlib import crc32
 
 
-def mark(name: str) -> int:
+def stable_hash(name: str) -> int:
     """A number that every front draws alike from a name."""
     return crc32(name.encode())
 
 
-class Door:
+class Interner:
     """Hands out an index a name. A name unseen for `keeps` (in the unit of index()'s time) is forgotten, and
     past `bound` names the one unseen for longest; 0 sets no bound."""
 
@@ -21,7 +20,7 @@
         self._next = 0
         self._indices: dict[str, tuple[int, int]] = {}  # index and when seen, the longest unseen first
 
-    def index(self, name: str, now: int = 0) -> int:
+    def intern(self, name: str, now: int = 0) -> int:
         found, _ = self._indices.pop(name, (None, 0))
         if found is None:
             found = self._next
@@ -31,7 +30,7 @@
         self._indices[name] = found, now
         return found
 
-    def known(self, name: str) -> int | None:
+    def lookup(self, name: str) -> int | None:
         return self._indices.get(name, (None, 0))[0]
 
     def forget(self, name: str) -> None:
--- a/runspool/decisions/field.py
+++ b/runspool/scheduling/engine_index.py
@@ -14,7 +14,7 @@
 from operator import attrgetter
 from typing import Generic, Protocol, TypeVar
 
-from runspool.decisions.interface import Role
+from runspool.scheduling.types import Role
 
 WIDE = 96  # engines of a role that one request looks at
 MARKS = 0xFFFFFFFF  # the largest mark
@@ -39,7 +39,7 @@
 M = TypeVar("M", bound=Member)
 
 
-class Field(Generic[M]):
+class EngineIndex(Generic[M]):
     """Made anew from the list of engines when that has changed."""
 
     def __init__(self, engines: Iterable[M], salt: int) -> None:
@@ -57,12 +57,12 @@
 
     def writers(self) -> list[M]:
         """All that answer."""
-        return self.on[Role.MIXED] + self.on[Role.WRITER]
+        return self.on[Role.MIXED] + self.on[Role.DECODE]
 
     def peers(self, role: Role) -> int:
         """How many there are that do the work of a role: readers, or all that answer."""
-        readers = len(self.on[Role.READER])
-        return readers if role is Role.READER else len(self.on[Role.MIXED]) + len(self.on[Role.WRITER])
+        readers = len(self.on[Role.PREFILL])
+        return readers if role is Role.PREFILL else len(self.on[Role.MIXED]) + len(self.on[Role.DECODE])
 
     def wide(self, role: Role) -> bool:
         """Whether there are more of a role than one request looks at."""
--- a/runspool/decisions/rules.py
+++ b/runspool/scheduling/scheduler.py
@@ -1,6 +1,6 @@
 """The decisions of one front. How to call it: make a Rules from the house terms and a seed; set now before
 each call; feed roster(); drive query(q) and watch(), generators that yield what they want done and are
-resumed with its result. The interface is runspool/decisions/interface.py.
+resumed with its result. The interface is runspool/scheduling/types.py.
 
 Mechanisms beside the design (docs/design.md says when each acts):
 1 Overdue age: the oldest unanswered shot is a floor under an engine's predicted wait, and a shot that another
@@ -23,33 +23,34 @@
 from random import Random
 from typing import Any, cast
 
-from runspool.decisions.field import MARKS, Field
-from runspool.decisions.interface import (
-    NEVER_RAN,
-    Ask,
-    Dismiss,
-    Effect,
-    Ending,
-    Group,
-    HouseTerms,
-    KindTerms,
-    Listen,
-    Move,
-    Outcome,
-    Query,
-    Release,
-    Report,
+from runspool.scheduling.actions import (
+    Action,
+    AwaitCompletion,
+    FailIndeterminate,
+    MigrateStream,
+    Reject,
+    ReleaseState,
+    Sleep,
+    StartAttempt,
+    SubscribeToEndpoints,
+)
+from runspool.scheduling.engine_index import MARKS, EngineIndex
+from runspool.scheduling.request_lifecycle import reservation_time
+from runspool.scheduling.settings import EngineTypeSettings, RequestClassSettings, RoutingSettings
+from runspool.scheduling.types import (
+    NOT_EXECUTED,
+    AttemptOutcome,
+    AttemptStatus,
+    DeduplicationScope,
+    EndpointUpdate,
+    EngineState,
+    Idempotency,
+    LoadReport,
+    Request,
     Role,
-    Roster,
-    Scrap,
-    Shot,
-    Subscribe,
-    TariffTerms,
-    Wait,
 )
-from runspool.decisions.lifecycle import hold_time
 
-NEVER_SENT = frozenset({Ending.UNREACHABLE, Ending.VOID})  # as if there had been no shot
+NEVER_SENT = frozenset({AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT})  # as if there had been no shot
 MILLI, SECOND = 10, 10_000
 DISPATCH = 0.8  # fraction of a mixed server's cap up to which streams are packed on it
 CEILING = 1.2  # fraction of a writer's cap above which a stream is stopped
@@ -123,7 +124,7 @@
     wait: Known = field(default_factory=Known)  # from a send for an answer to its first token
     cap: int = 0
     kept: dict[int, int] = field(default_factory=dict)
-    report: Report | None = None
+    report: LoadReport | None = None
     reported: int = 0
     strikes: int = 0
     shunned: int = 0
@@ -133,23 +134,23 @@
 class Tariff:
     """A row of the one table by tariff: the terms, and what this front has learned."""
 
-    terms: TariffTerms
+    terms: RequestClassSettings
     kept: float = 0.0  # part of a prompt found kept at its session's home
     out: float = 0.0  # running estimate of an answer's tokens
 
 
-class Rules:
-    def __init__(self, terms: HouseTerms, seed: int) -> None:
+class Scheduler:
+    def __init__(self, terms: RoutingSettings, seed: int) -> None:
         self.terms = terms
         self.draw = Random(seed).random
         self.now = 0
         self.engines: dict[int, Engine] = {}
         self.salt = seed
-        self.field: Field[Engine] = Field((), seed)
+        self.field: EngineIndex[Engine] = EngineIndex((), seed)
         self.looks = 0  # runs of engines that requests of a large fleet have looked at
         self.touched: dict[int, Engine] = {}  # engines with something of this front's out
         self.balanced = -BALANCE_REST
-        self.tariffs = [Tariff(row) for row in terms.tariffs]
+        self.tariffs = [Tariff(row) for row in terms.request_classes]
         self.arrivals = [(0.0, 0)] * len(terms.tenants)  # faded count, and when
         self.reserved_reader = self.reserved_writer = cast(Engine | None, None)
         self.subscribed, self.surveyed = False, -1
@@ -165,7 +166,7 @@
         self.repeats = 2.0  # reads after one given up or turned away that are allowed now
         self.room: list[tuple[bool, int, int]] = []  # reads held at the front, the most pressing first
 
-    def query(self, q: Query) -> Generator[Ask, Any, None]:
+    def query(self, q: Request) -> Generator[Action, Any, None]:
         """One query to its end. However that comes, nothing of it stays in the books."""
         try:
             yield from self.serve(q)
@@ -180,59 +181,77 @@
         finally:
             self.room = [place for place in self.room if place[2] != q.index]
 
-    def serve(self, q: Query) -> Generator[Ask, Any, None]:
-        if q.tariff is None or 0 < self.field.largest < q.prompt:
-            yield Scrap()  # no later try would go better
+    def serve(self, q: Request) -> Generator[Action, Any, None]:
+        if q.request_class is None or 0 < self.field.largest < q.prompt_tokens:
+            yield FailIndeterminate()  # no later try would go better
             return
-        q.luck, q.homes, row = self.draw(), self.homes(q), self.row(q)
-        exclusive, ticketed = row.terms.effect is Effect.EXCLUSIVE, row.terms.effect is Effect.TICKETED
-        limit = self.now + q.budget - MARGIN
+        q.request_draw, q.affinity_candidates, row = self.draw(), self.homes(q), self.row(q)
+        exclusive, ticketed = (
+            row.terms.idempotency is Idempotency.AT_MOST_ONCE,
+            row.terms.idempotency is Idempotency.KEYED,
+        )
+        limit = self.now + q.time_budget - MARGIN
         # Against dismissing the rest of a stream, whose beginning would be lost too: it has until the limit.
         due = (
             limit
-            if q.again
-            else min(limit, self.now + row.terms.due + row.terms.due_per_1000 * q.prompt // 1000)
+            if q.is_continuation
+            else min(
+                limit,
+                self.now
+                + row.terms.first_token_objective
+                + row.terms.first_token_objective_per_1000_tokens * q.prompt_tokens // 1000,
+            )
         )
         self.survey()
         seen = self.carried / (EVIDENCE + self.carried)  # who sees little of the queues hopes for less
-        patience = (BLIND_PATIENCE + (PATIENCE - BLIND_PATIENCE) * seen) * (LATER_PATIENCE if q.resent else 1)
+        patience = (BLIND_PATIENCE + (PATIENCE - BLIND_PATIENCE) * seen) * (
+            LATER_PATIENCE if q.is_client_retry else 1
+        )
         latest = self.now + int((due - self.now) * patience)
         over = self.over_share(q)
-        line = int(min(t.terms.due for t in self.tariffs) * (OVER_SHARE_LINE if over else LINE))
+        line = int(
+            min(t.terms.first_token_objective for t in self.tariffs) * (OVER_SHARE_LINE if over else LINE)
+        )
         # Gain brings a query forward; time spent waiting does too, so that no tariff starves.
-        place = (over, self.now + int((due - self.now) * (not q.again) / max(row.terms.gain, 0.1)), q.index)
+        place = (
+            over,
+            self.now + int((due - self.now) * (not q.is_continuation) / max(row.terms.priority_weight, 0.1)),
+            q.index,
+        )
         state: Engine | None = None
         held = shots = ran_at = missed = 0  # held: since when the state waits; missed: time lost on dials
-        hold = hold_time(self.terms.release_within, q.budget)  # none granted: as long as its query
+        hold = reservation_time(
+            self.terms.state_release_timeout, q.time_budget
+        )  # none granted: as long as its query
         spent = False  # a read was given up or turned away: another is on the budget of repeats
         ran: Engine | None = None  # the first engine whose shot may have run
         failed: list[int] = []
         unheard: list[int] = []  # engines that took an attempt without a word
-        while not q.over and shots < self.terms.max_shots and self.now < limit:
-            if ran and (exclusive or (ticketed and self.now >= ran_at + row.terms.window)):
+        while not q.finished and shots < self.terms.max_attempts and self.now < limit:
+            if ran and (exclusive or (ticketed and self.now >= ran_at + row.terms.deduplication_window)):
                 break
             # Against a state pinned by one writer after the other to which no connection comes up: the next
             # may take as long as the last, and the call that lets go its time too.
             if state and self.now + missed >= held + hold:
-                yield Release()
+                yield ReleaseState()
                 state = None
-                yield Wait(min(self.now + RETRY, limit))  # else a read sent at once would overtake it
+                yield Sleep(min(self.now + RETRY, limit))  # else a read sent at once would overtake it
                 continue
             if not state and self.room and self.room[0] < place and self.now < latest:
                 if place not in self.room:
                     insort(self.room, place)  # only the foremost looks at the engines, against CPU spent
-                yield Wait(min(self.now + RETRY, latest))
+                yield Sleep(min(self.now + RETRY, latest))
                 continue
             engine = (
                 self.pick_writer(q, state, failed, ran) if state else self.pick_reader(q, failed, ran, line)
             )
             if engine and not state:
-                writers = self.seen(q, Role.MIXED) + self.seen(q, Role.WRITER)
+                writers = self.seen(q, Role.MIXED) + self.seen(q, Role.DECODE)
                 own = self.to_read(engine, q) / self.pace(engine)
                 wait = self.predicted(engine, q) - own + min(map(self.wait, writers), default=0)
                 # Patience differs by chance, or all fronts would dismiss, and admit, everything at one time.
                 spare = max(LEAST_WAIT, (due - self.now - own) * patience)
-                if not shots and wait * (0.5 + q.luck) > spare:
+                if not shots and wait * (0.5 + q.request_draw) > spare:
                     break
                 # States read ahead of full writers only wait, or are given up and read again.
                 if self.queue(engine) > line or min((self.strain(e, q) for e in writers), default=0.0) > 1:
@@ -246,9 +265,9 @@
                     break
                 until = min(self.now + RETRY * behind, limit if state else due)
                 if state and until > held + hold:
-                    yield Release()
+                    yield ReleaseState()
                     state = None
-                yield Wait(until)
+                yield Sleep(until)
                 continue
             self.room = [other for other in self.room if other != place]
             if spent:
@@ -256,87 +275,106 @@
                     break
                 self.repeats, spent = self.repeats - 1, False
             shots += 1
-            effect = engine.role is not Role.READER
+            effect = engine.role is not Role.PREFILL
             wait = self.wait(engine) if state else self.predicted(engine, q)
             wait += int(self.link(state.rack)) if state and state.rack != engine.rack else 0
             sent, cap = self.now, 0
-            may_repeat = self.repeats >= 1 or state or q.again  # else what is given up is only wasted
+            may_repeat = (
+                self.repeats >= 1 or state or q.is_continuation
+            )  # else what is given up is only wasted
             if (
                 may_repeat
-                and shots < self.terms.max_shots
-                and (not effect or row.terms.effect is Effect.RERUNNABLE)
+                and shots < self.terms.max_attempts
+                and (not effect or row.terms.idempotency is Idempotency.IDEMPOTENT)
             ):
                 # Work given up may go on there: what is merely slow, as far as foreseen, is left alone; a
                 # read until it is due, for in a jam one read again makes two of one that comes as late.
                 left = (due if self.now < due - 2 * LEAST_CAP else limit) - self.now
                 cap = max(LEAST_CAP, int(left * (SHOT_PART if effect else 1)), SLOW * wait)
             self.sent(q, engine, state)
-            out: Outcome = yield Shot(engine.id, cap)
+            out: AttemptOutcome = yield StartAttempt(engine.id, cap)
             self.ended(q, engine, out, state)
-            if out.ending is Ending.BEGUN:
-                self.streamed(q, engine, (yield Listen()), 0 if state else out.took)
+            if out.status is AttemptStatus.STREAM_STARTED:
+                self.streamed(q, engine, (yield AwaitCompletion()), 0 if state else out.duration)
                 return
-            if not (out.arrived or out.ending is Ending.VOID):
+            if not (out.reached_engine or out.status is AttemptStatus.NOT_SENT):
                 unheard.append(engine.id)
-            if out.ending is Ending.READ:
+            if out.status is AttemptStatus.PREFILL_COMPLETE:
                 state, held, failed, missed = engine, self.now, list(unheard), 0
                 self.repeats = min(MOST_REPEATS, self.repeats + REPEATS)
-            elif out.ending is Ending.STATELESS:
+            elif out.status is AttemptStatus.STATE_MISSING:
                 state = None
-            elif out.ending is not Ending.SUCCEEDED:
-                never_sent = out.ending in NEVER_SENT
+            elif out.status is not AttemptStatus.SUCCEEDED:
+                never_sent = out.status in NEVER_SENT
                 # A write that nothing was heard of has stopped no clock.
-                missed, held = (out.took if never_sent else 0), (self.now if out.arrived else held)
+                missed, held = (out.duration if never_sent else 0), (self.now if out.reached_engine else held)
                 failed.append(engine.id)
-                spent = not state and not q.again and out.ending in (Ending.OVERDUE, Ending.FULL)
-                if state and out.released:
+                spent = (
+                    not state
+                    and not q.is_continuation
+                    and out.status in (AttemptStatus.TIMED_OUT, AttemptStatus.OVERLOADED)
+                )
+                if state and out.state_released:
                     # It is gone, or goes with the attempt that it was waiting for: what is left is let go of.
-                    yield Release()
+                    yield ReleaseState()
                     state = None
-            if effect and not ran and out.ending not in NEVER_RAN:
+            if effect and not ran and out.status not in NOT_EXECUTED:
                 ran, ran_at = engine, sent
         if state:
-            yield Release()
-        if not q.over:
-            harmful = ran and (exclusive or (ticketed and row.terms.group is not Group.ALL))
-            yield Scrap() if harmful else Dismiss(self.hold_off(q))
+            yield ReleaseState()
+        if not q.finished:
+            harmful = ran and (
+                exclusive or (ticketed and row.terms.deduplication_scope is not DeduplicationScope.ALL)
+            )
+            yield FailIndeterminate() if harmful else Reject(self.hold_off(q))
 
-    def watch(self) -> Generator[Ask, Any, None]:
+    def watch(self) -> Generator[Action, Any, None]:
         while True:
-            if self.terms.must_ask and not self.subscribed:
+            if self.terms.must_subscribe and not self.subscribed:
                 self.subscribed = True
-                yield Subscribe()
-            yield Wait(self.now + SECOND)
+                yield SubscribeToEndpoints()
+            yield Sleep(self.now + SECOND)
             # One stream a second is stopped by all fronts together, as far as each can tell.
-            mine = self.terms.resumes and self.draw() * self.terms.fronts < 1
+            mine = self.terms.streams_can_resume and self.draw() * self.terms.front_count < 1
             if mine and (victim := self.overload()) is not None:
-                yield Move(victim)
+                yield MigrateStream(victim)
 
-    def leave(self, by: int) -> Generator[Ask, Any, None]:
+    def leave(self, by: int) -> Generator[Action, Any, None]:
         """This front is killed after `by`: its streams go on elsewhere before that, or they would break. As
         late as can be, for others may be restarting too, the newest first and spread over a second."""
-        yield Wait(max(self.now, by - SECOND))
-        while self.terms.resumes:
+        yield Sleep(max(self.now, by - SECOND))
+        while self.terms.streams_can_resume:
             # Those at engines that drain too: nothing else would end them in time.
             begun = [i for e in self.engines.values() for i in e.streams if i not in e.waiting]
             late = self.now >= by
             for i in begun if late else [max(begun)] if begun else []:
-                yield Move(i)
+                yield MigrateStream(i)
             rest = max(RETRY, (by - self.now) // (len(begun) + 1))
-            yield Wait(self.now + RETRY if late else min(by, self.now + rest))
+            yield Sleep(self.now + RETRY if late else min(by, self.now + rest))
 
-    def roster(self, roster: Roster) -> None:
+    def roster(self, roster: EndpointUpdate) -> None:
         named = {line.engine for line in roster.engines}
         for line in roster.engines:
             e = self.engines.get(line.engine)
-            kind = [*self.terms.kinds[line.kind : line.kind + 1], KindTerms(Role.MIXED, 0)][0]
+            kind = [
+                *self.terms.engine_types[line.engine_type : line.engine_type + 1],
+                EngineTypeSettings(Role.MIXED, 0),
+            ][0]
             # A line older than what is known must not make a busy engine look idle, or a cold one warm.
-            if e is None or e.started < line.started or e.role is not kind.role:
-                e = Engine(line.engine, line.mark, kind.role, line.zone, line.rack, kind.memory, line.started)
+            if e is None or e.started < line.started_at or e.role is not kind.role:
+                e = Engine(
+                    line.engine,
+                    line.stable_hash,
+                    kind.role,
+                    line.zone,
+                    line.rack,
+                    kind.memory_tokens,
+                    line.started_at,
+                )
                 self.engines[line.engine] = e
                 self.touched.pop(line.engine, None)
-            e.on = line.state == "on"
-        for e in self.engines.values() if roster.whole else ():
+            e.on = line.state == EngineState.READY
+        for e in self.engines.values() if roster.is_snapshot else ():
             e.on = e.on and e.id in named
         # Against weeks of engines that come and go: those that have left are scanned at every pick.
         left = [e.id for e in self.engines.values() if not (e.on or e.reads or e.streams)]
@@ -344,11 +382,11 @@
             del self.engines[gone]
         for rack in self.links.keys() - {e.rack for e in self.engines.values()}:
             del self.links[rack]
-        self.field = Field(self.engines.values(), self.salt)
-        readers = self.pool(Role.READER) or self.pool(Role.MIXED)
+        self.field = EngineIndex(self.engines.values(), self.salt)
+        readers = self.pool(Role.PREFILL) or self.pool(Role.MIXED)
         if self.reserved_reader not in readers:
             self.reserved_reader = self.elect(readers, None)
-        writers = self.pool(Role.MIXED) or self.pool(Role.WRITER)
+        writers = self.pool(Role.MIXED) or self.pool(Role.DECODE)
         if self.reserved_writer not in writers:
             self.reserved_writer = self.elect(writers, self.reserved_reader)
 
@@ -356,12 +394,12 @@
         able = [e for e in among if e is not other] or among
         return min(able, key=lambda e: (e.unread + e.tokens, self.draw()), default=None)
 
-    def pick_reader(self, q: Query, failed: list[int], ran: Engine | None, line: int) -> Engine | None:
+    def pick_reader(self, q: Request, failed: list[int], ran: Engine | None, line: int) -> Engine | None:
         mixed, row = self.seen(q, Role.MIXED), self.row(q)
         # A state that nobody can take would only be read to be let go.
-        able = self.seen(q, Role.READER) if mixed or self.pool(Role.WRITER) else []
+        able = self.seen(q, Role.PREFILL) if mixed or self.pool(Role.DECODE) else []
         # Against reads that stop streams which this front does not see: only where answers leave room for it.
-        roomy = q.likely_out > 0 and self.taken <= PACE_ROOM * self.allowed
+        roomy = q.expected_output_tokens > 0 and self.taken <= PACE_ROOM * self.allowed
         if roomy or not self.blind():
             able += [e for e in mixed if not self.seen_to_carry(e)]
         best = self.soonest(q, self.usable(q, able, failed, ran))
@@ -373,12 +411,12 @@
             for e in mixed
             if self.carries(e)
             and self.load(e, q) < DISPATCH
-            and self.to_read(e, q) / self.pace(e) < SPILL_READ * row.out * row.terms.pace
+            and self.to_read(e, q) / self.pace(e) < SPILL_READ * row.out * row.terms.time_per_output_token
         ]
-        able = able or mixed or (self.seen(q, Role.WRITER) if self.terms.writers_read else [])
+        able = able or mixed or (self.seen(q, Role.DECODE) if self.terms.decode_engines_prefill else [])
         return self.soonest(q, self.usable(q, able, failed, ran))
 
-    def soonest(self, q: Query, able: list[Engine]) -> Engine | None:
+    def soonest(self, q: Request, able: list[Engine]) -> Engine | None:
         # What is read again delays all that come after.
         return min(
             able,
@@ -392,8 +430,8 @@
             default=None,
         )
 
-    def pick_writer(self, q: Query, state: Engine, failed: list[int], ran: Engine | None) -> Engine | None:
-        mixed, pure = (self.usable(q, self.seen(q, r, state), failed, ran) for r in (Role.MIXED, Role.WRITER))
+    def pick_writer(self, q: Request, state: Engine, failed: list[int], ran: Engine | None) -> Engine | None:
+        mixed, pure = (self.usable(q, self.seen(q, r, state), failed, ran) for r in (Role.MIXED, Role.DECODE))
         cost = {e.id: self.strain(e, q) + self.far(e, state) for e in mixed + pure}
         line = [e for e in mixed if self.strain(e, q) < DISPATCH]
         packed = [e for e in line if self.carries(e) or e is self.reserved_writer]
@@ -418,7 +456,7 @@
         return best or min(mixed + pure, default=None, key=lambda e: (cost[e.id], self.draw()))
 
     def overload(self) -> int | None:
-        writers = [e for e in self.touched.values() if e.on and e.role is not Role.READER]
+        writers = [e for e in self.touched.values() if e.on and e.role is not Role.PREFILL]
         over = [e for e in writers if e.streams and self.load(e) > CEILING]
         worst = max(over, key=self.load, default=None)
         if worst is None or not any(self.load(e) < DISPATCH for e in self.pool(worst.role)):
@@ -430,24 +468,39 @@
         """All of a role that are on; not to be changed."""
         return self.field.on[role]
 
-    def seen(self, q: Query, role: Role, state: Engine | None = None) -> list[Engine]:
+    def seen(self, q: Request, role: Role, state: Engine | None = None) -> list[Engine]:
         """Those of a role that one look for a query takes in: all, unless the fleet is large."""
         if not self.field.wide(role):
             return list(self.field.on[role])
         self.looks += 1
         found = {e.id: e for e in self.field.run(role, self.looks)}
-        if role is Role.READER:
-            found |= {home: self.engines[home] for home in q.homes[:HOMES_LOOKED_AT] if home in self.engines}
+        if role is Role.PREFILL:
+            found |= {
+                home: self.engines[home]
+                for home in q.affinity_candidates[:HOMES_LOOKED_AT]
+                if home in self.engines
+            }
         elif state is not None:
             found |= {e.id: e for e in self.field.in_rack(role, state.rack)}
         found |= {e.id: e for e in self.touched.values() if e.on and e.role is role}
         return [e for e in found.values() if e.on and e.role is role]
 
-    def usable(self, q: Query, able: list[Engine], failed: list[int], ran: Engine | None) -> list[Engine]:
+    def usable(self, q: Request, able: list[Engine], failed: list[int], ran: Engine | None) -> list[Engine]:
         row = self.row(q).terms
-        if ran and row.effect is Effect.TICKETED and row.group is not Group.ALL:
-            able = [e for e in able if e.zone == ran.zone and (row.group is Group.ZONE or e.rack == ran.rack)]
-        able = [e for e in able if (not e.memory or e.memory > q.prompt) and self.bears(e, q.luck)]
+        if (
+            ran
+            and row.idempotency is Idempotency.KEYED
+            and row.deduplication_scope is not DeduplicationScope.ALL
+        ):
+            able = [
+                e
+                for e in able
+                if e.zone == ran.zone
+                and (row.deduplication_scope is DeduplicationScope.ZONE or e.rack == ran.rack)
+            ]
+        able = [
+            e for e in able if (not e.memory or e.memory > q.prompt_tokens) and self.bears(e, q.request_draw)
+        ]
         able = [e for e in able if e.id not in failed] or able
         trusted = [e for e in able if e.shunned <= self.now and not (e.strikes and (e.reads or e.waiting))]
         return trusted or [e for e in able if e.shunned <= self.now]
@@ -458,22 +511,22 @@
     def blind(self) -> bool:
         """With under one own stream a writer, none of mine at one says nothing of the other fronts' there."""
         self.survey()
-        return self.terms.fronts > 1 > self.carried
+        return self.terms.front_count > 1 > self.carried
 
     def seen_to_carry(self, e: Engine) -> bool:
         seen = self.fresh(e)
-        return bool(e.streams or (seen and seen.in_flight))
+        return bool(e.streams or (seen and seen.requests_in_flight))
 
-    def fresh(self, e: Engine) -> Report | None:
+    def fresh(self, e: Engine) -> LoadReport | None:
         return e.report if e.report and self.now - e.reported < FRESH else None
 
-    def predicted(self, e: Engine, q: Query) -> int:
+    def predicted(self, e: Engine, q: Request) -> int:
         return self.queue(e) + int(self.to_read(e, q) / self.pace(e) + self.lag(e))
 
     def queue(self, e: Engine) -> int:
         seen = self.fresh(e)
         # What a report saw waiting is read meanwhile: an old one must not make a reader look full.
-        told = (seen.to_read or 0) - self.pace(e) * (self.now - e.reported) if seen else 0
+        told = (seen.queued_prompt_tokens or 0) - self.pace(e) * (self.now - e.reported) if seen else 0
         ahead = e.unread + max(0.0, told)
         oldest = next(iter(e.reads.values()))[0] if e.reads else self.now
         return max(int(ahead / self.pace(e)), self.now - oldest)
@@ -481,47 +534,47 @@
     def pace(self, e: Engine) -> float:
         return self.rates[e.role] * self.warmth(e)
 
-    def to_read(self, e: Engine, q: Query) -> int:
+    def to_read(self, e: Engine, q: Request) -> int:
         session = e.kept.get(2 * q.session, 0) if q.session is not None else 0
-        shared = e.kept.get(2 * q.beginning + 1, 0) if q.beginning is not None else 0
-        if e.id in q.homes:
-            shared = q.beginning_length
-            if e.id == q.homes[0]:
-                session = max(session, int(q.prompt * self.row(q).kept))
-        return max(1, q.prompt - max(min(session, q.prompt), min(shared, q.beginning_length)))
-
-    def homes(self, q: Query) -> list[int]:
+        shared = e.kept.get(2 * q.prefix + 1, 0) if q.prefix is not None else 0
+        if e.id in q.affinity_candidates:
+            shared = q.prefix_tokens
+            if e.id == q.affinity_candidates[0]:
+                session = max(session, int(q.prompt_tokens * self.row(q).kept))
+        return max(1, q.prompt_tokens - max(min(session, q.prompt_tokens), min(shared, q.prefix_tokens)))
+
+    def homes(self, q: Request) -> list[int]:
         """The readers at which every front supposes a text to be kept, the session's own first: one of many
         fronts has hardly ever read a text itself. A beginning has the more homes the more ask for it."""
-        if self.field.wide(Role.READER):
+        if self.field.wide(Role.PREFILL):
             return self.homes_of_many(q)
-        able = list(self.pool(Role.READER))
-        if q.beginning is not None:
+        able = list(self.pool(Role.PREFILL))
+        if q.prefix is not None:
             # Against a front that sees little taking one home, or half of all, by a single query, each front
             # another: all of a beginning's texts drown one reader, and no session finds its reader again.
-            able.sort(key=lambda e: self.turn(e, q.beginning_mark))
+            able.sort(key=lambda e: self.turn(e, q.prefix_hash))
             able = able[: self.homes_of_beginning(q, len(able))]
         return self.in_turn(able, q)
 
-    def homes_of_many(self, q: Query) -> list[int]:
+    def homes_of_many(self, q: Request) -> list[int]:
         """The same in a large fleet, where not all readers are put in order: those that follow its mark."""
-        readers = len(self.pool(Role.READER))
-        span = readers if q.beginning is None else self.homes_of_beginning(q, readers)
-        first = q.session_mark if q.beginning is None else q.beginning_mark
-        return self.in_turn(self.field.ring(Role.READER, first, span, q.session_mark), q)
+        readers = len(self.pool(Role.PREFILL))
+        span = readers if q.prefix is None else self.homes_of_beginning(q, readers)
+        first = q.session_hash if q.prefix is None else q.prefix_hash
+        return self.in_turn(self.field.ring(Role.PREFILL, first, span, q.session_hash), q)
 
-    def homes_of_beginning(self, q: Query, readers: int) -> int:
+    def homes_of_beginning(self, q: Request, readers: int) -> int:
         """How many homes a query's beginning has, by how often it is asked for; counts the query."""
-        seen = sum(b == q.beginning for b in self.beginnings)
-        dear = q.beginning_length / self.rates[Role.READER] > CHEAP * self.row(q).terms.due
+        seen = sum(b == q.prefix for b in self.beginnings)
+        dear = q.prefix_tokens / self.rates[Role.PREFILL] > CHEAP * self.row(q).terms.first_token_objective
         usual = 0.0 if dear else USUAL_PART
         part = (seen + SEEN * usual) / (len(self.beginnings) + SEEN)
-        self.beginnings = [*self.beginnings[1 - SEEN :], cast(int, q.beginning)]
+        self.beginnings = [*self.beginnings[1 - SEEN :], cast(int, q.prefix)]
         return 1 + int(HOMES * part * readers)
 
-    def in_turn(self, able: list[Engine], q: Query) -> list[int]:
+    def in_turn(self, able: list[Engine], q: Request) -> list[int]:
         """The ids of homes, the session's own first."""
-        able.sort(key=lambda e: (e.zone != self.terms.zone, self.turn(e, q.session_mark)))
+        able.sort(key=lambda e: (e.zone != self.terms.zone, self.turn(e, q.session_hash)))
         return [e.id for e in able]
 
     def turn(self, e: Engine, mark: int) -> float:
@@ -556,40 +609,46 @@
         oldest = next(iter(e.waiting.values())) if e.waiting else self.now
         return max(int(self.expected(e.wait, self.waits[e.role])), self.now - oldest)
 
-    def load(self, e: Engine, q: Query | None = None) -> float:
+    def load(self, e: Engine, q: Request | None = None) -> float:
         """Own streams, and the other fronts' as this front's: by this engine's as far as they are evidence,
         else by the fleet's, or one stream of a hundred fronts' would look like a full engine."""
         mine = e.tokens + (self.weight(q) if q else 0)
         cap = e.cap or e.memory
-        told = max(seen.memory or 0.0, seen.slots or 0.0) if (seen := self.fresh(e)) else 0.0
+        told = (
+            max(seen.memory_utilization or 0.0, seen.slot_utilization or 0.0)
+            if (seen := self.fresh(e))
+            else 0.0
+        )
         return max(told, (mine + self.others(e)) / cap if cap else float(len(e.streams))) / self.warmth(e)
 
     def others(self, e: Engine) -> float:
         self.survey()
         usual = self.borne * (e.memory or 1)
-        told = (self.terms.fronts - 1) * usual * (EVIDENCE + len(e.streams)) / (EVIDENCE + self.carried)
+        told = (self.terms.front_count - 1) * usual * (EVIDENCE + len(e.streams)) / (EVIDENCE + self.carried)
         if self.carried >= 1 or not e.memory:
             return told
         # Against a front of several times the mean traffic taking all writers for full: with so few streams
         # it knows nothing of the rest, and only an engine's own word says that it is over.
         return min(told, DISPATCH * (e.cap or e.memory))
 
-    def strain(self, e: Engine, q: Query) -> float:
+    def strain(self, e: Engine, q: Request) -> float:
         """Load, and the wait for a first token there: a hung or jammed writer must not look roomy."""
         return self.load(e, q) + self.wait(e) / WAIT_LOAD
 
-    def row(self, q: Query) -> Tariff:
-        return self.tariffs[q.tariff or 0]
+    def row(self, q: Request) -> Tariff:
+        return self.tariffs[q.request_class or 0]
 
-    def weight(self, q: Query) -> int:
-        return q.prompt + int(self.row(q).out)
+    def weight(self, q: Request) -> int:
+        return q.prompt_tokens + int(self.row(q).out)
 
-    def distance(self, e: Engine, q: Query) -> float:
-        due = min(t.terms.due for t in self.tariffs)  # those in the most hurry wait behind this one
+    def distance(self, e: Engine, q: Request) -> float:
+        due = min(
+            t.terms.first_token_objective for t in self.tariffs
+        )  # those in the most hurry wait behind this one
         self.survey()
-        leaves = max(0.0, 1 - self.balance.get(e.rack, 1.0)) if e.role is Role.READER else 0.0
-        return PRICE_WAIT * due * self.terms.zone_price * (e.zone != self.terms.zone) + leaves * (
-            PRICE_WAIT * due * self.terms.far_price + self.link(e.rack)
+        leaves = max(0.0, 1 - self.balance.get(e.rack, 1.0)) if e.role is Role.PREFILL else 0.0
+        return PRICE_WAIT * due * self.terms.cross_zone_price * (e.zone != self.terms.zone) + leaves * (
+            PRICE_WAIT * due * self.terms.cross_rack_price + self.link(e.rack)
         )
 
     def link(self, rack: int) -> float:
@@ -601,17 +660,17 @@
         if self.surveyed == self.now:
             return
         self.surveyed = self.now
-        mine = [e for e in self.touched.values() if e.on and e.role is not Role.READER]
-        self.carried = sum(len(e.streams) for e in mine) / max(1, self.field.peers(Role.WRITER))
+        mine = [e for e in self.touched.values() if e.on and e.role is not Role.PREFILL]
+        self.carried = sum(len(e.streams) for e in mine) / max(1, self.field.peers(Role.DECODE))
         self.borne = sum(e.tokens for e in mine) / max(1, self.field.writers_memory)
-        if self.field.wide(Role.READER) and self.now < self.balanced + BALANCE_REST:
+        if self.field.wide(Role.PREFILL) and self.now < self.balanced + BALANCE_REST:
             return
         self.balanced = self.now
         writers = self.field.writers()
         able = Counter(e.rack for e in writers if self.load(e) < DISPATCH)
-        reads = Counter(e.rack for e in self.pool(Role.READER))
+        reads = Counter(e.rack for e in self.pool(Role.PREFILL))
         usual = max(1, able.total()) / max(1, reads.total())
-        move, lag = (k.time * self.faded(k.heard) for k in (self.leaving, self.lags[Role.READER]))
+        move, lag = (k.time * self.faded(k.heard) for k in (self.leaving, self.lags[Role.PREFILL]))
         jam = 1.5 * move / (move + lag + LINK_JAM)
         self.balance = {
             rack: min(max(able[rack] / count / usual, LEAST_PART), READER_ROOM) ** jam
@@ -619,17 +678,19 @@
         }
 
     def far(self, e: Engine, state: Engine) -> float:
-        price = self.terms.zone_price * (e.zone != self.terms.zone)
+        price = self.terms.cross_zone_price * (e.zone != self.terms.zone)
         if e.rack == state.rack:
             return PRICE_LOAD * price
         times = 1.0 if e.zone == state.zone else ZONE_LINK  # it holds the link for so much longer
-        return PRICE_LOAD * (price + self.terms.far_price * times) + self.link(state.rack) / WAIT_LOAD
+        return PRICE_LOAD * (price + self.terms.cross_rack_price * times) + self.link(state.rack) / WAIT_LOAD
 
     def warmth(self, e: Engine) -> float:
-        if not e.started or self.now >= e.started + self.terms.cold_time:
+        if not e.started or self.now >= e.started + self.terms.slow_start_duration:
             return 1.0
-        grown = (self.now - e.started) / self.terms.cold_time
-        return self.terms.cold_from + (1 - self.terms.cold_from) * max(0.0, grown)
+        grown = (self.now - e.started) / self.terms.slow_start_duration
+        return self.terms.slow_start_initial_fraction + (1 - self.terms.slow_start_initial_fraction) * max(
+            0.0, grown
+        )
 
     def bears(self, e: Engine, luck: float) -> bool:
         """Against pushing over a cold engine, all fronts together: it is offered a part of what each has.
@@ -638,92 +699,102 @@
         if warmth == 1.0:
             return True  # peers counted for warm ones too made the cost grow by the square of the fleet
         peers = self.field.peers(e.role)
-        part = COLD_SAFETY * self.terms.fall_multiple * warmth / max(1, peers)
+        part = COLD_SAFETY * self.terms.slow_start_overload_multiple * warmth / max(1, peers)
         return (luck + e.id * GOLDEN) % 1 < part
 
-    def over_share(self, q: Query) -> bool:
+    def over_share(self, q: Request) -> bool:
         if q.tenant is None:
             return False
         seen, at = self.arrivals[q.tenant]
         seen = seen * self.faded(at, 2 * SECOND) + 1
         self.arrivals[q.tenant] = seen, self.now
-        usual = self.terms.tenants[q.tenant].per_second / self.terms.fronts * 2 / 0.693
+        usual = self.terms.tenants[q.tenant].requests_per_second / self.terms.front_count * 2 / 0.693
         return 0 < 1.3 * usual + 2 < seen
 
-    def hold_off(self, q: Query) -> int:
-        soonest = min((self.predicted(e, q) for e in self.seen(q, Role.READER)), default=0)
+    def hold_off(self, q: Request) -> int:
+        soonest = min((self.predicted(e, q) for e in self.seen(q, Role.PREFILL)), default=0)
         # Against all coming back within the jam that turned them away, where they only add to it.
         rest = max(BACKOFF, JAM_PASSES * soonest)
-        return min(self.terms.longest_wait_told, rest) if self.terms.may_say_when else 0
+        return min(self.terms.max_retry_after, rest) if self.terms.may_send_retry_after else 0
 
-    def sent(self, q: Query, e: Engine, state: Engine | None) -> None:
+    def sent(self, q: Request, e: Engine, state: Engine | None) -> None:
         self.touched[e.id] = e
         if state is None:
             tokens = self.to_read(e, q)
             e.unread += tokens
             e.reads[q.index] = self.now, tokens, e.unread
-        if e.role is not Role.READER:
+        if e.role is not Role.PREFILL:
             e.waiting[q.index] = self.now
             e.streams[q.index] = self.weight(q)
             e.tokens += e.streams[q.index]
 
-    def ended(self, q: Query, e: Engine, out: Outcome, state: Engine | None) -> None:
-        e.report, e.reported = (out.report, self.now) if out.report else (e.report, e.reported)
-        if state and state.rack != e.rack and out.ending in (Ending.BEGUN, Ending.OVERDUE):
-            extra = out.took - self.expected(e.wait, self.waits[e.role])
+    def ended(self, q: Request, e: Engine, out: AttemptOutcome, state: Engine | None) -> None:
+        e.report, e.reported = (out.load_report, self.now) if out.load_report else (e.report, e.reported)
+        if (
+            state
+            and state.rack != e.rack
+            and out.status in (AttemptStatus.STREAM_STARTED, AttemptStatus.TIMED_OUT)
+        ):
+            extra = out.duration - self.expected(e.wait, self.waits[e.role])
             self.learn(self.links[state.rack], self.leaving, max(0.0, extra))
         e.waiting.pop(q.index, None)
         _, tokens, queue = e.reads.pop(q.index, (0, 0, 0))
         e.unread -= tokens
-        if out.ending in (Ending.READ, Ending.BEGUN, Ending.SUCCEEDED):
+        if out.status in (
+            AttemptStatus.PREFILL_COMPLETE,
+            AttemptStatus.STREAM_STARTED,
+            AttemptStatus.SUCCEEDED,
+        ):
             e.strikes = e.shunned = 0
             if tokens:
-                if out.ending is Ending.READ:
-                    if q.homes and e.id == q.homes[0]:
+                if out.status is AttemptStatus.PREFILL_COMPLETE:
+                    if q.affinity_candidates and e.id == q.affinity_candidates[0]:
                         row = self.row(q)
-                        row.kept += (self.cached(q, out) / max(1, q.prompt) - row.kept) / 16
-                    queue += max(1, q.prompt - self.cached(q, out)) - tokens
-                if out.ending is not Ending.BEGUN:
-                    self.paced(e, queue, out.took)
-                self.learn(e.lag, self.lags[e.role], max(0.0, out.took - queue / self.rates[e.role]))
+                        row.kept += (self.cached(q, out) / max(1, q.prompt_tokens) - row.kept) / 16
+                    queue += max(1, q.prompt_tokens - self.cached(q, out)) - tokens
+                if out.status is not AttemptStatus.STREAM_STARTED:
+                    self.paced(e, queue, out.duration)
+                self.learn(e.lag, self.lags[e.role], max(0.0, out.duration - queue / self.rates[e.role]))
                 self.keep(e, q)
             elif state and state.rack == e.rack:
-                self.learn(e.wait, self.waits[e.role], out.took)
-        elif out.ending is Ending.FULL:
+                self.learn(e.wait, self.waits[e.role], out.duration)
+        elif out.status is AttemptStatus.OVERLOADED:
             if tokens:  # against hundreds of fronts asking it again: its queue cannot be read in time
-                self.learn(e.lag, self.lags[e.role], max(out.took, self.row(q).terms.due))
-            if e.role is not Role.READER and not e.cap:
+                self.learn(
+                    e.lag, self.lags[e.role], max(out.duration, self.row(q).terms.first_token_objective)
+                )
+            if e.role is not Role.PREFILL and not e.cap:
                 e.cap = max(e.tokens + int(self.others(e)), e.memory // 2)
-        elif out.ending not in (Ending.STATELESS, Ending.VOID, Ending.RECALLED):
-            late = out.ending is Ending.OVERDUE
+        elif out.status not in (AttemptStatus.STATE_MISSING, AttemptStatus.NOT_SENT, AttemptStatus.CANCELLED):
+            late = out.status is AttemptStatus.TIMED_OUT
             if late and tokens:  # else only the lucky would tell how long one takes
-                self.learn(e.lag, self.lags[e.role], out.took)
+                self.learn(e.lag, self.lags[e.role], out.duration)
             elif late and state and state.rack == e.rack:
-                self.learn(e.wait, self.waits[e.role], out.took)
+                self.learn(e.wait, self.waits[e.role], out.duration)
             if not late or e.strikes:
                 self.distrust(e)
             e.strikes = max(e.strikes, 1)  # one shot overdue may be a jam, which shunning would only move
-        if out.ending is not Ending.BEGUN:
+        if out.status is not AttemptStatus.STREAM_STARTED:
             e.tokens -= e.streams.pop(q.index, 0)
         self.let_be(e)
 
-    def streamed(self, q: Query, e: Engine, out: Outcome, read: int) -> None:
-        e.report, e.reported = (out.report, self.now) if out.report else (e.report, e.reported)
+    def streamed(self, q: Request, e: Engine, out: AttemptOutcome, read: int) -> None:
+        e.report, e.reported = (out.load_report, self.now) if out.load_report else (e.report, e.reported)
         e.tokens -= e.streams.pop(q.index, 0)
         self.let_be(e)
-        if out.ending is Ending.SUCCEEDED:
+        if out.status is AttemptStatus.SUCCEEDED:
             if read:
                 # Against taking a prompt found cached for one read fast: only the end of an answer tells.
-                self.paced(e, q.prompt - self.cached(q, out), read)
+                self.paced(e, q.prompt_tokens - self.cached(q, out), read)
             row = self.row(q)
-            if q.likely_out and e.role is Role.MIXED:
+            if q.expected_output_tokens and e.role is Role.MIXED:
                 # A client's guess is rough: what is allowed begins twice as long, or one answer would decide.
-                allowed = q.likely_out * row.terms.pace
+                allowed = q.expected_output_tokens * row.terms.time_per_output_token
                 self.allowed += allowed - self.allowed / 32 if self.allowed else 2 * allowed
-                self.taken += out.took - self.taken / 32
-            tokens = q.likely_out or out.took / max(1, row.terms.pace)
+                self.taken += out.duration - self.taken / 32
+            tokens = q.expected_output_tokens or out.duration / max(1, row.terms.time_per_output_token)
             row.out = tokens if not row.out else row.out + (tokens - row.out) / 16
-        elif out.ending is Ending.SEVERED:
+        elif out.status is AttemptStatus.CONNECTION_LOST:
             self.distrust(e)
 
     def let_be(self, e: Engine) -> None:
@@ -732,9 +803,9 @@
             del self.touched[e.id]
 
     @staticmethod
-    def cached(q: Query, out: Outcome) -> int:
+    def cached(q: Request, out: AttemptOutcome) -> int:
         """Against an engine's count that cannot be, which would spoil what is learned from it for long."""
-        return min(max(0, out.kept), q.prompt)
+        return min(max(0, out.cached_tokens), q.prompt_tokens)
 
     def paced(self, e: Engine, tokens: int, took: int) -> None:
         """A rate is the best seen of late, as unseen waits only slow a read; what is over it is lag."""
@@ -744,8 +815,8 @@
     def distrust(self, e: Engine) -> None:
         e.shunned, e.strikes = self.now + min(LONGEST_BACKOFF, BACKOFF << min(e.strikes, 10)), e.strikes + 1
 
-    def keep(self, e: Engine, q: Query) -> None:
-        for key, parity, length in ((q.session, 0, q.prompt), (q.beginning, 1, q.beginning_length)):
+    def keep(self, e: Engine, q: Request) -> None:
+        for key, parity, length in ((q.session, 0, q.prompt_tokens), (q.prefix, 1, q.prefix_tokens)):
             if key is not None:
                 e.kept.pop(2 * key + parity, None)
                 e.kept[2 * key + parity] = length
--- a/runspool/service/accepting.py
+++ b/runspool/service/accept_loop.py
@@ -8,17 +8,17 @@
 from typing import Any
 
 import anyio
-from anyio.abc import TaskGroup
 import structlog
+from anyio.abc import TaskGroup
 
-from runspool.sockets.lines import Line, accept
+from runspool.transport.tcp import TcpConnection, accept
 
 ACCEPT_REST = 0.1  # seconds before another connection is accepted where there is no room for one
 NO_ROOM = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 
 async def accept_all(
-    listening: socket.socket, tasks: TaskGroup, client: Callable[[Line], Coroutine[Any, Any, None]]
+    listening: socket.socket, tasks: TaskGroup, client: Callable[[TcpConnection], Coroutine[Any, Any, None]]
 ) -> None:
     """Begins `client` for each connection, until cancelled. None that fails keeps the next waiting."""
     log, failures = structlog.get_logger(), 0
--- a/runspool/service/mapwatch.py
+++ b/runspool/service/cell_map_watcher.py
@@ -9,15 +9,15 @@
 import anyio.to_thread
 import structlog
 
-from runspool.cells import book
-from runspool.cells.chart import CellMap
+from runspool.cells import cell_store as book
+from runspool.cells.cell_map import CellMap
 from runspool.service.clock import unix_ms
 from runspool.service.front import Front
 
 LOOK = 0.2  # seconds between looks at the file
 
 
-class MapWatch:
+class CellMapWatcher:
     def __init__(self, file: Path, memory: Path) -> None:
         self.file, self.memory = file, memory
         self.seen: tuple[int, int] | None = None
@@ -28,8 +28,8 @@
         kept: tuple[CellMap, int] | None = None
         try:
             kept = book.recall(self.memory)
-        except book.Torn as fault:
-            self.log.error("last_map_damaged", reason=str(fault))
+        except book.CorruptFileError as fault:
+            self.log.error("cell_map_snapshot_damaged", reason=str(fault))
         chart = self._load()
         if chart is None or (kept is not None and kept[0].version >= chart.version):
             return kept if kept is not None else (None, 0)
@@ -48,7 +48,7 @@
                 await anyio.to_thread.run_sync(book.remember, self.memory, chart, at)
             except OSError as fault:
                 # Taken without being kept, a restart would not know when its tenants moved.
-                self.log.error("map_unkept", reason=str(fault))
+                self.log.error("cell_map_not_kept", reason=str(fault))
                 self.seen = None
                 continue
             front.map_changed(chart, at)
@@ -64,8 +64,8 @@
             return None
         try:
             chart = book.load(self.file)
-        except book.Torn as fault:
-            self.log.error("map_unusable", reason=str(fault))
+        except book.CorruptFileError as fault:
+            self.log.error("cell_map_unusable", reason=str(fault))
             chart = None
         self.seen = mark
         return chart
--- a/runspool/service/conversation.py
+++ b/runspool/service/completions_handler.py
@@ -10,22 +10,22 @@
 import msgspec
 
 from runspool.service.front import Front
-from runspool.service.owed import Final, Kind, Refused
-from runspool.service.taken import Taken
-from runspool.service.talk import Sending, Talk
-from runspool.sockets.lines import Gone, Line
+from runspool.service.http_connection import HttpConnection, StreamingResponse
+from runspool.service.pending_completion import PendingCompletion
+from runspool.service.pending_request import FinalResponse, RequestNotAcceptedError, ResponseKind
+from runspool.transport.tcp import ConnectionClosedError, TcpConnection
 from runspool.wire import completions as wire
-from runspool.wire.fields import Misworded
-from runspool.wire.requests import CHUNKS_END, Request, chunk, head
+from runspool.wire.fields import InvalidRequestError
+from runspool.wire.http_requests import CHUNKS_END, HttpRequest, chunk, head
 
 # A dismissal invites another try; a scrapping must not look like one of the statuses that client
 # libraries repeat by themselves, or they would run an exclusive query twice.
 DISMISSED, SCRAPPED = 503, 424
 
 
-class Conversation(Talk):
-    def __init__(self, front: Front, line: Line, working: Callable[[int], None]) -> None:
-        super().__init__(front.terms.front.bounds, line, working)
+class CompletionsHandler(HttpConnection):
+    def __init__(self, front: Front, line: TcpConnection, working: Callable[[int], None]) -> None:
+        super().__init__(front.config.front.bounds, line, working)
         self.front = front
 
     @property
@@ -35,89 +35,101 @@
     def error(self, code: str, message: str) -> bytes:
         return wire.error_body("invalid_request_error", code, message)
 
-    async def route(self, request: Request, came: int) -> None:
+    async def route(self, request: HttpRequest, came: int) -> None:
         path, method = request.path, request.method
         if path == "/v1/completions":
             if method != "POST":
-                await self.plain(
+                await self.send_response(
                     405, wire.error_body("invalid_request_error", "method", "POST it"), [("Allow", "POST")]
                 )
                 return
             await self._query(request, came)
         elif path == "/healthz" and method == "GET":
-            await self.plain(503 if self.front.closing else 200, b"{}")
+            await self.send_response(503 if self.front.closing else 200, b"{}")
         elif path == "/cells" and method == "GET":
-            await self.plain(200, msgspec.json.encode(self.front.cells()))
+            await self.send_response(200, msgspec.json.encode(self.front.cells()))
         elif path == "/v1/models" and method == "GET":
             models = {
                 "object": "list",
                 "data": [
                     {
-                        "id": self.front.terms.front.model,
+                        "id": self.front.config.front.model,
                         "object": "model",
                         "created": 0,
                         "owned_by": "runspool",
                     }
                 ],
             }
-            await self.plain(200, msgspec.json.encode(models))
+            await self.send_response(200, msgspec.json.encode(models))
         else:
-            await self.plain(404, wire.error_body("invalid_request_error", "path", "no such path"))
+            await self.send_response(404, wire.error_body("invalid_request_error", "path", "no such path"))
 
-    async def _query(self, request: Request, came: int) -> None:
+    async def _query(self, request: HttpRequest, came: int) -> None:
         try:
-            wish = wire.read_wish(request.headers, bytes(request.body), self.front.terms)
+            wish = wire.read_wish(request.headers, bytes(request.body), self.front.config)
             if wish.stream and request.version == "1.0":
-                raise Misworded("stream", "an answer in parts needs HTTP/1.1", 505)
-        except Misworded as bad:
-            await self.plain(bad.status, wire.error_body("invalid_request_error", bad.where, str(bad)))
+                raise InvalidRequestError("stream", "an answer in parts needs HTTP/1.1", 505)
+        except InvalidRequestError as bad:
+            await self.send_response(
+                bad.status, wire.error_body("invalid_request_error", bad.where, str(bad))
+            )
             return
-        reply = _Streamed(self) if wish.stream else _Gathered()
+        reply = _EventStreamResponse(self) if wish.stream else _CollectedResponse()
         try:
-            taken = self.front.take(wish, reply, came)
-        except Refused as refused:
-            if refused.kind is Kind.SCRAPPED:
-                await self.plain(
+            taken = self.front.submit(wish, reply, came)
+        except RequestNotAcceptedError as refused:
+            if refused.kind is ResponseKind.INDETERMINATE:
+                await self.send_response(
                     SCRAPPED,
                     wire.error_body("scrapped", refused.code, refused.message),
                     [("X-Should-Retry", "false")],
                 )
                 return
-            await self.plain(
+            await self.send_response(
                 DISMISSED,
                 wire.error_body("dismissed", refused.code, refused.message),
                 [("Retry-After", "1"), ("X-Should-Retry", "true")],
             )
             return
         reply.query = taken.id
-        final = await self.final(self.front, taken, reply if isinstance(reply, _Streamed) else None)
+        final = await self.final_response(
+            self.front, taken, reply if isinstance(reply, _EventStreamResponse) else None
+        )
         await self._answer(taken, reply, final)
 
-    async def _answer(self, taken: Taken, reply: _Streamed | _Gathered, final: Final) -> None:
-        marks = [("Runspool-Query", taken.id), ("Runspool-Shots", str(taken.shots))]
-        if final.kind is Kind.LEFT:
-            self.line.drop()
-            raise Gone("the client left")
-        elif isinstance(reply, _Streamed) and (reply.opened or final.kind is Kind.SUCCEEDED):
+    async def _answer(
+        self, taken: PendingCompletion, reply: _EventStreamResponse | _CollectedResponse, final: FinalResponse
+    ) -> None:
+        marks = [("Runspool-Query", taken.id), ("Runspool-Shots", str(taken.attempt_count))]
+        if final.kind is ResponseKind.CLIENT_DISCONNECTED:
+            self.tcp.close()
+            raise ConnectionClosedError("the client left")
+        elif isinstance(reply, _EventStreamResponse) and (
+            reply.opened or final.kind is ResponseKind.SUCCEEDED
+        ):
             await reply.finish(final)
-        elif final.kind is Kind.SUCCEEDED and isinstance(reply, _Gathered) and final.ended is not None:
-            ended = final.ended
-            await self.plain(
+        elif (
+            final.kind is ResponseKind.SUCCEEDED
+            and isinstance(reply, _CollectedResponse)
+            and final.result is not None
+        ):
+            ended = final.result
+            await self.send_response(
                 200,
                 wire.whole_answer(
                     taken.id,
-                    self.front.terms.front.model,
+                    self.front.config.front.model,
                     int(time.time()),
                     "".join(reply.texts),
-                    ended.finish,
-                    ended.read,
-                    ended.kept,
-                    ended.made,
+                    ended.finish_reason,
+                    ended.prompt_tokens,
+                    ended.cached_tokens,
+                    ended.output_tokens,
                 ),
                 marks,
             )
-        elif final.kind is Kind.DISMISSED:
-            wait_ms = final.hold_off / 10
+        elif final.kind is ResponseKind.REJECTED:
+            wait_ms = final.retry_after / 10
             hold = (
                 [
                     ("Retry-After", str(max(1, math.ceil(wait_ms / 1000)))),
@@ -126,44 +138,44 @@
                 if wait_ms
                 else []
             )
-            await self.plain(
+            await self.send_response(
                 DISMISSED,
                 wire.error_body("dismissed", final.code, final.message),
                 [*marks, *hold, ("X-Should-Retry", "true")],
             )
         else:
-            await self.plain(
+            await self.send_response(
                 SCRAPPED,
                 wire.error_body("scrapped", final.code, final.message),
                 [*marks, ("X-Should-Retry", "false")],
             )
 
 
-class _Gathered:
+class _CollectedResponse:
     """A whole answer, gathered until it is complete. Its size is bounded by the tokens asked for."""
 
     def __init__(self) -> None:
         self.query = ""
         self.texts: list[str] = []
 
-    async def begun(self) -> None:
+    async def stream_started(self) -> None:
         return
 
-    async def said(self, text: str) -> None:
+    async def data_received(self, text: str) -> None:
         self.texts.append(text)
 
 
-class _Streamed(Sending):
+class _EventStreamResponse(StreamingResponse):
     """A completion sent on as it comes."""
 
-    def __init__(self, conversation: Conversation) -> None:
-        super().__init__(conversation, conversation.front.caller.vigil)
+    def __init__(self, conversation: CompletionsHandler) -> None:
+        super().__init__(conversation, conversation.front.engine_client.watchdog)
         self.conversation = conversation
         self.query = ""
         self.made_at = int(time.time())
-        self.model = conversation.front.terms.front.model
+        self.model = conversation.front.config.front.model
 
-    async def begun(self) -> None:
+    async def stream_started(self) -> None:
         self.opened = True
         self.chunks = wire.Chunks(self.query, self.model, self.made_at)
         fields = [
@@ -174,21 +186,21 @@
         ]
         if not self.conversation.keeps_alive:
             fields.append(("Connection", "close"))
-        await self.pass_on(head(200, fields))
+        await self.forward(head(200, fields))
 
-    async def said(self, text: str) -> None:
-        await self.pass_on(self.chunks.text(text))
+    async def data_received(self, text: str) -> None:
+        await self.forward(self.chunks.text(text))
 
-    async def finish(self, final: Final) -> None:
+    async def finish(self, final: FinalResponse) -> None:
         if self.torn:
-            self.conversation.line.drop()
-            raise Gone("a send was cut short")
+            self.conversation.tcp.close()
+            raise ConnectionClosedError("a send was cut short")
         if not self.opened:
-            await self.begun()
-        if final.kind is Kind.SUCCEEDED:
-            finish = final.ended.finish if final.ended else "stop"
+            await self.stream_started()
+        if final.kind is ResponseKind.SUCCEEDED:
+            finish = final.result.finish_reason if final.result else "stop"
             last = wire.chunk(self.query, self.model, self.made_at, "", finish) + wire.DONE
         else:
             last = wire.broken_event(final.code, final.message)
         with anyio.fail_after(self.conversation.write_time):
-            await self.pass_on(chunk(last) + CHUNKS_END)
+            await self.forward(chunk(last) + CHUNKS_END)
--- a/runspool/service/budget.py
+++ b/runspool/service/deadlines.py
@@ -6,16 +6,16 @@
 
 from __future__ import annotations
 
-from runspool.decisions.interface import TariffTerms
+from runspool.scheduling.settings import RequestClassSettings
 
 WRITING_PART = 0.75  # of the time at most that is set aside: a hint too long must not leave no time to try
 
 
-def first_token_budget(left: int, whole: bool, likely_out: int, terms: TariffTerms) -> int:
+def first_token_budget(left: int, whole: bool, likely_out: int, terms: RequestClassSettings) -> int:
     """Tenths of a millisecond to the first token, of `left` to the hard limit; never below 0.
 
     `likely_out` is the hint of the answer's tokens, 0 where none came: then nothing is set aside.
     """
     if not whole:
         return max(0, left)
-    return max(0, left - min(likely_out * terms.pace, int(left * WRITING_PART)))
+    return max(0, left - min(likely_out * terms.time_per_output_token, int(left * WRITING_PART)))
