--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -11,26 +11,26 @@
 import anyio.lowlevel
 import xxhash
 
-from runspool.cells.chart import CellMap
-from runspool.cells.keeping import Asked, Keeping, Stay, Turned
-from runspool.cells.placing import Place
-from runspool.decisions.interface import Listed, Query, Role
-from runspool.decisions.lifecycle import ENDED_HERE
-from runspool.engines.endings import Mishap
-from runspool.engines.exchange import Ended, Listener, Permit
-from runspool.engines.shots import Caller, State
-from runspool.front import Desk
-from runspool.front.door import mark
-from runspool.service.budget import first_token_budget
-from runspool.service.carrying import Carrying, Hearing
+from runspool.cells.cell_map import CellMap
+from runspool.cells.cell_router import AdmissionRefusal, AdmissionRequest, CellAdmission, CellRouter
+from runspool.cells.engine_placement import EnginePlace
+from runspool.config import FrontConfig
+from runspool.engines.completions_client import CompletionsEngineClient, PrefillState
+from runspool.engines.failure_classification import FailureCause
+from runspool.engines.http_exchange import AttemptResult, ResponseListener, SendPermit
+from runspool.runtime.interning import stable_hash
+from runspool.runtime.scheduler_driver import SchedulerDriver
+from runspool.scheduling.request_lifecycle import ENDED_LOCALLY
+from runspool.scheduling.types import EngineRecord, EngineState, Request, Role
+from runspool.service.cell_scheduler import CellScheduler
 from runspool.service.clock import now, unix_ms
-from runspool.service.owed import Final, Kind, Refused, Site
-from runspool.service.quarter import Quarter
-from runspool.service.tape import Tape
-from runspool.service.taken import Taken
-from runspool.terms import Terms
+from runspool.service.deadlines import first_token_budget
+from runspool.service.event_recorder import EventRecorder
+from runspool.service.pending_completion import PendingCompletion
+from runspool.service.pending_request import Endpoint, FinalResponse, RequestNotAcceptedError, ResponseKind
+from runspool.service.request_executor import RequestExecutor, ResponseRelay
 from runspool.units import tenths
-from runspool.wire.completions import Wish
+from runspool.wire.completions import CompletionRequest
 
 NAMES_KNOWN = 200_000  # texts' names remembered before the one unseen for longest is forgotten
 RELEASE_LIMIT = 5_000  # tenths of a millisecond for one call, or the house's time to let go if that is less
@@ -40,34 +40,50 @@
 
 
 TURNED = {
-    Turned.CELL_FULL: ("cell_full", "this cell has all the queries here it may; come later", Kind.DISMISSED),
-    Turned.FRONT_FULL: (
+    AdmissionRefusal.CELL_FULL: (
+        "cell_full",
+        "this cell has all the queries here it may; come later",
+        ResponseKind.REJECTED,
+    ),
+    AdmissionRefusal.FRONT_FULL: (
         "front_full",
         "this front holds all the queries it may; come later or ask another",
-        Kind.DISMISSED,
+        ResponseKind.REJECTED,
+    ),
+    AdmissionRefusal.POISONOUS: (
+        "poisonous",
+        "engines were lost with this query; it is sent nowhere",
+        ResponseKind.INDETERMINATE,
+    ),
+    AdmissionRefusal.UNSURE: (
+        "unsure",
+        "its tenant moves, and an earlier try may have run elsewhere",
+        ResponseKind.INDETERMINATE,
     ),
-    Turned.POISONOUS: ("poisonous", "engines were lost with this query; it is sent nowhere", Kind.SCRAPPED),
-    Turned.UNSURE: ("unsure", "its tenant moves, and an earlier try may have run elsewhere", Kind.SCRAPPED),
 }
 # A connection that broke with the query out: the engine may have gone down, and may have by this query.
-BROKE = {Mishap.CUT_AFTER_LAST_BYTE, Mishap.CUT_IN_ANSWER, Mishap.CUT_IN_STREAM}
+BROKE = {
+    FailureCause.CLOSED_BEFORE_RESPONSE,
+    FailureCause.CLOSED_DURING_RESPONSE,
+    FailureCause.STREAM_INTERRUPTED,
+}
 
 # An engine's word that it does not know the call: it frees states by its own time-out; to ask again is vain.
-WONT = {Mishap.NOT_AN_ENGINE, Mishap.NOT_FOR_ENGINE}
+WONT = {FailureCause.UNSUPPORTED_ENDPOINT, FailureCause.REQUEST_REJECTED}
 
 
-class Front(Carrying[Taken]):
+class Front(RequestExecutor[PendingCompletion]):
     """The house's own way in and out, and its cells' desks."""
 
     def __init__(
         self,
-        terms: Terms,
+        terms: FrontConfig,
         tape: Path | None = None,
         seed: int | None = None,
         chart: CellMap | None = None,
         adopted_unix_ms: int = 0,
     ) -> None:
-        self.terms = terms
+        self.config = terms
         super().__init__(
             terms.house_terms(),
             {name: at for at, name in enumerate(terms.house.kinds)},
@@ -77,95 +93,99 @@
         self.tape_file = tape
         self.tariffs = {name: at for at, name in enumerate(terms.house.tariffs)}
         self.tenants = {name: at for at, name in enumerate(terms.house.tenants)}
-        self.caller = Caller(terms.front.engines, now, terms.front.bounds.stream_silence_ms)
+        self.engine_client = CompletionsEngineClient(
+            terms.front.engines, now, terms.front.bounds.stream_silence_ms
+        )
         self.life = now()
         self.seed = terms.front.seed if seed is None else seed
-        self.keeping = Keeping(
+        self.keeping = CellRouter(
             chart or CellMap(version=0, way="fixed"),
             terms.front.bounds.queries,
             TAKEN_BYTES,
             Random(self.seed ^ 0x5EED).random,
             adopted_unix_ms,
         )
-        self.quarters: dict[str, Quarter] = {}
+        self.quarters: dict[str, CellScheduler] = {}
         self.quarter(self.keeping.chart.names()[0])
 
     # What comes in.
 
-    def take(self, wish: Wish, reply: Listener[str], came: int) -> Taken:
+    def submit(self, wish: CompletionRequest, reply: ResponseListener[str], came: int) -> PendingCompletion:
         """Takes a query: from here on it is owed one final answer. Raises Refused where it is not taken."""
         if self.closing:
-            raise Refused("closing", "this front is stopping; ask another")
+            raise RequestNotAcceptedError("closing", "this front is stopping; ask another")
         stay = self._let_in(wish)
-        index = self.arrived
-        self.arrived += 1
+        index = self.accepted_count
+        self.accepted_count += 1
         at = now()
         limit = came + wish.limit
-        name = f"{self.terms.front.name}-{self.life:x}-{index}"
-        taken = Taken(index, name, came, limit, reply, wish=wish, headers=self._passed_on(wish), stay=stay)
-        query = Query(
+        name = f"{self.config.front.name}-{self.life:x}-{index}"
+        taken = PendingCompletion(
+            index, name, came, limit, reply, completion=wish, headers=self._passed_on(wish), stay=stay
+        )
+        query = Request(
             index=index,
-            tariff=self.tariffs[wish.tariff],
+            request_class=self.tariffs[wish.tariff],
             tenant=None if wish.tenant is None else self.tenants[wish.tenant],
-            session=self.text("s", wish.session, at),
-            beginning=self.text("b", wish.beginning, at),
-            prompt=wish.prompt,
-            beginning_length=wish.beginning_length,
-            most_out=wish.most_out,
-            likely_out=wish.likely_out,
+            session=self.intern_text("s", wish.session, at),
+            prefix=self.intern_text("b", wish.beginning, at),
+            prompt_tokens=wish.prompt,
+            prefix_tokens=wish.beginning_length,
+            max_output_tokens=wish.most_out,
+            expected_output_tokens=wish.likely_out,
             # The answer still has to reach the client within its time.
-            budget=first_token_budget(
-                limit - self.house.answer_slack - at,
+            time_budget=first_token_budget(
+                limit - self.settings.response_slack - at,
                 not wish.stream,
                 wish.likely_out,
-                self.house.tariffs[self.tariffs[wish.tariff]],
+                self.settings.request_classes[self.tariffs[wish.tariff]],
             ),
-            resent=wish.resent,
-            again=wish.again,
-            session_mark=mark(wish.session or ""),
-            beginning_mark=mark(wish.beginning or ""),
+            is_client_retry=wish.resent,
+            is_continuation=wish.again,
+            session_hash=stable_hash(wish.session or ""),
+            prefix_hash=stable_hash(wish.beginning or ""),
         )
         self.log.debug(
-            "query_taken",
-            query=name,
-            tariff=wish.tariff,
+            "request_accepted",
+            request=name,
+            request_class=wish.tariff,
             tenant=wish.tenant,
-            prompt=wish.prompt,
-            limit=wish.limit,
-            mark=wish.mark,
+            prompt_tokens=wish.prompt,
+            time_limit=wish.limit,
+            client_attempt=wish.mark,
         )
-        self.owe(taken)
+        self.accept(taken)
         self.quarter(stay.cell)
-        self._tell(self.desk_of(taken), index, Quarter.arrive, query)
+        self._notify(self.scheduler_for(taken), index, CellScheduler.submit, query)
         return taken
 
-    def _let_in(self, wish: Wish) -> Stay:
-        row = self.terms.house.tariffs[wish.tariff]
+    def _let_in(self, wish: CompletionRequest) -> CellAdmission:
+        row = self.config.house.tariffs[wish.tariff]
         # A ticket that all engines know binds no cell.
         bound = row.effect == "ticketed" and row.group != "all"
         print_ = xxhash.xxh64_hexdigest(f"{wish.tenant}\0".encode() + bytes(wish.body["prompt"]))
-        asked = Asked(
+        asked = AdmissionRequest(
             wish.tenant,
             wish.session,
             wish.ticket if bound else None,
             wish.resent or wish.again,
-            tenths(row.window_ms + self.terms.front.bounds.longest_limit_ms) if bound else 0,
+            tenths(row.window_ms + self.config.front.bounds.longest_limit_ms) if bound else 0,
             wish.size,
             print_,
         )
         stay = self.keeping.let_in(now(), unix_ms(), asked)
-        if isinstance(stay, Turned):
+        if isinstance(stay, AdmissionRefusal):
             code, message, kind = TURNED[stay]
             self.counts[f"turned_{code}"] += 1
-            raise Refused(code, message, kind)
+            raise RequestNotAcceptedError(code, message, kind)
         return stay
 
     def map_changed(self, chart: CellMap, since: int) -> None:
         """A newer cell map. What has been taken stays where it is."""
         if not self.keeping.adopt(chart, since):
             return
-        self.log.info("cells_adopted", version=chart.version, cells=len(chart.names()))
-        self.relisted()
+        self.log.info("cell_map_adopted", version=chart.version, cells=len(chart.names()))
+        self.publish_engines()
         for name, quarter in list(self.quarters.items()):
             self._close_if_left(name, quarter)
 
@@ -173,7 +193,7 @@
         """Where this front stands with its cells and moves, for operators."""
         keeping, at, wall = self.keeping, now(), unix_ms()
         return {
-            "front": self.terms.front.name,
+            "front": self.config.front.name,
             "version": keeping.chart.version,
             "adopted_unix_ms": keeping.adopted_unix_ms,
             "lacks": keeping.placed.lacks,
@@ -200,147 +220,172 @@
             },
         }
 
-    def relisted(self) -> None:
+    def publish_engines(self) -> None:
         """Tells each cell's desk what engines it has. One that the map has no more keeps those it had."""
-        zones = self.terms.house.zones
+        zones = self.config.house.zones
         places = [
-            Place(name, self.sites[line.engine].role, zones[line.zone] if line.zone >= 0 else "", line.rack)
-            for name, line in self.lines.items()
+            EnginePlace(
+                name, self.endpoints[line.engine].role, zones[line.zone] if line.zone >= 0 else "", line.rack
+            )
+            for name, line in self.engine_records.items()
         ]
         before = self.keeping.placed.lacks
-        off = {name for name, line in self.lines.items() if line.state != "on"}
+        off = {name for name, line in self.engine_records.items() if line.state != EngineState.READY}
         placed = self.keeping.listed(places, off)
         if placed.lacks != before and self.keeping.chart.version:
-            self.log.warning("cells_lack", what=placed.lacks[:20], more=max(0, len(placed.lacks) - 20))
+            self.log.warning("cells_incomplete", what=placed.lacks[:20], more=max(0, len(placed.lacks) - 20))
         for name, quarter in self.quarters.items():
-            quarter.told(self._engines_of(name, quarter))
+            quarter.update_engines(self._engines_of(name, quarter))
 
-    def _engines_of(self, name: str, quarter: Quarter) -> dict[int, Listed]:
+    def _engines_of(self, name: str, quarter: CellScheduler) -> dict[int, EngineRecord]:
         there = self.keeping.placed.cells.get(name)
         if there is None:
             return {
                 line.engine: line
-                for line in self.lines.values()
-                if line.engine in quarter.engines and line.state == "on"
+                for line in self.engine_records.values()
+                if line.engine in quarter.engines and line.state == EngineState.READY
             }
         # In one order everywhere: a set's changes from life to life, and with it what is drawn for whom.
-        return {self.lines[engine].engine: self.lines[engine] for engine in sorted(there)}
+        return {self.engine_records[engine].engine: self.engine_records[engine] for engine in sorted(there)}
 
-    def quarter(self, name: str) -> Quarter:
+    def quarter(self, name: str) -> CellScheduler:
         """A cell's desk, made when its first query comes."""
         found = self.quarters.get(name)
         if found is None:
             # One cell of several that share engines is to the others like another front.
-            terms = replace(self.house, fronts=round(self.house.fronts * self.keeping.overlap()))
+            terms = replace(
+                self.settings, front_count=round(self.settings.front_count * self.keeping.overlap())
+            )
             first = not self.quarters and name == self.keeping.chart.names()[0]
             file = self.tape_file and (
                 self.tape_file if first else self.tape_file.with_name(f"{self.tape_file.name}.{name}")
             )
-            found = Quarter(name, terms, self.seed if first else self.seed ^ mark(name), self, Tape(file))
+            found = CellScheduler(
+                name, terms, self.seed if first else self.seed ^ stable_hash(name), self, EventRecorder(file)
+            )
             self.quarters[name] = found
-            found.told(self._engines_of(name, found))
+            found.update_engines(self._engines_of(name, found))
         return found
 
-    def _close_if_left(self, name: str, quarter: Quarter) -> None:
+    def _close_if_left(self, name: str, quarter: CellScheduler) -> None:
         if not quarter.queries and name not in self.keeping.chart.names():
-            quarter.tape.close()
+            quarter.recorder.close()
             del self.quarters[name]
 
     @property
-    def desk(self) -> Desk:
+    def desk(self) -> SchedulerDriver:
         """That of the only cell, or of the first."""
-        return next(iter(self.quarters.values())).desk
+        return next(iter(self.quarters.values())).driver
 
     def list_lost(self) -> None:
         for quarter in self.quarters.values():
-            quarter.list_lost()
+            quarter.subscription_lost()
 
     # How it is carried out.
 
-    def desk_named(self, name: str) -> Quarter | None:
+    def scheduler_named(self, name: str) -> CellScheduler | None:
         return self.quarters.get(name)
 
-    def desk_of(self, taken: Taken) -> Quarter | None:
+    def scheduler_for(self, taken: PendingCompletion) -> CellScheduler | None:
         return self.quarters.get(taken.stay.cell)
 
-    def tariff_of(self, taken: Taken) -> int:
-        return self.tariffs[taken.wish.tariff]
+    def request_class_of(self, taken: PendingCompletion) -> int:
+        return self.tariffs[taken.completion.tariff]
 
-    async def speak(
-        self, taken: Taken, site: Site, shot: int, sent: int, limit: int, permit: Permit
-    ) -> Ended:
+    async def run_exchange(
+        self, taken: PendingCompletion, site: Endpoint, shot: int, sent: int, limit: int, permit: SendPermit
+    ) -> AttemptResult:
         headers = taken.headers | {"X-Request-Id": f"{taken.id}.{shot}"}
-        body = taken.wish.body
-        if site.role is Role.READER:
-            ended = await self.caller.read(site.address, body, headers, limit, permit)
+        body = taken.completion.body
+        if site.role is Role.PREFILL:
+            ended = await self.engine_client.prefill(site.address, body, headers, limit, permit)
         else:
-            ended = await self.caller.write(
+            ended = await self.engine_client.decode(
                 site.address,
                 body,
                 taken.state,
                 headers,
                 limit,
                 permit,
-                taken.wish.most_out,
-                Hearing(self, taken, shot, sent),
+                taken.completion.most_out,
+                ResponseRelay(self, taken, shot, sent),
             )
-        if ended.mishap in BROKE:
+        if ended.failure_cause in BROKE:
             await self._look_for_poison(taken, site)
         return ended
 
-    def waits_at(self, taken: Taken, site: Site | None, state: State | None) -> None:
-        taken.state_at, taken.state = site, state
+    def set_prefill_endpoint(
+        self, taken: PendingCompletion, site: Endpoint | None, state: PrefillState | None
+    ) -> None:
+        taken.prefill_endpoint, taken.state = site, state
 
-    def shot_over(self, taken: Taken, site: Site, shot: int, ended: Ended) -> None:
-        if site.role is Role.READER and ended.ending in ENDED_HERE:
+    def after_attempt(
+        self, taken: PendingCompletion, site: Endpoint, shot: int, ended: AttemptResult
+    ) -> None:
+        if site.role is Role.PREFILL and ended.status in ENDED_LOCALLY:
             # The read may have ended while its answer was given up; named by its request, its state goes.
             self.spawn_release(self._let_go, site, None, f"{taken.id}.{shot}")
 
-    def let_go(self, taken: Taken) -> None:
-        if taken.state is not None and taken.state_at is not None:
-            self.spawn_release(self._let_go, taken.state_at, taken.state, taken.id)
-        taken.state = taken.state_at = None
+    def release_prefill_state(self, taken: PendingCompletion) -> None:
+        if taken.state is not None and taken.prefill_endpoint is not None:
+            self.spawn_release(self._let_go, taken.prefill_endpoint, taken.state, taken.id)
+        taken.state = taken.prefill_endpoint = None
 
-    def guarded(self, taken: Taken) -> bool:
-        return not (taken.begun and taken.wish.stream)
+    def is_guarded(self, taken: PendingCompletion) -> bool:
+        return not (taken.stream_started and taken.completion.stream)
 
-    def gone(self, taken: Taken) -> None:
-        kind = taken.final.kind if taken.final is not None else Kind.LEFT
-        self.keeping.ended(now(), taken.stay, {Kind.SUCCEEDED: False, Kind.DISMISSED: True}.get(kind))
+    def after_request(self, taken: PendingCompletion) -> None:
+        kind = (
+            taken.final_response.kind
+            if taken.final_response is not None
+            else ResponseKind.CLIENT_DISCONNECTED
+        )
+        self.keeping.ended(
+            now(), taken.stay, {ResponseKind.SUCCEEDED: False, ResponseKind.REJECTED: True}.get(kind)
+        )
         quarter = self.quarters.get(taken.stay.cell)
         if quarter is not None:
             self._close_if_left(quarter.name, quarter)
 
-    async def _look_for_poison(self, taken: Taken, site: Site) -> None:
+    async def _look_for_poison(self, taken: PendingCompletion, site: Endpoint) -> None:
         """An engine that is down since the query was there counts against the query; it may be its doing.
 
         The query waits for it, and its state does: no longer than LOOK_LIMIT, nor once its client has left.
         """
         up = False
         with anyio.move_on_after(LOOK_LIMIT):
-            up = await self.caller.answers(site.address)
-        if up or taken.final is not None or not self.keeping.engine_lost(now(), taken.stay, site.engine):
+            up = await self.engine_client.answers(site.address)
+        if (
+            up
+            or taken.final_response is not None
+            or not self.keeping.engine_lost(now(), taken.stay, site.index)
+        ):
             return
-        self.log.error("query_poisonous", query=taken.id, tenant=taken.wish.tenant, engine=site.name)
+        self.log.error(
+            "request_poisonous", request=taken.id, tenant=taken.completion.tenant, engine=site.name
+        )
         self.counts["poisonous"] += 1
-        self._settle(taken, Final(Kind.SCRAPPED, "poisonous", TURNED[Turned.POISONOUS][1]))
+        self._finish(
+            taken,
+            FinalResponse(ResponseKind.INDETERMINATE, "poisonous", TURNED[AdmissionRefusal.POISONOUS][1]),
+        )
 
-    async def _let_go(self, site: Site, state: State | None, request: str) -> None:
+    async def _let_go(self, site: Endpoint, state: PrefillState | None, request: str) -> None:
         """Against a call lost on its way pinning the state: it is repeated, soon at first."""
         for rest in (*RELEASE_RESTS, 0.0):
-            limit = min(RELEASE_LIMIT, self.house.release_within)
-            mishap = await self.caller.release(site.address, state, request, limit)
+            limit = min(RELEASE_LIMIT, self.settings.state_release_timeout)
+            mishap = await self.engine_client.release_state(site.address, state, request, limit)
             if mishap is None or mishap in WONT:
                 return
             await anyio.sleep(rest)
-        self.log.warning("release_failed", query=request, engine=site.name)
+        self.log.warning("release_failed", request=request, engine=site.name)
 
-    def _passed_on(self, wish: Wish) -> dict[str, str]:
+    def _passed_on(self, wish: CompletionRequest) -> dict[str, str]:
         said = {
             "Runspool-Mark": wish.mark,
             "Runspool-Tariff": wish.tariff,
             "Runspool-Tenant": wish.tenant,
             "Runspool-Ticket": wish.ticket,
-            "Runspool-Front": self.terms.front.name,
+            "Runspool-Front": self.config.front.name,
         }
         return {name: value for name, value in said.items() if value}
--- a/runspool/service/running.py
+++ b/runspool/service/front_server.py
@@ -12,20 +12,20 @@
 
 import anyio
 import anyio.to_thread
-from anyio.abc import SocketAttribute, TaskStatus
 import structlog
+from anyio.abc import SocketAttribute, TaskStatus
 
-from runspool.roster.memory import Torn, keep, recall
-from runspool.roster.watching import Watch
-from runspool.service.accepting import accept_all
+from runspool.config import FrontConfig
+from runspool.discovery.snapshot import CorruptFileError, load_snapshot, save_snapshot
+from runspool.discovery.watch_client import WatchClient
+from runspool.service.accept_loop import accept_all
+from runspool.service.cell_map_watcher import CellMapWatcher
 from runspool.service.clock import now, unix_ms
-from runspool.service.conversation import Conversation
+from runspool.service.completions_handler import CompletionsHandler
 from runspool.service.front import Front
-from runspool.service.mapwatch import MapWatch
-from runspool.sockets.lines import Gone, Line
-from runspool.terms import Terms
+from runspool.transport.tcp import ConnectionClosedError, TcpConnection
 from runspool.wire.completions import error_body
-from runspool.wire.listing import Entry
+from runspool.wire.endpoint_list import EndpointEntry
 
 SWEEP = 1.0  # seconds between looks for idle connections
 LAST_WORDS = 2.0  # seconds that final answers may still take to be written at the stop
@@ -37,16 +37,16 @@
 ) + _FULL_BODY
 
 
-class Running:
+class FrontServer:
     """A front with its listener, its watch on the list and its stop."""
 
-    def __init__(self, terms: Terms, tape: Path | None = None, seed: int | None = None) -> None:
+    def __init__(self, terms: FrontConfig, tape: Path | None = None, seed: int | None = None) -> None:
         self.terms = terms
         self.log = structlog.get_logger()
         self.maps = None
         chart, adopted = None, 0
         if terms.front.cells_file and terms.front.memory_file:
-            self.maps = MapWatch(Path(terms.front.cells_file), Path(terms.front.memory_file + ".cells"))
+            self.maps = CellMapWatcher(Path(terms.front.cells_file), Path(terms.front.memory_file + ".cells"))
             chart, adopted = self.maps.first(unix_ms())
         self.front = Front(terms, tape, seed, chart, adopted)
         self.open = 0
@@ -62,9 +62,9 @@
         try:
             await self._run(task_status)
         finally:
-            self.front.caller.pool.close()
+            self.front.engine_client.pool.close()
             for quarter in self.front.quarters.values():
-                quarter.tape.close()
+                quarter.recorder.close()
         self.log.info("front_stopped", front=self.terms.front.name, counts=dict(self.front.counts))
 
     async def _run(self, task_status: TaskStatus[int]) -> None:
@@ -80,14 +80,14 @@
                 self.port = listener.extra(SocketAttribute.local_port)
                 tasks.start_soon(front.timers.run)
                 tasks.start_soon(self._sweep)
-                tasks.start_soon(front.caller.vigil.run)
+                tasks.start_soon(front.engine_client.watchdog.run)
                 tasks.start_soon(self._keep)
                 if self.maps is not None:
                     tasks.start_soon(self.maps.follow, front)
-                watch = Watch(
+                watch = WatchClient(
                     place.list,
                     place.name,
-                    front.following,
+                    front.endpoint_tracker,
                     now,
                     self._changed,
                     front.list_lost,
@@ -102,14 +102,14 @@
                 await self.stopping.wait()
                 front.closing = True
                 serving.cancel()
-            self.log.info("front_stopping", front=place.name, queries=len(front.queries))
+            self.log.info("front_stopping", front=place.name, queries=len(front.requests))
             with anyio.move_on_after(place.bounds.drain_ms / 1000):
-                while front.queries:
-                    await front.empty.wait()
-            front.scrap_all()
+                while front.requests:
+                    await front.idle.wait()
+            front.fail_all()
             with anyio.move_on_after(LAST_WORDS):
                 # States are let go too: a call cut off here leaves its state to the engine's own time-out.
-                while self.busy or front.queries or front.releasing:
+                while self.busy or front.requests or front.releases_in_progress:
                     await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
 
@@ -123,27 +123,27 @@
         with scope:
             await accept_all(listening, tasks, self._client)
 
-    async def _client(self, line: Line) -> None:
+    async def _client(self, line: TcpConnection) -> None:
         if self.open >= self.terms.front.bounds.connections:
-            with anyio.move_on_after(1), suppress(Gone):
+            with anyio.move_on_after(1), suppress(ConnectionClosedError):
                 await line.send(FULL)
-                line.say_end()
-            line.drop()
+                line.send_eof()
+            line.close()
             return
         self.open += 1
         try:
-            await Conversation(self.front, line, self._working).run()
+            await CompletionsHandler(self.front, line, self._working).run()
         except Exception as fault:  # one client's trouble stays its own
-            self.log.exception("conversation_failed", fault=repr(fault))
+            self.log.exception("client_failed", fault=repr(fault))
         finally:
             self.open -= 1
-            line.drop()
+            line.close()
 
     def _working(self, change: int) -> None:
         self.busy += change
 
-    def _changed(self, changed: list[Entry]) -> None:
-        self.front.engines_changed(changed)
+    def _changed(self, changed: list[EndpointEntry]) -> None:
+        self.front.endpoints_changed(changed)
         self.unkept.set()
 
     def _recall(self) -> None:
@@ -151,13 +151,13 @@
         if self.memory is None:
             return
         try:
-            last = recall(self.memory)
-        except Torn as fault:
-            self.log.error("last_list_damaged", reason=str(fault))
+            last = load_snapshot(self.memory)
+        except CorruptFileError as fault:
+            self.log.error("endpoint_snapshot_damaged", reason=str(fault))
             return
         if last is not None:
-            self.log.info("last_list", version=last.version, engines=len(last.engines))
-            self.front.engines_changed(self.front.following.recalled(last.engines))
+            self.log.info("endpoint_snapshot_loaded", version=last.version, engines=len(last.engines))
+            self.front.endpoints_changed(self.front.endpoint_tracker.restore(last.engines))
 
     async def _keep(self) -> None:
         """Writes the list after each change, the newest only where they come faster than the disk."""
@@ -166,23 +166,25 @@
             self.unkept = anyio.Event()
             if self.memory is None:
                 continue
-            following = self.front.following
+            following = self.front.endpoint_tracker
             try:
-                await anyio.to_thread.run_sync(keep, self.memory, following.version, following.listed())
+                await anyio.to_thread.run_sync(
+                    save_snapshot, self.memory, following.version, following.listed()
+                )
             except OSError as fault:
-                self.log.error("last_list_unwritten", reason=str(fault))
+                self.log.error("endpoint_snapshot_not_written", reason=str(fault))
 
     async def _sweep(self) -> None:
         while True:
             await anyio.sleep(SWEEP)
-            self.front.caller.pool.sweep()
+            self.front.engine_client.pool.close_idle()
 
 
 async def run_front(
-    terms: Terms,
+    terms: FrontConfig,
     tape: Path | None = None,
     seed: int | None = None,
-    heard: Callable[[Running], None] | None = None,
+    heard: Callable[[FrontServer], None] | None = None,
 ) -> None:
     """Runs a front in this process until SIGTERM or SIGINT; a second one ends it without waiting."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
@@ -190,7 +192,7 @@
     wanted = terms.front.bounds.connections + terms.front.bounds.queries
     if hard != resource.RLIM_INFINITY and hard < wanted:
         structlog.get_logger().warning("few_descriptors", allowed=hard, wanted=wanted, before=soft)
-    running = Running(terms, tape, seed)
+    running = FrontServer(terms, tape, seed)
     # What is there at the start stays: looking through it again stopped a front for 60 ms at a time.
     gc.collect()
     gc.freeze()
--- a/runspool/service/talk.py
+++ b/runspool/service/http_connection.py
@@ -9,19 +9,25 @@
 import anyio
 import structlog
 
-from runspool.engines.vigil import Vigil, Watched
-from runspool.service.carrying import Carrying, T
+from runspool.engines.idle_watchdog import IdleWatchdog, WatchedWait
 from runspool.service.clock import now
-from runspool.service.owed import Final
-from runspool.sockets.lines import Gone, Line
+from runspool.service.pending_request import FinalResponse
+from runspool.service.request_executor import RequestExecutor, T
+from runspool.transport.tcp import ConnectionClosedError, TcpConnection
 from runspool.units import tenths
-from runspool.wire.requests import CONTINUE, BadRequest, Request, Requests, head
+from runspool.wire.http_requests import (
+    CONTINUE,
+    HttpRequest,
+    HttpRequestParser,
+    InvalidHttpRequestError,
+    head,
+)
 
 LINGER = 1.0  # seconds that a refused client's unread bytes are still swallowed, so that it sees the answer
 LINGER_BYTES = 8 << 20
 
 
-class TalkBounds(Protocol):
+class ConnectionLimits(Protocol):
     """What a connection bears; times in milliseconds."""
 
     @property
@@ -38,15 +44,15 @@
     def answer_write_ms(self) -> float: ...
 
 
-class Talk(ABC):
+class HttpConnection(ABC):
     ONCE_ONLY: tuple[str, ...] = ("runspool-",)  # headers that may not be said twice, by how they begin
 
-    def __init__(self, bounds: TalkBounds, line: Line, working: Callable[[int], None]) -> None:
+    def __init__(self, bounds: ConnectionLimits, line: TcpConnection, working: Callable[[int], None]) -> None:
         """`working` is told +1 when a request is at hand and -1 when its answer is out."""
         self.working = working
-        self.bounds = bounds
-        self.line = line
-        self.requests = Requests(bounds.head_bytes, bounds.query_bytes, self.ONCE_ONLY)
+        self.limits = bounds
+        self.tcp = line
+        self.requests = HttpRequestParser(bounds.head_bytes, bounds.query_bytes, self.ONCE_ONLY)
         self.write_time = bounds.answer_write_ms / 1000
         self.keeps_alive = True
         self.answering = False  # something of the answer under way has been written
@@ -61,10 +67,10 @@
     @property
     def last(self) -> bool:
         """True where the answer under way says that the connection ends with it."""
-        return self.closing or not self.keeps_alive or self.line.shed > 0
+        return self.closing or not self.keeps_alive or self.tcp.shed > 0
 
     @abstractmethod
-    async def route(self, request: Request, came: int) -> None:
+    async def route(self, request: HttpRequest, came: int) -> None:
         """Answers a whole request; `came` is when its head was there."""
 
     def error(self, code: str, message: str) -> bytes:
@@ -73,16 +79,21 @@
 
     def head_wait(self) -> float:
         """Milliseconds that the next request may take to begin."""
-        return self.bounds.idle_ms
+        return self.limits.idle_ms
 
-    def end_wait(self, begun: bool = False) -> bool:
+    def close_if_waiting(self, begun: bool = False) -> bool:
         """Ends the wait for a next request; False where none is waited for, or something of it has come, to
         this process or to its kernel. With `begun` one whose head has begun is refused too.
 
         Not by cancelling the client's task: a request that came just then was read and lost with it.
         """
         wait = self._wait
-        if wait is None or wait.cancel_called or (self._begun and not begun) or self.line.spoke():
+        if (
+            wait is None
+            or wait.cancel_called
+            or (self._begun and not begun)
+            or self.tcp.has_unsolicited_data()
+        ):
             return False
         wait.cancel()
         return True
@@ -91,148 +102,152 @@
         """Serves until the client goes, asks to close, sends what cannot be taken, or the front stops."""
         try:
             while self.keeps_alive and not self.closing:
-                await self._one()
-        except (Gone, TimeoutError):
+                await self._serve_one()
+        except (ConnectionClosedError, TimeoutError):
             return
         finally:
             self.requests.free()
 
-    async def _one(self) -> None:
+    async def _serve_one(self) -> None:
         try:
-            request = await self._head()
+            request = await self._read_head()
             if request is None:
                 self.keeps_alive = False
                 return
             came = now()
             self.working(1)
             try:
-                await self._body(request)
+                await self._read_body(request)
                 self.requests.ready.popleft()
                 self.keeps_alive = request.keeps_alive
                 await self.route(request, came)
             finally:
                 self.working(-1)
-        except BadRequest as bad:
+        except InvalidHttpRequestError as bad:
             await self._refuse(bad.status, bad.code, bad.message)
 
-    async def _head(self) -> Request | None:
+    async def _read_head(self) -> HttpRequest | None:
         """The next request, as soon as its head is there; None where no further one comes."""
         ready = self.requests.ready
         if ready and ready[0].head_done:
             return ready[0]
         self.requests.put_off()
         self._begun = bool(ready)
-        wait = self.bounds.head_ms if self._begun else self.head_wait()
-        with anyio.CancelScope(deadline=self._in(wait)) as scope:
+        wait = self.limits.head_ms if self._begun else self.head_wait()
+        with anyio.CancelScope(deadline=self._time_limit(wait)) as scope:
             self._wait = scope
             try:
                 while not (ready and ready[0].head_done):
                     try:
-                        self.requests.feed(await self.line.receive())
-                    except Gone:
+                        self.requests.feed(await self.tcp.receive())
+                    except ConnectionClosedError:
                         if self._begun:
-                            raise BadRequest(400, "malformed", "the head ends early") from None
+                            raise InvalidHttpRequestError(400, "malformed", "the head ends early") from None
                         return None
                     if not self._begun:
-                        self._begun, scope.deadline = True, self._in(self.bounds.head_ms)
+                        self._begun, scope.deadline = True, self._time_limit(self.limits.head_ms)
             finally:
                 self._wait = None
         if scope.cancelled_caught:
             if self._begun:
-                raise BadRequest(408, "head_time", "the request's head took too long")
+                raise InvalidHttpRequestError(408, "head_time", "the request's head took too long")
             # Against a request that came in the moment the wait ended: it has been received, so it is taken.
-            return await self._head() if self.line.waiting else None
+            return await self._read_head() if self.tcp.waiting else None
         return ready[0]
 
-    def _in(self, wait_ms: float) -> float:
+    def _time_limit(self, wait_ms: float) -> float:
         """When a wait that begins now ends."""
         return anyio.current_time() + wait_ms / 1000
 
-    async def _body(self, request: Request) -> None:
+    async def _read_body(self, request: HttpRequest) -> None:
         if request.complete:
             return
         if request.waits_to_be_told:
-            await self.out(CONTINUE)
-        with anyio.CancelScope(deadline=self._in(self.bounds.body_ms)):
+            await self.send(CONTINUE)
+        with anyio.CancelScope(deadline=self._time_limit(self.limits.body_ms)):
             while not request.complete:
                 try:
-                    self.requests.feed(await self.line.receive())
-                except Gone:
-                    raise BadRequest(400, "malformed", "the body ends early") from None
+                    self.requests.feed(await self.tcp.receive())
+                except ConnectionClosedError:
+                    raise InvalidHttpRequestError(400, "malformed", "the body ends early") from None
             return
-        raise BadRequest(408, "body_time", "the body took too long")
+        raise InvalidHttpRequestError(408, "body_time", "the body took too long")
 
-    async def plain(self, status: int, body: bytes, headers: list[tuple[str, str]] | None = None) -> None:
+    async def send_response(
+        self, status: int, body: bytes, headers: list[tuple[str, str]] | None = None
+    ) -> None:
         fields = [("Content-Type", "application/json"), ("Content-Length", str(len(body))), *(headers or [])]
         if self.last:
             fields.append(("Connection", "close"))
-        await self.out(head(status, fields) + body)
+        await self.send(head(status, fields) + body)
 
     async def _refuse(self, status: int, code: str, message: str) -> None:
         """A refusal before intake, after which the connection ends."""
-        structlog.get_logger().debug("refused", status=status, code=code)
+        structlog.get_logger().debug("request_refused", status=status, code=code)
         self.keeps_alive = False
-        await self.plain(status, self.error(code, message))
+        await self.send_response(status, self.error(code, message))
         with anyio.move_on_after(LINGER):
-            self.line.say_end()
+            self.tcp.send_eof()
             left = LINGER_BYTES
             while left > 0:
-                left -= len(await self.line.receive())
+                left -= len(await self.tcp.receive())
 
-    async def out(self, data: bytes) -> None:
+    async def send(self, data: bytes) -> None:
         self.answering = True
-        if not self.line.write(data):
+        if not self.tcp.write(data):
             with anyio.fail_after(self.write_time):
-                await self.line.drained()
+                await self.tcp.drained()
 
-    async def final(self, front: Carrying[T], taken: T, sending: Sending | None) -> Final:
+    async def final_response(
+        self, front: RequestExecutor[T], taken: T, sending: StreamingResponse | None
+    ) -> FinalResponse:
         """Waits for a taken query's final answer; whoever goes before counts as having left."""
         if sending is not None:
-            sending.watch(lambda: front.left(taken))
+            sending.watch(lambda: front.client_disconnected(taken))
         # What it sends ahead stays on the line for the next cycle, up to what a line keeps.
-        self.line.watch(lambda: front.left(taken))
+        self.tcp.on_lost(lambda: front.client_disconnected(taken))
         try:
-            if self.line.ended:
-                front.left(taken)
+            if self.tcp.closed:
+                front.client_disconnected(taken)
             await taken.done.wait()
         except BaseException:
-            front.left(taken)  # this connection is being ended: nobody is there to answer
+            front.client_disconnected(taken)  # this connection is being ended: nobody is there to answer
             raise
         finally:
-            self.line.lost = None
+            self.tcp.lost = None
             if sending is not None:
                 sending.unwatch()
-        assert taken.final is not None
-        return taken.final
+        assert taken.final_response is not None
+        return taken.final_response
 
 
-class Sending:
+class StreamingResponse:
     """An answer sent on as it comes, to a client that must keep reading."""
 
-    def __init__(self, talk: Talk, vigil: Vigil) -> None:
-        self.talk, self.vigil = talk, vigil
+    def __init__(self, talk: HttpConnection, vigil: IdleWatchdog) -> None:
+        self.connection, self.vigil = talk, vigil
         self.opened = False
         self.torn = False  # a send was cut short: what the client has is no longer known
-        self.watched: Watched | None = None
+        self.watched: WatchedWait | None = None
 
     def watch(self, out: Callable[[], None]) -> None:
         """A client that does not read its answer in time counts as one that left."""
-        self.watched = self.vigil.watch(tenths(self.talk.bounds.answer_write_ms), out)
+        self.watched = self.vigil.watch(tenths(self.connection.limits.answer_write_ms), out)
 
     def unwatch(self) -> None:
         """Lets go of the query, which holds this: knots are left to the collector, and stop the front."""
         if self.watched is not None:
-            self.vigil.forget(self.watched)
+            self.vigil.unwatch(self.watched)
             self.watched = None
 
-    async def pass_on(self, data: bytes) -> None:
-        self.talk.answering = True
-        if self.talk.line.write(data):
+    async def forward(self, data: bytes) -> None:
+        self.connection.answering = True
+        if self.connection.tcp.write(data):
             return
         self.torn = True
         if self.watched is not None:
-            self.watched.since = now()
-        await self.talk.line.drained()
+            self.watched.waiting_since = now()
+        await self.connection.tcp.drained()
         self.torn = False
         if self.watched is not None:
-            self.watched.since = 0
+            self.watched.waiting_since = 0
--- a/runspool/service/timers.py
+++ b/runspool/service/timer_queue.py
@@ -13,7 +13,7 @@
 LATE = 300  # tenths of a millisecond: past this a front is short of CPU, and its answers may come late
 
 
-class Timers:
+class TimerQueue:
     """Timers cannot be taken back; whoever set one passes over a ring that has become moot."""
 
     def __init__(self, ring: Callable[[str], None]) -> None:
@@ -23,7 +23,7 @@
         self.sooner = anyio.Event()
         self.log = structlog.get_logger()
 
-    def at(self, when: int, token: str) -> None:
+    def schedule(self, when: int, token: str) -> None:
         """`when` in tenths of a millisecond on the front's clock."""
         first = not self.heap or when < self.heap[0][0]
         self.set += 1
--- a/runspool/simhost/__main__.py
+++ b/runspool/simulator_adapter/__main__.py
@@ -2,16 +2,16 @@
 
 import sys
 
-from runspool.simhost.host import Host
-from runspool.simhost.wire import Malformed
+from runspool.simulator_adapter.host import Host
+from runspool.simulator_adapter.wire import MalformedLineError
 
 
 def main() -> int:
     host = Host(sys.stdin.buffer, sys.stdout.buffer)
     try:
         host.serve()
-    except Malformed as fault:
-        print(f"runspool.simhost: {fault}", file=sys.stderr)
+    except MalformedLineError as fault:
+        print(f"runspool.simulator_adapter: {fault}", file=sys.stderr)
         return 2
     return 0
 
--- a/runspool/files/whole.py
+++ b/runspool/storage/atomic_file.py
@@ -9,7 +9,7 @@
 MOST_BYTES = 32 << 20
 
 
-class Torn(Exception):
+class CorruptFileError(Exception):
     """A file that is there but cannot be believed; names it and says why."""
 
 
@@ -36,10 +36,10 @@
     except FileNotFoundError:
         return None
     except OSError as fault:
-        raise Torn(f"{path}: {fault.strerror}") from None
+        raise CorruptFileError(f"{path}: {fault.strerror}") from None
     if len(raw) > MOST_BYTES:
-        raise Torn(f"{path}: over {MOST_BYTES} bytes")
+        raise CorruptFileError(f"{path}: over {MOST_BYTES} bytes")
     head, _, body = raw.partition(b"\n")
     if head != b"%08x" % crc32(body):
-        raise Torn(f"{path}: checksum does not fit its {len(body)} bytes")
+        raise CorruptFileError(f"{path}: checksum does not fit its {len(body)} bytes")
     return body
--- a/runspool/sockets/lines.py
+++ b/runspool/transport/tcp.py
@@ -21,11 +21,11 @@
 SHED = 8 << 20  # bytes thrown away of a peer that is watched, after which it counts as gone
 
 
-class Gone(ConnectionError):
+class ConnectionClosedError(ConnectionError):
     """The peer has closed, reset or been lost; nothing more comes, or nothing more can be sent."""
 
 
-class Line(asyncio.Protocol):
+class TcpConnection(asyncio.Protocol):
     """One connection. One task at a time may receive, and one may send."""
 
     def __init__(self) -> None:
@@ -46,11 +46,11 @@
     # What users do.
 
     @property
-    def ended(self) -> bool:
+    def closed(self) -> bool:
         """True once the peer has closed or been lost, whether or not all that it sent was received."""
         return self._over
 
-    def watch(self, lost: Callable[[], None]) -> None:
+    def on_lost(self, lost: Callable[[], None]) -> None:
         """Has `lost` called once the peer has gone, until it is set to None again.
 
         Against a peer that sends much ahead and goes: were it made to wait, the end behind that would never
@@ -70,7 +70,9 @@
         """What has come since, at least a byte. Raises Gone at the end, after all that came before it."""
         while not self._come:
             if self._over or self.shed:
-                raise Gone(str(self._fault or ("sent too much ahead" if self.shed else "closed")))
+                raise ConnectionClosedError(
+                    str(self._fault or ("sent too much ahead" if self.shed else "closed"))
+                )
             self._reader = asyncio.get_running_loop().create_future()
             try:
                 await self._reader
@@ -90,7 +92,7 @@
         Raises Gone where the connection is lost.
         """
         if self._closed or self.transport.is_closing():
-            raise Gone(str(self._fault or "closed"))
+            raise ConnectionClosedError(str(self._fault or "closed"))
         self.transport.write(data)
         return not self._paused
 
@@ -103,14 +105,14 @@
             finally:
                 self._writer = None
         if self._closed:
-            raise Gone(str(self._fault or "closed"))
+            raise ConnectionClosedError(str(self._fault or "closed"))
 
     async def send(self, data: bytes) -> None:
         """Writes, and waits until all of it has gone."""
         if not self.write(data):
             await self.drained()
 
-    def spoke(self) -> bool:
+    def has_unsolicited_data(self) -> bool:
         """True where the peer has closed, reset or sent something not yet received."""
         if self._come or self._over or self._closed:
             return True
@@ -119,23 +121,23 @@
             self._poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(self._poll.poll(0))
 
-    async def silent_for(self, seconds: float) -> bool:
+    async def stays_silent(self, seconds: float) -> bool:
         """False as soon as the peer speaks, closes or resets, True where it does not in that time."""
-        if not self.spoke():
+        if not self.has_unsolicited_data():
             with anyio.move_on_after(seconds):
                 self._reader = asyncio.get_running_loop().create_future()
                 try:
                     await self._reader
                 finally:
                     self._reader = None
-        return not self.spoke()
+        return not self.has_unsolicited_data()
 
-    def say_end(self) -> None:
+    def send_eof(self) -> None:
         """Tells the peer that nothing more is sent."""
         if not self._closed and self.transport.can_write_eof():
             self.transport.write_eof()
 
-    def drop(self) -> None:
+    def close(self) -> None:
         """Closes at once."""
         self.lost = None
         self.transport.abort()
@@ -190,10 +192,12 @@
         waiting.set_result(None)
 
 
-async def dial(address: tuple[str, int], source: str | None) -> Line:
+async def connect(address: tuple[str, int], source: str | None) -> TcpConnection:
     """A new connection, from a local address where one is given. Raises OSError."""
     loop = asyncio.get_running_loop()
-    _, line = await loop.create_connection(Line, *address, local_addr=(source, 0) if source else None)
+    _, line = await loop.create_connection(
+        TcpConnection, *address, local_addr=(source, 0) if source else None
+    )
     return line
 
 
@@ -209,11 +213,11 @@
             return taken
 
 
-async def accept(listening: socket) -> Line:
+async def accept(listening: socket) -> TcpConnection:
     """The next connection of a listening, non-blocking socket. Raises OSError."""
     taken = await next_connection(listening)
     try:
-        _, line = await asyncio.get_running_loop().connect_accepted_socket(Line, taken)
+        _, line = await asyncio.get_running_loop().connect_accepted_socket(TcpConnection, taken)
     except BaseException:
         taken.close()
         raise
--- a/runspool/wire/completions.py
+++ b/runspool/wire/completions.py
@@ -12,17 +12,17 @@
 
 import msgspec
 
-from runspool.terms.checked import TariffPart, Terms
+from runspool.config.schema import FrontConfig, TariffPart
 from runspool.units import TENTHS, tenths
 from runspool.wire import fields
-from runspool.wire.fields import TOKEN_BYTES, UNREADABLE, Misworded
+from runspool.wire.fields import TOKEN_BYTES, UNREADABLE, InvalidRequestError
 
 DEFAULT_OUT = 256
 DONE = b"data: [DONE]\n\n"
 
 
 @dataclass(slots=True)
-class Wish:
+class CompletionRequest:
     """One query as its client stated it, checked; durations in tenths of a millisecond, lengths in tokens."""
 
     tariff: str
@@ -43,34 +43,34 @@
     body: dict[str, msgspec.Raw]
 
 
-def read_wish(headers: Mapping[str, str], body: bytes, terms: Terms) -> Wish:
+def read_wish(headers: Mapping[str, str], body: bytes, terms: FrontConfig) -> CompletionRequest:
     """A checked wish from lower-case headers and a body; raises Misworded at the first thing wrong."""
     try:
         fields: dict[str, msgspec.Raw] = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
     except UNREADABLE as fault:
-        raise Misworded("body", f"not a JSON object ({fault})") from None
+        raise InvalidRequestError("body", f"not a JSON object ({fault})") from None
     house = terms.house
     tariff = headers.get("runspool-tariff") or terms.front.default_tariff
     if tariff is None:
-        raise Misworded("runspool-tariff", "missing, and this front has no default tariff")
+        raise InvalidRequestError("runspool-tariff", "missing, and this front has no default tariff")
     row = house.tariffs.get(tariff)
     if row is None:
-        raise Misworded("runspool-tariff", f"{tariff!r} is none of {', '.join(house.tariffs)}")
+        raise InvalidRequestError("runspool-tariff", f"{tariff!r} is none of {', '.join(house.tariffs)}")
     tenant = headers.get("runspool-tenant")
     if tenant is not None and tenant not in house.tenants:
-        raise Misworded("runspool-tenant", f"{tenant!r} is not known here")
+        raise InvalidRequestError("runspool-tenant", f"{tenant!r} is not known here")
     prompt = _whole(headers, "runspool-prompt-tokens", _counted(fields), 1, 100_000_000)
     most_out = _field(fields, "max_tokens", int, DEFAULT_OUT)
     if not 1 <= most_out <= 1_000_000:
-        raise Misworded("max_tokens", f"{most_out} is not from 1 to 1000000")
+        raise InvalidRequestError("max_tokens", f"{most_out} is not from 1 to 1000000")
     if _field(fields, "n", int, 1) != 1:
-        raise Misworded("n", "only one answer a query is made")
+        raise InvalidRequestError("n", "only one answer a query is made")
     beginning = _name(headers, "runspool-beginning")
     length = _whole(headers, "runspool-beginning-tokens", 0, 0, prompt)
     ticket = _name(headers, "runspool-ticket")
     if row.effect == "ticketed" and ticket is None:
-        raise Misworded("runspool-ticket", f"missing, and tariff {tariff} is ticketed")
-    return Wish(
+        raise InvalidRequestError("runspool-ticket", f"missing, and tariff {tariff} is ticketed")
+    return CompletionRequest(
         tariff=tariff,
         tenant=tenant,
         session=_name(headers, "runspool-session"),
@@ -90,7 +90,7 @@
     )
 
 
-def _limit(headers: Mapping[str, str], row: TariffPart, prompt: int, terms: Terms) -> int:
+def _limit(headers: Mapping[str, str], row: TariffPart, prompt: int, terms: FrontConfig) -> int:
     # The hard limit grows twice as fast with the prompt as the due time does.
     usual = row.limit_ms + 2 * row.due_per_1000_tokens_ms * prompt / 1000
     said = headers.get("runspool-limit-ms")
@@ -115,21 +115,21 @@
     try:
         found: Any = msgspec.json.decode(raw, type=kind | None)
     except UNREADABLE as fault:
-        raise Misworded(name, str(fault)) from None
+        raise InvalidRequestError(name, str(fault)) from None
     return absent if found is None else found
 
 
 def _counted(fields: dict[str, msgspec.Raw]) -> int:
     raw = fields.get("prompt")
     if raw is None:
-        raise Misworded("prompt", "missing")
+        raise InvalidRequestError("prompt", "missing")
     text = bytes(raw)
     if text[:1] == b'"':
         return max(1, (len(text) - 2) // TOKEN_BYTES)
     try:
         return max(1, len(msgspec.json.decode(text, type=list[int])))
     except UNREADABLE:
-        raise Misworded("prompt", "must be one text or one list of token numbers") from None
+        raise InvalidRequestError("prompt", "must be one text or one list of token numbers") from None
 
 
 def error_body(kind: str, code: str, message: str) -> bytes:
--- a/runspool/wire/listing.py
+++ b/runspool/wire/endpoint_list.py
@@ -9,7 +9,7 @@
 from runspool.wire.fields import UNREADABLE
 
 
-class Entry(msgspec.Struct, frozen=True):
+class EndpointEntry(msgspec.Struct, frozen=True):
     """One engine as the list names it. `started_unix_ms` 0 means long ago."""
 
     engine: str
@@ -21,7 +21,7 @@
     started_unix_ms: int = 0
 
 
-class News(msgspec.Struct, frozen=True):
+class EndpointListMessage(msgspec.Struct, frozen=True):
     """One line: `whole` lists replace what was known, others carry what changed; `beat` carries nothing.
 
     Where `since` is given, all that changed after that version is in it, up to its own.
@@ -31,29 +31,29 @@
     epoch: str = ""
     whole: bool = False
     beat: bool = False
-    engines: list[Entry] = []
+    engines: list[EndpointEntry] = []
     since: int | None = None
 
 
-class Torn(Exception):
+class MalformedListLineError(Exception):
     """A line that is no news."""
 
 
-_news: msgspec.json.Decoder[News] = msgspec.json.Decoder(News)
+_news: msgspec.json.Decoder[EndpointListMessage] = msgspec.json.Decoder(EndpointListMessage)
 
 
-def read_news(line: bytes) -> News:
+def read_news(line: bytes) -> EndpointListMessage:
     """Raises Torn where the line is cut, garbled or names something impossible."""
     try:
         news = _news.decode(line)
     except UNREADABLE as fault:
-        raise Torn(str(fault)) from None
+        raise MalformedListLineError(str(fault)) from None
     if news.version < 0 or any(not address_of(entry.address) for entry in news.engines):
-        raise Torn("a version below 0 or an address that is not host:port")
+        raise MalformedListLineError("a version below 0 or an address that is not host:port")
     return news
 
 
-def write_news(news: News) -> bytes:
+def write_news(news: EndpointListMessage) -> bytes:
     return msgspec.json.encode(news) + b"\n"
 
 
--- a/runspool/wire/engine.py
+++ b/runspool/wire/engine_messages.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from runspool.decisions.interface import Report
+from runspool.scheduling.types import LoadReport
 from runspool.wire.fields import UNREADABLE
 
 ASKS_REMOTE_WRITER = msgspec.Raw(
@@ -32,7 +32,7 @@
 READ_ONLY = ("stream_options", "min_tokens", "max_completion_tokens")
 
 
-class Garbled(Exception):
+class MalformedResponseError(Exception):
     """An engine's answer that cannot be what it ought to be."""
 
 
@@ -105,19 +105,19 @@
     try:
         return _answers.decode(raw)
     except UNREADABLE as fault:
-        raise Garbled(str(fault)) from None
+        raise MalformedResponseError(str(fault)) from None
 
 
 def error_code(raw: bytes) -> str:
     """The code in an error body, empty where it has none."""
     try:
         error = answer(raw).error
-    except Garbled:
+    except MalformedResponseError:
         return ""
     return str(error.code or "") if isinstance(error, EngineError) else ""
 
 
-def load_report(header: str | None) -> Report | None:
+def load_report(header: str | None) -> LoadReport | None:
     """The figures of a load report, or None where there is none or it does not read."""
     if header is None or not header.startswith("JSON"):
         return None
@@ -126,11 +126,11 @@
     except UNREADABLE:
         return None
     figures = named.get("named_metrics", {})
-    return Report(
-        in_flight=figures.get("num_requests_running"),
-        slots=figures.get("slots_usage_perc"),
-        memory=figures.get("kv_cache_usage_perc"),
-        to_read=figures.get("prompt_tokens_waiting"),
+    return LoadReport(
+        requests_in_flight=figures.get("num_requests_running"),
+        slot_utilization=figures.get("slots_usage_perc"),
+        memory_utilization=figures.get("kv_cache_usage_perc"),
+        queued_prompt_tokens=figures.get("prompt_tokens_waiting"),
     )
 
 
@@ -154,5 +154,5 @@
             if said:
                 found.append(b"\n".join(said))
         if len(self._rest) > self.cap:
-            raise Garbled(f"an event of over {self.cap} bytes")
+            raise MalformedResponseError(f"an event of over {self.cap} bytes")
         return found
--- a/runspool/wire/fields.py
+++ b/runspool/wire/fields.py
@@ -10,7 +10,7 @@
 TOKEN_BYTES = 4  # of text, where the client does not count its own tokens
 
 
-class Misworded(Exception):
+class InvalidRequestError(Exception):
     """A query that cannot be taken: `where` names the header or field, `status` is the HTTP status."""
 
     def __init__(self, where: str, what: str, status: int = 400) -> None:
@@ -23,12 +23,12 @@
     if said is None:
         return absent
     if not (said.isascii() and said.isdigit()) or len(said) > 12 or not least <= int(said) <= most:
-        raise Misworded(where, f"{said[:40]!r} is no whole number from {least} to {most}")
+        raise InvalidRequestError(where, f"{said[:40]!r} is no whole number from {least} to {most}")
     return int(said)
 
 
 def name(said: str | None, where: str) -> str | None:
     """A name of bounded size, or none; raises Misworded."""
     if said is not None and not 0 < len(said) <= MOST_NAME:
-        raise Misworded(where, f"must have 1 to {MOST_NAME} bytes")
+        raise InvalidRequestError(where, f"must have 1 to {MOST_NAME} bytes")
     return said
--- a/runspool/wire/requests.py
+++ b/runspool/wire/http_requests.py
@@ -15,7 +15,7 @@
 REASONS = {status.value: status.phrase for status in HTTPStatus}
 
 
-class BadRequest(Exception):
+class InvalidHttpRequestError(Exception):
     """A request refused before intake; the connection ends with it."""
 
     def __init__(self, status: int, code: str, message: str) -> None:
@@ -23,7 +23,7 @@
         self.status, self.code, self.message = status, code, message
 
 
-class Request:
+class HttpRequest:
     """One request; header names in lower case."""
 
     __slots__ = ("body", "complete", "head_done", "headers", "keeps_alive", "method", "target", "version")
@@ -46,14 +46,14 @@
         return self.headers.get("expect", "").lower() == "100-continue" and not self.body
 
 
-class Requests:
+class HttpRequestParser:
     """The requests of one connection, in order."""
 
     def __init__(self, head_bytes: int, body_bytes: int, once_only: tuple[str, ...] = ()) -> None:
         """Headers whose lower-case names begin with one of `once_only` may not be said twice."""
         self.head_bytes, self.body_bytes, self.once_only = head_bytes, body_bytes, once_only
-        self.ready: deque[Request] = deque()  # the first may still be coming, as any last one
-        self._fault: BadRequest | None = None
+        self.ready: deque[HttpRequest] = deque()  # the first may still be coming, as any last one
+        self._fault: InvalidHttpRequestError | None = None
         self._sound = 0  # whole requests ahead of the fault
         self._unread = 0  # bytes fed since the last head was done
         self._parser = httptools.HttpRequestParser(self)
@@ -81,7 +81,7 @@
     def _refuse(self, status: int, code: str, message: str) -> None:
         """The first fault counts; the request in which it lies and all after it are not served."""
         if self._fault is None:
-            self._fault = BadRequest(status, code, message)
+            self._fault = InvalidHttpRequestError(status, code, message)
             self._sound = sum(one.complete for one in self.ready)
 
     def put_off(self) -> None:
@@ -96,7 +96,7 @@
     # Called by the parser.
 
     def on_message_begin(self) -> None:
-        self.ready.append(Request())
+        self.ready.append(HttpRequest())
 
     def on_url(self, part: bytes) -> None:
         self.ready[-1].target += part
--- a/tests/clockwork.py
+++ b/tests/clockwork.py
@@ -15,7 +15,7 @@
 WALL_MS = 1_700_000_000_000.0  # what the wall clock says at 0
 
 
-class Stuck(Exception):
+class StuckError(Exception):
     """Every task waits for something that nothing will bring."""
 
 
@@ -28,7 +28,7 @@
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise Stuck
+            raise StuckError
         # Whole ticks where that is not before the time: a timer that rings a rounding early is set again.
         due = nextafter(self.at + timeout, inf)
         self.at = max(due, ceil(due * TICKS - 1e-4) / TICKS) if timeout > 0 else self.at
@@ -54,10 +54,10 @@
 
 def wind(patch: pytest.MonkeyPatch) -> None:
     """Gives a front's parts this clock in place of the machine's."""
-    for module in ("front", "carrying", "quarter", "timers"):
+    for module in ("front", "request_executor", "cell_scheduler", "timer_queue"):
         patch.setattr(f"runspool.service.{module}.now", now)
     patch.setattr("runspool.service.front.unix_ms", unix_ms)
-    patch.setattr("runspool.service.carrying.unix_ms_at_zero", lambda: WALL_MS)
+    patch.setattr("runspool.service.request_executor.unix_ms_at_zero", lambda: WALL_MS)
 
 
 def play(work: Coroutine[Any, Any, None]) -> None:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -10,10 +10,18 @@
 from functools import partial
 from random import Random
 
-from runspool.decisions.interface import Ending, HouseTerms, Listed, Outcome, Query, Roster, TenantTerms
-from runspool.decisions.rules import SECOND
-from runspool.front import Desk
-from runspool.front.door import mark
+from runspool.runtime.interning import stable_hash
+from runspool.runtime.scheduler_driver import SchedulerDriver
+from runspool.scheduling.scheduler import SECOND
+from runspool.scheduling.settings import RoutingSettings, TenantSettings
+from runspool.scheduling.types import (
+    AttemptOutcome,
+    AttemptStatus,
+    EndpointUpdate,
+    EngineRecord,
+    EngineState,
+    Request,
+)
 from tests.fakehost import READER, WRITER, terms
 
 RATE = 1.5  # tokens a tenth of a millisecond
@@ -28,53 +36,55 @@
         self.read = 0
         self.kept: OrderedDict[tuple[str, int], int] = OrderedDict()
 
-    def take(self, now: int, q: Query) -> tuple[int, int]:
+    def take(self, now: int, q: Request) -> tuple[int, int]:
         """When the prompt will have been read, and what of it was found kept."""
-        texts = [("session", q.session or 0, q.prompt), ("beginning", q.beginning or 0, q.beginning_length)]
+        texts = [("session", q.session or 0, q.prompt_tokens), ("beginning", q.prefix or 0, q.prefix_tokens)]
         found = max(min(self.kept.get((kind, text), 0), length) for kind, text, length in texts)
         for kind, text, length in texts:
             self.kept[kind, text] = length
             self.kept.move_to_end((kind, text))
         while sum(self.kept.values()) > MEMORY:
             self.kept.popitem(last=False)
-        self.read += q.prompt - found
-        self.free = max(now, self.free) + int((q.prompt - found) / RATE)
+        self.read += q.prompt_tokens - found
+        self.free = max(now, self.free) + int((q.prompt_tokens - found) / RATE)
         return self.free, found
 
 
 class Front:
     """One front's desk and what is out for it."""
 
-    def __init__(self, fleet: Fleet, me: int, house: HouseTerms) -> None:
+    def __init__(self, fleet: Fleet, me: int, house: RoutingSettings) -> None:
         self.fleet = fleet
-        self.queries: list[Query] = []
+        self.queries: list[Request] = []
         self.came: list[int] = []
         self.answered: set[int] = set()  # in time or late
         self.shots: Counter[int] = Counter()
-        self.desk = Desk(house, me, self, fleet.now)
-        self.desk.roster(fleet.now, Roster(True, fleet.lines))
+        self.desk = SchedulerDriver(house, me, self, fleet.now)
+        self.desk.update_endpoints(fleet.now, EndpointUpdate(True, fleet.lines))
 
-    def arrive(self, q: Query) -> None:
+    def arrive(self, q: Request) -> None:
         q.index = len(self.queries)
         self.queries.append(q)
         self.came.append(self.fleet.now)
         self.fleet.offered[self.fleet.now // WINDOW] += 1
-        self.desk.arrive(self.fleet.now, q)
+        self.desk.submit(self.fleet.now, q)
 
-    def send(self, query: int, engine: int, cap: int) -> None:
+    def start_attempt(self, query: int, engine: int, cap: int) -> None:
         fleet, q, at = self.fleet, self.queries[query], self.fleet.now
         self.shots[query] += 1
         shot = self.shots[query]
 
-        def closed(ending: Ending, kept: int = 0, over: bool = False) -> None:
-            self.desk.closed(fleet.now, query, shot, Outcome(ending, fleet.now - at, kept), over)
+        def closed(ending: AttemptStatus, kept: int = 0, over: bool = False) -> None:
+            self.desk.attempt_ended(
+                fleet.now, query, shot, AttemptOutcome(ending, fleet.now - at, kept), over
+            )
 
         def begun() -> None:
             self.answered.add(query)
             if fleet.now - self.came[query] <= DUE:
                 fleet.served[self.came[query] // WINDOW] += 1
-            self.desk.begun(fleet.now, query, shot, fleet.now - at)
-            fleet.at(fleet.now + SECOND, lambda: closed(Ending.SUCCEEDED, over=True))
+            self.desk.stream_started(fleet.now, query, shot, fleet.now - at)
+            fleet.at(fleet.now + SECOND, lambda: closed(AttemptStatus.SUCCEEDED, over=True))
 
         if engine >= len(fleet.readers):
             fleet.at(at + 200, begun)
@@ -83,23 +93,23 @@
         done, kept = fleet.readers[engine].take(at, q)
         until = min(at + cap if cap else LIMIT + at, self.came[query] + LIMIT)
         if done <= until:
-            fleet.at(done, lambda: closed(Ending.READ, kept))
+            fleet.at(done, lambda: closed(AttemptStatus.PREFILL_COMPLETE, kept))
         else:
             fleet.overdue += 1
-            fleet.at(until, lambda: closed(Ending.OVERDUE))
+            fleet.at(until, lambda: closed(AttemptStatus.TIMED_OUT))
 
-    def dismiss(self, query: int, hold_off: int) -> None:
+    def reject(self, query: int, hold_off: int) -> None:
         self.fleet.dismissed += 1
 
-    def wake(self, token: str, at: int) -> None:
-        self.fleet.at(at, lambda: self.desk.rang(self.fleet.now, token))
+    def set_timer(self, token: str, at: int) -> None:
+        self.fleet.at(at, lambda: self.desk.timer_fired(self.fleet.now, token))
 
-    def scrap(self, query: int) -> None: ...
-    def release(self, query: int) -> None: ...
-    def move(self, query: int) -> None: ...
-    def subscribe(self) -> None: ...
-    def note(self, text: str) -> None: ...
-    def forget(self, query: int) -> None: ...
+    def fail_indeterminate(self, query: int) -> None: ...
+    def release_state(self, query: int) -> None: ...
+    def migrate_stream(self, query: int) -> None: ...
+    def subscribe_to_endpoints(self) -> None: ...
+    def log_message(self, text: str) -> None: ...
+    def forget_request(self, query: int) -> None: ...
 
 
 class Fleet:
@@ -110,7 +120,15 @@
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
         self.readers = [Reader() for _ in range(readers)]
         self.lines = [
-            Listed(at, READER if at < readers else WRITER, at % 3, at // 6, 0, "on", mark(f"e{at}"))
+            EngineRecord(
+                at,
+                READER if at < readers else WRITER,
+                at % 3,
+                at // 6,
+                0,
+                EngineState.READY,
+                stable_hash(f"e{at}"),
+            )
             for at in range(2 * readers)
         ]
         self.offered: Counter[int] = Counter()
@@ -119,8 +137,14 @@
         self.rng = Random(seed)
         self.fronts = []
         for me in range(fronts):
-            house = terms(fronts=fronts, zone=me % 3, me=me, zone_price=0.011, tenants=[TenantTerms(1e6)])
-            house.tariffs[0].due = DUE
+            house = terms(
+                front_count=fronts,
+                zone=me % 3,
+                front_index=me,
+                cross_zone_price=0.011,
+                tenants=[TenantSettings(1e6)],
+            )
+            house.request_classes[0].first_token_objective = DUE
             self.fronts.append(Front(self, me, house))
 
     def at(self, when: int, act: Callable[[], None]) -> None:
@@ -128,9 +152,9 @@
         heapq.heappush(self.heap, (when, self.set, act))
 
     def ask(self, session: int, prompt: int, beginning: int, length: int, turns: int, zone: int) -> None:
-        front = self.rng.choice([f for f in self.fronts if f.desk.rules.terms.zone == zone])
+        front = self.rng.choice([f for f in self.fronts if f.desk.scheduler.terms.zone == zone])
         front.arrive(
-            Query(
+            Request(
                 0,
                 0,
                 0,
@@ -143,8 +167,8 @@
                 LIMIT,
                 False,
                 False,
-                session_mark=mark(f"s{session}"),
-                beginning_mark=mark(f"b{beginning}"),
+                session_hash=stable_hash(f"s{session}"),
+                prefix_hash=stable_hash(f"b{beginning}"),
             )
         )
         if turns > 1:
@@ -172,6 +196,6 @@
             act()
         return [self.served[w] / max(1, self.offered[w]) for w in range(len(rates) + 2)]
 
-    def asked(self) -> list[tuple[Query, bool]]:
+    def asked(self) -> list[tuple[Request, bool]]:
         """All queries, and whether each was answered."""
         return [(q, q.index in front.answered) for front in self.fronts for q in front.queries]
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -18,36 +18,44 @@
 
 import anyio
 import anyio.lowlevel
-from anyio.abc import TaskGroup
 import msgspec
+from anyio.abc import TaskGroup
 
-from runspool.decisions.interface import Ending
-from runspool.engines.endings import ENDINGS, Mishap
-from runspool.engines.connections import Address
-from runspool.engines.exchange import Ended, Listener, Permit
-from runspool.engines.shots import State
-from runspool.front.desk import BACKGROUND
-from runspool.lab.director import front_terms
-from runspool.lab.plan import ClientsPlan, FrontPlan, Plan, TariffPlan, TenantPlan, engine
+from runspool.config import terms_of
+from runspool.engines.completions_client import PrefillState
+from runspool.engines.connection_pool import Address
+from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
+from runspool.engines.http_exchange import AttemptResult, ResponseListener, SendPermit
+from runspool.lab.plan import ClientsPlan, FrontPlan, Plan, RequestClassPlan, TenantPlan, engine
 from runspool.lab.recording import Event
+from runspool.lab.scenario_runner import front_terms
+from runspool.runtime.scheduler_driver import BACKGROUND_TASK
+from runspool.scheduling.types import AttemptStatus
 from runspool.service.front import Front
-from runspool.service.owed import Kind, Refused
-from runspool.terms import terms_of
+from runspool.service.pending_request import RequestNotAcceptedError, ResponseKind
 from runspool.wire.completions import read_wish
-from runspool.wire.listing import Entry, News
+from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
 from tests.clockwork import WALL_MS, now
 
 SECOND = 10_000
 CONNECT = 2_500  # until a connect that nobody answers is given up
 KINDS = ["prefill", "prefill", "prefill", "decode", "decode", "decode", "mixed", "mixed"]
 TARIFFS = [
-    TariffPlan("ask", 0.5, "rerunnable", 1, 8_000, 0, 25_000, 1_000, 300, 12, 1.0, 0.0, 0),
-    TariffPlan("book", 0.3, "exclusive", 2, 9_000, 0, 30_000, 1_000, 300, 12, 1.0, 0.0, 0),
-    TariffPlan(
+    RequestClassPlan("ask", 0.5, "rerunnable", 1, 8_000, 0, 25_000, 1_000, 300, 12, 1.0, 0.0, 0),
+    RequestClassPlan("book", 0.3, "exclusive", 2, 9_000, 0, 30_000, 1_000, 300, 12, 1.0, 0.0, 0),
+    RequestClassPlan(
         "mark", 0.2, "ticketed", 1, 8_000, 0, 25_000, 1_000, 300, 12, 1.0, 0.0, 0, 0.1, "zone", window=12_000
     ),
 ]
 
+# The words of recordings for final responses.
+RECORDED_KINDS = {
+    ResponseKind.SUCCEEDED: "succeeded",
+    ResponseKind.REJECTED: "dismissed",
+    ResponseKind.INDETERMINATE: "scrapped",
+    ResponseKind.CLIENT_DISCONNECTED: "left",
+}
+
 
 @dataclass
 class Days:
@@ -64,7 +72,7 @@
     kinds: list[str] = field(default_factory=lambda: list(KINDS))
 
 
-class Fell(Exception):
+class FellError(Exception):
     """The engine went down with the shot out."""
 
 
@@ -121,12 +129,12 @@
         fell = self.fell
         with anyio.move_on_after(max(0.0, time) / 10_000):
             await fell.wait()
-            raise Fell
+            raise FellError
         while not self.calm.is_set() and not fell.is_set():
             with anyio.move_on_after(0.01):
                 await fell.wait()
         if fell.is_set():
-            raise Fell
+            raise FellError
 
     def hold(self, request: str, tokens: int, try_: str) -> None:
         self.states.add(request)
@@ -145,7 +153,7 @@
         return True
 
 
-Work = Callable[["Played", str, str, Ended, anyio.CancelScope], Coroutine[Any, Any, str]]
+Work = Callable[["Played", str, str, AttemptResult, anyio.CancelScope], Coroutine[Any, Any, str]]
 
 
 class Calls:
@@ -164,11 +172,18 @@
                 return row
         return ""
 
-    async def _shot(self, address: Address, stage: str, headers: Any, limit: int, work: Work) -> Ended:
+    async def _shot(
+        self, address: Address, stage: str, headers: Any, limit: int, work: Work
+    ) -> AttemptResult:
         """One request from its first byte to its end; `work` returns how it ended for the engine."""
         if limit <= 0:
-            return Ended(ENDINGS[Mishap.NO_TIME], Mishap.NO_TIME)
-        one, told = self.world.at(address), Ended(Ending.OVERDUE, Mishap.SILENT_AFTER_LAST_BYTE, arrived=True)
+            return AttemptResult(STATUS_BY_CAUSE[FailureCause.NO_TIME_LEFT], FailureCause.NO_TIME_LEFT)
+        one, told = (
+            self.world.at(address),
+            AttemptResult(
+                AttemptStatus.TIMED_OUT, FailureCause.TIMED_OUT_BEFORE_RESPONSE, reached_engine=True
+            ),
+        )
         request, try_ = headers["X-Request-Id"], headers["Runspool-Mark"]
         up, how = one.up, "left"
         one.say(
@@ -183,26 +198,32 @@
         try:
             with anyio.CancelScope(deadline=anyio.current_time() + limit / 10_000) as scope:
                 how = await (work if up else self._refused)(one, request, try_, told, scope)
-        except Fell:
+        except FellError:
             how = "killed"
-            told.mishap = Mishap.CUT_IN_STREAM if told.made else Mishap.CUT_AFTER_LAST_BYTE
+            told.failure_cause = (
+                FailureCause.STREAM_INTERRUPTED if told.output_tokens else FailureCause.CLOSED_BEFORE_RESPONSE
+            )
         finally:
             if stage == "read" and up and one.up and how == "left" and self.draw() < 0.3:
                 one.hold(request, 1, try_)  # it had just ended when it was given up
             one.say("ended", request=request, how=how, **{"try": try_})
-        if told.mishap:
-            told.ending = ENDINGS[told.mishap]
+        if told.failure_cause:
+            told.status = STATUS_BY_CAUSE[told.failure_cause]
         return told
 
     async def _refused(
-        self, one: Played, request: str, try_: str, told: Ended, scope: anyio.CancelScope
+        self, one: Played, request: str, try_: str, told: AttemptResult, scope: anyio.CancelScope
     ) -> str:
-        told.mishap = Mishap.REFUSED
+        told.failure_cause = FailureCause.CONNECT_FAILED
         await anyio.sleep(self.world.rng.choice([1, 1, CONNECT]) / 10_000)
         return "refused"
 
-    async def read(self, address: Address, query: State, headers: Any, limit: int, permit: Permit) -> Ended:
-        async def work(one: Played, request: str, try_: str, told: Ended, scope: anyio.CancelScope) -> str:
+    async def prefill(
+        self, address: Address, query: PrefillState, headers: Any, limit: int, permit: SendPermit
+    ) -> AttemptResult:
+        async def work(
+            one: Played, request: str, try_: str, told: AttemptResult, scope: anyio.CancelScope
+        ) -> str:
             row = self._mishap({"full": 0.3, "failed": 0.3, "cut": 0.2, "silent": 0.2})
             tokens = self.world.asked[try_][0]
             usual = tokens / one.make.read_rate * one.slow / one.warmth
@@ -210,31 +231,33 @@
             if row == "silent":
                 await anyio.sleep_forever()
             if row:
-                told.mishap = {
-                    "full": Mishap.TURNED_AWAY,
-                    "failed": Mishap.FAILED,
-                    "cut": Mishap.CUT_IN_ANSWER,
+                told.failure_cause = {
+                    "full": FailureCause.OVERLOADED,
+                    "failed": FailureCause.SERVER_ERROR,
+                    "cut": FailureCause.CLOSED_DURING_RESPONSE,
                 }[row]
                 return "full" if row == "full" else "mishap"
             one.hold(request, tokens, try_)
-            told.mishap, told.ending, told.read = None, Ending.READ, tokens
-            told.state = cast(State, {"engine": one, "request": request})
+            told.failure_cause, told.status, told.prompt_tokens = None, AttemptStatus.PREFILL_COMPLETE, tokens
+            told.state = cast(PrefillState, {"engine": one, "request": request})
             return "read"
 
         return await self._shot(address, "read", headers, limit, work)
 
-    async def write(
+    async def decode(
         self,
         address: Address,
-        query: State,
-        state: State | None,
+        query: PrefillState,
+        state: PrefillState | None,
         headers: Any,
         limit: int,
-        permit: Permit,
+        permit: SendPermit,
         most_out: int,
-        listener: Listener[str],
-    ) -> Ended:
-        async def work(one: Played, request: str, try_: str, told: Ended, scope: anyio.CancelScope) -> str:
+        listener: ResponseListener[str],
+    ) -> AttemptResult:
+        async def work(
+            one: Played, request: str, try_: str, told: AttemptResult, scope: anyio.CancelScope
+        ) -> str:
             row = self._mishap(
                 {
                     "full": 0.25,
@@ -251,27 +274,31 @@
             if row == "silent":
                 await anyio.sleep_forever()
             if row in ("full", "failed"):
-                told.mishap = Mishap.TURNED_AWAY if row == "full" else Mishap.FAILED
+                told.failure_cause = FailureCause.OVERLOADED if row == "full" else FailureCause.SERVER_ERROR
                 return "full" if row == "full" else "mishap"
             if not await self._fetched(one, cast("dict[str, Any] | None", state), tokens):
-                told.mishap = Mishap.NO_STATE
+                told.failure_cause = FailureCause.STATE_MISSING
                 return "stateless"
             await one.work(self.spread(50, 300) * one.slow / one.warmth)
             one.say("ran", request=request, **{"try": try_})
             if row == "silent_ran":
                 await anyio.sleep_forever()
             if row in ("failed_after", "cut"):
-                told.mishap = Mishap.FAILED if row == "failed_after" else Mishap.CUT_AFTER_LAST_BYTE
+                told.failure_cause = (
+                    FailureCause.SERVER_ERROR
+                    if row == "failed_after"
+                    else FailureCause.CLOSED_BEFORE_RESPONSE
+                )
                 return "mishap"
             scope.deadline = math.inf  # the limit holds to the first token
-            await listener.begun()
-            for told.made in range(1, out + 1):
-                await listener.said(f"t{told.made} ")
-                if row == "cut_stream" and told.made > 2:
-                    told.mishap = Mishap.CUT_IN_STREAM
+            await listener.stream_started()
+            for told.output_tokens in range(1, out + 1):
+                await listener.data_received(f"t{told.output_tokens} ")
+                if row == "cut_stream" and told.output_tokens > 2:
+                    told.failure_cause = FailureCause.STREAM_INTERRUPTED
                     return "broken"
                 await one.work(one.make.step * one.slow / one.warmth)
-            told.mishap, told.ending, told.finish = None, Ending.SUCCEEDED, "stop"
+            told.failure_cause, told.status, told.finish_reason = None, AttemptStatus.SUCCEEDED, "stop"
             return "done"
 
         return await self._shot(address, "write", headers, limit, work)
@@ -287,14 +314,16 @@
         await one.work(self.spread(10, 200))
         return bool(state["engine"].let_go(state["request"], "taken", by=one.make.name))
 
-    async def release(self, address: Address, state: State | None, request: str, limit: int) -> Mishap | None:
+    async def release_state(
+        self, address: Address, state: PrefillState | None, request: str, limit: int
+    ) -> FailureCause | None:
         one = self.world.at(address)
         name = cast("dict[str, Any]", state)["request"] if state is not None else request
         await anyio.lowlevel.checkpoint()
         # At most two are lost in a row: whom nothing reaches for long, nobody can tell anything in time.
         if not one.up or (one.lost[name] < 2 and self.draw() < self.world.days.release_lost):
             one.lost[name] += 1
-            return Mishap.REFUSED
+            return FailureCause.CONNECT_FAILED
         one.let_go(name, "released", told=now())
         return None
 
@@ -312,10 +341,10 @@
         self.over = False
         self.patience: anyio.CancelScope | None = None  # ends with the first token it can see
 
-    async def begun(self) -> None:
+    async def stream_started(self) -> None:
         self._after("begun")
 
-    async def said(self, text: str) -> None:
+    async def data_received(self, text: str) -> None:
         self._after(text)
         for token in text.split():
             self.heard += 1
@@ -381,7 +410,7 @@
         plan = world.plan.fronts[at]
         terms = terms_of(front_terms(world.plan, at, 1, Path(".")))
         self.front = Front(terms, seed=world.seed * 100 + number)
-        self.front.caller = cast(Any, Calls(world, plan.source))
+        self.front.engine_client = cast(Any, Calls(world, plan.source))
         self.front.log = self.front.timers.log = cast(Any, _Quiet(world))
         self.scope = anyio.CancelScope()
         self.killed = anyio.Event()
@@ -398,7 +427,7 @@
                     self.hear(self.world.whole())
                 await anyio.sleep_forever()
 
-    def hear(self, news: News) -> None:
+    def hear(self, news: EndpointListMessage) -> None:
         if not self.up:
             return
         self.world.say(
@@ -408,8 +437,8 @@
             whole=news.whole,
             engines=[[one.engine, one.state, one.started_unix_ms] for one in news.engines],
         )
-        if changed := self.front.following.heard(now(), news):
-            self.front.engines_changed(changed)
+        if changed := self.front.endpoint_tracker.apply(now(), news):
+            self.front.endpoints_changed(changed)
 
     async def until_killed(self, scope: anyio.CancelScope) -> None:
         await self.killed.wait()
@@ -486,10 +515,10 @@
 
     # The list.
 
-    def entry(self, at: int) -> Entry:
+    def entry(self, at: int) -> EndpointEntry:
         one = self.engines[at]
         started = round(WALL_MS + one.started / 10) if one.started else 0
-        return Entry(
+        return EndpointEntry(
             one.make.name,
             one.plan.address,
             one.plan.kind,
@@ -499,20 +528,20 @@
             started,
         )
 
-    def whole(self) -> News:
+    def whole(self) -> EndpointListMessage:
         listed = [self.entry(at) for at, state in enumerate(self.states) if state != "gone"]
-        return News(self.version, "epoch", whole=True, engines=listed)
+        return EndpointListMessage(self.version, "epoch", whole=True, engines=listed)
 
     def tell(self, at: int, state: str) -> None:
         """News of an engine, to each front at its own time, now and then twice or overtaken by newer news."""
         self.states[at] = state
         self.version += 1
-        news = News(self.version, "epoch", engines=[self.entry(at)])
+        news = EndpointListMessage(self.version, "epoch", engines=[self.entry(at)])
         for life in self.lives:
             for _ in range(1 + (self.rng.random() < 0.2)):
                 self.spawn(self._told, life, news, self.rng.uniform(0, 4_000))
 
-    async def _told(self, life: Life, news: News, delay: float) -> None:
+    async def _told(self, life: Life, news: EndpointListMessage, delay: float) -> None:
         await anyio.sleep(delay / 10_000)
         life.hear(news)
 
@@ -570,7 +599,7 @@
 
     # Who asks.
 
-    async def _client(self, item: str, row: TariffPlan) -> None:
+    async def _client(self, item: str, row: RequestClassPlan) -> None:
         first, limit = now(), row.limit
         for number in range(1, 3):
             life = self.rng.choice(self.lives)
@@ -580,14 +609,16 @@
                 return
             await anyio.sleep(self.rng.uniform(0, 0.2))
 
-    def _shape(self, row: TariffPlan, limit: int) -> Shape:
+    def _shape(self, row: RequestClassPlan, limit: int) -> Shape:
         prompt, out = int(self.rng.uniform(50, 900)), self.rng.randint(1, 2 * row.out_tokens)
         stream, tenant, leaves = self.rng.random() < 0.7, self.rng.choice(["one", "two"]), 0.0
         if self.rng.random() < self.days.leaving:
             leaves = self.rng.choice([limit, self.rng.uniform(0, limit), self.rng.uniform(0, 3_000)])
         return Shape(prompt, out, stream, tenant, leaves)
 
-    async def ask(self, life: Life, try_: str, item: str, row: TariffPlan, limit: int, shape: Shape) -> str:
+    async def ask(
+        self, life: Life, try_: str, item: str, row: RequestClassPlan, limit: int, shape: Shape
+    ) -> str:
         """One try to its end; returns the kind of its answer."""
         prompt, out, stream, tenant, leaves = shape
         self.asked[try_] = prompt, out
@@ -622,12 +653,12 @@
         }
         ear = Ear(self, try_, stream)
         body = msgspec.json.encode({"prompt": item, "max_tokens": 500, "stream": stream})
-        wish = read_wish(headers, body, life.front.terms)
+        wish = read_wish(headers, body, life.front.config)
         kind, code = "none", ""
         try:
-            taken = life.front.take(wish, ear, now())
-        except Refused as refused:
-            kind, code = "refused" if refused.kind is Kind.DISMISSED else "scrapped", refused.code
+            taken = life.front.submit(wish, ear, now())
+        except RequestNotAcceptedError as refused:
+            kind, code = "refused" if refused.kind is ResponseKind.REJECTED else "scrapped", refused.code
         else:
             # What still comes after the client's time is up is late; a client that leaves hears no more.
             with anyio.move_on_after((leaves or limit + SECOND) / 10_000) as patience:
@@ -636,13 +667,13 @@
                     tasks.start_soon(life.until_killed, tasks.cancel_scope)
                     await taken.done.wait()
                     tasks.cancel_scope.cancel()
-            if not life.up and taken.final is None:
+            if not life.up and taken.final_response is None:
                 kind = "lost"
-            elif taken.final is None:
+            elif taken.final_response is None:
                 kind = "left" if leaves else "none"
-                life.front.left(taken)
+                life.front.client_disconnected(taken)
             else:
-                kind, code = taken.final.kind.value, taken.final.code
+                kind, code = RECORDED_KINDS[taken.final_response.kind], taken.final_response.code
         ear.over = True
         if kind == "succeeded":
             self.say("end" if stream else "first", tokens=ear.heard, finish="stop", **{"try": try_})
@@ -722,7 +753,7 @@
                     entry = self.entry(at)
                     entries.append(entry if started else msgspec.structs.replace(entry, started_unix_ms=0))
                 self.lives[self.front_numbers[event["front"]]].hear(
-                    News(event["version"], "epoch", whole=event["whole"], engines=entries)
+                    EndpointListMessage(event["version"], "epoch", whole=event["whole"], engines=entries)
                 )
             case "engine_up":
                 self.engines[self.numbers[event["engine"]]].begin(event["cold"])
@@ -738,10 +769,10 @@
 
 def leftovers(front: Front) -> list[str]:
     """What a front still has in its books; nothing once every query has ended."""
-    found = [f"query {index}" for index in front.queries]
+    found = [f"query {index}" for index in front.requests]
     for quarter in front.quarters.values():
-        rules = quarter.desk.rules
-        found += [f"errand {index}" for index in quarter.desk.errands if index != BACKGROUND]
+        rules = quarter.driver.scheduler
+        found += [f"errand {index}" for index in quarter.driver.tasks if index != BACKGROUND_TASK]
         found += [f"{quarter.name} counts {quarter.queries} queries"] if quarter.queries else []
         found += [f"room {place}" for place in rules.room]
         for one in rules.engines.values():
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -9,7 +9,7 @@
 MOST = 3
 
 
-class BadKnownRed(ValueError):
+class InvalidKnownRedError(ValueError):
     """A line of the list that cannot be used; the message names it."""
 
 
@@ -29,12 +29,12 @@
         return []
     lines = [line for line in file.read_text().splitlines() if line.strip() and not line.startswith("#")]
     if len(lines) > MOST:
-        raise BadKnownRed(f"{file.name}: {len(lines)} lines, {MOST} are allowed")
+        raise InvalidKnownRedError(f"{file.name}: {len(lines)} lines, {MOST} are allowed")
     return [_read(file, line) for line in lines]
 
 
 def _read(file: Path, line: str) -> KnownRed:
     parts = [part.strip() for part in line.split("|")]
     if len(parts) != 3 or not all(parts) or "::" not in parts[0]:
-        raise BadKnownRed(f"{file.name}: {line!r} is no `test | cause | issue`")
+        raise InvalidKnownRedError(f"{file.name}: {line!r} is no `test | cause | issue`")
     return KnownRed(*parts)
--- a/tests/platform.py
+++ b/tests/platform.py
@@ -15,8 +15,8 @@
 from random import Random
 from typing import Any
 
-from runspool.node.posting import read_posting
-from runspool.node.running import Running
+from runspool.node.config import read_node_config
+from runspool.node.server import NodeServer
 from tests.faults import FaultProxy
 
 HOST = "127.0.0.1"
@@ -457,12 +457,12 @@
                     client.close()
 
     @asynccontextmanager
-    async def inside(self, wait: bool = True) -> AsyncIterator[Running]:
+    async def inside(self, wait: bool = True) -> AsyncIterator[NodeServer]:
         """The same with the node in this process, to look into; with `wait` once it is ready."""
         async with self._around():
-            posting = read_posting({"BALANCER_CONFIG": str(self.write_config(listen="127.0.0.1:1"))})
+            posting = read_node_config({"BALANCER_CONFIG": str(self.write_config(listen="127.0.0.1:1"))})
             posting = replace(posting, listen=("127.0.0.1", 0))
-            running, ready = Running(posting, lambda: posting, self.sockets), _Ready()
+            running, ready = NodeServer(posting, lambda: posting, self.sockets), _Ready()
             task = self.run = asyncio.ensure_future(running.run(task_status=ready))
             if wait:
                 await ready.wait()
@@ -500,7 +500,7 @@
             await self.until(lambda: any("after=" in one for one in self.lists) or bool(self.list_scripts))
             yield
             assert self.process.returncode in (None, 0), self.log.decode()
-            for fault in (b"Traceback", b"_failed", b"rule_breached"):
+            for fault in (b"Traceback", b"_failed", b"invariant_violated"):
                 assert fault not in self.log, self.log.decode()
         finally:
             if self.process.returncode is None:
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -20,7 +20,13 @@
 
 READY_WITHIN = 10.0  # seconds that a start may take
 KILL_AFTER = 3.7  # seconds from SIGTERM to SIGKILL: the longest deadline, counted as 3 s at least, and 0.7
-FAULT_WORDS = (b"Traceback", b"_failed", b"rule_breached", b"answered_by_guard", b"release_abandoned")
+FAULT_WORDS = (
+    b"Traceback",
+    b"_failed",
+    b"invariant_violated",
+    b"answered_by_deadline_guard",
+    b"release_abandoned",
+)
 
 
 def soak_settings() -> dict[str, Any]:
--- a/tests/soak/sabotage.py
+++ b/tests/soak/sabotage.py
@@ -8,43 +8,47 @@
 from collections.abc import Callable
 from typing import Any
 
-from runspool.decisions.interface import Effect
-from runspool.decisions.lifecycle import Lifecycle
-from runspool.decisions.rules import Rules
-from runspool.engines import exchange
-from runspool.node import __main__ as program, calls, running
-from runspool.node.releasing import Releases
-from runspool.service.carrying import Carrying
-from runspool.service.owed import Kind
+from runspool.engines import http_exchange as exchange
+from runspool.node import __main__ as program
+from runspool.node import engine_client as calls
+from runspool.node import server as running
+from runspool.node.state_releaser import StateReleaser
+from runspool.scheduling.request_lifecycle import RequestLifecycle
+from runspool.scheduling.scheduler import Scheduler
+from runspool.scheduling.types import Idempotency
+from runspool.service.pending_request import ResponseKind
+from runspool.service.request_executor import RequestExecutor
 
 
 def loses_refusals() -> None:
     """Never gives the answers that are no stream."""
-    sound = Carrying._settle
+    sound = RequestExecutor._finish
 
     def settle(self: Any, taken: Any, final: Any) -> bool:
-        return final.kind not in (Kind.DISMISSED, Kind.SCRAPPED) and sound(self, taken, final)
+        return final.kind not in (ResponseKind.REJECTED, ResponseKind.INDETERMINATE) and sound(
+            self, taken, final
+        )
 
-    Carrying._settle = settle  # type: ignore[method-assign]
+    RequestExecutor._finish = settle  # type: ignore[method-assign]
 
 
 def repeats_effects() -> None:
     """Takes every class for one that may be repeated."""
-    sound = Rules.__init__
+    sound = Scheduler.__init__
 
-    def init(self: Rules, terms: Any, seed: int) -> None:
-        for row in terms.tariffs:
-            row.effect = Effect.RERUNNABLE
+    def init(self: Scheduler, terms: Any, seed: int) -> None:
+        for row in terms.request_classes:
+            row.idempotency = Idempotency.IDEMPOTENT
         sound(self, terms, seed)
 
-    Rules.__init__ = init  # type: ignore[method-assign]
-    Lifecycle.refuses_attempt = lambda *said: None  # type: ignore[method-assign]
-    Lifecycle.refuses_refusal = lambda *said: None  # type: ignore[method-assign]
+    Scheduler.__init__ = init  # type: ignore[method-assign]
+    RequestLifecycle.deny_attempt = lambda *said: None  # type: ignore[method-assign]
+    RequestLifecycle.deny_rejection = lambda *said: None  # type: ignore[method-assign]
 
 
 def hears_no_drains() -> None:
     """Keeps the list that it began with."""
-    sound = Carrying.engines_changed
+    sound = RequestExecutor.endpoints_changed
     heard: list[Any] = []
 
     def changed(self: Any, entries: Any) -> None:
@@ -52,21 +56,21 @@
             sound(self, entries)
         heard.append(entries)
 
-    Carrying.engines_changed = changed  # type: ignore[method-assign, assignment]
+    RequestExecutor.endpoints_changed = changed  # type: ignore[method-assign, assignment]
 
 
 def lets_nothing_go() -> None:
     """Makes no call that lets go of what is held."""
 
-    async def let_go(self: Releases, release: Any) -> None:
+    async def let_go(self: StateReleaser, release: Any) -> None:
         self.withdraw(release.request)
 
-    Releases.let_go = let_go  # type: ignore[method-assign]
+    StateReleaser.let_go = let_go  # type: ignore[method-assign]
 
 
 def serves_who_has_gone() -> None:
     """Takes no notice of clients that leave."""
-    Carrying.left = lambda *said: None  # type: ignore[method-assign]
+    RequestExecutor.client_disconnected = lambda *said: None  # type: ignore[method-assign]
 
 
 def tells_long_deadlines() -> None:
@@ -77,7 +81,7 @@
 
 def changes_bodies() -> None:
     """Sends on what no client has sent, now and then."""
-    sound = exchange.worded
+    sound = exchange.encode_request
     count = [0]
 
     def worded(method: str, target: str, headers: Any, body: bytes = b"") -> bytes:
@@ -85,12 +89,12 @@
         body = body.replace(b"prompt", b"promqt") if count[0] % 20 == 0 else body
         return sound(method, target, headers, body)
 
-    calls.worded = worded  # type: ignore[attr-defined]
+    calls.encode_request = worded  # type: ignore[attr-defined]
 
 
 def ends_by_itself() -> None:
     """Ends after some seconds."""
-    sound = running.Running._client
+    sound = running.NodeServer._client
     began = time.monotonic()
 
     async def client(self: Any, line: Any) -> None:
@@ -98,7 +102,7 @@
             os._exit(3)
         await sound(self, line)
 
-    running.Running._client = client  # type: ignore[method-assign]
+    running.NodeServer._client = client  # type: ignore[method-assign]
 
 
 SABOTAGES: dict[str, Callable[[], None]] = {
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -9,7 +9,7 @@
 import pytest
 
 from runspool.lab.audit import RULES, audit
-from runspool.lab.recording import Event, Unreadable
+from runspool.lab.recording import Event, UnreadableRecordingError
 from tests.town import plan
 
 LOST, TWICE, DRAINS, PUSHED, PINNED = RULES
@@ -291,9 +291,9 @@
 
 
 def test_a_recording_that_cannot_be_judged_is_no_pass() -> None:
-    with pytest.raises(Unreadable):
+    with pytest.raises(UnreadableRecordingError):
         audit([])
-    with pytest.raises(Unreadable):
+    with pytest.raises(UnreadableRecordingError):
         audit([say(0, "day", plan={})])
-    with pytest.raises(Unreadable):
+    with pytest.raises(UnreadableRecordingError):
         audit([clean()[0], say(1, "sent", try_="never asked")])
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -11,19 +11,19 @@
 
 import pytest
 
+from runspool.scheduling.types import Role
 from tests.platform import EVENTS, GOOD, READ, REST, STREAM, Platform, Request, chunked, post, whole
-from runspool.decisions.interface import Role
 
 pytestmark = pytest.mark.anyio
 KINDS = {"r": "prefill", "s": "prefill", "w": "decode", "v": "decode", "m": "mixed"}
 ENDINGS = {
     "ok": "SUCCEEDED",
-    "read": "READ",
-    "declined": "FULL",
-    "gone": "STATELESS",
-    "error": "ERRORED",
-    "cut": "SEVERED",
-    "reset": "SEVERED",
+    "read": "PREFILL_COMPLETE",
+    "declined": "OVERLOADED",
+    "gone": "STATE_MISSING",
+    "error": "SERVER_ERROR",
+    "cut": "CONNECTION_LOST",
+    "reset": "CONNECTION_LOST",
 }
 
 
@@ -62,20 +62,22 @@
         for engine in platform.engines.values():
             engine.scripts = [answers] * 1_000
         await asyncio.gather(*(_one(platform, f"q{at}", at) for at in range(60)))
-        await platform.until(lambda: platform.log.count(b'"event":"shot_ended"') >= len(seen))
-        told = [json.loads(line) for line in platform.log.splitlines() if b'"event":"shot_ended"' in line]
+        await platform.until(lambda: platform.log.count(b'"event":"attempt_finished"') >= len(seen))
+        told = [
+            json.loads(line) for line in platform.log.splitlines() if b'"event":"attempt_finished"' in line
+        ]
     for query in {name for name, *_ in seen}:
-        here = [(one["engine"], one["ending"]) for one in told if one["query"] == query]
+        here = [(one["engine"], one["status"]) for one in told if one["request"] == query]
         assert here == [(engine, ENDINGS[how]) for name, engine, how, _ in seen if name == query]
-    assert Counter(one["ending"] for one in told)["READ"] > 20
+    assert Counter(one["status"] for one in told)["PREFILL_COMPLETE"] > 20
     # The time a shot took, as the decisions learn it, is never shorter than it was at the engine.
     for one in told:
         there = [
             took
             for name, engine, how, took in seen
-            if (name, engine, ENDINGS[how]) == (one["query"], one["engine"], one["ending"])
+            if (name, engine, ENDINGS[how]) == (one["request"], one["engine"], one["status"])
         ]
-        assert one["took"] / 10_000 >= min(there) - 0.002
+        assert one["duration"] / 10_000 >= min(there) - 0.002
 
 
 async def _one(platform: Platform, name: str, at: int) -> None:
@@ -106,10 +108,10 @@
     async with platform.inside() as running:
 
         def agree() -> bool:
-            engines = running.node.quarter.desk.rules.engines
+            engines = running.executor.scheduler.driver.scheduler.engines
             believed = {
-                site.name: len(engines[index].reads if site.role is Role.READER else engines[index].streams)
-                for index, site in running.node.sites.items()
+                site.name: len(engines[index].reads if site.role is Role.PREFILL else engines[index].streams)
+                for index, site in running.executor.endpoints.items()
             }
             return believed == {name: open_at[name] for name in KINDS}
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -9,22 +9,26 @@
 from typing import Any
 
 import pytest
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, settings
+from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 from pydantic import ValidationError
 
-from runspool.cells import moving, ruling
-from runspool.cells.chart import Cell, CellMap, Move, Overflow, Shards
-from runspool.cells.moving import Moves, Stage
-from runspool.cells.placing import Place, home, place
-from runspool.decisions.interface import Role
+from runspool.cells import admission_policy as ruling
+from runspool.cells import tenant_migration as moving
+from runspool.cells.cell_map import Cell, CellMap, Move, Overflow, Shards
+from runspool.cells.engine_placement import EnginePlace, home, place
+from runspool.cells.tenant_migration import MigrationStage, TenantMigrations
+from runspool.scheduling.types import Role
 
 WINDOW = 50_000
-ROLES = [Role.READER, Role.READER, Role.WRITER, Role.MIXED]
+ROLES = [Role.PREFILL, Role.PREFILL, Role.DECODE, Role.MIXED]
 
 
-def fleet(many: int, zones: int = 3) -> list[Place]:
-    return [Place(f"engine-{at}", ROLES[at % 4], f"zone-{at // 4 % zones}", at // 4) for at in range(many)]
+def fleet(many: int, zones: int = 3) -> list[EnginePlace]:
+    return [
+        EnginePlace(f"engine-{at}", ROLES[at % 4], f"zone-{at // 4 % zones}", at // 4) for at in range(many)
+    ]
 
 
 def named(*cells: str, **said: Any) -> CellMap:
@@ -56,10 +60,10 @@
     placed = place(chart, fleet(16))
     for there in placed.cells.values():
         kinds = {roles[engine] for engine in there}
-        assert kinds & {Role.READER, Role.MIXED}
-        assert kinds & {Role.WRITER, Role.MIXED}
+        assert kinds & {Role.PREFILL, Role.MIXED}
+        assert kinds & {Role.DECODE, Role.MIXED}
     assert placed.lacks == []
-    few = place(chart, [one for one in fleet(16) if one.role is Role.READER or one.name == "engine-2"])
+    few = place(chart, [one for one in fleet(16) if one.role is Role.PREFILL or one.name == "engine-2"])
     assert sum("writers" in lack for lack in few.lacks) == 3
 
 
@@ -147,18 +151,18 @@
 
 
 def test_a_move_begins_at_its_moment_and_settles_when_nothing_binds_the_old_cell() -> None:
-    moves = Moves(PLANNED)
+    moves = TenantMigrations(PLANNED)
     one = moves.chart.moves[0]
     assert moves.home(STARTS - 1, "t", None) == "a"
     moves.taken(0, "t", "a", "ticket", WINDOW)
-    assert moves.stage(0, STARTS - 1, one) is Stage.AHEAD
+    assert moves.stage(0, STARTS - 1, one) is MigrationStage.AHEAD
     assert moves.home(STARTS, "t", None) == "b"
     assert moves.home(STARTS, "other", None) == home(moves.chart, "other", None)
-    assert moves.stage(1, STARTS, one) is Stage.SETTLING
+    assert moves.stage(1, STARTS, one) is MigrationStage.SETTLING
     moves.ended("t", "a")
-    assert moves.stage(1, STARTS, one) is Stage.SETTLING  # its ticket still binds
+    assert moves.stage(1, STARTS, one) is MigrationStage.SETTLING  # its ticket still binds
     assert moves.way(1, STARTS, "t", None, "ticket", True, WINDOW).cell == "a"
-    assert moves.stage(WINDOW + 1, STARTS, one) is Stage.SETTLED
+    assert moves.stage(WINDOW + 1, STARTS, one) is MigrationStage.SETTLED
     assert moves.way(WINDOW + 1, STARTS, "t", None, "new", False, WINDOW).cell == "b"
 
 
@@ -168,19 +172,19 @@
         (FIRST, move().model_copy(update={"target": "z"}), "no cell"),
         (FIRST, move().model_copy(update={"target": "a"}), "already"),
     ):
-        with pytest.raises(moving.Refused, match=word):
+        with pytest.raises(moving.MigrationRefusedError, match=word):
             moving.planned(chart, change, [])
-    with pytest.raises(moving.Refused, match="lacks a role"):
+    with pytest.raises(moving.MigrationRefusedError, match="lacks a role"):
         moving.planned(FIRST, move(), ["b: 0 of 1 writers: the list has none"])
     back = moving.turned_back(PLANNED, "m", STARTS)
-    with pytest.raises(moving.Refused, match="turned_back"):
+    with pytest.raises(moving.MigrationRefusedError, match="turned_back"):
         moving.turned_back(back, "m", STARTS)
-    with pytest.raises(moving.Refused, match="no move"):
+    with pytest.raises(moving.MigrationRefusedError, match="no move"):
         moving.turned_back(FIRST, "x", STARTS)
-    with pytest.raises(moving.Refused, match="finished in 1 ms"):
+    with pytest.raises(moving.MigrationRefusedError, match="finished in 1 ms"):
         moving.done(PLANNED, "m", STARTS + WINDOW // 10 - 1, WINDOW)
     assert moving.done(PLANNED, "m", STARTS + WINDOW // 10, WINDOW).tenants["t"] == "b"
-    moves = Moves(PLANNED)
+    moves = TenantMigrations(PLANNED)
     assert not moves.adopt(FIRST, 5)
     assert moves.chart is PLANNED
 
@@ -217,7 +221,7 @@
 LAST_TICK = 4  # with 5: 588,682 and 201,272 worlds, none broken, in 47 s
 
 
-def steps(world: World, way: Callable[..., moving.Way] = Moves.way) -> list[World]:
+def steps(world: World, way: Callable[..., moving.Way] = TenantMigrations.way) -> list[World]:
     """Every world one step on."""
     found, unix = [], world.clock * TICK
     newest = world.published[-1]
@@ -246,11 +250,11 @@
 def _changes(newest: CellMap, name: str, unix: int) -> list[CellMap]:
     """The maps that an operator may publish next."""
     found = []
-    with suppress(moving.Refused):
+    with suppress(moving.MigrationRefusedError):
         found.append(moving.planned(newest, move(name, unix + TICK), []))
-    with suppress(moving.Refused):
+    with suppress(moving.MigrationRefusedError):
         found.append(moving.turned_back(newest, newest.moves[-1].id, unix))
-    with suppress(moving.Refused):
+    with suppress(moving.MigrationRefusedError):
         found.append(moving.done(newest, newest.moves[-1].id, unix, WINDOW + LIMIT))
     return found
 
@@ -281,7 +285,7 @@
             or (world.ran and world.clock - world.ran[0][1] >= 2)
         ):
             continue
-        moves = Moves(state.chart, state.adopted)
+        moves = TenantMigrations(state.chart, state.adopted)
         if state.ticket is not None:
             moves.tickets["k"] = state.ticket
         ticket = "k" if world.effect == "ticketed" else None
@@ -343,7 +347,7 @@
     )
 
 
-def walk(effect: str, way: Callable[..., moving.Way] = Moves.way) -> tuple[int, list[World]]:
+def walk(effect: str, way: Callable[..., moving.Way] = TenantMigrations.way) -> tuple[int, list[World]]:
     """Every world that can be reached, and those in which an effect may have happened in two cells."""
     first = _one(FIRST)
     start = World((first, _one(PLANNED)), 1, (FrontState(first), FrontState(first)), effect)
@@ -369,7 +373,7 @@
 
 
 def test_the_walk_finds_a_protocol_that_forgets_tickets() -> None:
-    def careless(moves: Moves, now: int, unix_ms: int, tenant: str | None, *_: Any) -> moving.Way:
+    def careless(moves: TenantMigrations, now: int, unix_ms: int, tenant: str | None, *_: Any) -> moving.Way:
         return moving.Way(moves.home(unix_ms, tenant, None))
 
     assert walk("ticketed", careless)[1]
--- a/tests/test_cells_at_work.py
+++ b/tests/test_cells_at_work.py
@@ -10,12 +10,13 @@
 import pytest
 from typer.testing import CliRunner
 
-from runspool.cells import book, moving
-from runspool.cells.chart import CellMap, Move
+from runspool.cells import cell_store as book
+from runspool.cells import tenant_migration as moving
+from runspool.cells.cell_map import CellMap, Move
 from runspool.cli.main import app
+from runspool.discovery.snapshot import save_snapshot
 from runspool.lab.engine import Engine
-from runspool.roster.memory import keep
-from runspool.service.running import Running
+from runspool.service.front_server import FrontServer
 from tests.town import Town
 
 KINDS = ["prefill", "decode", "prefill", "decode", "prefill", "decode"]
@@ -134,12 +135,12 @@
     async with town.open():
         await adopted(town, moved())
         at = town.running.front.keeping.adopted_unix_ms
-    again = Running(town.running.terms)
+    again = FrontServer(town.running.terms)
     assert again.front.keeping.chart == moved()
     assert again.front.keeping.moves.adopted_unix_ms == at
     # A damaged memory of it counts as a map taken just now, so that no ticket is trusted too early.
     (tmp_path / "front-0.list.cells").write_bytes(b"torn")
-    torn = Running(town.running.terms)
+    torn = FrontServer(town.running.terms)
     assert torn.front.keeping.chart == moved()
     assert torn.front.keeping.adopted_unix_ms > at
 
@@ -242,9 +243,13 @@
             kinds: {{ prefill: r.reader(1000), decode: r.writer(1000) }} }},
           front: r.front('f', 'z', 0, r.list('127.0.0.1', 1)) {{
             memory_file: '{tmp_path}/list', cells_file: '{tmp_path}/cells.map' }} }}""")
-    from runspool.wire.listing import Entry
+    from runspool.wire.endpoint_list import EndpointEntry
 
-    keep(tmp_path / "list", 1, [Entry(f"e{at}", "127.0.0.1:1", KINDS[at], "z", at, "on") for at in range(6)])
+    save_snapshot(
+        tmp_path / "list",
+        1,
+        [EndpointEntry(f"e{at}", "127.0.0.1:1", KINDS[at], "z", at, "on") for at in range(6)],
+    )
     return terms
 
 
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -10,37 +10,47 @@
 
 import pytest
 
-from runspool.decisions.interface import Effect, Ending, Group, Listed, Outcome, Query, Role, Roster
-from runspool.decisions.rules import LEFT_KEPT, SECOND, Engine
-from runspool.front.desk import BACKGROUND, Entered
+from runspool.runtime.scheduler_driver import BACKGROUND_TASK, ReentrantCallError
+from runspool.scheduling.scheduler import LEFT_KEPT, SECOND, Engine
+from runspool.scheduling.types import (
+    AttemptOutcome,
+    AttemptStatus,
+    DeduplicationScope,
+    EndpointUpdate,
+    EngineRecord,
+    EngineState,
+    Idempotency,
+    Request,
+    Role,
+)
 from tests.fakehost import MIXED, READER, WRITER, FakeHost, terms
 
-ENDS_OF_READS = [Ending.READ] * 6 + [
-    Ending.FULL,
-    Ending.ERRORED,
-    Ending.SEVERED,
-    Ending.OVERDUE,
-    Ending.UNREACHABLE,
-    Ending.VOID,
-    Ending.RECALLED,
+ENDS_OF_READS = [AttemptStatus.PREFILL_COMPLETE] * 6 + [
+    AttemptStatus.OVERLOADED,
+    AttemptStatus.SERVER_ERROR,
+    AttemptStatus.CONNECTION_LOST,
+    AttemptStatus.TIMED_OUT,
+    AttemptStatus.CONNECT_FAILED,
+    AttemptStatus.NOT_SENT,
+    AttemptStatus.CANCELLED,
 ]
-ENDS_OF_WRITES = [Ending.SUCCEEDED] * 3 + [
-    Ending.FULL,
-    Ending.STATELESS,
-    Ending.ERRORED,
-    Ending.SEVERED,
-    Ending.OVERDUE,
-    Ending.UNREACHABLE,
-    Ending.VOID,
-    Ending.RECALLED,
+ENDS_OF_WRITES = [AttemptStatus.SUCCEEDED] * 3 + [
+    AttemptStatus.OVERLOADED,
+    AttemptStatus.STATE_MISSING,
+    AttemptStatus.SERVER_ERROR,
+    AttemptStatus.CONNECTION_LOST,
+    AttemptStatus.TIMED_OUT,
+    AttemptStatus.CONNECT_FAILED,
+    AttemptStatus.NOT_SENT,
+    AttemptStatus.CANCELLED,
 ]
 
 
 def books(host: FakeHost) -> list[tuple[int, str, object]]:
     """Whatever the decisions still hold of any query."""
-    rules = host.desk.rules
+    rules = host.desk.scheduler
     found: list[tuple[int, str, object]] = [(-1, "room", place) for place in rules.room]
-    found += [(-1, "errand", index) for index in host.desk.errands if index != BACKGROUND]
+    found += [(-1, "errand", index) for index in host.desk.tasks if index != BACKGROUND_TASK]
     for e in rules.engines.values():
         for name in ("reads", "waiting", "streams", "unread", "tokens"):
             if value := getattr(e, name):
@@ -65,36 +75,38 @@
         self.heard = len(self.host.shots)
 
     def check(self) -> None:
-        for e in self.host.desk.rules.engines.values():
+        for e in self.host.desk.scheduler.engines.values():
             mine = {query: begun for query, (_, engine, begun) in self.out.items() if engine == e.id}
-            kind = self.host.lines[e.id].kind
+            kind = self.host.lines[e.id].engine_type
             assert set(e.streams) == (set() if kind == READER else set(mine))
             assert set(e.waiting) == {query for query in e.streams if not mine[query]}
             assert set(e.reads) <= {query for query, begun in mine.items() if not begun}
             assert kind != READER or set(e.reads) == set(mine)
             assert e.unread == sum(tokens for _, tokens, _ in e.reads.values())
             assert e.tokens == sum(e.streams.values())
-        held = [query for _, _, query in self.host.desk.rules.room]
+        held = [query for _, _, query in self.host.desk.scheduler.room]
         assert len(held) == len(set(held))
-        assert all(query in self.host.desk.errands and query not in self.out for query in held)
+        assert all(query in self.host.desk.tasks and query not in self.out for query in held)
 
 
 def shuffled(seed: int) -> FakeHost:
     """Many queries' news, much of it twice, late, swapped or of what is over, checked after each step."""
     rng = Random(seed)
-    effect = [Effect.RERUNNABLE, Effect.TICKETED, Effect.EXCLUSIVE][seed % 3]
-    host = FakeHost([READER, READER, MIXED, MIXED, WRITER], terms(effect, Group.RACK))
-    host.desk.rules.draw = rng.random
+    effect = [Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.AT_MOST_ONCE][seed % 3]
+    host = FakeHost([READER, READER, MIXED, MIXED, WRITER], terms(effect, DeduplicationScope.RACK))
+    host.desk.scheduler.draw = rng.random
     recount = Recount(host)
-    old: list[tuple[int, int, Ending]] = []  # ends of shots that were told already
+    old: list[tuple[int, int, AttemptStatus]] = []  # ends of shots that were told already
     for step in range(2_000):
         move = rng.random()
         if move < 0.25 and step < 1_600:
             host.ask(rng.randrange(100, 6_000), rng.choice([SECOND, 4 * SECOND]), rng.randrange(20))
         elif move < 0.35:
             host.wait(rng.randrange(1, 800) * rng.choice([1, 1, 1, 20]))  # what was learned of a jam fades
-        elif move < 0.40 and host.desk.errands.keys() - {BACKGROUND}:
-            host.desk.left(host.now, rng.choice(sorted(host.desk.errands.keys() - {BACKGROUND})))
+        elif move < 0.40 and host.desk.tasks.keys() - {BACKGROUND_TASK}:
+            host.desk.client_disconnected(
+                host.now, rng.choice(sorted(host.desk.tasks.keys() - {BACKGROUND_TASK}))
+            )
         elif move < 0.50 and old:
             query, shot, ending = rng.choice(old)
             host.end(query, ending, shot=shot)
@@ -104,7 +116,7 @@
         elif recount.out:
             query = rng.choice(sorted(recount.out))
             shot, engine, begun = recount.out[query]
-            reads = host.lines[engine].kind == READER
+            reads = host.lines[engine].engine_type == READER
             if not reads and not begun and rng.random() < 0.6:
                 host.begin(query, shot=shot)
                 host.begin(query, shot=shot)
@@ -113,12 +125,12 @@
                 ending = rng.choice(ENDS_OF_READS if reads else ENDS_OF_WRITES)
                 del recount.out[query]
                 old.append((query, shot, ending))
-                host.end(query, ending, begun or ending is Ending.SUCCEEDED, shot=shot)
+                host.end(query, ending, begun or ending is AttemptStatus.SUCCEEDED, shot=shot)
         recount.shots()
         recount.check()
     for query, (shot, _, begun) in sorted(recount.out.items()):
-        host.desk.left(host.now, query)
-        host.end(query, Ending.RECALLED, begun, shot=shot)
+        host.desk.client_disconnected(host.now, query)
+        host.end(query, AttemptStatus.CANCELLED, begun, shot=shot)
     host.wait(60 * SECOND)
     return host
 
@@ -137,23 +149,23 @@
 def test_the_answer_that_begins_twice_is_one_stream() -> None:
     host = FakeHost([READER, WRITER])
     one = host.ask()
-    host.end(one, Ending.READ)
+    host.end(one, AttemptStatus.PREFILL_COMPLETE)
     host.begin(one)
     host.begin(one)
-    assert host.desk.errands.keys() == {BACKGROUND, one}
-    assert list(host.desk.rules.engines[1].streams) == [one]
+    assert host.desk.tasks.keys() == {BACKGROUND_TASK, one}
+    assert list(host.desk.scheduler.engines[1].streams) == [one]
 
 
 def test_the_end_of_an_earlier_shot_says_nothing_of_the_one_that_is_out() -> None:
-    host = FakeHost([READER, WRITER, WRITER], terms(Effect.EXCLUSIVE))
+    host = FakeHost([READER, WRITER, WRITER], terms(Idempotency.AT_MOST_ONCE))
     one = host.ask()
-    host.end(one, Ending.READ)
-    host.end(one, Ending.UNREACHABLE)
+    host.end(one, AttemptStatus.PREFILL_COMPLETE)
+    host.end(one, AttemptStatus.CONNECT_FAILED)
     out = host.at(one)
-    host.end(one, Ending.UNREACHABLE, shot=2)
+    host.end(one, AttemptStatus.CONNECT_FAILED, shot=2)
     host.begin(one, shot=2)
-    assert list(host.desk.rules.engines[out].waiting) == [one]
-    host.end(one, Ending.SEVERED)
+    assert list(host.desk.scheduler.engines[out].waiting) == [one]
+    host.end(one, AttemptStatus.CONNECTION_LOST)
     assert host.of(one) == ["send", "send", "send", "release", "scrap"]
 
 
@@ -162,11 +174,11 @@
     one = host.ask()
     host.serve(one)
     said = list(host.said)
-    host.end(one, Ending.SEVERED, shot=2)
+    host.end(one, AttemptStatus.CONNECTION_LOST, shot=2)
     host.begin(one, shot=2)
-    host.desk.left(host.now, one)
-    host.desk.rang(host.now, f"{one}.1")
-    assert not host.desk.drop(host.now, one)
+    host.desk.client_disconnected(host.now, one)
+    host.desk.timer_fired(host.now, f"{one}.1")
+    assert not host.desk.abandon(host.now, one)
     assert host.said == said
     assert books(host) == []
 
@@ -174,7 +186,7 @@
 def test_a_query_that_arrives_twice_is_one() -> None:
     host = FakeHost([READER, WRITER])
     one = host.ask()
-    host.desk.arrive(host.now, Query(one, 0, None, None, None, 50, 0, 10, 5, SECOND, False, False))
+    host.desk.submit(host.now, Request(one, 0, None, None, None, 50, 0, 10, 5, SECOND, False, False))
     assert host.of(one) == ["send"]
 
 
@@ -183,7 +195,7 @@
     host = FakeHost([READER, WRITER])
     first = host.ask(3_500)
     one = host.ask(100) if when == "in the line" else first
-    rules = host.desk.rules
+    rules = host.desk.scheduler
 
     def fault(*said: object) -> None:
         raise ZeroDivisionError
@@ -198,15 +210,15 @@
     if when == "in the line":
         assert [place[2] for place in rules.room] == [one]
     elif when == "as a read ends":
-        strike("learn", lambda: host.end(one, Ending.READ))
+        strike("learn", lambda: host.end(one, AttemptStatus.PREFILL_COMPLETE))
     else:
-        host.end(one, Ending.READ)
+        host.end(one, AttemptStatus.PREFILL_COMPLETE)
         if when == "as an answer begins":
             strike("learn", lambda: host.begin(one))
         else:
             host.begin(one)
-            strike("row", lambda: host.end(one, Ending.SUCCEEDED, over=True))
-    host.desk.drop(host.now, one)
+            strike("row", lambda: host.end(one, AttemptStatus.SUCCEEDED, over=True))
+    host.desk.abandon(host.now, one)
     if one is not first:
         host.serve(first)
     assert books(host) == []
@@ -216,12 +228,12 @@
 
 def test_a_fault_in_the_watch_starts_it_anew() -> None:
     host = FakeHost([READER, WRITER])
-    rules = host.desk.rules
+    rules = host.desk.scheduler
     sound = rules.overload
     rules.overload = lambda: 1 // 0  # type: ignore[method-assign]
     with pytest.raises(ZeroDivisionError):
         host.wait(SECOND + 1)
-    host.desk.drop(host.now, BACKGROUND)
+    host.desk.abandon(host.now, BACKGROUND_TASK)
     rules.overload = sound  # type: ignore[method-assign]
     looked: list[int] = []
     rules.overload = lambda: looked.append(host.now)  # type: ignore[method-assign]
@@ -236,7 +248,7 @@
     def enter() -> None:
         try:
             host.ask()
-        except Entered as fault:
+        except ReentrantCallError as fault:
             caught.append(fault)
 
     other = Thread(target=enter)
@@ -250,12 +262,12 @@
     host = FakeHost([READER, WRITER])
 
     def send(query: int, engine: int, cap: int) -> None:
-        host.desk.left(host.now, query)
+        host.desk.client_disconnected(host.now, query)
 
-    host.send = send  # type: ignore[method-assign]
-    with pytest.raises(Entered):
+    host.start_attempt = send  # type: ignore[method-assign]
+    with pytest.raises(ReentrantCallError):
         host.ask()
-    host.desk.drop(host.now, host.asked)
+    host.desk.abandon(host.now, host.asked)
     assert books(host) == []
 
 
@@ -264,33 +276,37 @@
     host.tell(0, started=500)
     one = host.ask()
     host.tell(0, started=400)
-    assert list(host.desk.rules.engines[0].reads) == [one]
+    assert list(host.desk.scheduler.engines[0].reads) == [one]
     host.tell(0, started=600)  # a new process has nothing to read
-    assert not host.desk.rules.engines[0].reads
+    assert not host.desk.scheduler.engines[0].reads
 
 
 def test_an_engine_back_as_another_kind_is_picked_as_that() -> None:
     host = FakeHost([READER, READER, WRITER])
-    host.desk.roster(host.now, Roster(False, [Listed(1, WRITER, 0, 0, 0, "on")]))
+    host.desk.update_endpoints(
+        host.now, EndpointUpdate(False, [EngineRecord(1, WRITER, 0, 0, 0, EngineState.READY)])
+    )
     assert {host.at(host.ask(100)) for _ in range(4)} == {0}
 
 
 def test_engines_that_come_and_go_are_not_remembered_for_good() -> None:
     host = FakeHost([READER, WRITER])
     for number in range(100, 1_100):
-        for state in ("on", "gone"):
-            host.desk.roster(host.now, Roster(False, [Listed(number, READER, 0, number, 0, state)]))
-            host.desk.rules.link(number)
-    assert len(host.desk.rules.engines) <= LEFT_KEPT + 2
-    assert len(host.desk.rules.links) <= LEFT_KEPT + 2
+        for state in (EngineState.READY, EngineState.REMOVED):
+            host.desk.update_endpoints(
+                host.now, EndpointUpdate(False, [EngineRecord(number, READER, 0, number, 0, state)])
+            )
+            host.desk.scheduler.link(number)
+    assert len(host.desk.scheduler.engines) <= LEFT_KEPT + 2
+    assert len(host.desk.scheduler.links) <= LEFT_KEPT + 2
 
 
 def test_an_engine_is_itself_and_no_other_that_looks_like_it() -> None:
     host = FakeHost([READER, WRITER])
-    assert host.desk.rules.engines[0] != Engine(
+    assert host.desk.scheduler.engines[0] != Engine(
         0,
         *[
-            getattr(host.desk.rules.engines[0], name)
+            getattr(host.desk.scheduler.engines[0], name)
             for name in ("mark", "role", "zone", "rack", "memory", "started")
         ],
     )
@@ -300,25 +316,25 @@
     """A writer that answers as a reader would, a reader that says it has succeeded."""
     host = FakeHost([READER, WRITER])
     one = host.ask()
-    host.desk.closed(host.now, one, 1, Outcome(Ending.SUCCEEDED, 10), True)
+    host.desk.attempt_ended(host.now, one, 1, AttemptOutcome(AttemptStatus.SUCCEEDED, 10), True)
     two = host.ask()
-    host.end(two, Ending.READ)
-    host.end(two, Ending.READ)
-    host.desk.left(host.now, two)
-    host.end(two, Ending.RECALLED, over=True)
+    host.end(two, AttemptStatus.PREFILL_COMPLETE)
+    host.end(two, AttemptStatus.PREFILL_COMPLETE)
+    host.desk.client_disconnected(host.now, two)
+    host.end(two, AttemptStatus.CANCELLED, over=True)
     host.wait(10 * SECOND)
     assert books(host) == []
 
 
 def test_a_starting_engine_is_no_more_jammed_than_its_own_reads_say() -> None:
-    host = FakeHost([READER, READER, READER, WRITER], terms(fronts=100))
-    rules = host.desk.rules
+    host = FakeHost([READER, READER, READER, WRITER], terms(front_count=100))
+    rules = host.desk.scheduler
     for engine in (0, 1):
-        rules.learn(rules.engines[engine].lag, rules.lags[Role.READER], SECOND)
+        rules.learn(rules.engines[engine].lag, rules.lags[Role.PREFILL], SECOND)
     host.tell(2, started=host.now - SECOND)
     assert rules.warmth(rules.engines[2]) < 1 and rules.lag(rules.engines[2]) == 0
     assert rules.lag(rules.engines[0]) > 0
-    rules.learn(rules.engines[2].lag, rules.lags[Role.READER], SECOND)
+    rules.learn(rules.engines[2].lag, rules.lags[Role.PREFILL], SECOND)
     assert rules.lag(rules.engines[2]) > 0
 
 
@@ -326,17 +342,17 @@
     host = FakeHost([READER, READER, WRITER])
     query = host.ask(budget=10 * SECOND)
     first = host.at(query)
-    host.end(query, Ending.FULL, took=5)
+    host.end(query, AttemptStatus.OVERLOADED, took=5)
     assert host.at(query) != first
     host.serve(query)
     assert host.at(host.ask(budget=10 * SECOND)) != first
 
 
 def test_a_busy_front_among_hundreds_does_not_take_all_writers_for_full() -> None:
-    host = FakeHost([READER, READER, *[WRITER] * 20], terms(fronts=200))
+    host = FakeHost([READER, READER, *[WRITER] * 20], terms(front_count=200))
     for session in range(8):
         query = host.ask(prompt=3_000, budget=10 * SECOND, session=session)
-        host.end(query, Ending.READ, took=100)
+        host.end(query, AttemptStatus.PREFILL_COMPLETE, took=100)
         host.begin(query, took=100)
         host.wait(10)
     assert host.shots_of(host.ask(prompt=3_000, budget=10 * SECOND)) == 1
@@ -344,8 +360,8 @@
 
 def test_a_long_line_looks_at_the_engines_little_more_often_than_one_query() -> None:
     def looks(waiting: int) -> int:
-        host = FakeHost([READER, WRITER], terms(max_shots=5))
-        rules, counted, sound = host.desk.rules, [0], host.desk.rules.pick_reader
+        host = FakeHost([READER, WRITER], terms(max_attempts=5))
+        rules, counted, sound = host.desk.scheduler, [0], host.desk.scheduler.pick_reader
         host.ask(prompt=20_000, budget=60 * SECOND)  # a queue that is over the line while it is out
 
         def pick(*said: Any) -> Any:
@@ -353,7 +369,7 @@
             return sound(*said)
 
         rules.pick_reader = pick  # type: ignore
-        rules.rates[Role.READER] = 8.0
+        rules.rates[Role.PREFILL] = 8.0
         for _ in range(waiting):
             host.ask(prompt=100, budget=60 * SECOND)
         at = counted[0]
@@ -370,25 +386,25 @@
     for _ in range(2):  # what a front may repeat before it has heard of any read that ended well
         query = host.ask(budget=10 * SECOND)
         assert host.shots[-1][2] > 0
-        host.end(query, Ending.OVERDUE, took=SECOND // 10)
+        host.end(query, AttemptStatus.TIMED_OUT, took=SECOND // 10)
         assert host.shots_of(query) == 2
-        host.desk.left(host.now, query)
-        host.end(query, Ending.RECALLED)
+        host.desk.client_disconnected(host.now, query)
+        host.end(query, AttemptStatus.CANCELLED)
     query = host.ask(budget=10 * SECOND)
     assert host.shots[-1][2] == 0  # nothing may follow, so it is not given up before the client's time
-    host.end(query, Ending.OVERDUE, took=SECOND // 10)
+    host.end(query, AttemptStatus.TIMED_OUT, took=SECOND // 10)
     assert (host.shots_of(query), host.of(query)[-1]) == (1, "dismiss")
     for _ in range(4):
         query = host.ask(budget=10 * SECOND)
         host.serve(query)
     query = host.ask(budget=10 * SECOND)
-    host.end(query, Ending.OVERDUE, took=SECOND // 10)
+    host.end(query, AttemptStatus.TIMED_OUT, took=SECOND // 10)
     assert host.shots_of(query) == 2
 
 
 def test_a_thousand_engines_and_fronts_are_listed_and_used() -> None:
-    host = FakeHost([READER] * 512 + [WRITER] * 512, terms(fronts=1_024))
-    assert sum(e.on for e in host.desk.rules.engines.values()) == 1_024
+    host = FakeHost([READER] * 512 + [WRITER] * 512, terms(front_count=1_024))
+    assert sum(e.on for e in host.desk.scheduler.engines.values()) == 1_024
     queries = []
     for session in range(20):
         queries.append(host.ask(session=session, mark=session * 7_919, beginning=session))
--- a/tests/test_doctored.py
+++ b/tests/test_doctored.py
@@ -12,22 +12,22 @@
 import msgspec
 import pytest
 
-from runspool.decisions.interface import Ending, Listed
-from runspool.decisions.rules import Rules
-from runspool.engines.endings import ENDINGS, Mishap
-from runspool.engines.exchange import FREE
+from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
+from runspool.engines.http_exchange import UNRESTRICTED
 from runspool.lab import recording
 from runspool.lab.audit import RULES, Slack, audit
 from runspool.lab.clients import Clients, Entry
-from runspool.lab.crowd import Item
 from runspool.lab.engine import Engine
+from runspool.lab.workload import Item
+from runspool.scheduling.scheduler import Scheduler
+from runspool.scheduling.types import AttemptStatus, EngineRecord
 from runspool.service.clock import now
-from runspool.service.conversation import Conversation, _Streamed
-from runspool.service.carrying import Hearing
+from runspool.service.completions_handler import CompletionsHandler, _EventStreamResponse
 from runspool.service.front import Front
-from runspool.sockets.lines import Gone
+from runspool.service.request_executor import ResponseRelay
+from runspool.transport.tcp import ConnectionClosedError
 from runspool.wire import completions as wire
-from runspool.wire.listing import Entry as Line
+from runspool.wire.endpoint_list import EndpointEntry as Line
 from tests.town import Town
 
 pytestmark = pytest.mark.anyio
@@ -96,93 +96,102 @@
 
 
 def forgets_that_it_may_have_run(patch: pytest.MonkeyPatch) -> None:
-    for mishap in (Mishap.CUT_AFTER_LAST_BYTE, Mishap.CUT_IN_ANSWER, Mishap.FAILED):
-        patch.setitem(ENDINGS, mishap, Ending.UNREACHABLE)
+    for mishap in (
+        FailureCause.CLOSED_BEFORE_RESPONSE,
+        FailureCause.CLOSED_DURING_RESPONSE,
+        FailureCause.SERVER_ERROR,
+    ):
+        patch.setitem(STATUS_BY_CAUSE, mishap, AttemptStatus.CONNECT_FAILED)
 
 
 def sends_each_shot_twice(patch: pytest.MonkeyPatch) -> None:
-    sound = Front.send
+    sound = Front.start_attempt
 
     def send(front: Front, query: int, engine: int, cap: int) -> None:
-        taken = front.queries[query]
+        taken = front.requests[query]
         second = taken.headers | {"X-Request-Id": f"{taken.id}.again"}
-        if taken.shots:
+        if taken.attempt_count:
             front._spawn(
-                _listenless, front, taken.wish.body, second, front.sites[engine].address, taken.state
+                _listenless,
+                front,
+                taken.completion.body,
+                second,
+                front.endpoints[engine].address,
+                taken.state,
             )
         sound(front, query, engine, cap)
 
-    patch.setattr(Front, "send", send)
+    patch.setattr(Front, "start_attempt", send)
 
 
 async def _listenless(
     front: Front, body: Any, headers: dict[str, str], address: tuple[str, int], state: Any
 ) -> None:
     class Deaf:
-        async def begun(self) -> None:
+        async def stream_started(self) -> None:
             return
 
-        async def said(self, text: str) -> None:
+        async def data_received(self, text: str) -> None:
             return
 
-    await front.caller.write(address, body, state, headers, 20_000, FREE, 1000, Deaf())
+    await front.engine_client.decode(address, body, state, headers, 20_000, UNRESTRICTED, 1000, Deaf())
 
 
 def gives_no_answer(patch: pytest.MonkeyPatch) -> None:
-    async def answer(one: Conversation, *said: Any) -> None:
-        raise Gone("swallowed")
+    async def answer(one: CompletionsHandler, *said: Any) -> None:
+        raise ConnectionClosedError("swallowed")
 
-    patch.setattr(Conversation, "_answer", answer)
+    patch.setattr(CompletionsHandler, "_answer", answer)
 
 
 def answers_late(patch: pytest.MonkeyPatch) -> None:
-    sound = Conversation._answer
+    sound = CompletionsHandler._answer
 
-    async def answer(one: Conversation, taken: Any, reply: Any, final: Any) -> None:
-        await anyio.sleep(max(0, taken.limit + 10_000 - now()) / 10_000)
+    async def answer(one: CompletionsHandler, taken: Any, reply: Any, final: Any) -> None:
+        await anyio.sleep(max(0, taken.deadline + 10_000 - now()) / 10_000)
         await sound(one, taken, reply, final)
 
-    patch.setattr(Conversation, "_answer", answer)
+    patch.setattr(CompletionsHandler, "_answer", answer)
 
 
 def speaks_after_the_end(patch: pytest.MonkeyPatch) -> None:
-    sound = _Streamed.finish
+    sound = _EventStreamResponse.finish
 
-    async def finish(one: _Streamed, final: Any) -> None:
+    async def finish(one: _EventStreamResponse, final: Any) -> None:
         await sound(one, final)
-        one.conversation.line.write(wire.DONE)
+        one.conversation.tcp.write(wire.DONE)
 
-    patch.setattr(_Streamed, "finish", finish)
+    patch.setattr(_EventStreamResponse, "finish", finish)
 
 
 def loses_a_token(patch: pytest.MonkeyPatch) -> None:
-    sound = Hearing.said
+    sound = ResponseRelay.data_received
 
-    async def said(one: Hearing[Any], text: str) -> None:
+    async def data_received(one: ResponseRelay[Any], text: str) -> None:
         if "t3" not in text:
             await sound(one, text)
 
-    patch.setattr(Hearing, "said", said)
+    patch.setattr(ResponseRelay, "data_received", data_received)
 
 
 def does_not_hear_of_drains(patch: pytest.MonkeyPatch) -> None:
-    sound = Front._listed
+    sound = Front._engine_record
 
-    def listed(front: Front, entry: Line) -> Listed | None:
+    def listed(front: Front, entry: Line) -> EngineRecord | None:
         return sound(front, msgspec.structs.replace(entry, state="on"))
 
-    patch.setattr(Front, "_listed", listed)
+    patch.setattr(Front, "_engine_record", listed)
 
 
 def lets_no_state_go(patch: pytest.MonkeyPatch) -> None:
     def release(front: Front, query: int) -> None:
-        front.queries[query].state = None
+        front.requests[query].state = None
 
-    patch.setattr(Front, "release", release)
+    patch.setattr(Front, "release_state", release)
 
 
 def takes_cold_for_warm(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Rules, "bears", lambda *said: True)
+    patch.setattr(Scheduler, "bears", lambda *said: True)
 
 
 KINDS = ["prefill", "prefill", "decode", "decode"]
@@ -244,7 +253,7 @@
         clients = Clients(town.plan, Entry([("127.0.0.1", town.port)], ["a"], [True]), town.record)
         with anyio.fail_after(30):
             await clients.run(asked, now())
-            while town.running.front.queries:
+            while town.running.front.requests:
                 await anyio.sleep(0.01)
         await anyio.sleep(said.get("held_on", 0))  # a state is pinned by being there for so long
         town.record.line("over")
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -4,46 +4,46 @@
 
 import pytest
 
-from runspool.decisions.interface import Ending, Role
+from runspool.scheduling.types import AttemptStatus, Role
 from tests.fakehost import MIXED, READER, WRITER, FakeHost, terms
 
 
 def test_a_prompt_found_cached_does_not_make_a_mixed_engine_look_fast() -> None:
-    host = FakeHost([MIXED], terms(fronts=50))
+    host = FakeHost([MIXED], terms(front_count=50))
     for _ in range(4):
         one = host.ask(6_000)
         host.begin(one, took=500)
-        host.end(one, Ending.SUCCEEDED, over=True, took=5_000, kept=5_500)
-    assert host.desk.rules.rates[Role.MIXED] <= 1.0
+        host.end(one, AttemptStatus.SUCCEEDED, over=True, took=5_000, kept=5_500)
+    assert host.desk.scheduler.rates[Role.MIXED] <= 1.0
     one = host.ask(6_000)
     host.begin(one, took=2_000)
-    assert host.desk.rules.rates[Role.MIXED] <= 1.0  # before its end nothing is known of what was cached
-    host.end(one, Ending.SUCCEEDED, over=True, took=5_000, kept=0)
-    assert host.desk.rules.rates[Role.MIXED] == 3.0
+    assert host.desk.scheduler.rates[Role.MIXED] <= 1.0  # before its end nothing is known of what was cached
+    host.end(one, AttemptStatus.SUCCEEDED, over=True, took=5_000, kept=0)
+    assert host.desk.scheduler.rates[Role.MIXED] == 3.0
 
 
 @pytest.mark.parametrize("cached", [-1_000_000_000, 9_000_000])
 def test_a_cached_count_that_cannot_be_makes_no_engine_look_fast(cached: int) -> None:
-    host = FakeHost([READER, MIXED], terms(fronts=50))
-    rules = host.desk.rules
+    host = FakeHost([READER, MIXED], terms(front_count=50))
+    rules = host.desk.scheduler
     rules.engines[1].unread = 9_000  # so that the reader reads
     one = host.ask(6_000)
-    host.end(one, Ending.READ, took=6_000, kept=cached)
+    host.end(one, AttemptStatus.PREFILL_COMPLETE, took=6_000, kept=cached)
     host.begin(one)
-    host.end(one, Ending.SUCCEEDED, over=True, took=5_000, kept=cached)
+    host.end(one, AttemptStatus.SUCCEEDED, over=True, took=5_000, kept=cached)
     rules.engines[1].unread, rules.engines[0].unread = 0, 9_000
     two = host.ask(6_000)
     assert host.at(two) == 1
     host.begin(two, took=6_000)
-    host.end(two, Ending.SUCCEEDED, over=True, took=5_000, kept=cached)
-    assert rules.rates[Role.READER] <= 1.0
+    host.end(two, AttemptStatus.SUCCEEDED, over=True, took=5_000, kept=cached)
+    assert rules.rates[Role.PREFILL] <= 1.0
     assert rules.rates[Role.MIXED] <= 1.0
     assert 0 <= rules.tariffs[0].kept <= 1
 
 
 def test_one_slow_answer_leaves_room_in_the_pace_and_many_do_not() -> None:
-    host = FakeHost([READER, MIXED], terms(fronts=50))
-    reader = host.desk.rules.engines[0]
+    host = FakeHost([READER, MIXED], terms(front_count=50))
+    reader = host.desk.scheduler.engines[0]
     places = []
     for _ in range(8):
         reader.unread = 500
@@ -51,27 +51,29 @@
         reader.unread = 0
         places.append(host.at(one))
         if places[-1] == 0:
-            host.end(one, Ending.READ)
+            host.end(one, AttemptStatus.PREFILL_COMPLETE)
         host.begin(one)
-        host.end(one, Ending.SUCCEEDED, over=True, took=15_000)  # 50 tokens, for which 25,000 are allowed
+        host.end(
+            one, AttemptStatus.SUCCEEDED, over=True, took=15_000
+        )  # 50 tokens, for which 25,000 are allowed
     assert places[:2] == [1, 1], places
     assert places[-1] == 0, places
 
 
 def test_a_stream_from_a_reader_teaches_nothing_of_how_fast_its_writer_reads() -> None:
-    host = FakeHost([READER, MIXED], terms(fronts=50))
-    host.desk.rules.engines[1].unread = 9_000  # so that the reader reads
+    host = FakeHost([READER, MIXED], terms(front_count=50))
+    host.desk.scheduler.engines[1].unread = 9_000  # so that the reader reads
     one = host.ask(4_000)
-    host.end(one, Ending.READ)
+    host.end(one, AttemptStatus.PREFILL_COMPLETE)
     host.begin(one, took=100)
-    host.end(one, Ending.SUCCEEDED, over=True, took=5_000)
-    assert host.desk.rules.rates[Role.MIXED] == 1.0
+    host.end(one, AttemptStatus.SUCCEEDED, over=True, took=5_000)
+    assert host.desk.scheduler.rates[Role.MIXED] == 1.0
 
 
 def test_a_read_that_is_in_time_with_its_own_reading_is_let_in() -> None:
-    host = FakeHost([READER, WRITER], terms(fronts=50))
+    host = FakeHost([READER, WRITER], terms(front_count=50))
     host.luck = 0.5
-    rules = host.desk.rules
-    rules.lags[Role.READER].time, rules.lags[Role.READER].heard = 2_200.0, host.now
+    rules = host.desk.scheduler
+    rules.lags[Role.PREFILL].time, rules.lags[Role.PREFILL].heard = 2_200.0, host.now
     assert host.of(host.ask(4_000)) == ["send"]  # 0.4 s of reading and 0.22 s of others' in 1 s
     assert host.of(host.ask(9_000)) == ["dismiss"]  # 0.9 s of reading, and as much of others'
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -7,30 +7,30 @@
 
 import pytest
 
-from runspool.decisions.field import WIDE, Field
-from runspool.decisions.interface import Ending, Role, Roster
-from runspool.decisions.rules import Engine
+from runspool.scheduling.engine_index import WIDE, EngineIndex
+from runspool.scheduling.scheduler import Engine
+from runspool.scheduling.types import AttemptStatus, EndpointUpdate, EngineState, Role
 from tests.fakehost import READER, FakeHost, terms
 
 LARGE = 3_200
 
 
-def engines(count: int, role: Role = Role.READER) -> list[Engine]:
+def engines(count: int, role: Role = Role.PREFILL) -> list[Engine]:
     draw = Random(1)
     return [Engine(at, draw.getrandbits(32), role, at % 3, at // 12, 90_000, 0) for at in range(count)]
 
 
 def test_a_small_fleet_is_seen_whole_in_the_lists_order() -> None:
     small = engines(WIDE)
-    field = Field(small, 7)
-    assert all(field.run(Role.READER, turn) == small for turn in range(20))
+    field = EngineIndex(small, 7)
+    assert all(field.run(Role.PREFILL, turn) == small for turn in range(20))
 
 
 def test_looks_at_a_large_fleet_come_to_every_engine_alike() -> None:
-    field = Field(engines(1_200), 7)
+    field = EngineIndex(engines(1_200), 7)
     seen = [0] * 1_200
     for turn in range(1_000):
-        run = field.run(Role.READER, turn)
+        run = field.run(Role.PREFILL, turn)
         assert len({e.id for e in run}) == WIDE
         for engine in run:
             seen[engine.id] += 1
@@ -38,11 +38,11 @@
 
 
 def test_every_front_finds_the_same_engines_for_a_text() -> None:
-    fields = [Field(engines(1_200), salt) for salt in (1, 2)]
+    fields = [EngineIndex(engines(1_200), salt) for salt in (1, 2)]
     for mark in range(0, 1 << 32, 1 << 26):
-        runs = [[e.id for e in field.ring(Role.READER, mark, 40, 5)] for field in fields]
+        runs = [[e.id for e in field.ring(Role.PREFILL, mark, 40, 5)] for field in fields]
         assert runs[0] == runs[1] and len(set(runs[0])) == 40
-    wide = {e.id for within in range(200) for e in fields[0].ring(Role.READER, 9, 900, within)}
+    wide = {e.id for within in range(200) for e in fields[0].ring(Role.PREFILL, 9, 900, within)}
     assert len(wide) > 800  # a beginning asked for often has its homes over all of its span
 
 
@@ -50,19 +50,19 @@
     some = engines(300)
     for engine in some[::2]:
         engine.on = False
-    field = Field(some, 7)
-    assert {e.id for turn in range(50) for e in field.run(Role.READER, turn)} == set(range(1, 300, 2))
+    field = EngineIndex(some, 7)
+    assert {e.id for turn in range(50) for e in field.run(Role.PREFILL, turn)} == set(range(1, 300, 2))
 
 
 def fleet(count: int, cold: float = 0.0) -> FakeHost:
     house = terms()
-    house.fronts = 200
+    house.front_count = 200
     draw = Random(1)
     host = FakeHost([draw.choice([0, 0, 1, 1, 2]) for _ in range(count)], house)
     for line in host.lines:
-        line.rack, line.zone, line.mark = line.engine // 12, draw.randrange(3), draw.getrandbits(32)
-        line.started = host.now - 1_000 if draw.random() < cold else 0
-    host.desk.roster(host.now, Roster(True, list(host.lines)))
+        line.rack, line.zone, line.stable_hash = line.engine // 12, draw.randrange(3), draw.getrandbits(32)
+        line.started_at = host.now - 1_000 if draw.random() < cold else 0
+    host.desk.update_endpoints(host.now, EndpointUpdate(True, list(host.lines)))
     return host
 
 
@@ -79,7 +79,7 @@
         for at in range(queries):
             one = ask(host, trial * queries + at)
             if host.shots_of(one):
-                host.end(one, Ending.READ)
+                host.end(one, AttemptStatus.PREFILL_COMPLETE)
         costs.append((time.process_time() - began) / queries)
     return min(costs)
 
@@ -94,7 +94,7 @@
 def test_a_whole_list_of_thousands_is_taken_in_milliseconds() -> None:
     host = fleet(LARGE)
     began = time.process_time()
-    host.desk.roster(host.now, Roster(True, list(host.lines)))
+    host.desk.update_endpoints(host.now, EndpointUpdate(True, list(host.lines)))
     assert time.process_time() - began < 0.04  # 1.4 ms; 76 before
 
 
@@ -103,7 +103,7 @@
     used: set[int] = set()
     for at in range(300):
         one = ask(host, at)
-        assert host.lines[host.at(one)].kind == READER
+        assert host.lines[host.at(one)].engine_type == READER
         used.add(host.at(one))
         host.serve(one)
         used.add(host.at(one))
@@ -113,11 +113,11 @@
 
 def test_a_large_fleet_of_which_hardly_any_is_on_still_finds_those() -> None:
     host = fleet(LARGE)
-    left = [line for line in host.lines if line.kind == READER][:1] + [
-        line for line in host.lines if line.kind != READER
+    left = [line for line in host.lines if line.engine_type == READER][:1] + [
+        line for line in host.lines if line.engine_type != READER
     ][:1]
     for line in host.lines:
-        line.state = "on" if line in left else "draining"
-    host.desk.roster(host.now, Roster(True, list(host.lines)))
+        line.state = EngineState.READY if line in left else EngineState.DRAINING
+    host.desk.update_endpoints(host.now, EndpointUpdate(True, list(host.lines)))
     host.serve(one := ask(host, 1))
     assert host.of(one).count("send") == 2
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from runspool.decisions.interface import Query
+from runspool.scheduling.types import Request
 from tests.fleet import Fleet
 
 BURST = [85, 85, 119, 85, 60, 42]  # new sessions a second in each five seconds
@@ -22,11 +22,11 @@
     assert fleet.overdue < 0.04 * fleet.reads
 
 
-def share(asked: list[tuple[Query, bool]]) -> float:
+def share(asked: list[tuple[Request, bool]]) -> float:
     return sum(answered for _, answered in asked) / len(asked)
 
 
-def refused_throughout(asked: list[tuple[Query, bool]]) -> tuple[float, float]:
+def refused_throughout(asked: list[tuple[Request, bool]]) -> tuple[float, float]:
     """The part of sessions of which no turn was answered, and what it would be were each turn drawn alone."""
     sessions: defaultdict[int, list[bool]] = defaultdict(list)
     for q, answered in asked:
@@ -39,11 +39,11 @@
 
 
 @cache
-def day(rates: tuple[int, ...], seed: int) -> list[tuple[Query, bool]]:
+def day(rates: tuple[int, ...], seed: int) -> list[tuple[Request, bool]]:
     """Thirty fronts' queries of one day, the shortest prompts first."""
     fleet = Fleet(30, 12, seed)
     fleet.play(rates, zones=(0.5, 0.25, 0.25))
-    return sorted(fleet.asked(), key=lambda one: one[0].prompt)
+    return sorted(fleet.asked(), key=lambda one: one[0].prompt_tokens)
 
 
 QUIET, JAM = (60,) * 6, tuple(BURST)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -11,18 +11,18 @@
 import msgspec
 import pytest
 
-from runspool.decisions.interface import Role
+from runspool.discovery.endpoint_tracker import GONE_KEPT
+from runspool.discovery.snapshot import save_snapshot
 from runspool.lab.audit import audit
-from runspool.lab.retrace import retrace
-from runspool.roster.following import GONE_KEPT
-from runspool.roster.memory import keep
+from runspool.lab.replay import replay
+from runspool.scheduling.types import Role
 from runspool.service.clock import unix_ms, unix_ms_at_zero
-from runspool.service.carrying import Hearing
-from runspool.service.owed import Final, Kind
-from runspool.service.taken import Taken
-from runspool.sockets import lines
+from runspool.service.pending_completion import PendingCompletion
+from runspool.service.pending_request import FinalResponse, ResponseKind
+from runspool.service.request_executor import ResponseRelay
+from runspool.transport import tcp as lines
 from runspool.wire.completions import read_wish
-from runspool.wire.listing import Entry
+from runspool.wire.endpoint_list import EndpointEntry
 from tests.histories import leftovers
 from tests.town import Town, answered
 
@@ -98,7 +98,7 @@
         ]
         for answer, status, code in wrong:
             assert (answer.status, answer.error["code"]) == (status, code)
-        assert town.running.front.counts["taken"] == 0
+        assert town.running.front.counts["accepted"] == 0
         assert not town.seen("arrived")
 
 
@@ -138,7 +138,7 @@
                 await stream.send_eof()
                 told = await answered(stream)
             assert (told.status, told.error["code"]) == (400, "malformed")
-        assert town.running.front.counts["taken"] == 0
+        assert town.running.front.counts["accepted"] == 0
 
 
 async def test_what_an_engine_says_after_the_final_answer_goes_nowhere(tmp_path: Path) -> None:
@@ -146,28 +146,32 @@
         front, passed = town.running.front, []
 
         class Ear:
-            async def begun(self) -> None:
+            async def stream_started(self) -> None:
                 passed.append("begun")
 
-            async def said(self, text: str) -> None:
+            async def data_received(self, text: str) -> None:
                 passed.append(text)
 
-        wish = read_wish({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.terms)
-        taken = Taken(0, "q", 0, 10, wish=wish, reply=Ear(), headers={}, stay=front._let_in(wish))
-        hearing = Hearing(front, taken, 1, 0)
-        await hearing.said("before")
-        assert taken.settle(Final(Kind.SCRAPPED))
-        await hearing.begun()
-        await hearing.said("after")
+        wish = read_wish({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
+        taken = PendingCompletion(
+            0, "q", 0, 10, completion=wish, listener=Ear(), headers={}, stay=front._let_in(wish)
+        )
+        hearing = ResponseRelay(front, taken, 1, 0)
+        await hearing.data_received("before")
+        assert taken.finish(FinalResponse(ResponseKind.INDETERMINATE))
+        await hearing.stream_started()
+        await hearing.data_received("after")
         assert passed == ["before"]
 
 
 async def test_late_news_for_a_closed_cell_opens_no_desk(tmp_path: Path) -> None:
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
         front = town.running.front
-        wish = read_wish({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.terms)
+        wish = read_wish({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
         stay = replace(front._let_in(wish), cell="closed")
-        front._leave(Taken(0, "q", 0, 10, wish=wish, reply=cast(Any, None), headers={}, stay=stay))
+        front._disconnect(
+            PendingCompletion(0, "q", 0, 10, completion=wish, listener=cast(Any, None), headers={}, stay=stay)
+        )
         assert front.quarters.keys() == {"whole"}
 
 
@@ -175,7 +179,7 @@
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
         town.tell(0, "gone")
         town.tell(1, "gone")
-        while any(engine.on for engine in town.running.front.desk.rules.engines.values()):
+        while any(engine.on for engine in town.running.front.desk.scheduler.engines.values()):
             await anyio.sleep(0.005)
         answer = await town.ask(runspool_limit_ms="500")
         assert (answer.status, answer.error["type"]) == (503, "dismissed")
@@ -220,9 +224,9 @@
             await town.until("arrived", stage="write")
         await town.until("ended", how="left")
         await town.until("released")
-        while town.running.front.queries:
+        while town.running.front.requests:
             await anyio.sleep(0.01)
-        assert town.running.front.counts["left"] == 1
+        assert town.running.front.counts["client_disconnected"] == 1
 
 
 async def test_a_client_that_does_not_read_its_answer_counts_as_one_that_left(tmp_path: Path) -> None:
@@ -235,7 +239,7 @@
         async with await anyio.connect_tcp("127.0.0.1", town.port) as stream:
             await stream.send(ASK + b"Content-Length: %d\r\n\r\n" % len(raw) + raw)
             await town.until("ended", how="left")
-        assert town.running.front.counts["left"] == 1
+        assert town.running.front.counts["client_disconnected"] == 1
 
 
 async def test_a_whole_answer_that_cannot_be_complete_in_time_is_scrapped_in_time(tmp_path: Path) -> None:
@@ -252,7 +256,7 @@
         town.engines[0].fault("hang", on=True)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(town.ask)
-            while not town.running.front.queries:
+            while not town.running.front.requests:
                 await anyio.sleep(0.005)
             refused = await town.ask()
             assert (refused.status, refused.error["code"]) == (503, "front_full")
@@ -300,9 +304,11 @@
 
 async def test_a_front_comes_back_with_its_last_list_and_shrugs_at_a_torn_one(tmp_path: Path) -> None:
     town = Town(tmp_path, ["prefill", "decode"])
-    keep(tmp_path / "front-0.list", 7, [Entry("e9", "127.0.0.1:9", "prefill", "a", 0, "draining")])
+    save_snapshot(
+        tmp_path / "front-0.list", 7, [EndpointEntry("e9", "127.0.0.1:9", "prefill", "a", 0, "draining")]
+    )
     async with town.open() as opened:
-        assert opened.running.front.sites[0].name == "e9"
+        assert opened.running.front.endpoints[0].name == "e9"
         # The service's whole list does not name it: it is gone, and the new list is on disk soon.
         while b"e9" in (tmp_path / "front-0.list").read_bytes():
             await anyio.sleep(0.01)
@@ -313,43 +319,43 @@
 
 async def test_a_fault_in_the_decisions_scraps_one_query_and_spares_the_rest(tmp_path: Path) -> None:
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
-        rules = town.running.front.desk.rules
+        rules = town.running.front.desk.scheduler
         sound = rules.pick_reader
         rules.pick_reader = lambda *_: 1 // 0  # type: ignore[method-assign, assignment]
         answer = await town.ask()
         assert (answer.status, answer.error["type"]) == (424, "scrapped")
         rules.pick_reader = sound  # type: ignore[method-assign]
         assert (await town.ask()).status == 200
-        assert not town.running.front.queries
+        assert not town.running.front.requests
 
 
 async def test_a_fault_while_an_answer_streams_calls_its_shot_back(tmp_path: Path) -> None:
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
         front = town.running.front
-        front.desk.rules.learn = lambda *_: 1 // 0  # type: ignore[method-assign, assignment]
+        front.desk.scheduler.learn = lambda *_: 1 // 0  # type: ignore[method-assign, assignment]
         answer = await town.ask(out=200)
         assert answer.error["type"] == "scrapped" if answer.status != 200 else b"scrapped" in answer.body
         with anyio.fail_after(10):
-            while front.queries or leftovers(front) or any(one.live for one in town.engines):
+            while front.requests or leftovers(front) or any(one.live for one in town.engines):
                 await anyio.sleep(0.01)
-        assert front.counts["taken"] == front.counts["scrapped"] == 1
+        assert front.counts["accepted"] == front.counts["indeterminate"] == 1
 
 
 async def test_a_shot_still_connecting_as_its_engine_drains_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with Town(tmp_path, ["prefill", "decode", "decode"]).open() as town:
-        dialled, go, sound = anyio.Event(), anyio.Event(), lines.dial
+        dialled, go, sound = anyio.Event(), anyio.Event(), lines.connect
         to: list[int] = []
 
-        async def dial(address: tuple[str, int], source: str | None) -> lines.Line:
+        async def dial(address: tuple[str, int], source: str | None) -> lines.TcpConnection:
             if address[1] != town.plan.engines[0].port and not to:
                 to.append([one.port for one in town.plan.engines].index(address[1]))
                 dialled.set()
                 await go.wait()
             return await sound(address, source)
 
-        monkeypatch.setattr("runspool.engines.connections.dial", dial)
+        monkeypatch.setattr("runspool.engines.connection_pool.connect", dial)
         answers = []
 
         async def ask() -> None:
@@ -360,7 +366,7 @@
             with anyio.fail_after(10):
                 await dialled.wait()
                 town.tell(to[0], "draining")
-                while town.running.front.desk.rules.engines[to[0]].on:
+                while town.running.front.desk.scheduler.engines[to[0]].on:
                     await anyio.sleep(0.005)
             go.set()
         assert answers[0].status == 200
@@ -373,7 +379,7 @@
         town.plan.engines[1].kind = "prefill"
         town.tell(1, "on")
         with anyio.fail_after(10):
-            while front.desk.rules.engines[1].role is not Role.READER:
+            while front.desk.scheduler.engines[1].role is not Role.PREFILL:
                 await anyio.sleep(0.005)
         async with anyio.create_task_group() as tasks:
             for _ in range(8):
@@ -384,7 +390,7 @@
         town.plan.engines[1].kind = "novel"
         town.tell(1, "draining")
         with anyio.fail_after(10):
-            while front.desk.rules.engines[1].on:
+            while front.desk.scheduler.engines[1].on:
                 await anyio.sleep(0.005)
         assert (await town.ask()).status == 200
 
@@ -400,7 +406,7 @@
             await anyio.sleep_forever()
             return True
 
-        monkeypatch.setattr(front.caller, "answers", answers)
+        monkeypatch.setattr(front.engine_client, "answers", answers)
         monkeypatch.setattr("runspool.service.front.LOOK_LIMIT", 60.0)
         town.engines[1].fault("row", row="reset_after", share=1.0)
         with anyio.fail_after(10):
@@ -408,9 +414,9 @@
                 tasks.start_soon(town.ask)
                 await looks.wait()
                 tasks.cancel_scope.cancel()
-            while front.queries:
+            while front.requests:
                 await anyio.sleep(0.01)
-        assert front.counts["left"] == 1
+        assert front.counts["client_disconnected"] == 1
         assert leftovers(front) == []
         assert not front.counts["poisonous"]
 
@@ -422,12 +428,14 @@
         front, hour = town.running.front, 3_600_000
         town.started[1] = unix_ms() - 30_000
         town.tell(1, "on")
-        rules = front.desk.rules
+        rules = front.desk.scheduler
         with anyio.fail_after(10):
             while not rules.engines[1].started:
                 await anyio.sleep(0.005)
         known = rules.engines[1].started
-        monkeypatch.setattr("runspool.service.carrying.unix_ms_at_zero", lambda: unix_ms_at_zero() - hour)
+        monkeypatch.setattr(
+            "runspool.service.request_executor.unix_ms_at_zero", lambda: unix_ms_at_zero() - hour
+        )
         town.tell(1, "draining")
         town.started[2] = unix_ms() - hour
         town.tell(2, "on")
@@ -443,23 +451,27 @@
         front = town.running.front
         for number in range(GONE_KEPT + 200):
             for state in ("on", "gone"):
-                entry = Entry(f"n{number}", f"127.0.0.1:{number + 1}", "decode", "a", 0, "on")
-                front.engines_changed([msgspec.structs.replace(entry, state=state)])
-        assert len(front.sites) == len(front.lines) == len(front.engine_door) <= GONE_KEPT + 2
+                entry = EndpointEntry(f"n{number}", f"127.0.0.1:{number + 1}", "decode", "a", 0, "on")
+                front.endpoints_changed([msgspec.structs.replace(entry, state=state)])
+        assert (
+            len(front.endpoints) == len(front.engine_records) == len(front.engine_interner) <= GONE_KEPT + 2
+        )
         assert (await town.ask()).status == 200
 
 
 async def test_the_thread_that_keeps_the_list_has_a_copy_of_its_own(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    given: list[list[Entry]] = []
-    monkeypatch.setattr("runspool.service.running.keep", lambda path, version, engines: given.append(engines))
+    given: list[list[EndpointEntry]] = []
+    monkeypatch.setattr(
+        "runspool.service.front_server.save_snapshot", lambda path, version, engines: given.append(engines)
+    )
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
         with anyio.fail_after(10):
             while not given or len(given[-1]) < 2:
                 await anyio.sleep(0.005)
         had = list(given[-1])
-        entries = town.running.front.following.entries
+        entries = town.running.front.endpoint_tracker.entries
         entries.clear()
         assert given[-1] == had
         with pytest.raises(AttributeError):
@@ -478,14 +490,14 @@
                         ["ask", "book"][at % 2], out=5, runspool_mark=f"m{at}", runspool_session=f"s{at % 7}"
                     )
                 )
-        town.running.front.quarter("whole").tape.close()
-    found = retrace(tape)
+        town.running.front.quarter("whole").recorder.close()
+    found = replay(tape)
     assert found.differs == ""
-    assert found.news > 100
-    assert found.asks > 100
+    assert found.events > 100
+    assert found.actions > 100
     # And a tape that says otherwise is found out.
     tape.write_bytes(tape.read_bytes().replace(b'"send",5,', b'"send",6,', 1))
-    assert "now" in retrace(tape).differs
+    assert "now" in replay(tape).differs
 
 
 async def test_a_town_at_work_keeps_every_rule(tmp_path: Path) -> None:
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -17,8 +17,8 @@
 
 from runspool.lab.audit import EXACT, RULES, audit
 from runspool.lab.recording import Event
-from runspool.service.carrying import GUARD
 from runspool.service.front import Front
+from runspool.service.request_executor import GUARD
 from tests import clockwork
 from tests.conftest import JUDGED
 from tests.histories import Days, Recorded, World
@@ -107,11 +107,11 @@
 
 
 def answers_nothing_when_it_cannot_serve(patch: pytest.MonkeyPatch) -> None:
-    sound = Front._ring
-    patch.setattr(Front, "dismiss", lambda front, query, hold_off: None)
-    patch.setattr(Front, "scrap", lambda front, query: None)
+    sound = Front._timer_fired
+    patch.setattr(Front, "reject", lambda front, query, hold_off: None)
+    patch.setattr(Front, "fail_indeterminate", lambda front, query: None)
     patch.setattr(
-        Front, "_ring", lambda front, token: None if token.startswith(GUARD) else sound(front, token)
+        Front, "_timer_fired", lambda front, token: None if token.startswith(GUARD) else sound(front, token)
     )
 
 
--- a/tests/test_incident.py
+++ b/tests/test_incident.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from runspool.sockets.lines import Line, dial
+from runspool.transport.tcp import TcpConnection, connect
 from tests.platform import (
     GOOD,
     READ,
@@ -153,13 +153,13 @@
 ) -> None:
     """A connection that took long to come up has taken its time from the client's."""
 
-    async def dials(address: tuple[str, int], source: str | None) -> Line:
+    async def dials(address: tuple[str, int], source: str | None) -> TcpConnection:
         await asyncio.sleep(0.22)
-        return await dial(address, source)
+        return await connect(address, source)
 
     platform = Platform(tmp_path, PAIR)
     async with platform.inside():
-        monkeypatch.setattr("runspool.engines.connections.dial", dials)
+        monkeypatch.setattr("runspool.engines.connection_pool.connect", dials)
         client = await platform.client()
         sent = time.monotonic()
         client.send(post("q1", "book", req_deadline="2000m"))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,12 +10,21 @@
 import anyio
 import pytest
 
-from runspool.lab.cellplans import flood
-from runspool.lab import recording, verdict
-from runspool.lab.crowd import Item, crowd
-from runspool.lab.director import Director
+from runspool.lab import recording
+from runspool.lab import report as verdict
+from runspool.lab.cell_plans import flood
 from runspool.lab.model import Job, Model, Phase, Verdict
-from runspool.lab.plan import BENCH_KINDS, OWN_KINDS, SECOND, Trouble, Unplayable, bad_night, from_bench
+from runspool.lab.plan import (
+    BENCH_KINDS,
+    OWN_KINDS,
+    SECOND,
+    Trouble,
+    UnplayableDayError,
+    bad_night,
+    from_bench,
+)
+from runspool.lab.scenario_runner import ScenarioRunner
+from runspool.lab.workload import Item, crowd
 from tests.town import make
 
 
@@ -176,14 +185,14 @@
     assert [one.kind for one in plan.troubles] == list(BENCH_KINDS)
     assert {one.kind for one in plan.engines} == {"prefill", "decode", "mixed"}
     assert all(0 <= at < 12 for one in plan.troubles for at in one.on)
-    director = Director(plan, tmp_path)
+    director = ScenarioRunner(plan, tmp_path)
     by_clients = {"burst", "tenant_burst", "hot_key", "heavy_tail", "retry_abuse"}
     by_director = {"ageing", "balancer_roll", "neighbour", "discovery_stale", "flush"}
     for one in plan.troubles:
         assert one.kind in by_clients | by_director or director._spans(one), one.kind
-    with pytest.raises(Unplayable, match="moonshine"):
+    with pytest.raises(UnplayableDayError, match="moonshine"):
         from_bench(bench_day("burst", "moonshine"), 3, 12)
-    with pytest.raises(Unplayable, match="troubles"):
+    with pytest.raises(UnplayableDayError, match="troubles"):
         from_bench({}, 3, 12)
 
 
@@ -216,7 +225,7 @@
         Trouble("list_noise", SECOND, 4 * SECOND),
         Trouble("errors", 2 * SECOND, 3 * SECOND, size=0.3, on=[writer + 4]),
     ]
-    file = anyio.run(Director(plan, tmp_path).play)
+    file = anyio.run(ScenarioRunner(plan, tmp_path).play)
     said = verdict.verdict(recording.read(file))
     verdict.write(said, tmp_path)
     assert said["kept"], said["rules"]
@@ -233,7 +242,7 @@
         for row in day["troubles"]
         if row["kind"] in ("ageing", "balancer_roll")
     ]  # also on top of itself
-    file = anyio.run(Director(from_bench(day, 2, 9, 0.5), tmp_path).play)
+    file = anyio.run(ScenarioRunner(from_bench(day, 2, 9, 0.5), tmp_path).play)
     said = verdict.verdict(recording.read(file))
     assert said["kept"], said["rules"]
     assert {one["kind"] for one in said["troubles"]} >= {"ageing", "balancer_roll", "class_fail", "throttle"}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -12,10 +12,11 @@
 
 import pytest
 
-from runspool.engines.connections import Address
-from runspool.engines.endings import Mishap
-from runspool.node.node import Held
-from runspool.sockets.lines import Line, dial
+from runspool.engines.connection_pool import Address
+from runspool.engines.failure_classification import FailureCause
+from runspool.node.executor import PendingNodeRequest
+from runspool.scheduling.types import EngineState
+from runspool.transport.tcp import TcpConnection, connect
 from tests.platform import (
     BODY,
     EVENTS,
@@ -122,30 +123,32 @@
 async def test_letting_go_does_not_wait_for_one_cut_off_engine_after_the_other(tmp_path: Path) -> None:
     names = {"r": "prefill"} | {f"w{at}": "decode" for at in range(9)}
     async with Platform(tmp_path, names).inside() as running:
-        node = running.node
-        sites, asked, over = {site.name: site for site in node.sites.values()}, [], asyncio.Event()
+        node = running.executor
+        sites, asked, over = {site.name: site for site in node.endpoints.values()}, [], asyncio.Event()
 
-        async def release(address: Address, request: str, limit: int) -> Mishap | None:
+        async def release(address: Address, request: str, limit: int) -> FailureCause | None:
             asked.append(address)
             if address != sites["w7"].address:
                 await asyncio.sleep(limit / 10_000)
-                return Mishap.SILENT_AFTER_LAST_BYTE
+                return FailureCause.TIMED_OUT_BEFORE_RESPONSE
             over.set()
             return None
 
         # All have been spoken to, that one last: it is the likeliest to be there still.
         spoken = {
             site.address: [SimpleNamespace(idle_since=9 - abs(int(site.name[1:]) - 7))]
-            for site in node.sites.values()
+            for site in node.endpoints.values()
             if site.name != "r"
         }
-        node.calls.pool.idle = cast(Any, spoken)
-        node.calls.pool.sweep = lambda: None  # type: ignore[method-assign]
-        node.calls.release = release  # type: ignore[method-assign]
-        held = Held(0, "q1", 0, 0, cast(Any, None), ask=cast(Any, None), state_at=sites["r"])
-        node.let_go(held)
+        node.engine_client.pool.idle = cast(Any, spoken)
+        node.engine_client.pool.close_idle = lambda: None  # type: ignore[method-assign]
+        node.engine_client.release_state = release  # type: ignore[method-assign]
+        held = PendingNodeRequest(
+            0, "q1", 0, 0, cast(Any, None), client_request=cast(Any, None), prefill_endpoint=sites["r"]
+        )
+        node.release_prefill_state(held)
         await asyncio.wait_for(over.wait(), WAIT)
-        node.calls.pool.idle = {}
+        node.engine_client.pool.idle = {}
         assert asked == [sites["r"].address, sites["w7"].address]
 
 
@@ -399,7 +402,7 @@
     async with Platform(tmp_path, PAIR).open() as platform:
         (tmp_path / "config.json").write_text("{oops")
         platform.signal(signal.SIGHUP)
-        await platform.logged("posting_unusable")
+        await platform.logged("config_unusable")
         assert (await platform.ask(post("q1"))).whole
         other = Platform(tmp_path, {"x": "mixed"})
         async with other.agent() as port:
@@ -493,24 +496,26 @@
 async def test_a_kept_connection_reset_by_the_next_request_costs_no_doubt(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def far(address: tuple[str, int], source: str | None) -> Line:
+    async def far(address: tuple[str, int], source: str | None) -> TcpConnection:
         await asyncio.sleep(0.5)  # a round trip so long that the reset is always seen in it
-        return await dial(address, source)
+        return await connect(address, source)
 
     async def given_up(asked: Request) -> None:
         await asked.say(GOOD)
         await asked.reader.read(1)
         asked.reset()
 
-    monkeypatch.setattr("runspool.engines.connections.dial", far)
-    monkeypatch.setattr("runspool.engines.exchange.LONGEST_LOOK", 100_000)
+    monkeypatch.setattr("runspool.engines.connection_pool.connect", far)
+    monkeypatch.setattr("runspool.engines.http_exchange.LONGEST_LOOK", 100_000)
     platform = Platform(tmp_path, PAIR)
     # Nobody is in a hurry: that connecting takes long is not what this is about.
     classes = [row | {"aim-us": 5_000_000} for row in SETTINGS["classes"]]
     limits = SETTINGS["limits"] | {"dial-timeout-us": 5_000_000}
     platform.settings = SETTINGS | {"limits": limits, "classes": classes}
     async with platform.inside() as running:
-        running.node.calls.pool.rest = 0  # the kept connection is what this is about, however soon it is used
+        running.executor.engine_client.pool.quiet_time = (
+            0  # the kept connection is what this is about, however soon it is used
+        )
         platform.engines["w"].scripts = [given_up]
         assert (await platform.ask(post("q1"))).whole
         assert (await platform.ask(post("q2", "book", req_deadline="9000m"))).whole
@@ -546,20 +551,20 @@
 ) -> None:
     connecting, go = asyncio.Event(), asyncio.Event()
 
-    async def dials(address: tuple[str, int], source: str | None) -> Line:
+    async def dials(address: tuple[str, int], source: str | None) -> TcpConnection:
         if address[1] == platform.engines["w"].port:
             connecting.set()
             await go.wait()
-        return await dial(address, source)
+        return await connect(address, source)
 
     platform = Platform(tmp_path, {"r": "prefill", "w": "decode"})
-    monkeypatch.setattr("runspool.engines.connections.dial", dials)
+    monkeypatch.setattr("runspool.engines.connection_pool.connect", dials)
     async with platform.inside() as running:
         asked = asyncio.ensure_future(platform.ask(post("q1", "book")))
         await asyncio.wait_for(connecting.wait(), 15)
         platform.tell(w="leaving")
         async with asyncio.timeout(15):
-            while running.node.lines["w"].state == "on":
+            while running.executor.engine_records["w"].state == EngineState.READY:
                 await asyncio.sleep(0.005)
         go.set()
         assert (await asked).status == 503  # known not to have run
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -7,22 +7,25 @@
 import anyio
 import msgspec
 import pytest
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 from typer.testing import CliRunner
 
 from runspool.cli.lab import app as lab
 from runspool.cli.main import app
-from runspool.decisions.interface import Effect, Group, TariffTerms
-from runspool.engines.replies import BadReply, Reply
-from runspool.front.door import Door
-from runspool.engines.vigil import Vigil
-from runspool.service.budget import first_token_budget
+from runspool.engines.idle_watchdog import IdleWatchdog
+from runspool.engines.response_parser import MalformedHttpResponseError, ResponseParser
+from runspool.runtime.interning import Interner
+from runspool.scheduling.settings import RequestClassSettings
+from runspool.scheduling.types import DeduplicationScope, Idempotency
 from runspool.service.clock import now
-from runspool.service.timers import Timers
-from runspool.wire import completions, engine
-from runspool.wire.requests import BadRequest, Requests
+from runspool.service.deadlines import first_token_budget
+from runspool.service.timer_queue import TimerQueue
+from runspool.wire import completions
+from runspool.wire import engine_messages as engine
+from runspool.wire.http_requests import HttpRequestParser, InvalidHttpRequestError
 
-ROW = TariffTerms(10_000, 0, 600, 1.0, 0.1, Effect.RERUNNABLE, Group.ALL, 0)
+ROW = RequestClassSettings(10_000, 0, 600, 1.0, 0.1, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0)
 
 
 def test_a_whole_answer_leaves_time_for_its_writing() -> None:
@@ -35,18 +38,18 @@
 
 def test_the_vigil_calls_once_for_what_has_waited_too_long_and_for_nothing_else() -> None:
     time, called = 1_000, []
-    vigil = Vigil(lambda: time)
+    vigil = IdleWatchdog(lambda: time)
     late, idle, quick, gone = (
         vigil.watch(500, lambda name=name: called.append(name))  # type: ignore[misc]
         for name in ("late", "idle", "quick", "gone")
     )
-    late.since = gone.since = 1_000
-    vigil.forget(gone)
+    late.waiting_since = gone.waiting_since = 1_000
+    vigil.unwatch(gone)
     time = 1_600
-    quick.since = 1_500
-    vigil.look()
-    vigil.look()
-    assert (called, late.ran_out, idle.ran_out) == (["late"], True, False)
+    quick.waiting_since = 1_500
+    vigil.check()
+    vigil.check()
+    assert (called, late.timed_out, idle.timed_out) == (["late"], True, False)
 
 
 @pytest.mark.anyio
@@ -59,13 +62,13 @@
         if len(rung) == 3:
             all_rung.set()
 
-    timers = Timers(ring)
+    timers = TimerQueue(ring)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(timers.run)
-        timers.at(now() + 600, "third")
+        timers.schedule(now() + 600, "third")
         await anyio.sleep(0)
-        timers.at(now() + 100, "first")
-        timers.at(now() + 300, "second")
+        timers.schedule(now() + 100, "first")
+        timers.schedule(now() + 300, "second")
         with anyio.fail_after(10):
             await all_rung.wait()
         tasks.cancel_scope.cancel()
@@ -77,21 +80,21 @@
     chunks = completions.Chunks("q", "m", 0)
     body = b"".join(chunks.text(text) for text in texts) + b"0\r\n\r\n"
     raw = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: y\r\n\r\n" + body
-    reply, events, found = Reply(65536), engine.Events(65536), []
+    reply, events, found = ResponseParser(65536), engine.Events(65536), []
     at = turn = 0
     while at < len(raw):
         size = cuts[turn % len(cuts)]
         reply.feed(raw[at : at + size])
-        found += events.feed(reply.take())
+        found += events.feed(reply.take_body())
         at, turn = at + size, turn + 1
     assert reply.complete and reply.status == 200 and reply.headers["x"] == "y"
     assert [engine.answer(event).choices[0].text for event in found] == texts
 
 
 def test_bytes_past_the_end_of_an_answer_are_no_second_answer() -> None:
-    reply = Reply(65536)
+    reply = ResponseParser(65536)
     reply.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-    with pytest.raises(BadReply):
+    with pytest.raises(MalformedHttpResponseError):
         reply.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
 
@@ -105,7 +108,11 @@
     said = msgspec.json.encode({"named_metrics": {"kv_cache_usage_perc": 0.25, "prompt_tokens_waiting": 800}})
     report = engine.load_report("JSON " + said.decode())
     assert report is not None
-    assert (report.memory, report.to_read, report.slots) == (0.25, 800, None)
+    assert (report.memory_utilization, report.queued_prompt_tokens, report.slot_utilization) == (
+        0.25,
+        800,
+        None,
+    )
     assert engine.load_report(None) is engine.load_report("TEXT a=1") is None
 
 
@@ -128,14 +135,14 @@
 
 
 def test_a_name_is_forgotten_when_unseen_for_long_or_past_the_bound() -> None:
-    door = Door(bound=3, keeps=100)
-    first, second = door.index("a", 0), door.index("b", 60)
-    assert door.index("a", 90) == first  # seen again, so b is now the one unseen for longest
-    assert door.index("c", 161) not in (first, second) and len(door) == 2
-    assert door.known("b") is None and door.known("a") == first
+    door = Interner(bound=3, keeps=100)
+    first, second = door.intern("a", 0), door.intern("b", 60)
+    assert door.intern("a", 90) == first  # seen again, so b is now the one unseen for longest
+    assert door.intern("c", 161) not in (first, second) and len(door) == 2
+    assert door.lookup("b") is None and door.lookup("a") == first
     for at, name in enumerate("defg"):
-        door.index(name, 162 + at)
-    assert len(door) == 3 and door.known("a") is None
+        door.intern(name, 162 + at)
+    assert len(door) == 3 and door.lookup("a") is None
 
 
 def test_pipelined_requests_ahead_of_a_fault_are_served_and_none_after_it() -> None:
@@ -145,12 +152,12 @@
         (b"GET / HTTP/1.1\r\n\r\n", 400),
         (b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 99\r\n\r\n", 413),
     ):
-        reading = Requests(1000, 10)
+        reading = HttpRequestParser(1000, 10)
         reading.feed(good + good + bad + good)
         assert [one.complete for one in reading.ready] == [True, True]
         reading.put_off()  # nothing yet: two are to be served first
         reading.ready.clear()
-        with pytest.raises(BadRequest) as told:
+        with pytest.raises(InvalidHttpRequestError) as told:
             reading.put_off()
         assert told.value.status == status
 
@@ -162,7 +169,7 @@
         b"Content-Length: 4\r\n\r\nabcd"
         b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
     )
-    reading = Requests(1000, 10)
+    reading = HttpRequestParser(1000, 10)
     for cut in cuts:
         reading.feed(raw[:cut])
         raw = raw[cut:]
