--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -11,21 +11,22 @@
 from typing import Any, cast
 
 import pytest
-from structlog.testing import capture_logs
 from msgspec.structs import replace
+from structlog.testing import capture_logs
 
-from runspool.decisions.interface import Ending
-from runspool.engines.connections import Address
-from runspool.engines.endings import Mishap
-from runspool.engines.exchange import Ended, Permit
-from runspool.node import catalog as node_catalog, running as node_running
-from runspool.node.asks import Ask
-from runspool.node.intake import Intake
-from runspool.node.node import Held, Node
-from runspool.node.posting import BadPosting
-from runspool.node.running import Running
+from runspool.engines.connection_pool import Address
+from runspool.engines.failure_classification import FailureCause
+from runspool.engines.http_exchange import AttemptResult, SendPermit
+from runspool.node import discovery_client as node_catalog
+from runspool.node import server as node_running
+from runspool.node.config import InvalidNodeConfigError
+from runspool.node.executor import NodeExecutor, PendingNodeRequest
+from runspool.node.request_handler import RequestHandler
+from runspool.node.request_parser import ClientRequest
+from runspool.node.server import NodeServer
+from runspool.scheduling.types import AttemptStatus, EngineState
 from runspool.service.clock import now
-from runspool.sockets.lines import Line, dial
+from runspool.transport.tcp import TcpConnection, connect
 from runspool.units import tenths
 from tests.platform import (
     BODY,
@@ -64,7 +65,7 @@
     return changed(change)
 
 
-async def kept(platform: Platform, running: Running) -> tuple[Client, Intake]:
+async def kept(platform: Platform, running: NodeServer) -> tuple[Client, RequestHandler]:
     """A client that has been served and keeps its connection, and the node's end of that."""
     client = await platform.client()
     client.send(post("q0"))
@@ -99,7 +100,7 @@
         for one in (client, await platform.client()):
             one.send(post(f"s{id(one)}", req_deadline="600m"))
             assert (await one.answer()).whole
-            assert not running.node.closing
+            assert not running.executor.closing
 
 
 @pytest.mark.parametrize("moved", [True, False])
@@ -113,23 +114,23 @@
     platform.settings = changed(lambda said: said["family-info"].update(resume=moved))
     async with platform.inside() as running:
         running.stop()
-        await until(lambda: running.node.leaves_by)
+        await until(lambda: running.executor.shutdown_deadline)
         for _ in range(20):  # rounds of the loop, in which nothing but the stop has anything to do
             await asyncio.sleep(0)
-        assert running.node.closing is not moved
+        assert running.executor.closing is not moved
 
 
 async def test_a_request_that_comes_as_its_connection_gives_way_is_served(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
         client, intake = await kept(platform, running)
-        received, gave_way = intake.line.data_received, []
+        received, gave_way = intake.tcp.data_received, []
 
         def comes(data: bytes) -> None:
             received(data)  # the connection's task is woken, and has not run
             gave_way.append(running._make_room())
 
-        intake.line.data_received = comes  # type: ignore[method-assign]
+        intake.tcp.data_received = comes  # type: ignore[method-assign]
         client.send(post("q1"))
         assert (await client.answer()).whole
         assert gave_way == [False]
@@ -150,7 +151,7 @@
         client, intake = await kept(platform, running)
         client.send(post("q1")[:50])
         await until(lambda: intake.requests.ready)
-        assert not intake.end_wait()
+        assert not intake.close_if_waiting()
         client.send(post("q1")[50:])
         assert (await client.answer()).whole
         await until(lambda: intake.idle_since)  # a round or two after its answer is out
@@ -215,9 +216,9 @@
         # What this node had in an earlier life: the other reader was to go.
         known = [
             replace(entry, state={"r": "draining"}.get(entry.engine, "on"))
-            for entry in running.posting.known.engines
+            for entry in running.config.last_endpoints.engines
         ]
-        running.node.engines_changed(running.node.following.recalled(known))
+        running.executor.endpoints_changed(running.executor.endpoint_tracker.restore(known))
         await platform.until(lambda: bool(platform.lists))
         client = await platform.client()
         client.send(post("q1"))
@@ -247,11 +248,11 @@
     async with platform.inside() as running:
         await platform.until(lambda: any("after=" in one for one in platform.lists))
         # It has stood for as long as two tries lie apart.
-        monkeypatch.setattr(running.catalog, "began", -tenths(600_000), raising=False)
+        monkeypatch.setattr(running.discovery, "began", -tenths(600_000), raising=False)
         await cut_off(platform)
         platform.tell(s="leaving")  # told while no watch is open
         await platform.until(lambda: any("after=2" in one for one in platform.lists))
-        assert running.node.lines["s"].state == "draining"
+        assert running.executor.engine_records["s"].state == EngineState.DRAINING
 
 
 async def test_an_agent_that_never_answers_what_it_was_asked_in_an_outage_is_asked_anew(
@@ -265,8 +266,11 @@
         platform.list_scripts = [None, None]
         platform.tell(s="leaving")
         await platform.until(lambda: any("after=2" in one for one in platform.lists))
-        assert running.node.lines["s"].state == "draining"
-        assert len(running.catalog.pool.open) == 1 and sum(running.catalog.pool.open.values()) == 1
+        assert running.executor.engine_records["s"].state == EngineState.DRAINING
+        assert (
+            len(running.discovery.pool.open_counts) == 1
+            and sum(running.discovery.pool.open_counts.values()) == 1
+        )
 
 
 async def test_silence_is_known_and_asked_into_within_what_the_platform_allows() -> None:
@@ -300,7 +304,7 @@
             written = file.read_bytes()
             file.write_bytes(written[:100])
             platform.signal(signal.SIGHUP)
-            await platform.logged("posting_unusable")
+            await platform.logged("config_unusable")
             file.write_bytes(written)
             await other.until(lambda: bool(other.lists))
 
@@ -317,15 +321,15 @@
             faults.append(said)
             raise RuntimeError("a fault of the program")
 
-        sound = running.node.timers.ring, running.catalog.hearer.hear
-        running.node.timers.ring = fails
-        running.catalog.hearer.hear = fails  # type: ignore[method-assign, assignment]
-        running.node.timers.at(0, "0.0@node")
+        sound = running.executor.timers.ring, running.discovery.hearer.receive
+        running.executor.timers.ring = fails
+        running.discovery.hearer.receive = fails  # type: ignore[method-assign, assignment]
+        running.executor.timers.schedule(0, "0.0@node")
         platform.tell()
-        running.node.calls.vigil.watch(0, fails).since = 1
+        running.executor.engine_client.watchdog.watch(0, fails).waiting_since = 1
         await until(lambda: len(faults) >= 3)
-        running.node.timers.ring = sound[0]
-        running.catalog.hearer.hear = sound[1]  # type: ignore[method-assign]
+        running.executor.timers.ring = sound[0]
+        running.discovery.hearer.receive = sound[1]  # type: ignore[method-assign]
         assert (await platform.ask(post("q1"))).whole
         assert not platform.run.done()
 
@@ -333,17 +337,17 @@
 async def test_a_fault_after_a_shot_ends_its_query_alone(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
-        node, over = running.node, running.node.shot_over
+        node, over = running.executor, running.executor.after_attempt
 
-        def fails(taken: Held, *said: Any) -> None:
+        def fails(taken: PendingNodeRequest, *said: Any) -> None:
             if taken.id == "bad":
                 raise RuntimeError("a fault of the program")
             over(taken, *said)
 
-        node.shot_over = fails  # type: ignore[method-assign, assignment]
+        node.after_attempt = fails  # type: ignore[method-assign, assignment]
         assert (await platform.ask(post("bad"))).status == 500
         assert (await platform.ask(post("q1"))).whole
-        assert not node.queries and not platform.run.done()
+        assert not node.requests and not platform.run.done()
 
 
 async def test_a_fault_while_a_request_is_answered_is_answered_itself(
@@ -355,31 +359,35 @@
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
         platform.engines["r"].scripts = [silent]
-        monkeypatch.setattr(Intake, "_answer", fails)
+        monkeypatch.setattr(RequestHandler, "_answer", fails)
         answer = await platform.ask(post("q1", req_deadline="300m"))
         assert (answer.status, answer.headers["connection"], answer.whole) == (500, "close", True)
         monkeypatch.undo()
         assert (await platform.ask(post("q2"))).whole
-        assert not platform.run.done() and not running.node.queries
+        assert not platform.run.done() and not running.executor.requests
 
 
 # Clients that go. Nothing is sent on for them, and nothing of theirs stays held.
 
 
-async def settled(platform: Platform, node: Node, name: str, shots: int) -> None:
+async def settled(platform: Platform, node: NodeExecutor, name: str, shots: int) -> None:
     """After its client has gone: all is let go, and what could be sent now is not."""
-    await until(lambda: not node.queries and not node.releasing)
+    await until(lambda: not node.requests and not node.releases_in_progress)
     platform.tell(**dict.fromkeys(platform.states, "active"))
     await until_listed(node, "on")
     assert (await platform.ask(post(f"after-{name}"))).whole  # whatever waited would have gone with it
     assert len(platform.shots(name)) == shots
-    assert not node.calls.pool.open or sum(map(len, node.calls.pool.idle.values())) == sum(
-        node.calls.pool.open.values()
-    )
+    assert not node.engine_client.pool.open_counts or sum(
+        map(len, node.engine_client.pool.idle.values())
+    ) == sum(node.engine_client.pool.open_counts.values())
 
 
-async def until_listed(node: Node, state: str, *names: str) -> None:
-    await until(lambda: all(node.lines[name].state == state for name in names or node.lines))
+async def until_listed(node: NodeExecutor, state: str, *names: str) -> None:
+    await until(
+        lambda: all(
+            node.engine_records[name].state == EngineState(state) for name in names or node.engine_records
+        )
+    )
 
 
 @pytest.mark.parametrize("ahead", [0, 400_000])
@@ -396,19 +404,19 @@
             await asyncio.wait_for(client.writer.drain(), WAIT)
         client.writer.close()
         await platform.until(lambda: len(platform.let_go("q1")) == 1)
-        await settled(platform, running.node, "q1", 1)
+        await settled(platform, running.executor, "q1", 1)
 
 
 async def test_a_client_that_goes_while_it_waits_in_line_is_not_sent_on(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
         platform.tell(r="leaving")
-        await until_listed(running.node, "draining", "r")
+        await until_listed(running.executor, "draining", "r")
         client = await platform.client()
         client.send(post("q1"))
-        await until(lambda: running.node.queries)
+        await until(lambda: running.executor.requests)
         client.close()
-        await settled(platform, running.node, "q1", 0)
+        await settled(platform, running.executor, "q1", 0)
 
 
 async def test_a_client_that_goes_between_reader_and_writer_is_let_go(tmp_path: Path) -> None:
@@ -421,12 +429,12 @@
         client.send(post("q1"))
         await platform.until(lambda: len(platform.shots("q1")) == 1)
         platform.tell(w="leaving")
-        await until_listed(running.node, "draining", "w")
+        await until_listed(running.executor, "draining", "w")
         go.set()
-        await until(lambda: any(taken.state_at for taken in running.node.queries.values()))
+        await until(lambda: any(taken.prefill_endpoint for taken in running.executor.requests.values()))
         client.close()
         await platform.until(lambda: len(platform.let_go("q1")) == 1)
-        await settled(platform, running.node, "q1", 1)
+        await settled(platform, running.executor, "q1", 1)
 
 
 async def test_a_client_that_goes_while_its_shot_is_dialling_is_not_sent_on(
@@ -434,22 +442,22 @@
 ) -> None:
     dialling, go = asyncio.Event(), asyncio.Event()
 
-    async def dials(address: tuple[str, int], source: str | None) -> Line:
+    async def dials(address: tuple[str, int], source: str | None) -> TcpConnection:
         if not go.is_set():
             dialling.set()
             await go.wait()
-        return await dial(address, source)
+        return await connect(address, source)
 
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
-        monkeypatch.setattr("runspool.engines.connections.dial", dials)
+        monkeypatch.setattr("runspool.engines.connection_pool.connect", dials)
         client = await platform.client()
         client.send(post("q1"))
         await asyncio.wait_for(dialling.wait(), WAIT)
         client.close()
-        await until(lambda: all(taken.final for taken in running.node.queries.values()))
+        await until(lambda: all(taken.final_response for taken in running.executor.requests.values()))
         go.set()
-        await settled(platform, running.node, "q1", 0)
+        await settled(platform, running.executor, "q1", 0)
 
 
 @pytest.mark.parametrize(
@@ -460,20 +468,20 @@
 async def test_a_client_that_goes_as_its_dial_ends_is_not_sent_on_and_leaves_no_connection(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def dials(address: tuple[str, int], source: str | None) -> Line:
-        line = await dial(address, source)
-        for taken in list(running.node.queries.values()):
+    async def dials(address: tuple[str, int], source: str | None) -> TcpConnection:
+        line = await connect(address, source)
+        for taken in list(running.executor.requests.values()):
             if taken.id == "q1":
-                running.node.left(taken)
+                running.executor.client_disconnected(taken)
         return line
 
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
-        monkeypatch.setattr("runspool.engines.connections.dial", dials)
+        monkeypatch.setattr("runspool.engines.connection_pool.connect", dials)
         client = await platform.client()
         client.send(post("q1"))
         assert await client.end() == b""
-        await settled(platform, running.node, "q1", 0)
+        await settled(platform, running.executor, "q1", 0)
 
 
 async def test_who_sends_much_ahead_and_stays_is_answered(tmp_path: Path) -> None:
@@ -487,7 +495,7 @@
         client.send(b"x" * 400_000)
         await asyncio.wait_for(client.writer.drain(), WAIT)
         (intake,) = running.clients
-        await until(lambda: intake.line.shed)
+        await until(lambda: intake.tcp.shed)
         go.set()
         answer = await client.answer()
         assert answer.whole and answer.headers["connection"] == "close"
@@ -505,7 +513,9 @@
 
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
-        running.node.calls.pool.rest = 600_000  # whatever the machine's speed, the link has just been used
+        running.executor.engine_client.pool.quiet_time = (
+            600_000  # whatever the machine's speed, the link has just been used
+        )
         platform.engines["r"].scripts = [twice]
         assert (await platform.ask(post("q1"))).whole
         assert (await platform.ask(post("q2"))).whole
@@ -516,19 +526,19 @@
 async def test_a_link_just_used_waits_its_rest_where_no_other_can_be_had(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
-        pool = running.node.calls.pool
+        pool = running.executor.engine_client.pool
         assert (await platform.ask(post("q1"))).whole
         looks: list[float] = []
         for waiting in pool.idle.values():
             for link in waiting:
-                silent_for = link.line.silent_for
+                silent_for = link.tcp.stays_silent
 
                 async def looked(seconds: float, silent_for: Any = silent_for) -> bool:
                     looks.append(seconds)
                     return bool(await silent_for(0))
 
-                link.line.silent_for = looked  # type: ignore[method-assign]
-        pool.rest, pool.most = 600_000, sum(pool.open.values())
+                link.tcp.stays_silent = looked  # type: ignore[method-assign]
+        pool.quiet_time, pool.max_connections = 600_000, sum(pool.open_counts.values())
         assert (await platform.ask(post("q2"))).whole
         assert len(looks) == 2 and min(looks) > 30
 
@@ -601,26 +611,26 @@
         answer = await platform.ask(post("q1", "book", body=deep if where == "body" else BODY))
         assert answer.status == {"body": 400, "event": 500, "read": 200}[where]
         assert (await platform.ask(post("q2"))).whole
-        assert not platform.run.done() and not running.node.queries
+        assert not platform.run.done() and not running.executor.requests
 
 
 async def test_writers_to_which_no_connection_comes_up_do_not_pin_a_state(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def dials(address: tuple[str, int], source: str | None) -> Line:
+    async def dials(address: tuple[str, int], source: str | None) -> TcpConnection:
         if any(engine.port == address[1] for name, engine in platform.engines.items() if name != "r"):
             await asyncio.sleep(WAIT)  # its packets go nowhere
-        return await dial(address, source)
+        return await connect(address, source)
 
     platform = Platform(tmp_path, {"r": "prefill"} | {f"w{at}": "decode" for at in range(6)})
-    monkeypatch.setattr("runspool.engines.connections.dial", dials)
-    monkeypatch.setattr("runspool.decisions.rules.RETRY", 20_000)  # no read before it has been let go
+    monkeypatch.setattr("runspool.engines.connection_pool.connect", dials)
+    monkeypatch.setattr("runspool.scheduling.scheduler.RETRY", 20_000)  # no read before it has been let go
     async with platform.inside() as running:
         client = await platform.client()
         client.send(post("q1"))
         await platform.until(lambda: len(platform.let_go("q1")) == 1)
         # 300 ms are granted for the state, and each connection is waited for for 250.
-        assert 1 <= running.node.counts["shot_unreachable"] <= 2
+        assert 1 <= running.executor.counts["attempt_connect_failed"] <= 2
 
 
 async def test_a_state_is_let_go_at_the_first_engine_that_can_be_reached(tmp_path: Path) -> None:
@@ -628,20 +638,22 @@
     names = {"r": "prefill"} | {f"w{at}": "decode" for at in range(12)}
     platform = Platform(tmp_path, names)
     async with platform.inside() as running:
-        node = running.node
-        sites, over = {site.name: site for site in node.sites.values()}, asyncio.Event()
+        node = running.executor
+        sites, over = {site.name: site for site in node.endpoints.values()}, asyncio.Event()
         asked: list[Address] = []
 
-        async def release(address: Address, request: str, limit: int) -> Mishap | None:
+        async def release(address: Address, request: str, limit: int) -> FailureCause | None:
             asked.append(address)
             if len(asked) <= 12:
-                return Mishap.REFUSED
+                return FailureCause.CONNECT_FAILED
             over.set()
             return None
 
-        node.calls.release = release  # type: ignore[method-assign]
-        held = Held(0, "q1", 0, 0, cast(Any, None), ask=cast(Any, None), state_at=sites["r"])
-        node.let_go(held)
+        node.engine_client.release_state = release  # type: ignore[method-assign]
+        held = PendingNodeRequest(
+            0, "q1", 0, 0, cast(Any, None), client_request=cast(Any, None), prefill_endpoint=sites["r"]
+        )
+        node.release_prefill_state(held)
         await asyncio.wait_for(over.wait(), WAIT)
         assert len(set(asked)) == 13
 
@@ -651,9 +663,9 @@
     call would take the new state too: what it was for is owed from then on."""
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
-        node, calling = running.node, 0
+        node, calling = running.executor, 0
 
-        async def release(address: Address, request: str, limit: int) -> Mishap | None:
+        async def release(address: Address, request: str, limit: int) -> FailureCause | None:
             nonlocal calling
             calling += 1
             try:
@@ -662,24 +674,32 @@
                 calling -= 1
             return None
 
-        async def read(address: Address, ask: Ask, limit: int, permit: Permit) -> Ended:
-            await until(lambda: calling == 2 and node.releasing == 1)
-            assert permit.refuses_last_byte(now()) is None
-            permit.written()
+        async def read(address: Address, ask: ClientRequest, limit: int, permit: SendPermit) -> AttemptResult:
+            await until(lambda: calling == 2 and node.releases_in_progress == 1)
+            assert permit.deny_last_byte(now()) is None
+            permit.request_written()
             await asyncio.sleep(0.05)
-            assert calling == 2 and node.releasing == 1
-            permit.arrived()
-            return Ended(Ending.READ, arrived=True)
-
-        node.calls.release = release  # type: ignore[method-assign]
-        node.calls.read = read  # type: ignore[method-assign]
-        site = next(site for site in node.sites.values() if site.name == "r")
-        held = Held(0, "q1", 0, now() + 100_000, cast(Any, None), ask=cast(Any, None), state_at=site)
-        node.let_go(held)
-        node.queries[0], held.shots = held, 1
-        await node._shot(held, site, 0)
-        await until(lambda: not calling and not node.releasing)
-        assert held.maybe_read is site and held.state_at is site
+            assert calling == 2 and node.releases_in_progress == 1
+            permit.response_started()
+            return AttemptResult(AttemptStatus.PREFILL_COMPLETE, reached_engine=True)
+
+        node.engine_client.release_state = release  # type: ignore[method-assign]
+        node.engine_client.prefill = read  # type: ignore[method-assign]
+        site = next(site for site in node.endpoints.values() if site.name == "r")
+        held = PendingNodeRequest(
+            0,
+            "q1",
+            0,
+            now() + 100_000,
+            cast(Any, None),
+            client_request=cast(Any, None),
+            prefill_endpoint=site,
+        )
+        node.release_prefill_state(held)
+        node.requests[0], held.attempt_count = held, 1
+        await node._run_attempt(held, site, 0)
+        await until(lambda: not calling and not node.releases_in_progress)
+        assert held.possible_prefill_endpoint is site and held.prefill_endpoint is site
 
 
 # Settings of another house.
@@ -720,9 +740,9 @@
                     answer = await platform.ask(post("q1", req_deadline="700m"))
                     assert answer.status in (200, 400, 500, 503) and answer.whole
                     running.stop()
-                    await until(lambda: running.node.leaves_by)
+                    await until(lambda: running.executor.shutdown_deadline)
                     assert not platform.run.done(), value
-            except BadPosting as fault:
+            except InvalidNodeConfigError as fault:
                 named = [str(key) for key in path if isinstance(key, str)]
                 assert any(name in str(fault) for name in named), (value, str(fault))
         failed = [line["event"] for line in logged if line["event"].endswith(("_failed", "_by_guard"))]
--- a/tests/test_roster.py
+++ b/tests/test_roster.py
@@ -5,18 +5,19 @@
 from pathlib import Path
 
 import pytest
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
-from runspool.roster.following import GAP_PATIENCE, Following
-from runspool.roster.memory import Torn, keep, recall
-from runspool.wire.listing import Entry, News, read_news, write_news
-from runspool.wire import listing
+from runspool.discovery.endpoint_tracker import GAP_PATIENCE, EndpointTracker
+from runspool.discovery.snapshot import CorruptFileError, load_snapshot, save_snapshot
+from runspool.wire import endpoint_list as listing
+from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, read_news, write_news
 
 STATES = ["on", "draining", "gone"]
 
 
-def entry(name: str, state: str) -> Entry:
-    return Entry(name, "127.0.0.1:1", "prefill", "a", 0, state)  # type: ignore[arg-type]
+def entry(name: str, state: str) -> EndpointEntry:
+    return EndpointEntry(name, "127.0.0.1:1", "prefill", "a", 0, state)  # type: ignore[arg-type]
 
 
 changes = st.lists(st.tuples(st.sampled_from("pqr"), st.sampled_from(STATES)), min_size=1, max_size=12)
@@ -27,14 +28,17 @@
 def test_news_in_any_order_and_any_number_of_times_end_in_the_same_list(
     said: list[tuple[str, str]], rng: object
 ) -> None:
-    news = [News(at + 1, "e", engines=[entry(name, state)]) for at, (name, state) in enumerate(said)]
+    news = [
+        EndpointListMessage(at + 1, "e", engines=[entry(name, state)])
+        for at, (name, state) in enumerate(said)
+    ]
     mixed = [*news, *news[::2]]
     rng.shuffle(mixed)  # type: ignore[attr-defined]
-    following = Following()
-    following.heard(0, News(0, "e", whole=True))
+    following = EndpointTracker()
+    following.apply(0, EndpointListMessage(0, "e", whole=True))
     drained: dict[str, int] = {}
     for line in mixed:
-        for changed in following.heard(1, line):
+        for changed in following.apply(1, line):
             # Never back to an older word than the one already taken.
             assert line.version >= drained.get(changed.engine, -1)
             drained[changed.engine] = line.version
@@ -46,44 +50,47 @@
 
 
 def test_a_drain_out_of_order_counts_at_once() -> None:
-    following = Following()
-    following.heard(0, News(1, "e", whole=True, engines=[entry("p", "on")]))
-    assert following.heard(5, News(3, "e", engines=[entry("p", "draining")]))[0].state == "draining"
-    assert following.heard(6, News(2, "e", engines=[entry("p", "on")])) == []
+    following = EndpointTracker()
+    following.apply(0, EndpointListMessage(1, "e", whole=True, engines=[entry("p", "on")]))
+    assert (
+        following.apply(5, EndpointListMessage(3, "e", engines=[entry("p", "draining")]))[0].state
+        == "draining"
+    )
+    assert following.apply(6, EndpointListMessage(2, "e", engines=[entry("p", "on")])) == []
 
 
 def test_a_gap_that_does_not_close_asks_for_the_whole_list() -> None:
-    following = Following()
-    following.heard(0, News(1, "e", whole=True))
-    following.heard(10, News(3, "e", engines=[entry("p", "on")]))
-    assert not following.wants_whole(10 + GAP_PATIENCE - 1)
-    assert following.wants_whole(10 + GAP_PATIENCE)
-    following.heard(10 + GAP_PATIENCE, News(3, "e", whole=True, engines=[entry("p", "on")]))
-    assert not following.wants_whole(10 + 3 * GAP_PATIENCE)
+    following = EndpointTracker()
+    following.apply(0, EndpointListMessage(1, "e", whole=True))
+    following.apply(10, EndpointListMessage(3, "e", engines=[entry("p", "on")]))
+    assert not following.needs_snapshot(10 + GAP_PATIENCE - 1)
+    assert following.needs_snapshot(10 + GAP_PATIENCE)
+    following.apply(10 + GAP_PATIENCE, EndpointListMessage(3, "e", whole=True, engines=[entry("p", "on")]))
+    assert not following.needs_snapshot(10 + 3 * GAP_PATIENCE)
 
 
 def test_a_beat_shows_what_was_missed() -> None:
-    following = Following()
-    following.heard(0, News(1, "e", whole=True))
-    following.heard(5, News(1, "e", beat=True))
+    following = EndpointTracker()
+    following.apply(0, EndpointListMessage(1, "e", whole=True))
+    following.apply(5, EndpointListMessage(1, "e", beat=True))
     assert following.gap_since is None
-    following.heard(6, News(2, "e", beat=True))
-    assert following.wants_whole(6 + GAP_PATIENCE)
+    following.apply(6, EndpointListMessage(2, "e", beat=True))
+    assert following.needs_snapshot(6 + GAP_PATIENCE)
 
 
 def test_a_whole_list_lets_go_of_those_it_does_not_name() -> None:
-    following = Following()
-    following.recalled([entry("old", "on"), entry("p", "on")])
-    changed = following.heard(0, News(4, "e", whole=True, engines=[entry("p", "on")]))
+    following = EndpointTracker()
+    following.restore([entry("old", "on"), entry("p", "on")])
+    changed = following.apply(0, EndpointListMessage(4, "e", whole=True, engines=[entry("p", "on")]))
     assert [(one.engine, one.state) for one in changed] == [("old", "gone")]
-    assert following.heard(1, News(3, "e", whole=True)) == []  # an older list says nothing
+    assert following.apply(1, EndpointListMessage(3, "e", whole=True)) == []  # an older list says nothing
 
 
 def test_a_service_that_lost_its_numbers_is_believed_only_with_a_whole_list() -> None:
-    following = Following()
-    following.heard(0, News(90, "e", whole=True, engines=[entry("p", "on")]))
-    assert following.heard(1, News(2, "f", engines=[entry("p", "draining")])) == []
-    assert following.heard(2, News(2, "f", whole=True, engines=[entry("p", "draining")]))
+    following = EndpointTracker()
+    following.apply(0, EndpointListMessage(90, "e", whole=True, engines=[entry("p", "on")]))
+    assert following.apply(1, EndpointListMessage(2, "f", engines=[entry("p", "draining")])) == []
+    assert following.apply(2, EndpointListMessage(2, "f", whole=True, engines=[entry("p", "draining")]))
     assert following.version == 2
 
 
@@ -95,28 +102,28 @@
         b'{"version": -1}',
         b'{"version": 1, "engines": [{"engine": "p"}]}',
         b"\xff\xfe",
-        write_news(News(1, engines=[entry("p", "on")]))[:-20],
-        write_news(News(1, engines=[Entry("p", "nowhere", "prefill", "a", 0, "on")])),
+        write_news(EndpointListMessage(1, engines=[entry("p", "on")]))[:-20],
+        write_news(EndpointListMessage(1, engines=[EndpointEntry("p", "nowhere", "prefill", "a", 0, "on")])),
     ],
 )
 def test_a_torn_line_is_no_news(line: bytes) -> None:
-    with pytest.raises(listing.Torn):
+    with pytest.raises(listing.MalformedListLineError):
         read_news(line)
 
 
 def test_a_last_list_is_whole_or_nothing(tmp_path: Path) -> None:
     file = tmp_path / "last"
-    assert recall(file) is None
-    keep(file, 5, [entry("p", "draining")])
-    found = recall(file)
+    assert load_snapshot(file) is None
+    save_snapshot(file, 5, [entry("p", "draining")])
+    found = load_snapshot(file)
     assert found is not None
     assert (found.version, found.engines) == (5, [entry("p", "draining")])
     raw = file.read_bytes()
     for length in range(len(raw)):
         file.write_bytes(raw[:length])
-        with pytest.raises(Torn):
-            recall(file)
+        with pytest.raises(CorruptFileError):
+            load_snapshot(file)
     for at in range(len(raw)):
         file.write_bytes(raw[:at] + bytes([raw[at] ^ 1]) + raw[at + 1 :])
-        with pytest.raises(Torn):
-            recall(file)
+        with pytest.raises(CorruptFileError):
+            load_snapshot(file)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,8 +15,9 @@
 
 import pytest
 
-from runspool.node import running as node_running
-from runspool.sockets import lines
+from runspool.node import server as node_running
+from runspool.scheduling.types import EngineState
+from runspool.transport import tcp as lines
 from tests.faults import FaultProxy
 from tests.platform import HOST, WAIT, Platform, free_port, post
 
@@ -68,7 +69,7 @@
     platform.proxy.from_engine.piece, platform.proxy.from_engine.delay = 16_384, 0.03
     async with platform.open():
         platform.tell(r="leaving")
-        await platform.logged("list_changed")
+        await platform.logged("endpoint_list_changed")
         whole = [target for target in platform.lists if "after=" not in target]
         assert len(whole) <= 6  # not one every tenth of a second, each making the others slower
         platform.tell(r="active")
@@ -82,7 +83,7 @@
         await platform.until(lambda: len(platform.lists) > 2)
         platform.proxy.from_engine.silent_after = None
         await platform.until(lambda: any("after=" in one for one in platform.lists))
-        assert running.node.lines["s-00000001"].state == "draining"
+        assert running.executor.engine_records["s-00000001"].state == EngineState.DRAINING
 
 
 async def test_a_start_waits_for_a_port_that_is_still_held(tmp_path: Path) -> None:
@@ -203,7 +204,7 @@
     platform = Platform(tmp_path, PAIR)
     failed = False
 
-    async def fails(address: tuple[str, int], source: str | None) -> lines.Line:
+    async def fails(address: tuple[str, int], source: str | None) -> lines.TcpConnection:
         nonlocal failed
         if address[1] == platform.engines["w"].port and not failed:
             failed = True
@@ -214,9 +215,9 @@
             )
         return await dial(address, source)
 
-    dial = lines.dial
+    dial = lines.connect
     async with platform.inside():
-        monkeypatch.setattr("runspool.engines.connections.dial", fails)
+        monkeypatch.setattr("runspool.engines.connection_pool.connect", fails)
         answer = await platform.ask(post("q1", "book"))  # an effect that must not be had twice
         assert failed and answer.whole and answer.status == 200
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,8 +8,8 @@
 import re
 import subprocess
 import sys
-from concurrent.futures import Future, ThreadPoolExecutor
 from collections.abc import Iterator
+from concurrent.futures import Future, ThreadPoolExecutor
 
 import pytest
 
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -10,9 +10,9 @@
 import msgspec
 import pytest
 
-from runspool.engines.endings import Mishap
-from runspool.service.owed import Final, Kind
-from runspool.sockets import lines
+from runspool.engines.failure_classification import FailureCause
+from runspool.service.pending_request import FinalResponse, ResponseKind
+from runspool.transport import tcp as lines
 from runspool.wire.completions import read_wish
 from tests import clockwork
 from tests.histories import Days, Life, World, leftovers
@@ -68,7 +68,7 @@
 
 
 async def in_the_line(town: Town, query: Query, patch: Any) -> None:
-    while not town.running.front.desk.rules.room:
+    while not town.running.front.desk.scheduler.room:
         await anyio.sleep(0.005)
 
 
@@ -79,25 +79,25 @@
 async def state_held(town: Town, query: Query, patch: Any) -> None:
     await town.until("arrived", stage="read")
     town.tell(1, "draining")
-    while town.running.front.desk.rules.engines[1].on:
+    while town.running.front.desk.scheduler.engines[1].on:
         await anyio.sleep(0.005)
     town.engines[0].fault("hang", on=False)
     await town.until("held")
-    while not any(taken.state for taken in town.running.front.queries.values()):
+    while not any(taken.state for taken in town.running.front.requests.values()):
         await anyio.sleep(0.005)
 
 
 async def being_placed(town: Town, query: Query, patch: Any) -> None:
-    dialled, sound = anyio.Event(), lines.dial
+    dialled, sound = anyio.Event(), lines.connect
 
-    async def dial(address: tuple[str, int], source: str | None) -> lines.Line:
+    async def dial(address: tuple[str, int], source: str | None) -> lines.TcpConnection:
         if address[1] != town.plan.engines[1].port:
             return await sound(address, source)
         dialled.set()
         await anyio.sleep_forever()
         raise AssertionError
 
-    patch.setattr("runspool.engines.connections.dial", dial)
+    patch.setattr("runspool.engines.connection_pool.connect", dial)
     town.engines[0].fault("hang", on=False)
     await dialled.wait()
 
@@ -108,7 +108,7 @@
 
 async def streaming(town: Town, query: Query, patch: Any) -> None:
     await town.until("ran")
-    while not any(taken.begun for taken in town.running.front.queries.values()):
+    while not any(taken.stream_started for taken in town.running.front.requests.values()):
         await anyio.sleep(0.005)
 
 
@@ -174,15 +174,15 @@
     states = [f"{one.make.name} holds {one.model.states}" for one in town.engines if one.model.states]
     if way == "stop":
         return leftovers(front) + states
-    idle = {address: len(links) for address, links in front.caller.pool.idle.items()}
+    idle = {address: len(links) for address, links in front.engine_client.pool.idle.items()}
     found = leftovers(front)
     found += [
         f"open {address}: {count}"
-        for address, count in front.caller.pool.open.items()
+        for address, count in front.engine_client.pool.open_counts.items()
         if count != idle.get(address, 0)
     ]
-    found += [f"watched {one}" for one in front.caller.vigil.watched]
-    found += [f"releasing {front.releasing}"] if front.releasing else []
+    found += [f"watched {one}" for one in front.engine_client.watchdog.watched]
+    found += [f"releasing {front.releases_in_progress}"] if front.releases_in_progress else []
     return found + states
 
 
@@ -227,7 +227,7 @@
             assert kind_of(query) in kinds[way]
         writes = town.seen("arrived", stage="write")
         assert len(writes) == (stage in ("write out", "streaming"))
-        assert town.running.front.counts["taken"] == (
+        assert town.running.front.counts["accepted"] == (
             0 if stage == "half read" else 2 if stage == "in the line" else 1
         )
         tasks.cancel_scope.cancel()
@@ -240,14 +240,14 @@
     town.plan.release_within = 20_000
     query = Query(town, LONG_MS)
     async with town.open(), anyio.create_task_group() as tasks:
-        caller, calls = town.running.front.caller, []
-        sound = caller.release
+        caller, calls = town.running.front.engine_client, []
+        sound = caller.release_state
 
-        async def release(*said: Any) -> Mishap | None:
+        async def release(*said: Any) -> FailureCause | None:
             calls.append(said)
-            return Mishap.REFUSED if len(calls) < 4 else await sound(*said)
+            return FailureCause.CONNECT_FAILED if len(calls) < 4 else await sound(*said)
 
-        monkeypatch.setattr(caller, "release", release)
+        monkeypatch.setattr(caller, "release_state", release)
         town.engines[0].fault("hang", on=True)
         tasks.start_soon(query.ask, 5)
         with anyio.fail_after(15):
@@ -284,35 +284,35 @@
         wish = read_wish(
             {"runspool-tariff": "book", "runspool-mark": "1.1", "runspool-limit-ms": "2000"},
             b'{"prompt": "x", "stream": true}',
-            front.terms,
+            front.config,
         )
 
         class Reply:
-            async def begun(self) -> None:
+            async def stream_started(self) -> None:
                 told.append("begun")
 
-            async def said(self, text: str) -> None:
+            async def data_received(self, text: str) -> None:
                 told.append(text)
 
-        taken = front.take(wish, Reply(), clockwork.now())
+        taken = front.submit(wish, Reply(), clockwork.now())
         while not any(event["what"] == "held" for event in world.events):
             await anyio.sleep(0.0001)
         guard = f"guard.{taken.index}"
         ends: dict[str, Callable[[], object]] = {
-            "cancel": lambda: front.left(taken),
-            "limit": lambda: front._ring(guard),
-            "end": lambda: front._settle(taken, Final(Kind.SUCCEEDED)),
+            "cancel": lambda: front.client_disconnected(taken),
+            "limit": lambda: front._timer_fired(guard),
+            "end": lambda: front._finish(taken, FinalResponse(ResponseKind.SUCCEEDED)),
         }
         first, second = order.split(" and ")
         ends[first]()
-        final = taken.final
+        final = taken.final_response
         ends[second]()
-        assert taken.final is final
+        assert taken.final_response is final
         before = len(told)
         await anyio.sleep(5)
         assert told[before:] == []
         assert leftovers(front) == []
         assert not any(engine.states for engine in world.engines)
-        assert sum(front.counts[kind.value] for kind in Kind) == 1
+        assert sum(front.counts[kind.value] for kind in ResponseKind) == 1
 
     clockwork.play(play())
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from runspool.decisions.interface import Effect, Role
-from runspool.terms import Unreadable, read_terms, terms_of
+from runspool.config import InvalidConfigError, read_terms, terms_of
+from runspool.scheduling.types import Idempotency, Role
 
 HOUSE = Path(__file__).parents[1] / "examples" / "house.jsonnet"
 
@@ -21,11 +21,16 @@
     terms = read_terms(HOUSE)
     house = terms.house_terms()
     names = list(terms.house.tariffs)
-    row = house.tariffs[names.index("payout-close")]
-    assert (row.due, row.due_per_1000, row.pace, row.effect) == (30_000, 1_200, 800, Effect.EXCLUSIVE)
-    assert house.release_within == 3_000
-    assert {kind.role for kind in house.kinds} == set(Role)
-    assert not house.resumes
+    row = house.request_classes[names.index("payout-close")]
+    assert (
+        row.first_token_objective,
+        row.first_token_objective_per_1000_tokens,
+        row.time_per_output_token,
+        row.idempotency,
+    ) == (30_000, 1_200, 800, Idempotency.AT_MOST_ONCE)
+    assert house.state_release_timeout == 3_000
+    assert {kind.role for kind in house.engine_types} == set(Role)
+    assert not house.streams_can_resume
 
 
 def test_every_fault_is_told_at_once_with_path_value_and_what_is_allowed() -> None:
@@ -36,7 +41,7 @@
     found["front"]["listen"]["port"] = "80"
     found["front"]["bounds"]["querries"] = 5
     del found["front"]["list"]["quiet_ms"]
-    with pytest.raises(Unreadable) as told:
+    with pytest.raises(InvalidConfigError) as told:
         terms_of(found)
     paths = {fault.path: fault for fault in told.value.faults}
     assert set(paths) == {
@@ -63,16 +68,16 @@
 def test_a_front_must_fit_its_house(change: dict[str, Any], named: str) -> None:
     found = said()
     found["front"] |= change
-    with pytest.raises(Unreadable, match=named):
+    with pytest.raises(InvalidConfigError, match=named):
         terms_of(found)
 
 
 def test_a_template_that_does_not_evaluate_names_file_and_line(tmp_path: Path) -> None:
     broken = tmp_path / "broken.jsonnet"
     broken.write_text("local a = 1;\n{ house: a + nothing }\n")
-    with pytest.raises(Unreadable, match=r"broken\.jsonnet:2"):
+    with pytest.raises(InvalidConfigError, match=r"broken\.jsonnet:2"):
         read_terms(broken)
-    with pytest.raises(Unreadable):
+    with pytest.raises(InvalidConfigError):
         read_terms(tmp_path / "absent.jsonnet")
 
 
--- a/tests/test_wallclock.py
+++ b/tests/test_wallclock.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from runspool.service.wallclock import WallClock
+from runspool.service.wall_clock import WallClock
 
 HOUR_MS = 3_600_000
 ZERO_MS = 1_700_000_000_000.0  # what the wall clock said when the monotonic clock stood at nought
--- a/tests/town.py
+++ b/tests/town.py
@@ -10,27 +10,27 @@
 from typing import Any
 
 import anyio
-from anyio.abc import TaskStatus
 import h11
 import msgspec
+from anyio.abc import TaskStatus
 
-from runspool.cells import book
-from runspool.cells.chart import CellMap
+from runspool.cells import cell_store as book
+from runspool.cells.cell_map import CellMap
+from runspool.config import terms_of
 from runspool.lab import recording
-from runspool.lab.director import front_terms
 from runspool.lab.engine import Engine
 from runspool.lab.listing import Listing
 from runspool.lab.model import Make
-from runspool.lab.plan import ClientsPlan, FrontPlan, Plan, TariffPlan, TenantPlan, engine
+from runspool.lab.plan import ClientsPlan, FrontPlan, Plan, RequestClassPlan, TenantPlan, engine
 from runspool.lab.recording import Event, Recorder
-from runspool.service.running import Running
-from runspool.terms import terms_of
-from runspool.wire.listing import Entry
+from runspool.lab.scenario_runner import front_terms
+from runspool.service.front_server import FrontServer
+from runspool.wire.endpoint_list import EndpointEntry
 
 TARIFFS = [
-    TariffPlan("ask", 0.5, "rerunnable", 1, 20_000, 0, 60_000, 1_000, 200, 20, 1.0, 0.0, 0),
-    TariffPlan("book", 0.5, "exclusive", 1, 20_000, 0, 60_000, 1_000, 200, 20, 1.0, 0.0, 0),
-    TariffPlan("mark", 0.5, "ticketed", 1, 20_000, 0, 60_000, 1_000, 200, 20, 1.0, 0.0, 0, 0.1, "zone"),
+    RequestClassPlan("ask", 0.5, "rerunnable", 1, 20_000, 0, 60_000, 1_000, 200, 20, 1.0, 0.0, 0),
+    RequestClassPlan("book", 0.5, "exclusive", 1, 20_000, 0, 60_000, 1_000, 200, 20, 1.0, 0.0, 0),
+    RequestClassPlan("mark", 0.5, "ticketed", 1, 20_000, 0, 60_000, 1_000, 200, 20, 1.0, 0.0, 0, 0.1, "zone"),
 ]
 
 
@@ -93,7 +93,7 @@
         self.started = [0] * len(self.engines)  # Unix milliseconds, 0 for long ago
         self.lives: dict[int, anyio.CancelScope] = {}
         self.bounds = bounds
-        self.running: Running
+        self.running: FrontServer
         self.port = 0
 
     @asynccontextmanager
@@ -106,9 +106,9 @@
                 self.tell(at, "on")
             said = front_terms(self.plan, 0, self.listing.port, self.folder)
             said["front"]["bounds"] |= self.bounds
-            self.running = Running(terms_of(said), tape)
+            self.running = FrontServer(terms_of(said), tape)
             self.port = await tasks.start(self.running.run)
-            while len(self.running.front.sites) < len(self.engines):
+            while len(self.running.front.endpoints) < len(self.engines):
                 await anyio.sleep(0.005)
             yield self
             self.running.stop()
@@ -137,7 +137,7 @@
                     "state": state,
                     "started_unix_ms": self.started[at],
                 },
-                Entry,
+                EndpointEntry,
             ),
             at_once=True,
         )
