--- a/runspool/scheduling/request_lifecycle.py
+++ b/runspool/scheduling/request_lifecycle.py
@@ -1,9 +1,10 @@
-"""What may be done for a request now: sent, repeated, refused, let go of. Free of I/O.
+"""What may be done for a request now: attempted, repeated, rejected, released. Free of I/O.
 
-One place answers for every path, and counts what went against it. The class of fault it stands against:
-something done on this side being taken for done on the other. Written is not arrived, closed here is not
-ended there, asked is not confirmed. So the stage of an attempt moves on by what its engine has said alone,
-and what an engine holds is this side's to let go of until some engine has confirmed that call.
+This module alone answers that, for every path through the program, and counts violations. It guards against
+one class of fault: taking what was done locally for what has happened at the engine. A request that was written
+has not been received, a connection closed here has not ended work there, a release that was sent is not
+confirmed. So an attempt's stage advances only by what its engine has said, and state that an engine may reserve
+is owed a release until some engine has confirmed one.
 
 Times are tenths of a millisecond on the process's monotonic clock.
 """
@@ -24,61 +25,63 @@
     Role,
 )
 
-RELEASE_MARGIN = 150  # before what is held must have been let go of
-RELEASE_TOLERANCE = 3_000  # that the platform allows beyond the settings' time for letting go
-MAX_DEADLINE_AGE = 1_000  # a deadline told to an engine must not be older than this when the last byte goes
+RELEASE_MARGIN = 150  # before the time by which reserved state must have been released
+RELEASE_TOLERANCE = 3_000  # that the platform allows beyond the settings' release timeout
+MAX_DEADLINE_AGE = 1_000  # of the deadline in an attempt's header when its last byte is sent
 ENDED_LOCALLY = frozenset(
     {AttemptStatus.TIMED_OUT, AttemptStatus.CANCELLED, AttemptStatus.CONNECTION_LOST}
-)  # as far as this side knows
+)  # by this front: the engine may go on
 PREFILL_MAY_HAVE_RUN = ENDED_LOCALLY | {AttemptStatus.SERVER_ERROR}
 
 
 class AttemptStage(Enum):
     """How far an attempt has come, by what is known of its engine."""
 
-    STARTED = auto()  # picked; a connection is being made, or bytes are on their way to the kernel
-    WRITTEN = auto()  # the kernel has all of it: it may have arrived, and may never
-    RECEIVED = auto()  # the engine has said something of it
+    STARTED = auto()  # connecting, or handing bytes to the kernel
+    WRITTEN = auto()  # the kernel has all of it; the engine may never get it
+    RECEIVED = auto()  # the engine has responded with at least one byte
     ENDED = auto()
 
 
 class DenialReason(Enum):
-    """Why something may not be done now."""
+    """Why something may not be done now; the value is the reason for logs."""
 
-    ALREADY_ANSWERED = "the request has its final answer"
-    CLIENT_DISCONNECTED = "its client has gone"
-    DEADLINE_EXCEEDED = "its client's time is up"
-    ATTEMPT_IN_PROGRESS = "another attempt of it is out"
+    ALREADY_ANSWERED = "the request has its final response"
+    CLIENT_DISCONNECTED = "its client has disconnected"
+    DEADLINE_EXCEEDED = "its deadline has passed"
+    ATTEMPT_IN_PROGRESS = "another attempt of it is in progress"
     MAX_ATTEMPTS_REACHED = "it has had all its attempts"
-    MAY_HAVE_EXECUTED = "an earlier attempt may have run, and must not be repeated"
-    OUTSIDE_DEDUPLICATION_SCOPE = "an earlier attempt may have run at engines of another group"
-    DEDUPLICATION_WINDOW_OVER = "the window for repeats is over"
-    STALE_DEADLINE = "the deadline that it would tell is too old"
+    MAY_HAVE_EXECUTED = "an earlier attempt may have executed, and must not be repeated"
+    OUTSIDE_DEDUPLICATION_SCOPE = "an earlier attempt may have executed outside this deduplication scope"
+    DEDUPLICATION_WINDOW_OVER = "the deduplication window is over"
+    STALE_DEADLINE = "the deadline in its header is too old"
 
 
 class InvariantViolation(Enum):
-    """A rule that this process itself went against, or was kept from going against by this module."""
+    """An invariant that this process violated, or that this module kept it from violating."""
 
-    ATTEMPT_NOT_ALLOWED = "attempt_not_allowed"  # an attempt was asked for that may not begin
-    UNSAFE_REJECTION = "unsafe_rejection"  # a refusal was asked for that would promise too much
+    ATTEMPT_NOT_ALLOWED = "attempt_not_allowed"  # the scheduler asked for an attempt that may not start
+    UNSAFE_REJECTION = "unsafe_rejection"  # a rejection would have promised that nothing was executed
     ANSWERED_TWICE = "answered_twice"
-    STATE_RELEASED_LATE = "state_released_late"  # a state was not let go of in time
-    CLOSED_UNANSWERED = "closed_unanswered"  # a request was read, and its connection closed with no answer
+    STATE_RELEASED_LATE = "state_released_late"  # reserved state was not released in time
+    CLOSED_UNANSWERED = (
+        "closed_unanswered"  # a request was read, and its connection closed without a response
+    )
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptPolicy:
-    """What the settings allow a request."""
+    """What the settings allow a request: how it may be repeated, and when its state must be released."""
 
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window: int = 0
     max_attempts: int = 1_000
-    state_release_timeout: int = 0  # 0: no time is told
+    state_release_timeout: int = 0  # 0: no timeout is set
 
     @classmethod
     def for_class(cls, terms: RoutingSettings, tariff: int) -> AttemptPolicy:
-        """That of a class of requests, by its index."""
+        """The policy of a class of requests, by its index in the settings."""
         row = terms.request_classes[tariff]
         return cls(
             row.idempotency,
@@ -89,9 +92,9 @@
         )
 
 
-def reservation_time(release_within: int, otherwise: int) -> int:
-    """How long a state may be held until the call that lets it go begins; `otherwise` where none is told."""
-    allowed = release_within or otherwise
+def reservation_time(release_timeout: int, otherwise: int) -> int:
+    """How long state may stay reserved before its release starts; `otherwise` where no timeout is set."""
+    allowed = release_timeout or otherwise
     return allowed - min(RELEASE_MARGIN, allowed // 2)
 
 
@@ -116,38 +119,36 @@
 
     @property
     def is_prefill(self) -> bool:
+        """Whether it only reads the prompt, which has no effect."""
         return self.target.role is Role.PREFILL
 
     @property
     def in_progress(self) -> bool:
+        """Whether it has not ended here yet."""
         return self.stage is not AttemptStage.ENDED
 
 
 @dataclass(slots=True)
 class RequestLifecycle:
-    """One request, from its intake to the last thing that is held for it."""
+    """One request, from its acceptance to the release of the last state that is reserved for it."""
 
     policy: AttemptPolicy = AttemptPolicy()
-    deadline: int = 1 << 62  # when its client's time is up
+    deadline: int = 1 << 62  # when its client stops waiting
     attempt_count: int = 0
-    last_attempt: Attempt | None = None  # the last one
+    last_attempt: Attempt | None = None
     answered: bool = False
     client_disconnected: bool = False
     streaming: bool = False
-    possibly_executed: Attempt | None = None  # the first attempt with an effect that may have run
-    reserved_since: int | None = (
-        None  # since when an engine holds, or may hold, something that nobody waits for
-    )
-    release_in_progress: bool = False  # the call that lets it go is under way
-    released_during_attempt: bool = False  # such a call has begun while the last attempt was out
-    remote_end_unknown: bool = (
-        False  # an attempt has ended here that may go on, and hold something, at its engine
-    )
+    possibly_executed: Attempt | None = None  # the first decode attempt that may have had its effect
+    reserved_since: int | None = None  # since when an engine may reserve state that no attempt uses
+    release_in_progress: bool = False
+    released_during_attempt: bool = False  # a release was started while the last attempt was in progress
+    remote_end_unknown: bool = False  # an attempt that ended here may go on, and reserve state, at its engine
 
-    # Questions.
+    # What may be done.
 
     def deny_attempt(self, now: int, target: AttemptTarget) -> DenialReason | None:
-        """Why an attempt may not begin at an engine now; None where it may."""
+        """Returns why an attempt may not start at an engine now; None where it may."""
         if self.answered or self.streaming:
             return DenialReason.ALREADY_ANSWERED
         if self.client_disconnected:
@@ -158,43 +159,48 @@
             return DenialReason.MAX_ATTEMPTS_REACHED
         return self._deny_repeat(now, target)
 
-    def deny_last_byte(self, now: int, worded: int) -> DenialReason | None:
-        """Why the last byte of the attempt may not go now; `worded`: when its deadline was told."""
+    def deny_last_byte(self, now: int, encoded_at: int) -> DenialReason | None:
+        """Returns why the attempt's last byte may not be sent now; None where it may.
+
+        `encoded_at` is when the deadline in its header was computed.
+        """
         if self.client_disconnected:
             return DenialReason.CLIENT_DISCONNECTED
         if self.answered:
             return DenialReason.ALREADY_ANSWERED
         if now >= self.deadline:
             return DenialReason.DEADLINE_EXCEEDED
-        if now - worded > MAX_DEADLINE_AGE:
+        if now - encoded_at > MAX_DEADLINE_AGE:
             return DenialReason.STALE_DEADLINE
         return None
 
     def deny_rejection(self) -> DenialReason | None:
-        """Why the client may not be told that trying again is harmless; None where it may."""
-        ran, allowed = self.possibly_executed, self.policy
-        if ran is None or allowed.idempotency is Idempotency.IDEMPOTENT:
+        """Returns why the client may not be told that a retry is harmless; None where it may."""
+        policy = self.policy
+        if self.possibly_executed is None or policy.idempotency is Idempotency.IDEMPOTENT:
             return None
-        if allowed.idempotency is Idempotency.KEYED and allowed.deduplication_scope is DeduplicationScope.ALL:
+        if policy.idempotency is Idempotency.KEYED and policy.deduplication_scope is DeduplicationScope.ALL:
             return None
         return DenialReason.MAY_HAVE_EXECUTED
 
     def release_due_at(self) -> int | None:
-        """When the call that lets go has to begin, unless an attempt arrives first. None where nothing is
-        held, the call is under way, or the settings tell no time."""
+        """Returns when the release has to start, unless an engine receives an attempt first.
+
+        None where nothing is reserved, a release is in progress, or no timeout is set.
+        """
         if self.reserved_since is None or self.release_in_progress or not self.policy.state_release_timeout:
             return None
         return self.reserved_since + reservation_time(self.policy.state_release_timeout, 0)
 
     def release_is_due(self, now: int) -> bool:
-        """Whether the call that lets go has to begin now, though an attempt may be out."""
-        at = self.release_due_at()
-        return at is not None and at <= now and not self._attempt_received()
+        """Whether the release has to start now, though an attempt may be in progress."""
+        due_at = self.release_due_at()
+        return due_at is not None and due_at <= now and not self._attempt_received()
 
     # What has happened.
 
     def attempt_started(self, now: int, target: AttemptTarget) -> Attempt:
-        """An attempt begins."""
+        """An attempt starts; allowed only where `deny_attempt` returns None."""
         self.attempt_count += 1
         self.released_during_attempt = False
         self.last_attempt = Attempt(self.attempt_count, target, now)
@@ -206,65 +212,46 @@
             self.last_attempt.stage = AttemptStage.WRITTEN
 
     def attempt_received(self) -> None:
-        """The engine has said something of the attempt that is out."""
+        """The engine has responded to the attempt that is in progress."""
         if self.last_attempt is not None and self.last_attempt.in_progress:
             self.last_attempt.stage = AttemptStage.RECEIVED
 
     def stream_started(self) -> None:
-        """The first event has come: whatever was held has been taken."""
+        """The first event has come: the reserved state has been taken up."""
         self.streaming = True
         self.reserved_since = None
 
-    def attempt_ended(self, now: int, ending: AttemptStatus) -> None:
-        """The attempt that was out has ended here."""
+    def attempt_ended(self, now: int, status: AttemptStatus) -> None:
+        """The attempt that was in progress has ended here."""
         attempt = self.last_attempt
         if attempt is None or not attempt.in_progress:
             return
-        arrived, attempt.stage = attempt.stage is AttemptStage.RECEIVED, AttemptStage.ENDED
+        received = attempt.stage is AttemptStage.RECEIVED
+        attempt.stage = AttemptStage.ENDED
         if attempt.is_prefill:
-            self._prefill_ended(now, ending, arrived)
-            return
-        if ending not in NOT_EXECUTED and self.possibly_executed is None:
-            self.possibly_executed = attempt
-        # Closed here is not ended there: a call to let go that overtakes the close finds an attempt waiting.
-        waited = self.released_during_attempt or self.reserved_since is not None
-        self.remote_end_unknown = self.remote_end_unknown or (waited and ending in ENDED_LOCALLY)
-        if ending is AttemptStatus.STATE_MISSING:
-            self.reserved_since = None
-        elif self.released_during_attempt or (arrived and self.reserved_since is not None):
-            # It was out, so that the time did not run. Where the call to let go found it there, that left
-            # what it waited for: held from now on, and to be let go of again.
-            self.reserved_since, self.release_in_progress = now, False
-
-    def _prefill_ended(self, now: int, ending: AttemptStatus, arrived: bool) -> None:
-        if ending is AttemptStatus.PREFILL_COMPLETE:
-            self.reserved_since, self.release_in_progress = now, False
-        elif ending in PREFILL_MAY_HAVE_RUN:
-            if arrived or self.reserved_since is None:
-                self.reserved_since, self.release_in_progress = (
-                    now,
-                    False,
-                )  # a call under way may have come before it
-            # Closed here is not ended there: the engine may end its read after.
-            self.remote_end_unknown = self.remote_end_unknown or not arrived
+            self._prefill_ended(now, status, received)
+        else:
+            self._decode_ended(now, status, received, attempt)
 
     def release_started(self) -> int | None:
-        """The call that lets go of all that is held has begun; since when it is, to be confirmed with."""
+        """A release of all that is reserved has started.
+
+        Returns since when it has been reserved, to be passed to `release_confirmed`.
+        """
         self.release_in_progress = True
-        self.released_during_attempt = self.released_during_attempt or (
-            self.last_attempt is not None and self.last_attempt.in_progress
-        )
+        if self.last_attempt is not None and self.last_attempt.in_progress:
+            self.released_during_attempt = True
         return self.reserved_since
 
     def release_confirmed(self, now: int, since: int | None) -> bool:
-        """An engine has confirmed the call for what was held since then; False where it came too late."""
+        """An engine has confirmed the release of what was reserved `since`; returns False if too late."""
         in_time = since is None or self._released_in_time(now, since)
         if self.reserved_since == since:
             self.reserved_since, self.release_in_progress = None, False
         return in_time
 
     def mark_answered(self) -> bool:
-        """The final answer is given; False where there already was one."""
+        """The final response is given; returns False where there already was one."""
         if self.answered:
             return False
         self.answered = True
@@ -274,36 +261,67 @@
         """The client has closed its connection."""
         self.client_disconnected = True
 
-    # Parts of the answers.
+    # Helpers.
+
+    def _decode_ended(self, now: int, status: AttemptStatus, received: bool, attempt: Attempt) -> None:
+        if status not in NOT_EXECUTED and self.possibly_executed is None:
+            self.possibly_executed = attempt
+        # A release that reaches the engine before the close of this attempt's connection finds the attempt
+        # waiting there.
+        used_state = self.released_during_attempt or self.reserved_since is not None
+        if used_state and status in ENDED_LOCALLY:
+            self.remote_end_unknown = True
+        if status is AttemptStatus.STATE_MISSING:
+            self.reserved_since = None
+        elif self.released_during_attempt or (received and self.reserved_since is not None):
+            # While the attempt was at its engine the time did not run. A release that found it there left the
+            # state that it waited for: reserved from now on, and to be released again.
+            self._reserve(now)
+
+    def _prefill_ended(self, now: int, status: AttemptStatus, received: bool) -> None:
+        if status is AttemptStatus.PREFILL_COMPLETE:
+            self._reserve(now)
+        elif status in PREFILL_MAY_HAVE_RUN:
+            if received or self.reserved_since is None:
+                self._reserve(now)
+            # The engine may complete the prefill after the connection was closed here.
+            if not received:
+                self.remote_end_unknown = True
+
+    def _reserve(self, now: int) -> None:
+        """State may be reserved from now on; a release in progress may have come before it."""
+        self.reserved_since = now
+        self.release_in_progress = False
 
     def _attempt_received(self) -> bool:
         return self.last_attempt is not None and self.last_attempt.stage is AttemptStage.RECEIVED
 
     def _released_in_time(self, now: int, since: int) -> bool:
-        within = self.policy.state_release_timeout
-        return not within or self._attempt_received() or now <= since + within + RELEASE_TOLERANCE
+        timeout = self.policy.state_release_timeout
+        return not timeout or self._attempt_received() or now <= since + timeout + RELEASE_TOLERANCE
 
     def _deny_repeat(self, now: int, target: AttemptTarget) -> DenialReason | None:
-        ran, allowed = self.possibly_executed, self.policy
-        if ran is None or target.role is Role.PREFILL or allowed.idempotency is Idempotency.IDEMPOTENT:
+        first, policy = self.possibly_executed, self.policy
+        if first is None or target.role is Role.PREFILL or policy.idempotency is Idempotency.IDEMPOTENT:
             return None
-        if allowed.idempotency is Idempotency.AT_MOST_ONCE:
+        if policy.idempotency is Idempotency.AT_MOST_ONCE:
             return DenialReason.MAY_HAVE_EXECUTED
-        if now >= ran.started_at + allowed.deduplication_window:
+        if now >= first.started_at + policy.deduplication_window:
             return DenialReason.DEDUPLICATION_WINDOW_OVER
-        zone = allowed.deduplication_scope is not DeduplicationScope.ALL and target.zone != ran.target.zone
-        rack = allowed.deduplication_scope is DeduplicationScope.RACK and target.rack != ran.target.rack
-        return DenialReason.OUTSIDE_DEDUPLICATION_SCOPE if zone or rack else None
+        scope = policy.deduplication_scope
+        other_zone = scope is not DeduplicationScope.ALL and target.zone != first.target.zone
+        other_rack = scope is DeduplicationScope.RACK and target.rack != first.target.rack
+        return DenialReason.OUTSIDE_DEDUPLICATION_SCOPE if other_zone or other_rack else None
 
 
 @dataclass(slots=True)
 class InvariantMonitor:
-    """Counts what went against a rule; `tell` gets the rule and where it was seen, and must not raise."""
+    """Counts violations; `report` is called with each and its details, and must not raise."""
 
     report: Callable[[InvariantViolation, dict[str, object]], None]
     counts: Counter[str] = field(default_factory=Counter)
 
-    def record(self, breach: InvariantViolation, **seen: object) -> None:
-        """One more, with the request's id, the engine, the stage and the reason."""
-        self.counts[breach.value] += 1
-        self.report(breach, seen)
+    def record(self, violation: InvariantViolation, **details: object) -> None:
+        """Counts one, with details such as the request's id, the engine and the reason."""
+        self.counts[violation.value] += 1
+        self.report(violation, details)
