--- a/runspool/scheduling/request_lifecycle.py
+++ b/runspool/scheduling/request_lifecycle.py
@@ -1,9 +1,9 @@
 """What may be done for a request now: attempted, repeated, rejected, released. Free of I/O.
 
-This module alone answers that, for every path through the program, and counts violations. It guards against
-one class of fault: taking what was done locally for what has happened at the engine. A request that was written
-has not been received, a connection closed here has not ended work there, a release that was sent is not
-confirmed. So an attempt's stage advances only by what its engine has said, and state that an engine may reserve
+This module alone answers that, for every path through the program, and counts violations. It guards
+against one class of fault: taking what was done locally for what has happened at the engine. What was written
+has not been received, a connection closed here has not ended work there, a sent release is not
+confirmed. So an attempt's stage advances only by what its engine has said, and state that it may reserve
 is owed a release until some engine has confirmed one.
 
 Times are tenths of a millisecond on the process's monotonic clock.
