--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -18,7 +18,6 @@
 from bisect import insort
 from collections import Counter, defaultdict
 from collections.abc import Generator
-from dataclasses import dataclass, field
 from math import exp2, log
 from random import Random
 from typing import Any, cast
@@ -35,8 +34,10 @@
     SubscribeToEndpoints,
 )
 from runspool.scheduling.engine_index import MARKS, EngineIndex
+from runspool.scheduling.engine_state import Engine, Known, Tariff
 from runspool.scheduling.request_lifecycle import reservation_time
-from runspool.scheduling.settings import EngineTypeSettings, RequestClassSettings, RoutingSettings
+from runspool.scheduling.request_progress import RequestProgress
+from runspool.scheduling.settings import EngineTypeSettings, RoutingSettings
 from runspool.scheduling.types import (
     NOT_EXECUTED,
     AttemptOutcome,
@@ -97,48 +98,6 @@
 EVIDENCE = 4  # own streams that weigh as much, of what others have at an engine, as the fleet's mean
 
 
-@dataclass(slots=True)
-class Known:
-    """A time learned from shots, which fades to what is usual while nothing is heard."""
-
-    time: float = 0.0
-    heard: int = 0
-
-
-@dataclass(slots=True, eq=False)
-class Engine:
-    id: int
-    mark: int  # the same at every front
-    role: Role
-    zone: int
-    rack: int
-    memory: int
-    started: int
-    on: bool = True
-    reads: dict[int, tuple[int, int, int]] = field(default_factory=dict)  # query: sent, tokens, those ahead
-    unread: int = 0
-    waiting: dict[int, int] = field(default_factory=dict)  # query: sent to be answered, not begun
-    streams: dict[int, int] = field(default_factory=dict)  # query: tokens, begun or not
-    tokens: int = 0
-    lag: Known = field(default_factory=Known)  # a read's time beyond its tokens and those known ahead
-    wait: Known = field(default_factory=Known)  # from a send for an answer to its first token
-    cap: int = 0
-    kept: dict[int, int] = field(default_factory=dict)
-    report: LoadReport | None = None
-    reported: int = 0
-    strikes: int = 0
-    shunned: int = 0
-
-
-@dataclass(slots=True)
-class Tariff:
-    """A row of the one table by tariff: the terms, and what this front has learned."""
-
-    terms: RequestClassSettings
-    kept: float = 0.0  # part of a prompt found kept at its session's home
-    out: float = 0.0  # running estimate of an answer's tokens
-
-
 class Scheduler:
     def __init__(self, terms: RoutingSettings, seed: int) -> None:
         self.terms = terms
@@ -181,152 +140,264 @@
         finally:
             self.room = [place for place in self.room if place[2] != q.index]
 
-    def serve(self, q: Request) -> Generator[Action, Any, None]:
-        if q.request_class is None or 0 < self.field.largest < q.prompt_tokens:
+    def serve(self, request: Request) -> Generator[Action, Any, None]:
+        """Take a request through prefill and decode, with repeats, to its final response."""
+        if request.request_class is None or 0 < self.field.largest < request.prompt_tokens:
             yield FailIndeterminate()  # no later try would go better
             return
-        q.request_draw, q.affinity_candidates, row = self.draw(), self.homes(q), self.row(q)
-        exclusive, ticketed = (
-            row.terms.idempotency is Idempotency.AT_MOST_ONCE,
-            row.terms.idempotency is Idempotency.KEYED,
-        )
-        limit = self.now + q.time_budget - MARGIN
-        # Against dismissing the rest of a stream, whose beginning would be lost too: it has until the limit.
-        due = (
-            limit
-            if q.is_continuation
-            else min(
-                limit,
-                self.now
-                + row.terms.first_token_objective
-                + row.terms.first_token_objective_per_1000_tokens * q.prompt_tokens // 1000,
-            )
-        )
-        self.survey()
-        seen = self.carried / (EVIDENCE + self.carried)  # who sees little of the queues hopes for less
-        patience = (BLIND_PATIENCE + (PATIENCE - BLIND_PATIENCE) * seen) * (
-            LATER_PATIENCE if q.is_client_retry else 1
-        )
-        latest = self.now + int((due - self.now) * patience)
-        over = self.over_share(q)
-        line = int(
-            min(t.terms.first_token_objective for t in self.tariffs) * (OVER_SHARE_LINE if over else LINE)
-        )
-        # Gain brings a query forward; time spent waiting does too, so that no tariff starves.
-        place = (
-            over,
-            self.now + int((due - self.now) * (not q.is_continuation) / max(row.terms.priority_weight, 0.1)),
-            q.index,
-        )
-        state: Engine | None = None
-        held = shots = ran_at = missed = 0  # held: since when the state waits; missed: time lost on dials
-        hold = reservation_time(
-            self.terms.state_release_timeout, q.time_budget
-        )  # none granted: as long as its query
-        spent = False  # a read was given up or turned away: another is on the budget of repeats
-        ran: Engine | None = None  # the first engine whose shot may have run
-        failed: list[int] = []
-        unheard: list[int] = []  # engines that took an attempt without a word
-        while not q.finished and shots < self.terms.max_attempts and self.now < limit:
-            if ran and (exclusive or (ticketed and self.now >= ran_at + row.terms.deduplication_window)):
-                break
-            # Against a state pinned by one writer after the other to which no connection comes up: the next
-            # may take as long as the last, and the call that lets go its time too.
-            if state and self.now + missed >= held + hold:
+        progress = self.begin_request(request)
+        while self.may_continue(progress):
+            if self.reservation_ends_before_connect(progress):
                 yield ReleaseState()
-                state = None
-                yield Sleep(min(self.now + RETRY, limit))  # else a read sent at once would overtake it
+                progress.prefill_engine = None
+                # Without the pause a prefill sent at once would overtake the release.
+                yield Sleep(min(self.now + RETRY, progress.deadline))
                 continue
-            if not state and self.room and self.room[0] < place and self.now < latest:
-                if place not in self.room:
-                    insort(self.room, place)  # only the foremost looks at the engines, against CPU spent
-                yield Sleep(min(self.now + RETRY, latest))
+            if self.must_wait_in_queue(progress):
+                yield Sleep(min(self.now + RETRY, progress.latest_queueing))
                 continue
-            engine = (
-                self.pick_writer(q, state, failed, ran) if state else self.pick_reader(q, failed, ran, line)
-            )
-            if engine and not state:
-                writers = self.seen(q, Role.MIXED) + self.seen(q, Role.DECODE)
-                own = self.to_read(engine, q) / self.pace(engine)
-                wait = self.predicted(engine, q) - own + min(map(self.wait, writers), default=0)
-                # Patience differs by chance, or all fronts would dismiss, and admit, everything at one time.
-                spare = max(LEAST_WAIT, (due - self.now - own) * patience)
-                if not shots and wait * (0.5 + q.request_draw) > spare:
-                    break
-                # States read ahead of full writers only wait, or are given up and read again.
-                if self.queue(engine) > line or min((self.strain(e, q) for e in writers), default=0.0) > 1:
-                    engine = None
+            engine = self.select_engine(progress)
+            if progress.is_given_up:
+                break
             if engine is None:
-                if not state and place not in self.room:
-                    insort(self.room, place)
-                # Against a long line's looks, past their latest each its own, taking all of a node's CPU.
-                behind = max(1, len(self.room) // 4) if not state and self.room[0] != place else 1
-                if self.now >= due:
+                wake_at = self.next_look(progress)
+                if wake_at is None:
                     break
-                until = min(self.now + RETRY * behind, limit if state else due)
-                if state and until > held + hold:
+                if (
+                    progress.prefill_engine
+                    and wake_at > progress.reserved_since + progress.reservation_duration
+                ):
                     yield ReleaseState()
-                    state = None
-                yield Sleep(until)
+                    progress.prefill_engine = None
+                yield Sleep(wake_at)
                 continue
-            self.room = [other for other in self.room if other != place]
-            if spent:
-                if self.repeats < 1:
-                    break
-                self.repeats, spent = self.repeats - 1, False
-            shots += 1
-            effect = engine.role is not Role.PREFILL
-            wait = self.wait(engine) if state else self.predicted(engine, q)
-            wait += int(self.link(state.rack)) if state and state.rack != engine.rack else 0
-            sent, cap = self.now, 0
-            may_repeat = (
-                self.repeats >= 1 or state or q.is_continuation
-            )  # else what is given up is only wasted
-            if (
-                may_repeat
-                and shots < self.terms.max_attempts
-                and (not effect or row.terms.idempotency is Idempotency.IDEMPOTENT)
-            ):
-                # Work given up may go on there: what is merely slow, as far as foreseen, is left alone; a
-                # read until it is due, for in a jam one read again makes two of one that comes as late.
-                left = (due if self.now < due - 2 * LEAST_CAP else limit) - self.now
-                cap = max(LEAST_CAP, int(left * (SHOT_PART if effect else 1)), SLOW * wait)
-            self.sent(q, engine, state)
-            out: AttemptOutcome = yield StartAttempt(engine.id, cap)
-            self.ended(q, engine, out, state)
-            if out.status is AttemptStatus.STREAM_STARTED:
-                self.streamed(q, engine, (yield AwaitCompletion()), 0 if state else out.duration)
+            self.leave_queue(progress)
+            if not self.take_retry_token(progress):
+                break
+            prefill_engine, sent_at = progress.prefill_engine, self.now
+            outcome: AttemptOutcome = yield self.prepare_attempt(progress, engine)
+            self.ended(request, engine, outcome, prefill_engine)
+            if outcome.status is AttemptStatus.STREAM_STARTED:
+                completion: AttemptOutcome = yield AwaitCompletion()
+                self.streamed(request, engine, completion, 0 if prefill_engine else outcome.duration)
                 return
-            if not (out.reached_engine or out.status is AttemptStatus.NOT_SENT):
-                unheard.append(engine.id)
-            if out.status is AttemptStatus.PREFILL_COMPLETE:
-                state, held, failed, missed = engine, self.now, list(unheard), 0
-                self.repeats = min(MOST_REPEATS, self.repeats + REPEATS)
-            elif out.status is AttemptStatus.STATE_MISSING:
-                state = None
-            elif out.status is not AttemptStatus.SUCCEEDED:
-                never_sent = out.status in NEVER_SENT
-                # A write that nothing was heard of has stopped no clock.
-                missed, held = (out.duration if never_sent else 0), (self.now if out.reached_engine else held)
-                failed.append(engine.id)
-                spent = (
-                    not state
-                    and not q.is_continuation
-                    and out.status in (AttemptStatus.TIMED_OUT, AttemptStatus.OVERLOADED)
-                )
-                if state and out.state_released:
-                    # It is gone, or goes with the attempt that it was waiting for: what is left is let go of.
-                    yield ReleaseState()
-                    state = None
-            if effect and not ran and out.status not in NOT_EXECUTED:
-                ran, ran_at = engine, sent
-        if state:
+            if self.record_attempt(progress, engine, outcome, sent_at):
+                yield ReleaseState()
+                progress.prefill_engine = None
+        if progress.prefill_engine:
             yield ReleaseState()
-        if not q.finished:
-            harmful = ran and (
-                exclusive or (ticketed and row.terms.deduplication_scope is not DeduplicationScope.ALL)
+        if not request.finished:
+            yield self.final_response(progress)
+
+    def begin_request(self, request: Request) -> RequestProgress:
+        """Draw for a request, find where its prompt may be cached, and fix its limits."""
+        request.request_draw, request.affinity_candidates = self.draw(), self.homes(request)
+        class_state = self.row(request)
+        deadline = self.now + request.time_budget - MARGIN
+        due = self.first_token_due(request, deadline)
+        self.survey()
+        # A front that sees little of the queues relies less on its estimates.
+        evidence = self.carried / (EVIDENCE + self.carried)
+        patience = (BLIND_PATIENCE + (PATIENCE - BLIND_PATIENCE) * evidence) * (
+            LATER_PATIENCE if request.is_client_retry else 1
+        )
+        is_over_share = self.over_share(request)
+        shortest_objective = min(t.terms.first_token_objective for t in self.tariffs)
+        # Gain brings a request forward; time spent waiting does too, so that no class starves.
+        weight = max(class_state.terms.priority_weight, 0.1)
+        priority_time = self.now + int((due - self.now) * (not request.is_continuation) / weight)
+        return RequestProgress(
+            request=request,
+            class_state=class_state,
+            deadline=deadline,
+            first_token_due=due,
+            patience=patience,
+            latest_queueing=self.now + int((due - self.now) * patience),
+            queue_limit=int(shortest_objective * (OVER_SHARE_LINE if is_over_share else LINE)),
+            queue_position=(is_over_share, priority_time, request.index),
+            # Where the platform grants no time of its own, as long as the request has.
+            reservation_duration=reservation_time(self.terms.state_release_timeout, request.time_budget),
+        )
+
+    def first_token_due(self, request: Request, deadline: int) -> int:
+        """The time by which a request's first token is worth having."""
+        # The rest of a stream is not given up before the deadline: its beginning would be lost too.
+        if request.is_continuation:
+            return deadline
+        terms = self.row(request).terms
+        per_prompt = terms.first_token_objective_per_1000_tokens * request.prompt_tokens // 1000
+        return min(deadline, self.now + terms.first_token_objective + per_prompt)
+
+    def may_continue(self, progress: RequestProgress) -> bool:
+        """Whether another attempt of a request is still wanted and allowed."""
+        if (
+            progress.request.finished
+            or progress.attempts >= self.terms.max_attempts
+            or self.now >= progress.deadline
+        ):
+            return False
+        if not progress.first_executed:
+            return True
+        terms = progress.class_state.terms
+        if terms.idempotency is Idempotency.KEYED:
+            return self.now < progress.first_executed_at + terms.deduplication_window
+        return terms.idempotency is not Idempotency.AT_MOST_ONCE
+
+    def reservation_ends_before_connect(self, progress: RequestProgress) -> bool:
+        """Whether a prefill's state may expire while another connection is tried."""
+        # Decode engines to which no connection comes up would pin the state one after the other: the next
+        # attempt may take as long as the last, and the release takes its time too.
+        return progress.prefill_engine is not None and (
+            self.now + progress.connect_time_lost >= progress.reserved_since + progress.reservation_duration
+        )
+
+    def must_wait_in_queue(self, progress: RequestProgress) -> bool:
+        """Whether more pressing requests are queued here; queues this one if so."""
+        if progress.prefill_engine or not self.room or self.now >= progress.latest_queueing:
+            return False
+        if self.room[0] >= progress.queue_position:
+            return False
+        # Only the foremost looks at the engines, which saves CPU time.
+        self.enter_queue(progress)
+        return True
+
+    def enter_queue(self, progress: RequestProgress) -> None:
+        """Queue a request for prefill, once."""
+        if progress.queue_position not in self.room:
+            insort(self.room, progress.queue_position)
+
+    def leave_queue(self, progress: RequestProgress) -> None:
+        """Take a request out of the queue for prefill."""
+        self.room = [other for other in self.room if other != progress.queue_position]
+
+    def select_engine(self, progress: RequestProgress) -> Engine | None:
+        """The engine for the next attempt, or None while none can be had; may give the request up."""
+        if progress.prefill_engine:
+            return self.pick_writer(
+                progress.request, progress.prefill_engine, progress.failed, progress.first_executed
             )
-            yield FailIndeterminate() if harmful else Reject(self.hold_off(q))
+        engine = self.pick_reader(
+            progress.request, progress.failed, progress.first_executed, progress.queue_limit
+        )
+        return self.admit_prefill(progress, engine) if engine else None
+
+    def admit_prefill(self, progress: RequestProgress, engine: Engine) -> Engine | None:
+        """The engine if its queue is short enough for this request, else None; may give the request up."""
+        request = progress.request
+        writers = self.seen(request, Role.MIXED) + self.seen(request, Role.DECODE)
+        own_time = self.to_read(engine, request) / self.pace(engine)
+        wait = self.predicted(engine, request) - own_time + min(map(self.wait, writers), default=0)
+        # Patience differs by chance, or all fronts would dismiss, and admit, everything at one time.
+        spare = max(LEAST_WAIT, (progress.first_token_due - self.now - own_time) * progress.patience)
+        if not progress.attempts and wait * (0.5 + request.request_draw) > spare:
+            progress.is_given_up = True
+            return None
+        # States prefilled ahead of full decode engines only wait, or are given up and prefilled again.
+        if self.queue(engine) > progress.queue_limit:
+            return None
+        if min((self.strain(e, request) for e in writers), default=0.0) > 1:
+            return None
+        return engine
+
+    def next_look(self, progress: RequestProgress) -> int | None:
+        """When to look for an engine again; None once the first token is due."""
+        is_prefill = not progress.prefill_engine
+        if is_prefill:
+            self.enter_queue(progress)
+        # In a long queue each request past its latest time looks by itself: rarer looks save CPU time.
+        intervals = 1
+        if is_prefill and self.room[0] != progress.queue_position:
+            intervals = max(1, len(self.room) // 4)
+        if self.now >= progress.first_token_due:
+            return None
+        end = progress.first_token_due if is_prefill else progress.deadline
+        return min(self.now + RETRY * intervals, end)
+
+    def take_retry_token(self, progress: RequestProgress) -> bool:
+        """Charge a repeated prefill to the retry budget; False where that is used up."""
+        if progress.needs_retry_token:
+            if self.repeats < 1:
+                return False
+            self.repeats -= 1
+            progress.needs_retry_token = False
+        return True
+
+    def prepare_attempt(self, progress: RequestProgress, engine: Engine) -> StartAttempt:
+        """Count an attempt and enter it at its engine; returns the action that starts it."""
+        progress.attempts += 1
+        timeout = self.attempt_timeout(progress, engine)
+        self.sent(progress.request, engine, progress.prefill_engine)
+        return StartAttempt(engine.id, timeout)
+
+    def attempt_timeout(self, progress: RequestProgress, engine: Engine) -> int:
+        """After what time an attempt is given up; 0 for one that no other may follow."""
+        request, state = progress.request, progress.prefill_engine
+        decodes = engine.role is not Role.PREFILL
+        wait = self.wait(engine) if state else self.predicted(engine, request)
+        wait += int(self.link(state.rack)) if state and state.rack != engine.rack else 0
+        # Without a repeat what is given up is only wasted.
+        may_repeat = self.repeats >= 1 or state or request.is_continuation
+        if not may_repeat or progress.attempts >= self.terms.max_attempts:
+            return 0
+        if decodes and progress.class_state.terms.idempotency is not Idempotency.IDEMPOTENT:
+            return 0
+        # Work given up may go on there: what is merely slow, as far as foreseen, is left alone; a prefill
+        # until it is due, for in a jam one repeated prefill makes two of one that comes as late.
+        due = progress.first_token_due
+        left = (due if self.now < due - 2 * LEAST_CAP else progress.deadline) - self.now
+        return max(LEAST_CAP, int(left * (SHOT_PART if decodes else 1)), SLOW * wait)
+
+    def record_attempt(
+        self, progress: RequestProgress, engine: Engine, outcome: AttemptOutcome, sent_at: int
+    ) -> bool:
+        """Take in the end of an attempt; True where the prefill's state has to be released."""
+        must_release = False
+        if not (outcome.reached_engine or outcome.status is AttemptStatus.NOT_SENT):
+            progress.unreached.append(engine.id)
+        if outcome.status is AttemptStatus.PREFILL_COMPLETE:
+            progress.prefill_engine, progress.reserved_since = engine, self.now
+            progress.failed, progress.connect_time_lost = list(progress.unreached), 0
+            self.repeats = min(MOST_REPEATS, self.repeats + REPEATS)
+        elif outcome.status is AttemptStatus.STATE_MISSING:
+            progress.prefill_engine = None
+        elif outcome.status is not AttemptStatus.SUCCEEDED:
+            must_release = self.record_failed_attempt(progress, engine, outcome)
+        if (
+            engine.role is not Role.PREFILL
+            and not progress.first_executed
+            and outcome.status not in NOT_EXECUTED
+        ):
+            progress.first_executed, progress.first_executed_at = engine, sent_at
+        return must_release
+
+    def record_failed_attempt(
+        self, progress: RequestProgress, engine: Engine, outcome: AttemptOutcome
+    ) -> bool:
+        """Take in a failed attempt; True where the prefill's state has to be released."""
+        # A decode attempt without a response has not stopped the state's time limit.
+        progress.connect_time_lost = outcome.duration if outcome.status in NEVER_SENT else 0
+        if outcome.reached_engine:
+            progress.reserved_since = self.now
+        progress.failed.append(engine.id)
+        progress.needs_retry_token = (
+            not progress.prefill_engine
+            and not progress.request.is_continuation
+            and outcome.status in (AttemptStatus.TIMED_OUT, AttemptStatus.OVERLOADED)
+        )
+        # A released state is gone, or goes with the attempt that it waited for: the rest is released too.
+        return progress.prefill_engine is not None and outcome.state_released
+
+    def final_response(self, progress: RequestProgress) -> Action:
+        """The response to a request that was not completed: a retry is harmless, or may not be."""
+        terms = progress.class_state.terms
+        is_retry_harmful = progress.first_executed is not None and (
+            terms.idempotency is Idempotency.AT_MOST_ONCE
+            or (
+                terms.idempotency is Idempotency.KEYED
+                and terms.deduplication_scope is not DeduplicationScope.ALL
+            )
+        )
+        return FailIndeterminate() if is_retry_harmful else Reject(self.hold_off(progress.request))
 
     def watch(self) -> Generator[Action, Any, None]:
         while True:
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -11,7 +11,8 @@
 import pytest
 
 from runspool.runtime.scheduler_driver import BACKGROUND_TASK, ReentrantCallError
-from runspool.scheduling.scheduler import LEFT_KEPT, SECOND, Engine
+from runspool.scheduling.engine_state import Engine
+from runspool.scheduling.scheduler import LEFT_KEPT, SECOND
 from runspool.scheduling.types import (
     AttemptOutcome,
     AttemptStatus,
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -8,7 +8,7 @@
 import pytest
 
 from runspool.scheduling.engine_index import WIDE, EngineIndex
-from runspool.scheduling.scheduler import Engine
+from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.types import AttemptStatus, EndpointUpdate, EngineState, Role
 from tests.fakehost import READER, FakeHost, terms
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -5,7 +5,8 @@
 import io
 import unittest
 
-from runspool.scheduling.scheduler import SECOND, Known
+from runspool.scheduling.engine_state import Known
+from runspool.scheduling.scheduler import SECOND
 from runspool.scheduling.types import (
     AttemptStatus,
     DeduplicationScope,
