--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -16,7 +16,8 @@
 from runspool.service.clock import now
 from runspool.service.event_recorder import EventRecorder
 from runspool.service.pending_request import Endpoint, PendingRequest, RequestNotAcceptedError
-from runspool.service.request_executor import RequestExecutor, ResponseRelay
+from runspool.service.request_executor import RequestExecutor
+from runspool.service.response_relay import ResponseRelay
 from runspool.units import tenths
 from runspool.wire.fields import InvalidRequestError
 
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -28,7 +28,8 @@
 from runspool.service.event_recorder import EventRecorder
 from runspool.service.pending_completion import PendingCompletion
 from runspool.service.pending_request import Endpoint, FinalResponse, RequestNotAcceptedError, ResponseKind
-from runspool.service.request_executor import RequestExecutor, ResponseRelay
+from runspool.service.request_executor import RequestExecutor
+from runspool.service.response_relay import ResponseRelay
 from runspool.units import tenths
 from runspool.wire.completions import CompletionRequest
 
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -28,6 +28,7 @@
 )
 from runspool.scheduling.settings import RoutingSettings
 from runspool.scheduling.types import AttemptOutcome, AttemptStatus, EngineRecord, EngineState
+from runspool.service.attempt_permit import AttemptPermit
 from runspool.service.cell_scheduler import CellScheduler
 from runspool.service.clock import now, unix_ms_at_zero
 from runspool.service.pending_request import Endpoint, FinalResponse, PendingRequest, ResponseKind
@@ -266,11 +267,11 @@
         except Exception as fault:
             self._scheduler_failed(self.scheduler_for(taken), taken.index, fault)
 
-    def _is_withdrawn(self, site: Endpoint) -> bool:
+    def is_withdrawn(self, endpoint: Endpoint) -> bool:
         """Whether the list has taken an engine out since it was picked: a connection may take longer than a
         drain's grace."""
-        line = self.engine_records.get(site.name)
-        return line is None or line.engine != site.index or line.state != EngineState.READY
+        line = self.engine_records.get(endpoint.name)
+        return line is None or line.engine != endpoint.index or line.state != EngineState.READY
 
     def set_prefill_endpoint(self, taken: T, site: Endpoint | None, state: Any) -> None:
         """Where a read state waits now, None where none does."""
@@ -519,48 +520,3 @@
         return EngineRecord(
             index, kind, zone, entry.rack, since, EngineState(entry.state), stable_hash(entry.engine)
         )
-
-
-class AttemptPermit(Generic[T]):
-    """What one attempt may do on its connection, by the request's life and the list's last word."""
-
-    __slots__ = ("front", "site", "taken")
-
-    def __init__(self, front: RequestExecutor[T], taken: T, site: Endpoint) -> None:
-        self.front, self.taken, self.site = front, taken, site
-
-    def deny_last_byte(self, worded: int) -> str | None:
-        """Why the last byte may not go now; None where it may."""
-        refusal = self.taken.lifecycle.deny_last_byte(now(), worded)
-        if refusal is not None:
-            return refusal.value
-        return "taken off the list before it had the request" if self.front._is_withdrawn(self.site) else None
-
-    def request_written(self) -> None:
-        """The kernel has all of it: the engine may, or may never."""
-        self.taken.lifecycle.attempt_written()
-
-    def response_started(self) -> None:
-        """The engine has said something of it."""
-        self.taken.lifecycle.attempt_received()
-
-
-class ResponseRelay(Generic[T]):
-    """Passes a streamed answer on; its first token is the decisions' news before it is the client's."""
-
-    __slots__ = ("front", "sent", "shot", "taken")
-
-    def __init__(self, front: RequestExecutor[T], taken: T, shot: int, sent: int) -> None:
-        self.front, self.taken, self.shot, self.sent = front, taken, shot, sent
-
-    async def stream_started(self) -> None:
-        taken = self.taken
-        if taken.final_response is not None:
-            return await anyio.lowlevel.checkpoint()  # answered while this was on its way: nothing after it
-        self.front.stream_started(taken, self.shot, self.sent)
-        await self.front.forward(taken, taken.listener.stream_started())
-
-    async def data_received(self, piece: Any) -> None:
-        if self.taken.final_response is not None:
-            return await anyio.lowlevel.checkpoint()
-        await self.front.forward(self.taken, self.taken.listener.data_received(piece))
--- /dev/null
+++ b/runspool/service/response_relay.py
@@ -0,0 +1,41 @@
+"""Passes the response of one attempt from the engine to the client."""
+
+from __future__ import annotations
+
+from typing import Any, Generic
+
+import anyio.lowlevel
+
+from runspool.service.request_executor import RequestExecutor, T
+
+
+class ResponseRelay(Generic[T]):
+    """Forwards one attempt's response, reporting its first token to the scheduler before the client sees it.
+
+    Once the request has its final response, nothing more is forwarded.
+    """
+
+    __slots__ = ("attempt", "executor", "pending", "sent_at")
+
+    def __init__(self, executor: RequestExecutor[T], pending: T, attempt: int, sent_at: int) -> None:
+        """`sent_at` is when the attempt began, in tenths of a millisecond on the front's clock."""
+        self.executor = executor
+        self.pending = pending
+        self.attempt = attempt
+        self.sent_at = sent_at
+
+    async def stream_started(self) -> None:
+        """Reports the first token to the scheduler, then to the client."""
+        if self.pending.final_response is not None:
+            # The request was answered while this was on its way.
+            await anyio.lowlevel.checkpoint()
+            return
+        self.executor.stream_started(self.pending, self.attempt, self.sent_at)
+        await self.executor.forward(self.pending, self.pending.listener.stream_started())
+
+    async def data_received(self, piece: Any) -> None:  # noqa: ANN401 - each protocol has its own pieces
+        """Forwards one piece of the response to the client."""
+        if self.pending.final_response is not None:
+            await anyio.lowlevel.checkpoint()
+            return
+        await self.executor.forward(self.pending, self.pending.listener.data_received(piece))
--- a/tests/test_doctored.py
+++ b/tests/test_doctored.py
@@ -24,7 +24,7 @@
 from runspool.service.clock import now
 from runspool.service.completions_handler import CompletionsHandler, _EventStreamResponse
 from runspool.service.front import Front
-from runspool.service.request_executor import ResponseRelay
+from runspool.service.response_relay import ResponseRelay
 from runspool.transport.tcp import ConnectionClosedError
 from runspool.wire import completions as wire
 from runspool.wire.endpoint_list import EndpointEntry as Line
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -19,7 +19,7 @@
 from runspool.service.clock import unix_ms, unix_ms_at_zero
 from runspool.service.pending_completion import PendingCompletion
 from runspool.service.pending_request import FinalResponse, ResponseKind
-from runspool.service.request_executor import ResponseRelay
+from runspool.service.response_relay import ResponseRelay
 from runspool.transport import tcp as lines
 from runspool.wire.completions import read_wish
 from runspool.wire.endpoint_list import EndpointEntry
