--- a/runspool/service/cell_scheduler.py
+++ b/runspool/service/cell_scheduler.py
@@ -15,6 +15,7 @@
 from runspool.service.clock import now
 from runspool.service.event_recorder import EventRecorder
 from runspool.service.recording_format import Event, RecordedAction
+from runspool.service.timer_queue import SchedulerTimer
 
 
 class CellActionHandler(Protocol):
@@ -25,7 +26,7 @@
     def fail_indeterminate(self, query: int) -> None: ...
     def release_state(self, query: int) -> None: ...
     def migrate_stream(self, query: int) -> None: ...
-    def set_timer(self, token: str, at: int) -> None: ...
+    def set_timer(self, timer: SchedulerTimer, at: int) -> None: ...
     def log_message(self, text: str) -> None: ...
     def forget_request(self, query: int) -> None: ...
 
@@ -119,7 +120,7 @@
 
     def set_timer(self, token: str, at: int) -> None:
         self.recorder.record(now(), RecordedAction.SET_TIMER, token, at)
-        self.front.set_timer(f"{token}@{self.name}", at)
+        self.front.set_timer(SchedulerTimer(self.name, token), at)
 
     def log_message(self, text: str) -> None:
         self.recorder.record(now(), RecordedAction.LOG_MESSAGE, text)
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -32,15 +32,19 @@
 from runspool.service.cell_scheduler import CellScheduler
 from runspool.service.clock import now, unix_ms_at_zero
 from runspool.service.pending_request import Endpoint, FinalResponse, PendingRequest, ResponseKind
-from runspool.service.timer_queue import TimerQueue
+from runspool.service.timer_queue import (
+    DeadlineGuardTimer,
+    ExecutorTimer,
+    ReleaseCheckTimer,
+    SchedulerTimer,
+    TimerQueue,
+)
 from runspool.service.wall_clock import WallClock
 from runspool.wire.endpoint_list import EndpointEntry, address_of
 
 NAME_KEPT = 6_000_000  # tenths of a millisecond: a text unseen for so long is kept by no engine any more
-GUARD = "guard."
 GUARD_TURN = 10  # tenths of a millisecond that the guard, if it is so late, leaves to what is due as well
 GUARD_ROOM = 50  # tenths of a millisecond by which an attempt's time is up before the guard's turn comes
-HELD = "held."
 
 T = TypeVar("T", bound=PendingRequest)
 
@@ -60,7 +64,7 @@
         self.endpoints: dict[int, Endpoint] = {}
         self.engine_records: dict[str, EngineRecord] = {}
         self.endpoint_tracker = EndpointTracker()
-        self.timers = TimerQueue(self._timer_fired)
+        self.timers: TimerQueue[ExecutorTimer] = TimerQueue(self._timer_fired)
         self.wall_clock = WallClock(lambda: unix_ms_at_zero())
         self.requests: dict[int, T] = {}
         self.accepted_count = 0
@@ -129,7 +133,9 @@
             AttemptPolicy.for_class(self.settings, self.request_class_of(taken)), taken.deadline
         )
         self.counts["accepted"] += 1
-        self.timers.schedule(taken.deadline - self.settings.response_slack // 2, f"{GUARD}{taken.index}")
+        self.timers.schedule(
+            taken.deadline - self.settings.response_slack // 2, DeadlineGuardTimer(taken.index)
+        )
 
     def client_disconnected(self, taken: T) -> None:
         """The client has gone: whatever is out for it is called back."""
@@ -212,8 +218,9 @@
             self.counts["migrated"] += 1
             taken.cancel_attempt()
 
-    def set_timer(self, token: str, at: int) -> None:
-        self.timers.schedule(at, token)
+    def set_timer(self, timer: SchedulerTimer, at: int) -> None:
+        """Has a scheduler's timer fire at `at`, in tenths of a millisecond on the front's clock."""
+        self.timers.schedule(at, timer)
 
     def log_message(self, text: str) -> None:
         self.log.info("scheduler_message", text=text)
@@ -416,7 +423,7 @@
         """Has what is held looked at when its time to be let go of comes, an attempt out or not."""
         at = taken.lifecycle.release_due_at()
         if at is not None and taken.index in self.requests:
-            self.timers.schedule(at, f"{HELD}{taken.index}")
+            self.timers.schedule(at, ReleaseCheckTimer(taken.index))
 
     def _check_reservation(self, taken: T) -> None:
         """A write that has gone out and not arrived does not stop the time of what waits for it. One that has
@@ -438,39 +445,35 @@
         self.counts[f"violation_{breach.value}"] += 1
         self.log.error("invariant_violated", rule=breach.value, **seen)
 
-    def _timer_fired(self, token: str) -> None:
-        if token.startswith(HELD):
-            held = self.requests.get(int(token.removeprefix(HELD)))
-            if held is not None:
-                self._check_reservation(held)
+    def _timer_fired(self, timer: ExecutorTimer) -> None:
+        match timer:
+            case DeadlineGuardTimer(request):
+                self._deadline_guard_fired(timer, request)
+            case ReleaseCheckTimer(request):
+                waiting = self.requests.get(request)
+                if waiting is not None:
+                    self._check_reservation(waiting)
+            case SchedulerTimer(cell, token):
+                self._notify(self.scheduler_named(cell), timer.request, CellScheduler.timer_fired, token)
+
+    def _deadline_guard_fired(self, timer: DeadlineGuardTimer, request: int) -> None:
+        taken = self.requests.get(request)
+        if taken is None:
             return
-        if token.startswith(GUARD):
-            taken = self.requests.get(int(token.removeprefix(GUARD)))
-            if taken is not None and not taken.guard_deferred and self._guard_delay(taken) >= GUARD_TURN:
-                # After a moment without a turn all is due at once: the decisions' own answer goes first.
-                taken.guard_deferred = True
-                return self.timers.schedule(now() + GUARD_TURN, token)
-            # A begun stream is its client's; a whole answer not complete by now comes too late.
-            if (
-                taken is not None
-                and self.is_guarded(taken)
-                and self._finish(
-                    taken,
-                    FinalResponse(
-                        ResponseKind.INDETERMINATE,
-                        "out_of_time",
-                        "nothing is promised: it may or may not have run",
-                    ),
-                )
-            ):
-                if not taken.stream_started:
-                    self._log_guard(taken)
-                self._disconnect(taken)
+        if not taken.guard_deferred and self._guard_delay(taken) >= GUARD_TURN:
+            # After a moment without a turn all is due at once: the decisions' own answer goes first.
+            taken.guard_deferred = True
+            self.timers.schedule(now() + GUARD_TURN, timer)
             return
-        token, _, name = token.rpartition("@")
-        self._notify(
-            self.scheduler_named(name), int(token.partition(".")[0]), CellScheduler.timer_fired, token
+        # A begun stream is its client's; a whole answer not complete by now comes too late.
+        out_of_time = FinalResponse(
+            ResponseKind.INDETERMINATE, "out_of_time", "nothing is promised: it may or may not have run"
         )
+        if not self.is_guarded(taken) or not self._finish(taken, out_of_time):
+            return
+        if not taken.stream_started:
+            self._log_guard(taken)
+        self._disconnect(taken)
 
     def spawn_release(self, work: Callable[..., Coroutine[Any, Any, None]], *args: Any) -> None:
         """Begins a call that lets a state go; a stop waits for it."""
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -18,7 +18,7 @@
 from runspool.lab.audit import EXACT, RULES, audit
 from runspool.lab.recording import Event
 from runspool.service.front import Front
-from runspool.service.request_executor import GUARD
+from runspool.service.timer_queue import DeadlineGuardTimer
 from tests import clockwork
 from tests.conftest import JUDGED
 from tests.histories import Days, Recorded, World
@@ -111,7 +111,9 @@
     patch.setattr(Front, "reject", lambda front, query, hold_off: None)
     patch.setattr(Front, "fail_indeterminate", lambda front, query: None)
     patch.setattr(
-        Front, "_timer_fired", lambda front, token: None if token.startswith(GUARD) else sound(front, token)
+        Front,
+        "_timer_fired",
+        lambda front, timer: None if isinstance(timer, DeadlineGuardTimer) else sound(front, timer),
     )
 
 
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -26,6 +26,7 @@
 from runspool.node.server import NodeServer
 from runspool.scheduling.types import AttemptStatus, EngineState
 from runspool.service.clock import now
+from runspool.service.timer_queue import SchedulerTimer
 from runspool.transport.tcp import TcpConnection, connect
 from runspool.units import tenths
 from tests.platform import (
@@ -321,14 +322,14 @@
             faults.append(said)
             raise RuntimeError("a fault of the program")
 
-        sound = running.executor.timers.ring, running.discovery.hearer.receive
-        running.executor.timers.ring = fails
+        sound = running.executor.timers.on_timer, running.discovery.hearer.receive
+        running.executor.timers.on_timer = fails
         running.discovery.hearer.receive = fails  # type: ignore[method-assign, assignment]
-        running.executor.timers.schedule(0, "0.0@node")
+        running.executor.timers.schedule(0, SchedulerTimer("node", "0.0"))
         platform.tell()
         running.executor.engine_client.watchdog.watch(0, fails).waiting_since = 1
         await until(lambda: len(faults) >= 3)
-        running.executor.timers.ring = sound[0]
+        running.executor.timers.on_timer = sound[0]
         running.discovery.hearer.receive = sound[1]  # type: ignore[method-assign]
         assert (await platform.ask(post("q1"))).whole
         assert not platform.run.done()
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -12,6 +12,7 @@
 
 from runspool.engines.failure_classification import FailureCause
 from runspool.service.pending_request import FinalResponse, ResponseKind
+from runspool.service.timer_queue import DeadlineGuardTimer
 from runspool.transport import tcp as lines
 from runspool.wire.completions import read_wish
 from tests import clockwork
@@ -297,7 +298,7 @@
         taken = front.submit(wish, Reply(), clockwork.now())
         while not any(event["what"] == "held" for event in world.events):
             await anyio.sleep(0.0001)
-        guard = f"guard.{taken.index}"
+        guard = DeadlineGuardTimer(taken.index)
         ends: dict[str, Callable[[], object]] = {
             "cancel": lambda: front.client_disconnected(taken),
             "limit": lambda: front._timer_fired(guard),
