--- a/runspool/node/__main__.py
+++ b/runspool/node/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m runspool.node`: one front node, as the platform starts it. Exit 2 where its posting is bad."""
+"""`python -m runspool.node`: runs one front node, as the platform starts it."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 
 
 def main() -> int:
-    # Against a SIGHUP ending the process before its handler stands: imports alone take 0.4 s. Nothing is
-    # missed, as the file is read after it.
+    """Runs a node until it is told to stop; exits with 0, or 2 where its configuration is not usable."""
+    # Ignore SIGHUP until its handler is installed, or it would end the process: the imports alone take 0.4 s.
+    # No reload is missed, as the configuration file is read after this.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     import anyio
 
--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -9,7 +9,7 @@
 import structlog
 
 from runspool.node.executor import NodeExecutor, PendingNodeRequest
-from runspool.node.request_parser import read_ask
+from runspool.node.request_parser import parse_client_request
 from runspool.scheduling.request_lifecycle import InvariantViolation
 from runspool.service.clock import now
 from runspool.service.http_connection import HttpConnection, StreamingResponse
@@ -106,7 +106,9 @@
 
     async def _query(self, request: HttpRequest, came: int) -> None:
         try:
-            ask = read_ask(request.target, request.headers, bytes(request.body), self.node.platform_settings)
+            ask = parse_client_request(
+                request.target, request.headers, bytes(request.body), self.node.platform_settings
+            )
             if request.version == "1.0":
                 raise InvalidRequestError("version", "an answer in parts needs HTTP/1.1", 505)
             reply = EventStreamResponse(self)
--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -148,7 +148,7 @@
                 return await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=1024)
             except OSError as fault:
                 if fault.errno != errno.EADDRINUSE or anyio.current_time() > until:
-                    raise InvalidNodeConfigError(f"listen: {host}:{port}: {fault}") from None
+                    raise InvalidNodeConfigError("listen", f"{host}:{port}: {fault}") from None
                 if not waited:
                     self.log.warning("port_held", listen=f"{host}:{port}")
                 waited = True
--- a/runspool/runtime/platform_settings.py
+++ b/runspool/runtime/platform_settings.py
@@ -1,12 +1,14 @@
-"""What a house grants a front at its start, as the platform words it: one JSON object, read into house terms.
+"""Reads the settings that the platform gives a front at its start into RoutingSettings.
 
-The simulator hands it over in its first message, and a front node finds it in its configuration file.
+The simulator sends this JSON object in its first message, and a node finds it in its configuration file. The
+object's keys are the platform's; this module holds the table from them to the names used in the code.
 """
 
 from __future__ import annotations
 
 from typing import Any, TypeVar
 
+from runspool.errors import RunspoolError
 from runspool.scheduling.settings import (
     EngineTypeSettings,
     RequestClassSettings,
@@ -17,8 +19,8 @@
 
 T = TypeVar("T")
 
-UNIT_US = 100  # a tenth of a millisecond
-LARGEST_NUMBER = 1e15  # no figure in them is larger
+UNIT_US = 100  # microseconds in a tenth of a millisecond, the unit of durations inside the program
+NUMBER_LIMIT = 1e15  # exclusive, on the absolute value of any number in the settings
 
 IDEMPOTENCY = {
     "idempotent": Idempotency.IDEMPOTENT,
@@ -33,90 +35,116 @@
 ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.MIXED}
 
 
-class InvalidSettingsError(Exception):
-    """Something in the object cannot be; the message begins with its key."""
+class InvalidSettingsError(RunspoolError):
+    """A value in the settings is not usable.
+
+    `key` is the path of the value, as in `classes[2].aim-us`, and `problem` says what is wrong with it.
+    """
+
+    def __init__(self, key: str, problem: str) -> None:
+        super().__init__(f"{key}: {problem}")
+        self.key = key
+        self.problem = problem
 
 
 class SettingsSection:
-    """An object inside it, and the path that leads there."""
+    """A JSON object inside the settings, with the path that leads to it.
+
+    The accessors take a key of the object. They raise InvalidSettingsError, with the full path as its key,
+    where the value has the wrong type or is out of range. Except for choice(), null counts as absent.
+    """
 
-    def __init__(self, said: Any, path: str) -> None:
-        if said is None:
-            said = {}
-        if not isinstance(said, dict):
-            raise InvalidSettingsError(f"{path or 'settings'}: no object")
-        self.values, self.path = said, path
+    def __init__(self, value: object, path: str) -> None:
+        """`value` is decoded JSON; None is read as an empty object. The path of the outermost is empty."""
+        if value is None:
+            value = {}
+        if not isinstance(value, dict):
+            raise InvalidSettingsError(path or "settings", "no object")
+        self.values: dict[str, Any] = value
+        self.path = path
 
     def path_of(self, key: str) -> str:
+        """The path of a key of this object, from the outermost object on."""
         return f"{self.path}.{key}" if self.path else key
 
     def section(self, key: str) -> SettingsSection:
+        """The object at `key`; an empty one where absent."""
         return SettingsSection(self.values.get(key), self.path_of(key))
 
     def items(self, key: str) -> list[Any]:
+        """The list at `key`, its items unchecked; empty where absent."""
         rows = self.values.get(key)
         if rows is None:
             return []
         if not isinstance(rows, list):
-            raise InvalidSettingsError(f"{self.path_of(key)}: no list")
+            raise InvalidSettingsError(self.path_of(key), "no list")
         return rows
 
     def sections(self, key: str) -> list[SettingsSection]:
-        return [SettingsSection(row, f"{self.path_of(key)}[{at}]") for at, row in enumerate(self.items(key))]
+        """The list of objects at `key`; empty where absent."""
+        path = self.path_of(key)
+        return [SettingsSection(row, f"{path}[{index}]") for index, row in enumerate(self.items(key))]
 
     def numbers(self, key: str) -> list[float]:
-        return [_number(row, f"{self.path_of(key)}[{at}]") for at, row in enumerate(self.items(key))]
-
-    def number(self, key: str, absent: float) -> float:
-        said = self.values.get(key)
-        return absent if said is None else _number(said, self.path_of(key))
-
-    def integer(self, key: str, absent: int) -> int:
-        return int(self.number(key, absent))
-
-    def duration(self, key: str, absent: int = 0) -> int:
-        """Told in microseconds, in tenths of a millisecond here."""
-        told = self.number(key, absent)
-        if told < 0:
-            raise InvalidSettingsError(f"{self.path_of(key)}: {told:.0f} is no time")
-        return int(told) // UNIT_US
+        """The list of numbers at `key`; empty where absent."""
+        path = self.path_of(key)
+        return [_check_number(row, f"{path}[{index}]") for index, row in enumerate(self.items(key))]
+
+    def number(self, key: str, default: float) -> float:
+        """The number at `key`, or `default` where absent."""
+        value = self.values.get(key)
+        return default if value is None else _check_number(value, self.path_of(key))
+
+    def integer(self, key: str, default: int) -> int:
+        """The number at `key` cut to an integer, or `default` where absent."""
+        return int(self.number(key, default))
+
+    def duration(self, key: str, default_us: int = 0) -> int:
+        """The duration at `key`, given in microseconds, in whole tenths of a millisecond."""
+        microseconds = self.number(key, default_us)
+        if microseconds < 0:
+            raise InvalidSettingsError(self.path_of(key), f"{microseconds:.0f} is no time")
+        return int(microseconds) // UNIT_US
 
     def flag(self, key: str) -> bool:
+        """The truth of the value at `key`; False where absent."""
         return bool(self.values.get(key, False))
 
-    def choice(self, key: str, among: dict[str, T], absent: str) -> T:
-        said = self.values.get(key, absent)
-        if not isinstance(said, str) or said not in among:
-            raise InvalidSettingsError(f"{self.path_of(key)}: {said!r} is none of {', '.join(among)}")
-        return among[said]
+    def choice(self, key: str, choices: dict[str, T], default: str) -> T:
+        """What `choices` has for the text at `key`, or for `default` where the key is missing."""
+        value = self.values.get(key, default)
+        if not isinstance(value, str) or value not in choices:
+            raise InvalidSettingsError(self.path_of(key), f"{value!r} is none of {', '.join(choices)}")
+        return choices[value]
 
 
-def _number(said: Any, path: str) -> float:
-    if isinstance(said, bool) or not isinstance(said, int | float) or not abs(said) < LARGEST_NUMBER:
-        raise InvalidSettingsError(f"{path}: {said!r} is no number that can be")
-    return float(said)
+def _check_number(value: object, path: str) -> float:
+    if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) < NUMBER_LIMIT:
+        raise InvalidSettingsError(path, f"{value!r} is no number that can be")
+    return float(value)
 
 
 class PlatformSettings:
-    """The house terms, and the indices of their names. Raises Unfit."""
-
-    def __init__(self, said: Any) -> None:
-        top = SettingsSection(said, "")
-        self.request_classes = _indices(top, "classes")
-        self.tenants = _indices(top, "realms")
-        self.zones = {str(name): at for at, name in enumerate(top.items("zones"))}
-        self.engine_types = {str(name): at for at, name in enumerate(top.items("host-types"))}
-        house, limits = top.section("family-info"), top.section("limits")
+    """The settings a platform gives a front; raises InvalidSettingsError.
+
+    `request_classes`, `tenants`, `zones` and `engine_types` map the platform's names to the indices that
+    `routing` and the requests use. `connect_timeout`, `idle_timeout` and `deadlines` (one per request class,
+    0 for none) are in tenths of a millisecond.
+    """
+
+    def __init__(self, value: object) -> None:
+        """`value` is the decoded JSON object."""
+        top = SettingsSection(value, "")
+        self.request_classes = _indices_by_name(top, "classes")
+        self.tenants = _indices_by_name(top, "realms")
+        self.zones = {str(name): index for index, name in enumerate(top.items("zones"))}
+        self.engine_types = {str(name): index for index, name in enumerate(top.items("host-types"))}
+        engines, limits = top.section("family-info"), top.section("limits")
         rules, prices = top.section("rules"), top.section("prices")
-        memory = house.numbers("memory-tokens")
-        kinds = [
-            EngineTypeSettings(ROLES.get(str(role), Role.MIXED), int(memory[at]) if at < len(memory) else 0)
-            for at, role in enumerate(house.items("kind-role"))
-        ]
-        while len(kinds) < len(self.engine_types):
-            kinds.append(EngineTypeSettings(Role.MIXED, 0))
-        stretch, paces = house.numbers("aim-us-per-1000-prompt-tokens"), house.numbers("token-aim-us")
-        # What a front needs to speak, beside what the decisions are told; times in tenths of a millisecond.
+        engine_types = _engine_types(engines, len(self.engine_types))
+        # What a front needs for its connections, which the scheduler is not given.
+        per_1000_tokens = engines.numbers("aim-us-per-1000-prompt-tokens")
+        per_output_token = engines.numbers("token-aim-us")
         self.connect_timeout = limits.duration("dial-timeout-us")
         self.idle_timeout = limits.duration("conn-idle-us")
         self.deadlines = [row.duration("deadline-us") for row in top.sections("classes")]
@@ -125,47 +153,71 @@
             front_count=max(1, top.integer("siblings", 1)),
             zone=self.zones.get(str(top.values.get("locality", "")), -1),
             request_classes=[
-                _tariff(row, at, stretch, paces) for at, row in enumerate(top.sections("classes"))
+                _request_class(
+                    row,
+                    objective_per_1000_tokens=_duration_at(per_1000_tokens, index),
+                    time_per_output_token=_duration_at(per_output_token, index),
+                )
+                for index, row in enumerate(top.sections("classes"))
             ],
             tenants=[TenantSettings(row.number("quota-rps", 0)) for row in top.sections("realms")],
-            engine_types=kinds,
+            engine_types=engine_types,
             over_quota_value=top.number("over-share-worth", 1.0),
             response_slack=rules.duration("answer-slack-us"),
             slow_start_initial_fraction=rules.number("cold-from", 1.0),
             slow_start_duration=rules.duration("cold-us"),
             slow_start_overload_multiple=rules.number("tip-multiple", 1.0),
             slow_start_overload_window=rules.duration("fall-us"),
-            state_release_timeout=house.duration("release-within-us"),
+            state_release_timeout=engines.duration("release-within-us"),
             max_attempts=limits.integer("max-attempts", 1),
             may_hedge=limits.flag("second-copies"),
             may_cancel=limits.flag("cancel"),
             may_probe=limits.flag("probes"),
-            may_reserve=house.flag("ahead"),
+            may_reserve=engines.flag("ahead"),
             may_send_retry_after=limits.flag("retry-after"),
             max_retry_after=limits.duration("max-retry-after-us"),
-            streams_can_resume=house.flag("resume"),
-            decode_engines_prefill=house.flag("read-in-place"),
+            streams_can_resume=engines.flag("resume"),
+            decode_engines_prefill=engines.flag("read-in-place"),
             must_subscribe=top.values.get("discovery") == "on_request",
             subscribe_interval=rules.duration("ask-within-us"),
-            cross_rack_price=house.number("cross-cell-price", 0.0),
+            cross_rack_price=engines.number("cross-cell-price", 0.0),
             cross_zone_price=prices.number("cross-zone", 0.0),
             late_failure_price=prices.number("late-fail", 0.0),
             wasted_work_price=prices.number("waste", 0.0),
         )
 
 
-def _indices(top: SettingsSection, key: str) -> dict[str, int]:
-    return {str(row.values.get("name")): at for at, row in enumerate(top.sections(key))}
+def _indices_by_name(top: SettingsSection, key: str) -> dict[str, int]:
+    return {str(row.values.get("name")): index for index, row in enumerate(top.sections(key))}
+
+
+def _engine_types(engines: SettingsSection, count: int) -> list[EngineTypeSettings]:
+    """At least `count` of them: those that the settings do not describe do both stages, in unknown memory."""
+    memory_tokens = engines.numbers("memory-tokens")
+    types = [
+        EngineTypeSettings(
+            ROLES.get(str(role), Role.MIXED),
+            int(memory_tokens[index]) if index < len(memory_tokens) else 0,
+        )
+        for index, role in enumerate(engines.items("kind-role"))
+    ]
+    while len(types) < count:
+        types.append(EngineTypeSettings(Role.MIXED, 0))
+    return types
+
 
+def _duration_at(microseconds: list[float], index: int) -> int:
+    """The entry at `index` in tenths of a millisecond; 0 where the list is shorter."""
+    return int(microseconds[index]) // UNIT_US if index < len(microseconds) else 0
 
-def _tariff(row: SettingsSection, at: int, stretch: list[float], paces: list[float]) -> RequestClassSettings:
-    def each(told: list[float]) -> int:
-        return int(told[at]) // UNIT_US if at < len(told) else 0
 
+def _request_class(
+    row: SettingsSection, objective_per_1000_tokens: int, time_per_output_token: int
+) -> RequestClassSettings:
     return RequestClassSettings(
         first_token_objective=row.duration("aim-us"),
-        first_token_objective_per_1000_tokens=each(stretch),
-        time_per_output_token=each(paces),
+        first_token_objective_per_1000_tokens=objective_per_1000_tokens,
+        time_per_output_token=time_per_output_token,
         priority_weight=row.number("credit", 1.0),
         late_value=row.number("late-value", 0.0),
         idempotency=row.choice("effect", IDEMPOTENCY, "at_most_once"),
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -135,7 +135,7 @@
 
 
 def test_a_name_is_forgotten_when_unseen_for_long_or_past_the_bound() -> None:
-    door = Interner(bound=3, keeps=100)
+    door = Interner(max_names=3, max_age=100)
     first, second = door.intern("a", 0), door.intern("b", 60)
     assert door.intern("a", 90) == first  # seen again, so b is now the one unseen for longest
     assert door.intern("c", 161) not in (first, second) and len(door) == 2
