--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -27,7 +27,7 @@
 
 from runspool.cells.cell_map import Cell, CellMap, Shards
 from runspool.cells.cell_router import AdmissionRequest, CellAdmission, CellRouter
-from runspool.cells.engine_placement import EnginePlace, home, place
+from runspool.cells.engine_placement import EnginePlace, home_cell, place_engines
 from runspool.config import terms_of
 from runspool.lab import recording
 from runspool.lab.audit import history, judge
@@ -199,8 +199,8 @@
     for many in (16, 64, 256):
         engines = fleet(many)
         for way, chart in charts(many).items():
-            placed = place(chart, engines).cells
-            where = {name: placed[home(chart, name, None)] for name in names}
+            placed = place_engines(chart, engines).cells
+            where = {name: placed[home_cell(chart, name, None)] for name in names}
             roles = {one.name: one.role for one in engines}
             able = {
                 cell: (
@@ -209,7 +209,7 @@
                 )
                 for cell, there in placed.items()
             }
-            members = Counter(home(chart, name, None) for name in names)
+            members = Counter(home_cell(chart, name, None) for name in names)
             hurt = touched = 0.0
             for poison, count in members.items():
                 gone = placed[poison]
@@ -225,7 +225,7 @@
             moved = []
             for change in range(8):
                 less = [one for at, one in enumerate(engines) if at != change * many // 8]
-                after = place(chart, less).cells
+                after = place_engines(chart, less).cells
                 out = engines[change * many // 8].name
                 moved.append(sum(len((placed[cell] - {out}) ^ after[cell]) for cell in placed) / 2)
             rows.append(
@@ -298,22 +298,22 @@
     said: dict[str, Any] = {}
     for way, chart in charts(64).items():
         keeping = CellRouter(chart, 10_000, 1 << 30, Random(1).random)
-        keeping.listed(engines, set())
+        keeping.update_engines(engines, set())
         rng = Random(2)
         asked = [
             AdmissionRequest(tenants[rng.randrange(1000)], None, None, False, 0, 1000, str(at))
             for at in range(queries)
         ]
         begun = time.perf_counter()
-        stays = [keeping.let_in(at, 1, one) for at, one in enumerate(asked)]
+        stays = [keeping.admit(at, 1, one) for at, one in enumerate(asked)]
         for stay in stays:
             assert isinstance(stay, CellAdmission)
-            keeping.ended(0, stay, False)
+            keeping.finish(0, stay, False)
         spent = (time.perf_counter() - begun) / queries * 1e6
         begun = time.perf_counter()
-        keeping.listed(engines, set())
+        keeping.update_engines(engines, set())
         placing = (time.perf_counter() - begun) * 1e3
-        many = len(next(iter(keeping.placed.cells.values())))
+        many = len(next(iter(keeping.placement.cells.values())))
         row = {
             "a_query_us": round(spent, 1),
             "a_list_ms": round(placing, 2),
--- a/runspool/cells/engine_placement.py
+++ b/runspool/cells/engine_placement.py
@@ -38,7 +38,7 @@
     """Cells with their engines, and what is missing where."""
 
     cells: dict[str, frozenset[str]]
-    lacks: list[str] = field(default_factory=list)
+    shortages: list[str] = field(default_factory=list)
 
 
 def affinity(engine: str, cell: str, weight: float = 1.0) -> float:
@@ -47,7 +47,7 @@
     return -weight / log(drawn)
 
 
-def place(chart: CellMap, engines: list[EnginePlace]) -> Placement:
+def place_engines(chart: CellMap, engines: list[EnginePlace]) -> Placement:
     """The cells of a map over a list of engines, in any order."""
     if chart.way == "shuffle":
         cells = _shuffled(chart, engines)
@@ -61,7 +61,7 @@
     return Placement(cells, _lacks(chart, cells, {one.name: one for one in engines}))
 
 
-def home(chart: CellMap, tenant: str | None, session: str | None) -> str:
+def home_cell(chart: CellMap, tenant: str | None, session: str | None) -> str:
     """The cell of a tenant, or of a session where its tenant is spread or has no place of its own."""
     cell = chart.tenants.get(tenant) if tenant is not None else None
     if cell is not None and cell != SPREAD:
--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -18,7 +18,7 @@
 from runspool.cells import cell_store as book
 from runspool.cells import tenant_migration as moving
 from runspool.cells.cell_map import CellMap, Move
-from runspool.cells.engine_placement import EnginePlace, home, place
+from runspool.cells.engine_placement import EnginePlace, home_cell, place_engines
 from runspool.cli.terms import Vars, read
 from runspool.config import FrontConfig
 from runspool.config.loader import InvalidConfigError, evaluate
@@ -114,7 +114,9 @@
         if before is not None and any(move.step == "planned" for move in before.moves):
             raise moving.MigrationRefusedError("a move is under way; finish or undo it first")
         engines = desk.engines()
-        if engines and (missing := [lack for lack in place(after, engines).lacks if ": 0 of" in lack]):
+        if engines and (
+            missing := [lack for lack in place_engines(after, engines).shortages if ": 0 of" in lack]
+        ):
             raise moving.MigrationRefusedError("; ".join(missing))
         _differences(before, after, engines)
         _write(desk, yes, f"adopt {source.name}", before, after)
@@ -126,7 +128,7 @@
     desk = Desk(file, var)
     with said_plainly():
         chart, engines = desk.chart(), desk.engines()
-    placed = place(chart, engines)
+    placed = place_engines(chart, engines)
     table = Table(
         "cell",
         "readers",
@@ -139,7 +141,7 @@
     roles = {one.name: one for one in engines}
     for name, there in placed.cells.items():
         count = [sum(roles[engine].role is role for engine in there) for role in Role]
-        tenants = [tenant for tenant in chart.tenants if home(chart, tenant, None) == name]
+        tenants = [tenant for tenant in chart.tenants if home_cell(chart, tenant, None) == name]
         more = f" and {len(tenants) - 4} more" if len(tenants) > 4 else ""
         zones = " ".join(sorted({roles[engine].zone for engine in there}))
         table.add_row(
@@ -149,7 +151,7 @@
             " ".join(tenants[:4]) + more,
         )
     out.print(table)
-    for lack in placed.lacks:
+    for lack in placed.shortages:
         out.print(f"lacks: {lack}")
     for move in chart.moves:
         out.print(f"move {move.id}: {move.tenant} from {move.source} to {move.target}, {move.step}")
@@ -188,7 +190,7 @@
     desk = Desk(file, var)
     with said_plainly():
         before = desk.chart()
-        after = moving.turned_back(before, move_id, unix_ms())
+        after = moving.undo_move(before, move_id, unix_ms())
         _differences(before, after, desk.engines())
         _write(desk, yes, f"undo {move_id}", before, after)
 
@@ -199,7 +201,7 @@
     desk = Desk(file, var)
     with said_plainly():
         before = desk.chart()
-        after = moving.done(before, move_id, unix_ms(), desk.binds())
+        after = moving.finish_move(before, move_id, unix_ms(), desk.binds())
         _differences(before, after, desk.engines())
         _write(desk, yes, f"finish {move_id}", before, after)
 
@@ -249,7 +251,7 @@
         if tenant not in desk.terms.house.tenants:
             raise moving.MigrationRefusedError(f"{tenant} is none of the house's tenants")
         wall = unix_ms()
-        source = moving.TenantMigrations(before).home(wall, tenant, None)
+        source = moving.TenantMigrations(before).home_cell(wall, tenant, None)
         engines = desk.engines()
         asked = Move(
             id=f"m-{before.version + 1}",
@@ -259,7 +261,7 @@
             starts_unix_ms=wall + starts_in_ms,
             warm=warm,
         )
-        after = moving.planned(before, asked, place(before, engines).lacks)
+        after = moving.plan_move(before, asked, place_engines(before, engines).shortages)
         _differences(before, after, engines)
         _write(desk, yes, f"move {tenant} {source} {target}", before, after)
         if yes:
@@ -279,9 +281,9 @@
 
 
 def _differences(before: CellMap | None, after: CellMap, engines: list[EnginePlace]) -> None:
-    old = place(before, engines).cells if before is not None else {}
+    old = place_engines(before, engines).cells if before is not None else {}
     changed = 0
-    for name, there in place(after, engines).cells.items():
+    for name, there in place_engines(after, engines).cells.items():
         for engine in sorted(there - old.get(name, frozenset())):
             out.print(f"engine {engine}: now in {name}")
             changed += 1
@@ -292,8 +294,8 @@
     far = 1 << 60  # after every moment that a map states
     tenants = {*after.tenants, *(one.tenant for one in after.moves), *(before.tenants if before else ())}
     for tenant in sorted(tenants):
-        was = moving.TenantMigrations(before).home(far, tenant, None) if before else "nowhere"
-        will = moving.TenantMigrations(after).home(far, tenant, None)
+        was = moving.TenantMigrations(before).home_cell(far, tenant, None) if before else "nowhere"
+        will = moving.TenantMigrations(after).home_cell(far, tenant, None)
         if was != will:
             out.print(f"tenant {tenant}: from {was} to {will}")
 
--- a/runspool/lab/migration_script.py
+++ b/runspool/lab/migration_script.py
@@ -47,7 +47,7 @@
         over, _, strike = one.how.partition(" ")
         who, _, step = strike.partition(" ")
         tenant = self.plan.tenants[one.on[0]].name
-        source = moving.TenantMigrations(self.chart).home(unix_ms(), tenant, None)
+        source = moving.TenantMigrations(self.chart).home_cell(unix_ms(), tenant, None)
         cells = [name for name in self.chart.names() if name != source]
         target = cells[one.which % len(cells)]
         asked = Move(
@@ -63,17 +63,17 @@
                 await self._strike(who, one.which, source, target)
 
         async with anyio.create_task_group() as tasks:
-            self._tell(tasks, moving.planned(self.chart, asked, []), one.size, "planned", asked.id)
+            self._tell(tasks, moving.plan_move(self.chart, asked, []), one.size, "planned", asked.id)
             tasks.start_soon(struck, "ahead")
             await anyio.sleep(AHEAD + 0.1)
             tasks.start_soon(struck, "settling")
             if over == "undo":
                 await anyio.sleep(HALF_WAY)
-                after = moving.turned_back(self.chart, asked.id, unix_ms())
+                after = moving.undo_move(self.chart, asked.id, unix_ms())
                 self._tell(tasks, after, one.size, "undone", asked.id)
             else:
                 await anyio.sleep((self.binds() / 10 + MARGIN_MS) / 1000)
-                after = moving.done(self.chart, asked.id, unix_ms(), self.binds())
+                after = moving.finish_move(self.chart, asked.id, unix_ms(), self.binds())
                 self._tell(tasks, after, one.size, "done", asked.id)
             tasks.start_soon(struck, "over")
 
--- a/runspool/service/cell_map_watcher.py
+++ b/runspool/service/cell_map_watcher.py
@@ -19,21 +19,21 @@
 
 class CellMapWatcher:
     def __init__(self, file: Path, memory: Path) -> None:
-        self.file, self.memory = file, memory
-        self.seen: tuple[int, int] | None = None
+        self.file, self.snapshot_file = file, memory
+        self.last_file_version: tuple[int, int] | None = None
         self.log = structlog.get_logger()
 
-    def first(self, since: int) -> tuple[CellMap | None, int]:
+    def load_initial(self, since: int) -> tuple[CellMap | None, int]:
         """The map to begin with, and since when it is this front's: the last life's, if that is as new."""
         kept: tuple[CellMap, int] | None = None
         try:
-            kept = book.recall(self.memory)
+            kept = book.recall(self.snapshot_file)
         except book.CorruptFileError as fault:
             self.log.error("cell_map_snapshot_damaged", reason=str(fault))
         chart = self._load()
         if chart is None or (kept is not None and kept[0].version >= chart.version):
             return kept if kept is not None else (None, 0)
-        book.remember(self.memory, chart, since)
+        book.remember(self.snapshot_file, chart, since)
         return chart, since
 
     async def follow(self, front: Front) -> None:
@@ -41,17 +41,17 @@
         while True:
             await anyio.sleep(LOOK)
             chart = await anyio.to_thread.run_sync(self._load)
-            if chart is None or chart.version <= front.keeping.chart.version:
+            if chart is None or chart.version <= front.cell_router.cell_map.version:
                 continue
             at = unix_ms()
             try:
-                await anyio.to_thread.run_sync(book.remember, self.memory, chart, at)
+                await anyio.to_thread.run_sync(book.remember, self.snapshot_file, chart, at)
             except OSError as fault:
                 # Taken without being kept, a restart would not know when its tenants moved.
                 self.log.error("cell_map_not_kept", reason=str(fault))
-                self.seen = None
+                self.last_file_version = None
                 continue
-            front.map_changed(chart, at)
+            front.cell_map_changed(chart, at)
 
     def _load(self) -> CellMap | None:
         """The map, where the file has changed since the last look."""
@@ -60,12 +60,12 @@
         except OSError:
             return None
         mark = (now.st_mtime_ns, now.st_ino)
-        if mark == self.seen:
+        if mark == self.last_file_version:
             return None
         try:
             chart = book.load(self.file)
         except book.CorruptFileError as fault:
             self.log.error("cell_map_unusable", reason=str(fault))
             chart = None
-        self.seen = mark
+        self.last_file_version = mark
         return chart
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -55,7 +55,7 @@
         "engines were lost with this query; it is sent nowhere",
         ResponseKind.INDETERMINATE,
     ),
-    AdmissionRefusal.UNSURE: (
+    AdmissionRefusal.EARLIER_CELL_UNKNOWN: (
         "unsure",
         "its tenant moves, and an earlier try may have run elsewhere",
         ResponseKind.INDETERMINATE,
@@ -80,7 +80,7 @@
         terms: FrontConfig,
         tape: Path | None = None,
         seed: int | None = None,
-        chart: CellMap | None = None,
+        cell_map: CellMap | None = None,
         adopted_unix_ms: int = 0,
     ) -> None:
         self.config = terms
@@ -98,15 +98,15 @@
         )
         self.life = now()
         self.seed = terms.front.seed if seed is None else seed
-        self.keeping = CellRouter(
-            chart or CellMap(version=0, way="fixed"),
+        self.cell_router = CellRouter(
+            cell_map or CellMap(version=0, way="fixed"),
             terms.front.bounds.queries,
             TAKEN_BYTES,
             Random(self.seed ^ 0x5EED).random,
             adopted_unix_ms,
         )
         self.quarters: dict[str, CellScheduler] = {}
-        self.quarter(self.keeping.chart.names()[0])
+        self.quarter(self.cell_router.cell_map.names()[0])
 
     # What comes in.
 
@@ -121,7 +121,7 @@
         limit = came + wish.limit
         name = f"{self.config.front.name}-{self.life:x}-{index}"
         taken = PendingCompletion(
-            index, name, came, limit, reply, completion=wish, headers=self._passed_on(wish), stay=stay
+            index, name, came, limit, reply, completion=wish, headers=self._passed_on(wish), admission=stay
         )
         query = Request(
             index=index,
@@ -173,16 +173,16 @@
             wish.size,
             print_,
         )
-        stay = self.keeping.let_in(now(), unix_ms(), asked)
+        stay = self.cell_router.admit(now(), unix_ms(), asked)
         if isinstance(stay, AdmissionRefusal):
             code, message, kind = TURNED[stay]
             self.counts[f"turned_{code}"] += 1
             raise RequestNotAcceptedError(code, message, kind)
         return stay
 
-    def map_changed(self, chart: CellMap, since: int) -> None:
+    def cell_map_changed(self, chart: CellMap, since: int) -> None:
         """A newer cell map. What has been taken stays where it is."""
-        if not self.keeping.adopt(chart, since):
+        if not self.cell_router.adopt(chart, since):
             return
         self.log.info("cell_map_adopted", version=chart.version, cells=len(chart.names()))
         self.publish_engines()
@@ -191,32 +191,32 @@
 
     def cells(self) -> dict[str, Any]:
         """Where this front stands with its cells and moves, for operators."""
-        keeping, at, wall = self.keeping, now(), unix_ms()
+        keeping, at, wall = self.cell_router, now(), unix_ms()
         return {
             "front": self.config.front.name,
-            "version": keeping.chart.version,
+            "version": keeping.cell_map.version,
             "adopted_unix_ms": keeping.adopted_unix_ms,
-            "lacks": keeping.placed.lacks,
-            "panicking": sorted(keeping.panicking),
+            "lacks": keeping.placement.shortages,
+            "panicking": sorted(keeping.panicking_cells),
             "moves": [
                 {
                     "id": move.id,
                     "tenant": move.tenant,
                     "source": move.source,
                     "target": move.target,
-                    "stage": keeping.moves.stage(at, wall, move).name.lower(),
-                    "out": keeping.moves.out[move.tenant, move.source],
+                    "stage": keeping.migrations.stage(at, wall, move).name.lower(),
+                    "out": keeping.migrations.in_flight[move.tenant, move.source],
                 }
-                for move in keeping.chart.moves
+                for move in keeping.cell_map.moves
             ],
             "cells": {
                 name: {
                     "engines": sorted(there),
-                    "queries": keeping.queries.held.get(name, 0),
-                    "overflow": round(keeping.overflows.standing(name).part, 3),
-                    "lent": keeping.overflows.standing(name).lent,
+                    "queries": keeping.request_budget.used.get(name, 0),
+                    "overflow": round(keeping.overflow_policy.state(name).overflow_share, 3),
+                    "lent": keeping.overflow_policy.state(name).requests_at_reserve,
                 }
-                for name, there in keeping.placed.cells.items()
+                for name, there in keeping.placement.cells.items()
             },
         }
 
@@ -229,16 +229,18 @@
             )
             for name, line in self.engine_records.items()
         ]
-        before = self.keeping.placed.lacks
+        before = self.cell_router.placement.shortages
         off = {name for name, line in self.engine_records.items() if line.state != EngineState.READY}
-        placed = self.keeping.listed(places, off)
-        if placed.lacks != before and self.keeping.chart.version:
-            self.log.warning("cells_incomplete", what=placed.lacks[:20], more=max(0, len(placed.lacks) - 20))
+        placed = self.cell_router.update_engines(places, off)
+        if placed.shortages != before and self.cell_router.cell_map.version:
+            self.log.warning(
+                "cells_incomplete", what=placed.shortages[:20], more=max(0, len(placed.shortages) - 20)
+            )
         for name, quarter in self.quarters.items():
             quarter.update_engines(self._engines_of(name, quarter))
 
     def _engines_of(self, name: str, quarter: CellScheduler) -> dict[int, EngineRecord]:
-        there = self.keeping.placed.cells.get(name)
+        there = self.cell_router.placement.cells.get(name)
         if there is None:
             return {
                 line.engine: line
@@ -254,9 +256,10 @@
         if found is None:
             # One cell of several that share engines is to the others like another front.
             terms = replace(
-                self.settings, front_count=round(self.settings.front_count * self.keeping.overlap())
+                self.settings,
+                front_count=round(self.settings.front_count * self.cell_router.cells_per_engine()),
             )
-            first = not self.quarters and name == self.keeping.chart.names()[0]
+            first = not self.quarters and name == self.cell_router.cell_map.names()[0]
             file = self.tape_file and (
                 self.tape_file if first else self.tape_file.with_name(f"{self.tape_file.name}.{name}")
             )
@@ -268,7 +271,7 @@
         return found
 
     def _close_if_left(self, name: str, quarter: CellScheduler) -> None:
-        if not quarter.queries and name not in self.keeping.chart.names():
+        if not quarter.queries and name not in self.cell_router.cell_map.names():
             quarter.recorder.close()
             del self.quarters[name]
 
@@ -287,7 +290,7 @@
         return self.quarters.get(name)
 
     def scheduler_for(self, taken: PendingCompletion) -> CellScheduler | None:
-        return self.quarters.get(taken.stay.cell)
+        return self.quarters.get(taken.admission.cell)
 
     def request_class_of(self, taken: PendingCompletion) -> int:
         return self.tariffs[taken.completion.tariff]
@@ -340,10 +343,10 @@
             if taken.final_response is not None
             else ResponseKind.CLIENT_DISCONNECTED
         )
-        self.keeping.ended(
-            now(), taken.stay, {ResponseKind.SUCCEEDED: False, ResponseKind.REJECTED: True}.get(kind)
+        self.cell_router.finish(
+            now(), taken.admission, {ResponseKind.SUCCEEDED: False, ResponseKind.REJECTED: True}.get(kind)
         )
-        quarter = self.quarters.get(taken.stay.cell)
+        quarter = self.quarters.get(taken.admission.cell)
         if quarter is not None:
             self._close_if_left(quarter.name, quarter)
 
@@ -358,7 +361,7 @@
         if (
             up
             or taken.final_response is not None
-            or not self.keeping.engine_lost(now(), taken.stay, site.index)
+            or not self.cell_router.record_engine_loss(now(), taken.admission, site.index)
         ):
             return
         self.log.error(
--- a/runspool/service/front_server.py
+++ b/runspool/service/front_server.py
@@ -47,7 +47,7 @@
         chart, adopted = None, 0
         if terms.front.cells_file and terms.front.memory_file:
             self.maps = CellMapWatcher(Path(terms.front.cells_file), Path(terms.front.memory_file + ".cells"))
-            chart, adopted = self.maps.first(unix_ms())
+            chart, adopted = self.maps.load_initial(unix_ms())
         self.front = Front(terms, tape, seed, chart, adopted)
         self.open = 0
         self.busy = 0
--- a/runspool/service/pending_completion.py
+++ b/runspool/service/pending_completion.py
@@ -14,5 +14,5 @@
 class PendingCompletion(PendingRequest):
     completion: CompletionRequest
     headers: dict[str, str]
-    stay: CellAdmission
+    admission: CellAdmission
     state: PrefillState | None = None  # the read state that waits
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -783,6 +783,10 @@
                 if one.unread or one.tokens
                 else []
             )
-    held = front.keeping
-    found += [f"held {held.queries.held} {held.bytes.held}"] if held.queries.held or held.bytes.held else []
-    return found + [f"out {held.moves.out}"] * bool(held.moves.out)
+    held = front.cell_router
+    found += (
+        [f"held {held.request_budget.used} {held.byte_budget.used}"]
+        if held.request_budget.used or held.byte_budget.used
+        else []
+    )
+    return found + [f"out {held.migrations.in_flight}"] * bool(held.migrations.in_flight)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -17,7 +17,7 @@
 from runspool.cells import admission_policy as ruling
 from runspool.cells import tenant_migration as moving
 from runspool.cells.cell_map import Cell, CellMap, Move, Overflow, Shards
-from runspool.cells.engine_placement import EnginePlace, home, place
+from runspool.cells.engine_placement import EnginePlace, home_cell, place_engines
 from runspool.cells.tenant_migration import MigrationStage, TenantMigrations
 from runspool.scheduling.types import Role
 
@@ -45,10 +45,10 @@
 ) -> None:
     chart = named(*(f"cell-{at}" for at in range(cells)))
     engines = fleet(many)
-    placed = place(chart, engines)
+    placed = place_engines(chart, engines)
     mixed = list(engines)
     rng.shuffle(mixed)
-    assert place(chart, mixed).cells == placed.cells
+    assert place_engines(chart, mixed).cells == placed.cells
     assert Counter(engine for there in placed.cells.values() for engine in there) == Counter(
         one.name for one in engines
     )
@@ -57,23 +57,25 @@
 def test_every_cell_can_read_and_write_where_the_fleet_allows_it_and_says_so_where_not() -> None:
     chart = named("a", "b", "c", "d")
     roles = {one.name: one.role for one in fleet(16)}
-    placed = place(chart, fleet(16))
+    placed = place_engines(chart, fleet(16))
     for there in placed.cells.values():
         kinds = {roles[engine] for engine in there}
         assert kinds & {Role.PREFILL, Role.MIXED}
         assert kinds & {Role.DECODE, Role.MIXED}
-    assert placed.lacks == []
-    few = place(chart, [one for one in fleet(16) if one.role is Role.PREFILL or one.name == "engine-2"])
-    assert sum("writers" in lack for lack in few.lacks) == 3
+    assert placed.shortages == []
+    few = place_engines(
+        chart, [one for one in fleet(16) if one.role is Role.PREFILL or one.name == "engine-2"]
+    )
+    assert sum("writers" in lack for lack in few.shortages) == 3
 
 
 @pytest.mark.parametrize("many", [16, 64])
 def test_an_engine_that_leaves_moves_little_else(many: int) -> None:
     chart, engines = named("a", "b", "c", "d"), fleet(many)
-    before = place(chart, engines).cells
+    before = place_engines(chart, engines).cells
     moved = []
     for gone in engines:
-        after = place(chart, [one for one in engines if one is not gone]).cells
+        after = place_engines(chart, [one for one in engines if one is not gone]).cells
         moved.append(sum(len(after[name] - before[name]) for name in before))
     assert sum(moved) / len(moved) < 3
     assert max(moved) <= 8
@@ -81,7 +83,7 @@
 
 def test_weights_and_zones_show_in_the_cells() -> None:
     chart = CellMap(version=1, cells={"big": Cell(weight=3), "small": Cell()})
-    placed = place(chart, fleet(64))
+    placed = place_engines(chart, fleet(64))
     assert len(placed.cells["big"]) == 48
     zones = {one.name: one.zone for one in fleet(64)}
     assert {zones[engine] for engine in placed.cells["small"]} == {"zone-0", "zone-1", "zone-2"}
@@ -89,7 +91,7 @@
 
 def test_shards_overlap_little_and_fixed_cells_go_by_name() -> None:
     chart = CellMap(version=1, way="shuffle", shards=Shards(count=20, readers=3, writers=2, mixed=1))
-    cells = place(chart, fleet(64)).cells
+    cells = place_engines(chart, fleet(64)).cells
     assert all(len(there) == 6 for there in cells.values())
     pairs = [(one, two) for one in cells for two in cells if one < two]
     same = sum(cells[one] == cells[two] for one, two in pairs)
@@ -98,16 +100,16 @@
     fixed = CellMap(
         version=1, way="fixed", cells={"x": Cell(engines=["engine-1*"]), "y": Cell(engines=["*-2"])}
     )
-    assert place(fixed, fleet(16)).cells["y"] == {"engine-2"}
+    assert place_engines(fixed, fleet(16)).cells["y"] == {"engine-2"}
 
 
 def test_a_tenant_has_one_home_and_a_spread_one_has_one_for_each_session() -> None:
     chart = named("a", "b", "c", "r", tenants={"t": "b", "wide": "*"}, reserve="r")
-    assert home(chart, "t", "s1") == home(chart, "t", "s2") == "b"
-    wide = {home(chart, "wide", f"s{at}") for at in range(60)}
+    assert home_cell(chart, "t", "s1") == home_cell(chart, "t", "s2") == "b"
+    wide = {home_cell(chart, "wide", f"s{at}") for at in range(60)}
     assert wide == {"a", "b", "c"}  # the reserve is nobody's home
-    assert home(chart, "unnamed", "s1") == home(chart, "unnamed", "s2") != "r"
-    assert home(CellMap(version=0), "t", None) == "whole"
+    assert home_cell(chart, "unnamed", "s1") == home_cell(chart, "unnamed", "s2") != "r"
+    assert home_cell(CellMap(version=0), "t", None) == "whole"
 
 
 @pytest.mark.parametrize(
@@ -147,23 +149,23 @@
 
 
 FIRST = named("a", "b", "c", tenants={"t": "a"})
-PLANNED = moving.planned(FIRST, move(), [])
+PLANNED = moving.plan_move(FIRST, move(), [])
 
 
 def test_a_move_begins_at_its_moment_and_settles_when_nothing_binds_the_old_cell() -> None:
     moves = TenantMigrations(PLANNED)
-    one = moves.chart.moves[0]
-    assert moves.home(STARTS - 1, "t", None) == "a"
-    moves.taken(0, "t", "a", "ticket", WINDOW)
+    one = moves.cell_map.moves[0]
+    assert moves.home_cell(STARTS - 1, "t", None) == "a"
+    moves.record_admission(0, "t", "a", "ticket", WINDOW)
     assert moves.stage(0, STARTS - 1, one) is MigrationStage.AHEAD
-    assert moves.home(STARTS, "t", None) == "b"
-    assert moves.home(STARTS, "other", None) == home(moves.chart, "other", None)
+    assert moves.home_cell(STARTS, "t", None) == "b"
+    assert moves.home_cell(STARTS, "other", None) == home_cell(moves.cell_map, "other", None)
     assert moves.stage(1, STARTS, one) is MigrationStage.SETTLING
-    moves.ended("t", "a")
+    moves.record_finish("t", "a")
     assert moves.stage(1, STARTS, one) is MigrationStage.SETTLING  # its ticket still binds
-    assert moves.way(1, STARTS, "t", None, "ticket", True, WINDOW).cell == "a"
+    assert moves.choose_cell(1, STARTS, "t", None, "ticket", True, WINDOW).cell == "a"
     assert moves.stage(WINDOW + 1, STARTS, one) is MigrationStage.SETTLED
-    assert moves.way(WINDOW + 1, STARTS, "t", None, "new", False, WINDOW).cell == "b"
+    assert moves.choose_cell(WINDOW + 1, STARTS, "t", None, "new", False, WINDOW).cell == "b"
 
 
 def test_changes_that_must_not_be_made_are_refused_with_a_reason() -> None:
@@ -173,20 +175,20 @@
         (FIRST, move().model_copy(update={"target": "a"}), "already"),
     ):
         with pytest.raises(moving.MigrationRefusedError, match=word):
-            moving.planned(chart, change, [])
+            moving.plan_move(chart, change, [])
     with pytest.raises(moving.MigrationRefusedError, match="lacks a role"):
-        moving.planned(FIRST, move(), ["b: 0 of 1 writers: the list has none"])
-    back = moving.turned_back(PLANNED, "m", STARTS)
+        moving.plan_move(FIRST, move(), ["b: 0 of 1 writers: the list has none"])
+    back = moving.undo_move(PLANNED, "m", STARTS)
     with pytest.raises(moving.MigrationRefusedError, match="turned_back"):
-        moving.turned_back(back, "m", STARTS)
+        moving.undo_move(back, "m", STARTS)
     with pytest.raises(moving.MigrationRefusedError, match="no move"):
-        moving.turned_back(FIRST, "x", STARTS)
+        moving.undo_move(FIRST, "x", STARTS)
     with pytest.raises(moving.MigrationRefusedError, match="finished in 1 ms"):
-        moving.done(PLANNED, "m", STARTS + WINDOW // 10 - 1, WINDOW)
-    assert moving.done(PLANNED, "m", STARTS + WINDOW // 10, WINDOW).tenants["t"] == "b"
+        moving.finish_move(PLANNED, "m", STARTS + WINDOW // 10 - 1, WINDOW)
+    assert moving.finish_move(PLANNED, "m", STARTS + WINDOW // 10, WINDOW).tenants["t"] == "b"
     moves = TenantMigrations(PLANNED)
     assert not moves.adopt(FIRST, 5)
-    assert moves.chart is PLANNED
+    assert moves.cell_map is PLANNED
 
 
 @dataclass(frozen=True)
@@ -221,7 +223,7 @@
 LAST_TICK = 4  # with 5: 588,682 and 201,272 worlds, none broken, in 47 s
 
 
-def steps(world: World, way: Callable[..., moving.Way] = TenantMigrations.way) -> list[World]:
+def steps(world: World, way: Callable[..., moving.CellChoice] = TenantMigrations.choose_cell) -> list[World]:
     """Every world one step on."""
     found, unix = [], world.clock * TICK
     newest = world.published[-1]
@@ -251,11 +253,11 @@
     """The maps that an operator may publish next."""
     found = []
     with suppress(moving.MigrationRefusedError):
-        found.append(moving.planned(newest, move(name, unix + TICK), []))
+        found.append(moving.plan_move(newest, move(name, unix + TICK), []))
     with suppress(moving.MigrationRefusedError):
-        found.append(moving.turned_back(newest, newest.moves[-1].id, unix))
+        found.append(moving.undo_move(newest, newest.moves[-1].id, unix))
     with suppress(moving.MigrationRefusedError):
-        found.append(moving.done(newest, newest.moves[-1].id, unix, WINDOW + LIMIT))
+        found.append(moving.finish_move(newest, newest.moves[-1].id, unix, WINDOW + LIMIT))
     return found
 
 
@@ -266,7 +268,7 @@
     return CHANGED[key]
 
 
-def _query_steps(world: World, way: Callable[..., moving.Way]) -> list[World]:
+def _query_steps(world: World, way: Callable[..., moving.CellChoice]) -> list[World]:
     found = []
     if world.at >= 0:
         found.append(replace(world, at=-1, last="unknown"))
@@ -299,9 +301,9 @@
             world.tries > 0,
             WINDOW + LIMIT,
         )
-        if there.unsure:
+        if there.earlier_cell_unknown:
             continue  # scrapped: nothing is sent
-        moves.taken(world.clock * TICK * 10, "t", there.cell, ticket, WINDOW + LIMIT)
+        moves.record_admission(world.clock * TICK * 10, "t", there.cell, ticket, WINDOW + LIMIT)
         after = _with_front(world, front, replace(state, ticket=moves.tickets.get("k")))
         found.append(
             replace(
@@ -347,7 +349,9 @@
     )
 
 
-def walk(effect: str, way: Callable[..., moving.Way] = TenantMigrations.way) -> tuple[int, list[World]]:
+def walk(
+    effect: str, way: Callable[..., moving.CellChoice] = TenantMigrations.choose_cell
+) -> tuple[int, list[World]]:
     """Every world that can be reached, and those in which an effect may have happened in two cells."""
     first = _one(FIRST)
     start = World((first, _one(PLANNED)), 1, (FrontState(first), FrontState(first)), effect)
@@ -373,8 +377,10 @@
 
 
 def test_the_walk_finds_a_protocol_that_forgets_tickets() -> None:
-    def careless(moves: TenantMigrations, now: int, unix_ms: int, tenant: str | None, *_: Any) -> moving.Way:
-        return moving.Way(moves.home(unix_ms, tenant, None))
+    def careless(
+        moves: TenantMigrations, now: int, unix_ms: int, tenant: str | None, *_: Any
+    ) -> moving.CellChoice:
+        return moving.CellChoice(moves.home_cell(unix_ms, tenant, None))
 
     assert walk("ticketed", careless)[1]
 
@@ -384,21 +390,21 @@
 
 def test_a_flooded_cell_sheds_its_own_and_takes_no_other_cells_guarantee() -> None:
     budget = ruling.Budget(100, {"a": 1, "b": 1, "c": 2})
-    while budget.asks("a") is ruling.Verdict.IN:
-        budget.take("a")
-    assert budget.held["a"] == 100 - budget.guarantee("b") - budget.guarantee("c")
-    assert budget.asks("a") is ruling.Verdict.CELL_FULL
+    while budget.check("a") is ruling.BudgetDecision.ADMITTED:
+        budget.acquire("a")
+    assert budget.used["a"] == 100 - budget.guarantee("b") - budget.guarantee("c")
+    assert budget.check("a") is ruling.BudgetDecision.CELL_FULL
     for cell in ("b", "c"):
         for _ in range(budget.guarantee(cell)):
-            assert budget.asks(cell) is ruling.Verdict.IN
-            budget.take(cell)
-    assert budget.asks("c") is ruling.Verdict.FRONT_FULL
-    budget.give_back("a", 40)
-    assert budget.asks("c") is ruling.Verdict.IN
+            assert budget.check(cell) is ruling.BudgetDecision.ADMITTED
+            budget.acquire(cell)
+    assert budget.check("c") is ruling.BudgetDecision.FRONT_FULL
+    budget.release("a", 40)
+    assert budget.check("c") is ruling.BudgetDecision.ADMITTED
 
 
-def overflows(**said: Any) -> ruling.Overflows:
-    return ruling.Overflows(named("a", "b", "r", reserve="r", overflow=Overflow(**said)))
+def overflows(**said: Any) -> ruling.OverflowPolicy:
+    return ruling.OverflowPolicy(named("a", "b", "r", reserve="r", overflow=Overflow(**said)))
 
 
 def test_a_cell_that_turns_away_overflows_by_steps_and_stops_below_a_lower_line() -> None:
@@ -406,64 +412,64 @@
     lent = []
     for at in range(800):
         now += 100
-        lent.append(over.lends(now, "a", at % 20 / 20))
-        over.ended(now, "a", not lent[-1], lent[-1])
+        lent.append(over.use_reserve(now, "a", at % 20 / 20))
+        over.record_outcome(now, "a", not lent[-1], lent[-1])
     assert not any(lent[:4])
     assert 0.4 < sum(lent[-100:]) / 100 <= 0.5
-    assert over.standing("a").part == 0.5  # never more than its share
-    assert over.standing("b").part == 0.0
+    assert over.state("a").overflow_share == 0.5  # never more than its share
+    assert over.state("b").overflow_share == 0.0
     for _ in range(1200):
         now += 100
-        over.ended(now, "a", False, False)
-    assert not over.lends(now, "a", 0.0)
-    assert not over.standing("a").overflowing
+        over.record_outcome(now, "a", False, False)
+    assert not over.use_reserve(now, "a", 0.0)
+    assert not over.state("a").overflowing
 
 
 def test_overflow_is_capped_and_halved_when_the_reserve_turns_away_too() -> None:
     over, now = overflows(most_queries=3), 0
     for _ in range(100):
         now += 200
-        over.ended(now, "a", True, False)
-    before = over.standing("a").part
-    assert [over.lends(now, "a", 0.0) for _ in range(5)] == [True, True, True, False, False]
-    over.ended(now, "a", True, True)
-    assert over.standing("a").part == before / 2
-    assert over.standing("a").lent == 2
-    assert not over.lends(now, "r", 0.0)
+        over.record_outcome(now, "a", True, False)
+    before = over.state("a").overflow_share
+    assert [over.use_reserve(now, "a", 0.0) for _ in range(5)] == [True, True, True, False, False]
+    over.record_outcome(now, "a", True, True)
+    assert over.state("a").overflow_share == before / 2
+    assert over.state("a").requests_at_reserve == 2
+    assert not over.use_reserve(now, "r", 0.0)
 
 
 def test_a_little_trouble_is_no_overflow_and_few_queries_are_no_evidence() -> None:
     over = overflows()
     for at in range(4):
-        over.ended(at, "a", True, False)
-    assert not over.lends(5, "a", 0.0)
+        over.record_outcome(at, "a", True, False)
+    assert not over.use_reserve(5, "a", 0.0)
     for at in range(200):
-        over.ended(10 + at * 10, "b", at % 5 == 4, False)
-    assert not over.lends(3_000, "b", 0.0)
+        over.record_outcome(10 + at * 10, "b", at % 5 == 4, False)
+    assert not over.use_reserve(3_000, "b", 0.0)
 
 
 def test_a_cell_panics_when_most_of_it_is_gone() -> None:
     chart = named("a")
-    assert not ruling.panics(chart, 4, 4)
-    assert not ruling.panics(chart, 2, 4)
-    assert ruling.panics(chart, 1, 4)
-    assert not ruling.panics(chart, 0, 0)  # nothing was ever placed there
+    assert not ruling.is_panicking(chart, 4, 4)
+    assert not ruling.is_panicking(chart, 2, 4)
+    assert ruling.is_panicking(chart, 1, 4)
+    assert not ruling.is_panicking(chart, 0, 0)  # nothing was ever placed there
 
 
 def test_a_query_that_brings_down_two_engines_is_sent_nowhere_any_more() -> None:
-    poison = ruling.Poison(2)
-    assert not poison.lost(0, "q", 1)
-    assert not poison.lost(1, "q", 1)  # the same engine twice is the engine's own trouble
-    assert poison.lost(2, "q", 2)
-    assert poison.poisonous(3, "q")
-    assert not poison.poisonous(3, "other")
-    poison.lost(4, "other", 1)
-    poison.served("other")
-    assert not poison.lost(5, "other", 2)
-    assert not poison.poisonous(3 + ruling.POISON_TIME, "q")
-    for at in range(ruling.POISON_KEPT + 5):
-        poison.lost(at, f"f{at}", 1)
-    assert len(poison.losses) == ruling.POISON_KEPT
+    poison = ruling.PoisonDetector(2)
+    assert not poison.record_loss(0, "q", 1)
+    assert not poison.record_loss(1, "q", 1)  # the same engine twice is the engine's own trouble
+    assert poison.record_loss(2, "q", 2)
+    assert poison.is_poisonous(3, "q")
+    assert not poison.is_poisonous(3, "other")
+    poison.record_loss(4, "other", 1)
+    poison.record_success("other")
+    assert not poison.record_loss(5, "other", 2)
+    assert not poison.is_poisonous(3 + ruling.FINGERPRINT_TTL, "q")
+    for at in range(ruling.MAX_FINGERPRINTS + 5):
+        poison.record_loss(at, f"f{at}", 1)
+    assert len(poison.losses) == ruling.MAX_FINGERPRINTS
 
 
 class BudgetsAndOverflow(RuleBasedStateMachine):
@@ -478,23 +484,23 @@
 
     @rule(cell=st.sampled_from("ab"), luck=st.floats(0, 0.999))
     def arrives(self, cell: str, luck: float) -> None:
-        lent = self.over.lends(self.now, cell, luck)
+        lent = self.over.use_reserve(self.now, cell, luck)
         there = "r" if lent else cell
-        verdict = self.budget.asks(there)
-        if verdict is ruling.Verdict.IN:
-            self.budget.take(there)
+        verdict = self.budget.check(there)
+        if verdict is ruling.BudgetDecision.ADMITTED:
+            self.budget.acquire(there)
             self.held.append((cell, there, lent))
         else:
             others = {name: sum(at == name for _, at, _ in self.held) for name in "abr"}
             assert others[there] >= self.budget.guarantee(there) or len(self.held) == 30
-            self.over.ended(self.now, cell, True, lent)
+            self.over.record_outcome(self.now, cell, True, lent)
 
     @precondition(lambda self: self.held)
     @rule(pick=st.integers(0, 1_000), turned_away=st.booleans())
     def ends(self, pick: int, turned_away: bool) -> None:
         cell, there, lent = self.held.pop(pick % len(self.held))
-        self.budget.give_back(there)
-        self.over.ended(self.now, cell, turned_away, lent)
+        self.budget.release(there)
+        self.over.record_outcome(self.now, cell, turned_away, lent)
 
     @rule(time=st.integers(1, 20_000))
     def passes(self, time: int) -> None:
@@ -504,11 +510,11 @@
     def bounds_hold(self) -> None:
         for cell in "ab":
             lent = sum(of == cell and out for of, _, out in self.held)
-            standing = self.over.standing(cell)
-            assert standing.lent == lent <= 4
-            assert 0 <= standing.part <= 0.5
-            assert standing.overflowing or standing.part == 0.0
-        assert sum(self.budget.held.values()) == len(self.held) <= 30
+            standing = self.over.state(cell)
+            assert standing.requests_at_reserve == lent <= 4
+            assert 0 <= standing.overflow_share <= 0.5
+            assert standing.overflowing or standing.overflow_share == 0.0
+        assert sum(self.budget.used.values()) == len(self.held) <= 30
 
 
 TestBudgetsAndOverflow = BudgetsAndOverflow.TestCase
--- a/tests/test_cells_at_work.py
+++ b/tests/test_cells_at_work.py
@@ -44,7 +44,7 @@
 async def adopted(town: Town, chart: CellMap) -> None:
     book.write(town.map_file, book.encoded(chart))
     with anyio.fail_after(10):
-        while town.running.front.keeping.chart.version < chart.version:
+        while town.running.front.cell_router.cell_map.version < chart.version:
             await anyio.sleep(0.005)
 
 
@@ -82,8 +82,8 @@
         with anyio.fail_after(10):
             while said.count("cell_full") < 10:
                 await anyio.sleep(0.005)
-        held = town.running.front.keeping.queries.held
-        assert held["a"] <= 20 - 2 * town.running.front.keeping.queries.guarantee("b")
+        held = town.running.front.cell_router.request_budget.used
+        assert held["a"] <= 20 - 2 * town.running.front.cell_router.request_budget.guarantee("b")
         assert (await town.ask(runspool_tenant="two")).status == 200
         tasks.cancel_scope.cancel()
 
@@ -134,15 +134,15 @@
     town = Town(tmp_path, KINDS, CHART)
     async with town.open():
         await adopted(town, moved())
-        at = town.running.front.keeping.adopted_unix_ms
+        at = town.running.front.cell_router.adopted_unix_ms
     again = FrontServer(town.running.terms)
-    assert again.front.keeping.chart == moved()
-    assert again.front.keeping.moves.adopted_unix_ms == at
+    assert again.front.cell_router.cell_map == moved()
+    assert again.front.cell_router.migrations.adopted_unix_ms == at
     # A damaged memory of it counts as a map taken just now, so that no ticket is trusted too early.
     (tmp_path / "front-0.list.cells").write_bytes(b"torn")
     torn = FrontServer(town.running.terms)
-    assert torn.front.keeping.chart == moved()
-    assert torn.front.keeping.adopted_unix_ms > at
+    assert torn.front.cell_router.cell_map == moved()
+    assert torn.front.cell_router.adopted_unix_ms > at
 
 
 @pytest.mark.anyio
@@ -153,13 +153,13 @@
         assert maps is not None
         for raw in (b"torn", b"%08x\n{}" % 0):
             town.map_file.write_bytes(raw)
-            before = maps.seen
+            before = maps.last_file_version
             with anyio.fail_after(10):
-                while maps.seen == before:
+                while maps.last_file_version == before:
                     await anyio.sleep(0.005)
         book.write(town.map_file, book.encoded(CHART))
         assert (await town.ask(runspool_tenant="one", runspool_mark="q")).status == 200
-        assert town.running.front.keeping.chart.version == 2
+        assert town.running.front.cell_router.cell_map.version == 2
 
 
 @pytest.mark.anyio
@@ -185,7 +185,7 @@
 async def test_a_cell_that_turns_all_away_overflows_into_the_reserve_and_comes_back(tmp_path: Path) -> None:
     async with Town(tmp_path, KINDS, CHART).open() as town:
         town.engines[0].fault("row", row="full_503", share=1.0)
-        standing = town.running.front.keeping.overflows.standing("a")
+        standing = town.running.front.cell_router.overflow_policy.state("a")
         number = 0
         with anyio.fail_after(30):
             while not town.seen("ran", engine="e5"):
@@ -225,7 +225,7 @@
             one.fault("row", row="reset_after", share=0.7)
         for number in range(10):
             await town.ask(runspool_mark=f"r{number}")
-        assert not town.running.front.keeping.poison.losses
+        assert not town.running.front.cell_router.poison_detector.losses
         assert town.running.front.counts["poisonous"] == 0
 
 
@@ -305,7 +305,7 @@
 def test_a_change_killed_half_way_is_finished_or_never_was(torn: str, front: Path) -> None:
     file = front.with_name("cells.map")
     book.change(file, "adopt", CHART, 1)
-    after = moving.planned(CHART, moved().moves[0], [])
+    after = moving.plan_move(CHART, moved().moves[0], [])
     if torn == "file":
         book.change(file, "move", after, 2)
         file.write_bytes(b"half a ma")
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -154,7 +154,7 @@
 
         wish = read_wish({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
         taken = PendingCompletion(
-            0, "q", 0, 10, completion=wish, listener=Ear(), headers={}, stay=front._let_in(wish)
+            0, "q", 0, 10, completion=wish, listener=Ear(), headers={}, admission=front._let_in(wish)
         )
         hearing = ResponseRelay(front, taken, 1, 0)
         await hearing.data_received("before")
@@ -170,7 +170,9 @@
         wish = read_wish({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
         stay = replace(front._let_in(wish), cell="closed")
         front._disconnect(
-            PendingCompletion(0, "q", 0, 10, completion=wish, listener=cast(Any, None), headers={}, stay=stay)
+            PendingCompletion(
+                0, "q", 0, 10, completion=wish, listener=cast(Any, None), headers={}, admission=stay
+            )
         )
         assert front.quarters.keys() == {"whole"}
 
