--- a/runspool/simulator_adapter/host.py
+++ b/runspool/simulator_adapter/host.py
@@ -53,9 +53,9 @@
     """One front: its scheduler, the simulator's names for its requests and engines, and its replies.
 
     It handles the scheduler's actions (`runspool.runtime.scheduler_driver.ActionHandler`) by appending lines
-    to the batch's `reply`. Handlers of events take the time in tenths of a millisecond and the event's line, and
-    raise MalformedLineError for a line that cannot be read. An event of a request that is no longer known is
-    ignored.
+    to the batch's `reply`. Handlers of events take the time in tenths of a millisecond and the event's line,
+    and raise MalformedLineError for a line that cannot be read. An event of a request that is no longer known
+    is ignored.
     """
 
     def __init__(self, name: str, line: WireLine, now: int, reply: list[str]) -> None:
