--- a/runspool/runtime/scheduler_driver.py
+++ b/runspool/runtime/scheduler_driver.py
@@ -91,17 +91,17 @@
 
     def update_endpoints(self, now: int, roster: EndpointUpdate) -> None:
         with self._entered(now):
-            self.scheduler.roster(roster)
+            self.scheduler.update_endpoints(roster)
 
     def subscription_lost(self, now: int) -> None:
         with self._entered(now):
-            self.scheduler.subscribed = False
+            self.scheduler.is_subscribed = False
 
     def submit(self, now: int, query: Request) -> None:
         with self._entered(now):
             if query.index in self.tasks:
                 return  # told twice: the one under way stays
-            errand = self.tasks[query.index] = SchedulerTask(query, self.scheduler.query(query))
+            errand = self.tasks[query.index] = SchedulerTask(query, self.scheduler.handle_request(query))
             self._step(query.index, errand, None)
 
     def stream_started(self, now: int, index: int, shot: int, took: int) -> None:
@@ -132,7 +132,7 @@
     def begin_shutdown(self, now: int, by: int) -> None:
         """The front is stopped on purpose, and may be killed after `by`."""
         with self._entered(now):
-            errand = self.tasks[SHUTDOWN_TASK] = SchedulerTask(None, self.scheduler.leave(by))
+            errand = self.tasks[SHUTDOWN_TASK] = SchedulerTask(None, self.scheduler.run_shutdown(by))
             self._step(SHUTDOWN_TASK, errand, None)
 
     def abandon(self, now: int, index: int) -> bool:
@@ -157,7 +157,7 @@
                 self._step(int(index), errand, None)
 
     def _watch(self) -> None:
-        watch = self.tasks[BACKGROUND_TASK] = SchedulerTask(None, self.scheduler.watch())
+        watch = self.tasks[BACKGROUND_TASK] = SchedulerTask(None, self.scheduler.run_background_task())
         self._step(BACKGROUND_TASK, watch, None)
 
     def _waiting(self, index: int, shot: int) -> SchedulerTask | None:
--- /dev/null
+++ b/runspool/scheduling/attempt_accounting.py
@@ -0,0 +1,189 @@
+"""What this front has at each engine, and what the end of an attempt teaches of it."""
+
+from __future__ import annotations
+
+from runspool.scheduling.engine_state import Engine
+from runspool.scheduling.fleet_statistics import memory_weight, tokens_of_other_fronts
+from runspool.scheduling.front_state import FrontState
+from runspool.scheduling.latency_estimator import record_prefill_rate, update, value_at
+from runspool.scheduling.outlier_detection import record_failure
+from runspool.scheduling.prefix_affinity import (
+    record_cached_texts,
+    reported_cached_tokens,
+    tokens_to_prefill,
+)
+from runspool.scheduling.types import AttemptOutcome, AttemptStatus, Request, Role
+
+SUCCESSFUL = (AttemptStatus.PREFILL_COMPLETE, AttemptStatus.STREAM_STARTED, AttemptStatus.SUCCEEDED)
+NOT_THE_ENGINES_FAULT = (AttemptStatus.STATE_MISSING, AttemptStatus.NOT_SENT, AttemptStatus.CANCELLED)
+RUNNING_MEAN = 16  # samples that a running mean goes back over
+ANSWER_TIMES = 32  # answers that the sums of answers' times go back over
+
+
+def record_start(front: FrontState, request: Request, engine: Engine, prefill_engine: Engine | None) -> None:
+    """Enter an attempt at its engine; `prefill_engine` holds the state of a decode attempt."""
+    front.active_engines[engine.id] = engine
+    if prefill_engine is None:
+        tokens = tokens_to_prefill(front, engine, request)
+        engine.prefill_tokens += tokens
+        engine.prefills[request.index] = front.now, tokens, engine.prefill_tokens
+    if engine.role is not Role.PREFILL:
+        engine.waiting_decodes[request.index] = front.now
+        engine.streams[request.index] = memory_weight(front, request)
+        engine.stream_tokens += engine.streams[request.index]
+
+
+def record_end(
+    front: FrontState,
+    request: Request,
+    engine: Engine,
+    outcome: AttemptOutcome,
+    prefill_engine: Engine | None,
+) -> None:
+    """Take an attempt off its engine, all but a stream that has started, and learn from its outcome."""
+    status = outcome.status
+    _take_load_report(front, engine, outcome)
+    if prefill_engine and prefill_engine.rack != engine.rack:
+        _learn_transfer_delay(front, engine, outcome, prefill_engine)
+    engine.waiting_decodes.pop(request.index, None)
+    _, tokens, queued_tokens = engine.prefills.pop(request.index, (0, 0, 0))
+    engine.prefill_tokens -= tokens
+    is_local_decode = prefill_engine is not None and prefill_engine.rack == engine.rack
+    if status in SUCCESSFUL:
+        engine.consecutive_failures = engine.ejected_until = 0
+        if tokens:
+            _learn_from_prefill(front, request, engine, outcome, (tokens, queued_tokens))
+        elif is_local_decode:
+            _learn_decode_wait(front, engine, outcome)
+    elif status is AttemptStatus.OVERLOADED:
+        _learn_from_refusal(front, request, engine, outcome, tokens)
+    elif status not in NOT_THE_ENGINES_FAULT:
+        _learn_from_failure(front, engine, outcome, tokens, is_local_decode)
+    if status is not AttemptStatus.STREAM_STARTED:
+        engine.stream_tokens -= engine.streams.pop(request.index, 0)
+    _forget_if_idle(front, engine)
+
+
+def _take_load_report(front: FrontState, engine: Engine, outcome: AttemptOutcome) -> None:
+    if outcome.load_report:
+        engine.load_report, engine.load_reported_at = outcome.load_report, front.now
+
+
+def _learn_transfer_delay(
+    front: FrontState, engine: Engine, outcome: AttemptOutcome, prefill_engine: Engine
+) -> None:
+    """What a decode's wait was over that of one without a transfer."""
+    if outcome.status in (AttemptStatus.STREAM_STARTED, AttemptStatus.TIMED_OUT):
+        usual = front.usual_decode_waits[engine.role]
+        extra = outcome.duration - value_at(front, engine.decode_wait, usual)
+        own = front.rack_transfer_delays[prefill_engine.rack]
+        update(front, own, front.usual_transfer_delay, max(0.0, extra))
+
+
+def _learn_decode_wait(front: FrontState, engine: Engine, outcome: AttemptOutcome) -> None:
+    update(front, engine.decode_wait, front.usual_decode_waits[engine.role], outcome.duration)
+
+
+def _learn_from_prefill(
+    front: FrontState,
+    request: Request,
+    engine: Engine,
+    outcome: AttemptOutcome,
+    entered: tuple[int, int],
+) -> None:
+    """Learn from a finished prefill; `entered` are its tokens as foreseen, and with those ahead of it."""
+    tokens, queued_tokens = entered
+    if outcome.status is AttemptStatus.PREFILL_COMPLETE:
+        cached = reported_cached_tokens(request, outcome)
+        if request.affinity_candidates and engine.id == request.affinity_candidates[0]:
+            class_state = front.class_state(request)
+            fraction = cached / max(1, request.prompt_tokens)
+            class_state.cached_fraction += (fraction - class_state.cached_fraction) / RUNNING_MEAN
+        queued_tokens += max(1, request.prompt_tokens - cached) - tokens
+    if outcome.status is not AttemptStatus.STREAM_STARTED:
+        record_prefill_rate(front, engine, queued_tokens, outcome.duration)
+    delay = max(0.0, outcome.duration - queued_tokens / front.prefill_rates[engine.role])
+    update(front, engine.queueing_delay, front.usual_queueing_delays[engine.role], delay)
+    record_cached_texts(engine, request)
+
+
+def _learn_from_refusal(
+    front: FrontState, request: Request, engine: Engine, outcome: AttemptOutcome, tokens: int
+) -> None:
+    """Learn from an engine's word that it is full."""
+    if tokens:
+        # Hundreds of fronts must not ask it again: its queue cannot be read in time.
+        delay = max(outcome.duration, front.class_state(request).settings.first_token_objective)
+        update(front, engine.queueing_delay, front.usual_queueing_delays[engine.role], delay)
+    if engine.role is not Role.PREFILL and not engine.observed_capacity:
+        present = engine.stream_tokens + int(tokens_of_other_fronts(front, engine))
+        engine.observed_capacity = max(present, engine.memory_tokens // 2)
+
+
+def _learn_from_failure(
+    front: FrontState, engine: Engine, outcome: AttemptOutcome, tokens: int, is_local_decode: bool
+) -> None:
+    """Learn from an attempt that failed or timed out there."""
+    is_late = outcome.status is AttemptStatus.TIMED_OUT
+    if is_late and tokens:
+        # Else only attempts in time would tell how long one takes.
+        update(front, engine.queueing_delay, front.usual_queueing_delays[engine.role], outcome.duration)
+    elif is_late and is_local_decode:
+        _learn_decode_wait(front, engine, outcome)
+    if not is_late or engine.consecutive_failures:
+        record_failure(front, engine)
+    # One late attempt may be a jam, which an ejection would only move elsewhere.
+    engine.consecutive_failures = max(engine.consecutive_failures, 1)
+
+
+def record_stream_end(
+    front: FrontState, request: Request, engine: Engine, outcome: AttemptOutcome, prefill_duration: int
+) -> None:
+    """Take a stream off its engine; `prefill_duration` is 0 where another engine prefilled it."""
+    _take_load_report(front, engine, outcome)
+    engine.stream_tokens -= engine.streams.pop(request.index, 0)
+    _forget_if_idle(front, engine)
+    if outcome.status is AttemptStatus.SUCCEEDED:
+        _learn_from_answer(front, request, engine, outcome, prefill_duration)
+    elif outcome.status is AttemptStatus.CONNECTION_LOST:
+        record_failure(front, engine)
+
+
+def _learn_from_answer(
+    front: FrontState, request: Request, engine: Engine, outcome: AttemptOutcome, prefill_duration: int
+) -> None:
+    """Learn from a whole answer: the engine's prefill rate, its pace, the answer's length."""
+    if prefill_duration:
+        # A prompt found cached must not pass for one read fast: only the end of an answer tells.
+        read_tokens = request.prompt_tokens - reported_cached_tokens(request, outcome)
+        record_prefill_rate(front, engine, read_tokens, prefill_duration)
+    class_state = front.class_state(request)
+    time_per_token = class_state.settings.time_per_output_token
+    if request.expected_output_tokens and engine.role is Role.MIXED:
+        # A client's guess is rough: what is allowed begins twice as long, or one answer would decide.
+        allowed = request.expected_output_tokens * time_per_token
+        total = front.mixed_answer_time_allowed
+        front.mixed_answer_time_allowed += allowed - total / ANSWER_TIMES if total else 2 * allowed
+        front.mixed_answer_time += outcome.duration - front.mixed_answer_time / ANSWER_TIMES
+    tokens = request.expected_output_tokens or outcome.duration / max(1, time_per_token)
+    mean = class_state.mean_output_tokens
+    class_state.mean_output_tokens = tokens if not mean else mean + (tokens - mean) / RUNNING_MEAN
+
+
+def forget_request(front: FrontState, request: Request) -> None:
+    """Take all of a request off the engines, whatever it had there.
+
+    An entry that nobody ends would make its engine look ever more overdue.
+    """
+    for engine in list(front.active_engines.values()):
+        engine.waiting_decodes.pop(request.index, None)
+        engine.prefill_tokens -= engine.prefills.pop(request.index, (0, 0, 0))[1]
+        engine.stream_tokens -= engine.streams.pop(request.index, 0)
+        _forget_if_idle(front, engine)
+
+
+def _forget_if_idle(front: FrontState, engine: Engine) -> None:
+    """Take an engine off the active ones once nothing of this front is left there."""
+    is_idle = not (engine.prefills or engine.waiting_decodes or engine.streams)
+    if is_idle and front.active_engines.get(engine.id) is engine:
+        del front.active_engines[engine.id]
--- /dev/null
+++ b/runspool/scheduling/endpoint_registry.py
@@ -0,0 +1,70 @@
+"""Takes changes of the endpoint list into what a front knows of its engines."""
+
+from __future__ import annotations
+
+from runspool.scheduling.engine_index import EngineIndex
+from runspool.scheduling.engine_state import Engine
+from runspool.scheduling.front_state import FrontState
+from runspool.scheduling.settings import EngineTypeSettings
+from runspool.scheduling.types import EndpointUpdate, EngineRecord, EngineState, Role
+
+DEPARTED_ENGINES_KEPT = 50  # of which what was learned is kept should they come back
+
+
+def apply_endpoint_update(front: FrontState, update: EndpointUpdate) -> None:
+    """Add, change and remove engines, and build their index anew."""
+    listed = {record.engine for record in update.engines}
+    for record in update.engines:
+        _apply_record(front, record)
+    if update.is_snapshot:
+        for engine in front.engines.values():
+            engine.ready = engine.ready and engine.id in listed
+    _forget_departed_engines(front)
+    front.engine_index = EngineIndex(front.engines.values(), front.seed)
+    _reserve_engines(front)
+
+
+def _apply_record(front: FrontState, record: EngineRecord) -> None:
+    """Take one engine's record in; one that has been started anew, or has another role, begins afresh."""
+    engine = front.engines.get(record.engine)
+    known_types = front.settings.engine_types[record.engine_type : record.engine_type + 1]
+    engine_type = known_types[0] if known_types else EngineTypeSettings(Role.MIXED, 0)
+    # A record older than what is known must not make a busy engine look idle, or a cold one warm.
+    if engine is None or engine.started_at < record.started_at or engine.role is not engine_type.role:
+        engine = Engine(
+            id=record.engine,
+            stable_hash=record.stable_hash,
+            role=engine_type.role,
+            zone=record.zone,
+            rack=record.rack,
+            memory_tokens=engine_type.memory_tokens,
+            started_at=record.started_at,
+        )
+        front.engines[record.engine] = engine
+        front.active_engines.pop(record.engine, None)
+    engine.ready = record.state == EngineState.READY
+
+
+def _forget_departed_engines(front: FrontState) -> None:
+    """Drop engines that left, all but the last: over weeks they would add up."""
+    departed = [e.id for e in front.engines.values() if not (e.ready or e.prefills or e.streams)]
+    for engine_id in departed[: max(0, len(departed) - DEPARTED_ENGINES_KEPT)]:
+        del front.engines[engine_id]
+    for rack in front.rack_transfer_delays.keys() - {e.rack for e in front.engines.values()}:
+        del front.rack_transfer_delays[rack]
+
+
+def _reserve_engines(front: FrontState) -> None:
+    """Keep one engine for prefills and one for streams, as long as they are ready."""
+    prefill = front.ready_engines(Role.PREFILL) or front.ready_engines(Role.MIXED)
+    if front.reserved_prefill_engine not in prefill:
+        front.reserved_prefill_engine = _least_loaded(front, prefill, None)
+    decode = front.ready_engines(Role.MIXED) or front.ready_engines(Role.DECODE)
+    if front.reserved_decode_engine not in decode:
+        front.reserved_decode_engine = _least_loaded(front, decode, front.reserved_prefill_engine)
+
+
+def _least_loaded(front: FrontState, engines: list[Engine], other: Engine | None) -> Engine | None:
+    """The engine with the fewest of this front's tokens, another than `other` if there is one."""
+    able = [e for e in engines if e is not other] or engines
+    return min(able, key=lambda e: (e.prefill_tokens + e.stream_tokens, front.random()), default=None)
--- /dev/null
+++ b/runspool/scheduling/engine_eligibility.py
@@ -0,0 +1,70 @@
+"""Which engines one request may look at, and which of them it may be sent to."""
+
+from __future__ import annotations
+
+from runspool.scheduling.engine_state import Engine
+from runspool.scheduling.front_state import FrontState
+from runspool.scheduling.outlier_detection import without_outliers
+from runspool.scheduling.slow_start import admits_during_slow_start
+from runspool.scheduling.types import DeduplicationScope, Idempotency, Request, Role
+
+CANDIDATES_LOOKED_AT = 8  # in a large fleet, of a prompt's affinity candidates
+
+
+def engines_in_view(
+    front: FrontState, request: Request, role: Role, prefill_engine: Engine | None = None
+) -> list[Engine]:
+    """Ready engines of a role that one look for a request takes in: all, unless the fleet is large."""
+    index = front.engine_index
+    if not index.is_large(role):
+        return list(index.ready[role])
+    front.sample_count += 1
+    found = {e.id: e for e in index.sample(role, front.sample_count)}
+    if role is Role.PREFILL:
+        candidates = request.affinity_candidates[:CANDIDATES_LOOKED_AT]
+        found |= {at: front.engines[at] for at in candidates if at in front.engines}
+    elif prefill_engine is not None:
+        found |= {e.id: e for e in index.in_rack(role, prefill_engine.rack)}
+    found |= {e.id: e for e in front.active_engines.values() if e.ready and e.role is role}
+    return [e for e in found.values() if e.ready and e.role is role]
+
+
+def eligible_engines(
+    front: FrontState,
+    request: Request,
+    engines: list[Engine],
+    failed: list[int],
+    first_executed: Engine | None,
+) -> list[Engine]:
+    """Those of the engines that a request may be sent to now.
+
+    `failed` are ids avoided while others are left; `first_executed` is the engine that a repeat has to reach
+    within the class's deduplication scope.
+    """
+    if first_executed:
+        engines = _in_deduplication_scope(front, request, engines, first_executed)
+    prompt_tokens, draw = request.prompt_tokens, request.request_draw
+    engines = [
+        e
+        for e in engines
+        if (not e.memory_tokens or e.memory_tokens > prompt_tokens)
+        and admits_during_slow_start(front, e, draw)
+    ]
+    engines = [e for e in engines if e.id not in failed] or engines
+    return without_outliers(front, engines)
+
+
+def _in_deduplication_scope(
+    front: FrontState, request: Request, engines: list[Engine], first_executed: Engine
+) -> list[Engine]:
+    """The engines that recognize a repeat of an attempt that another one may have executed."""
+    settings = front.class_state(request).settings
+    scope = settings.deduplication_scope
+    if settings.idempotency is not Idempotency.KEYED or scope is DeduplicationScope.ALL:
+        return engines
+    return [
+        e
+        for e in engines
+        if e.zone == first_executed.zone
+        and (scope is DeduplicationScope.ZONE or e.rack == first_executed.rack)
+    ]
--- a/runspool/scheduling/engine_index.py
+++ b/runspool/scheduling/engine_index.py
@@ -1,9 +1,9 @@
-"""The engines that are on, by role, and those that one request's decisions look at.
+"""The ready engines by role, and those that one request's decisions look at.
 
-A pick that looks at every engine costs time by the size of the fleet, while a front's traffic does not grow
-with it. Up to `WIDE` engines of a role all are looked at. Beyond that a request sees a part: a run of engines
-from an order of this front's own, another run for each look, beside those that its texts or its state give a
-reason to look at. Free of I/O and of draws: what a front of a small fleet picks stays as it was.
+A selection that looks at every engine costs time by the size of the fleet, while a front's traffic does not
+grow with it. Up to `SAMPLE_SIZE` engines of a role all are looked at. Beyond that a request sees a sample: a
+run of engines from an order of this front's own, another run for each look, beside those that its texts or
+its state give a reason to look at. Free of I/O and of random draws.
 """
 
 from __future__ import annotations
@@ -16,92 +16,111 @@
 
 from runspool.scheduling.types import Role
 
-WIDE = 96  # engines of a role that one request looks at
-MARKS = 0xFFFFFFFF  # the largest mark
-SPREAD = 2_654_435_761  # 2^32 by the golden ratio, a prime: spreads numbers that lie close over all marks
+SAMPLE_SIZE = 96  # engines of a role that one request looks at
+HASH_MASK = 0xFFFFFFFF  # the largest stable hash
+HASH_MULTIPLIER = 2_654_435_761  # 2^32 by the golden ratio, a prime: spreads close numbers over all hashes
 
 
-class Member(Protocol):
-    """What is asked of an engine here."""
+class IndexedEngine(Protocol):
+    """What the index reads of an engine."""
 
     @property
-    def mark(self) -> int: ...
+    def stable_hash(self) -> int:
+        """The same at every front, from 0 to `HASH_MASK`."""
+        ...
+
     @property
-    def role(self) -> Role: ...
+    def role(self) -> Role:
+        """What the engine does."""
+        ...
+
     @property
-    def rack(self) -> int: ...
+    def rack(self) -> int:
+        """The rack it is in."""
+        ...
+
     @property
-    def memory(self) -> int: ...
+    def memory_tokens(self) -> int:
+        """Tokens that its memory holds; 0 where it is not known."""
+        ...
+
     @property
-    def on(self) -> bool: ...
+    def ready(self) -> bool:
+        """Whether it takes requests."""
+        ...
 
 
-M = TypeVar("M", bound=Member)
+EngineT = TypeVar("EngineT", bound=IndexedEngine)
 
 
-class EngineIndex(Generic[M]):
-    """Made anew from the list of engines when that has changed."""
+class EngineIndex(Generic[EngineT]):
+    """The ready engines by role; built anew when the list of engines has changed."""
 
-    def __init__(self, engines: Iterable[M], salt: int) -> None:
-        """`salt` is this front's own: it orders the runs that its requests see."""
-        self.salt = salt & MARKS
-        self.on: dict[Role, list[M]] = {role: [] for role in Role}
+    def __init__(self, engines: Iterable[EngineT], seed: int) -> None:
+        """`seed` is this front's own: it orders the samples that its requests see."""
+        self.seed = seed & HASH_MASK
+        self.ready: dict[Role, list[EngineT]] = {role: [] for role in Role}
         for engine in engines:
-            if engine.on:
-                self.on[engine.role].append(engine)
-        self.largest = max((e.memory for role in Role for e in self.on[role]), default=0)
-        self.writers_memory = sum(e.memory or 1 for e in self.writers())
-        self._orders: dict[Role, list[M]] = {}
-        self._rings: dict[Role, tuple[list[int], list[M]]] = {}
-        self._racks: dict[Role, dict[int, list[M]]] = {}
-
-    def writers(self) -> list[M]:
-        """All that answer."""
-        return self.on[Role.MIXED] + self.on[Role.DECODE]
-
-    def peers(self, role: Role) -> int:
-        """How many there are that do the work of a role: readers, or all that answer."""
-        readers = len(self.on[Role.PREFILL])
-        return readers if role is Role.PREFILL else len(self.on[Role.MIXED]) + len(self.on[Role.DECODE])
-
-    def wide(self, role: Role) -> bool:
-        """Whether there are more of a role than one request looks at."""
-        return len(self.on[role]) > WIDE
-
-    def run(self, role: Role, turn: int) -> list[M]:
+            if engine.ready:
+                self.ready[engine.role].append(engine)
+        self.largest_memory = max((e.memory_tokens for role in Role for e in self.ready[role]), default=0)
+        self.decode_memory_tokens = sum(e.memory_tokens or 1 for e in self.decode_capable())
+        self._sample_orders: dict[Role, list[EngineT]] = {}
+        self._rings: dict[Role, tuple[list[int], list[EngineT]]] = {}
+        self._racks: dict[Role, dict[int, list[EngineT]]] = {}
+
+    def decode_capable(self) -> list[EngineT]:
+        """All engines that answer: the mixed ones, then the decode engines."""
+        return self.ready[Role.MIXED] + self.ready[Role.DECODE]
+
+    def peer_count(self, role: Role) -> int:
+        """How many engines do the work of a role: prefill engines, or all that answer."""
+        if role is Role.PREFILL:
+            return len(self.ready[Role.PREFILL])
+        return len(self.ready[Role.MIXED]) + len(self.ready[Role.DECODE])
+
+    def is_large(self, role: Role) -> bool:
+        """Whether there are more engines of a role than one request looks at."""
+        return len(self.ready[role]) > SAMPLE_SIZE
+
+    def sample(self, role: Role, turn: int) -> list[EngineT]:
         """Engines of a role for one look: all, or a run of this front's order, another for each turn."""
-        engines = self.on[role]
-        if len(engines) <= WIDE:
+        engines = self.ready[role]
+        if len(engines) <= SAMPLE_SIZE:
             return list(engines)
-        if role not in self._orders:
-            self._orders[role] = sorted(engines, key=lambda e: (e.mark ^ self.salt) * SPREAD & MARKS)
-        start = (turn * SPREAD & MARKS) * len(engines) >> 32
-        return _cyclic(self._orders[role], start, WIDE)
-
-    def ring(self, role: Role, mark: int, span: int, within: int) -> list[M]:
-        """Engines of a role that every front finds alike for a text: the `span` of them that follow its mark;
-        of these, if there are more than one request looks at, the ones that `within` points to."""
-        engines = self.on[role]
+        if role not in self._sample_orders:
+            self._sample_orders[role] = sorted(
+                engines, key=lambda e: (e.stable_hash ^ self.seed) * HASH_MULTIPLIER & HASH_MASK
+            )
+        start = (turn * HASH_MULTIPLIER & HASH_MASK) * len(engines) >> 32
+        return _cyclic_slice(self._sample_orders[role], start, SAMPLE_SIZE)
+
+    def ring(self, role: Role, text_hash: int, span: int, within: int) -> list[EngineT]:
+        """Engines of a role that every front finds alike for a text: the `span` that follow its hash.
+
+        Where these are more than one request looks at, the ones of them that the hash `within` points to.
+        """
+        engines = self.ready[role]
         if role not in self._rings:
-            order = sorted(engines, key=attrgetter("mark"))
-            self._rings[role] = [e.mark for e in order], order
-        marks, order = self._rings[role]
-        start = bisect_left(marks, mark * SPREAD & MARKS)
+            order = sorted(engines, key=attrgetter("stable_hash"))
+            self._rings[role] = [e.stable_hash for e in order], order
+        hashes, order = self._rings[role]
+        start = bisect_left(hashes, text_hash * HASH_MULTIPLIER & HASH_MASK)
         span = min(span, len(order))
-        offset = (within * SPREAD & MARKS) * max(1, span - WIDE + 1) >> 32
-        return _cyclic(order, start + offset, min(span, WIDE))
+        offset = (within * HASH_MULTIPLIER & HASH_MASK) * max(1, span - SAMPLE_SIZE + 1) >> 32
+        return _cyclic_slice(order, start + offset, min(span, SAMPLE_SIZE))
 
-    def in_rack(self, role: Role, rack: int) -> list[M]:
+    def in_rack(self, role: Role, rack: int) -> list[EngineT]:
         """Engines of a role in a rack, no more than one request looks at."""
         if role not in self._racks:
             racks = self._racks[role] = defaultdict(list)
-            for engine in self.on[role]:
+            for engine in self.ready[role]:
                 racks[engine.rack].append(engine)
-        return self._racks[role].get(rack, [])[:WIDE]
+        return self._racks[role].get(rack, [])[:SAMPLE_SIZE]
 
 
-def _cyclic(order: list[M], start: int, count: int) -> list[M]:
-    """`count` of them from a place on, beginning anew at the end."""
+def _cyclic_slice(order: list[EngineT], start: int, count: int) -> list[EngineT]:
+    """`count` engines of an order from a place on, beginning anew at its end."""
     start %= max(1, len(order))
     found = order[start : start + count]
     return found + order[: count - len(found)]
--- a/runspool/scheduling/engine_state.py
+++ b/runspool/scheduling/engine_state.py
@@ -9,47 +9,53 @@
 
 
 @dataclass(slots=True)
-class Known:
+class DecayingEstimate:
     """A time learned from attempts, which decays to what is usual while nothing new is measured."""
 
     time: float = 0.0
-    heard: int = 0
+    updated_at: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Engine:
     """One engine: its record on the endpoint list, this front's work there, and what was learned of it.
 
-    The dicts are keyed by request index and keep the order of sending, so the first entry is the oldest.
+    The dicts by request index keep the order of sending, so the first entry is the oldest.
     """
 
     id: int
-    mark: int  # the same at every front
+    stable_hash: int  # the same at every front
     role: Role
     zone: int
     rack: int
-    memory: int  # in tokens; 0 where it is not known
-    started: int
-    on: bool = True
-    reads: dict[int, tuple[int, int, int]] = field(default_factory=dict)  # time sent, tokens, tokens ahead
-    unread: int = 0  # prompt tokens in all prefills of this front there
-    waiting: dict[int, int] = field(default_factory=dict)  # time sent, for decodes that have not started
-    streams: dict[int, int] = field(default_factory=dict)  # tokens of a decode, started or not
-    tokens: int = 0  # the sum over `streams`
-    lag: Known = field(default_factory=Known)  # a prefill's time beyond its tokens and those known ahead
-    wait: Known = field(default_factory=Known)  # from the send of a decode to its first token
-    cap: int = 0  # tokens at which it has refused; 0 where it never has
-    kept: dict[int, int] = field(default_factory=dict)  # tokens by text, the oldest first
-    report: LoadReport | None = None
-    reported: int = 0
-    strikes: int = 0
-    shunned: int = 0
+    memory_tokens: int  # 0 where it is not known
+    started_at: int  # 0 where it is not known
+    ready: bool = True
+    prefills: dict[int, tuple[int, int, int]] = field(default_factory=dict)
+    """Request index: time sent, its tokens, its and all earlier tokens of this front in the queue."""
+    prefill_tokens: int = 0  # the sum over `prefills`
+    waiting_decodes: dict[int, int] = field(default_factory=dict)
+    """Request index: time sent, for requests to be answered here whose first token has not come."""
+    streams: dict[int, int] = field(default_factory=dict)
+    """Request index: tokens in memory, for all requests to be answered here, started or not."""
+    stream_tokens: int = 0  # the sum over `streams`
+    queueing_delay: DecayingEstimate = field(default_factory=DecayingEstimate)
+    """A prefill's time beyond its own tokens and those known to be ahead of it."""
+    decode_wait: DecayingEstimate = field(default_factory=DecayingEstimate)
+    """From the send of a decode to its first token."""
+    observed_capacity: int = 0  # stream tokens at which it refused a request; 0 where it never did
+    cached_tokens: dict[int, int] = field(default_factory=dict)
+    """Text key (see prefix_affinity.record_cached_texts): its tokens; the text used last comes last."""
+    load_report: LoadReport | None = None
+    load_reported_at: int = 0
+    consecutive_failures: int = 0
+    ejected_until: int = 0
 
 
 @dataclass(slots=True)
-class Tariff:
+class RequestClassState:
     """A request class: its settings, and what this front has learned of its requests."""
 
-    terms: RequestClassSettings
-    kept: float = 0.0  # fraction of a prompt found cached at its session's first candidate
-    out: float = 0.0  # running estimate of a response's tokens
+    settings: RequestClassSettings
+    cached_fraction: float = 0.0  # of a prompt, found cached at its session's first candidate
+    mean_output_tokens: float = 0.0
--- /dev/null
+++ b/runspool/scheduling/front_state.py
@@ -0,0 +1,72 @@
+"""What one front knows: its settings, the engines, and what it has learned of them and of its traffic.
+
+The modules of this package are functions over a `FrontState`; only the scheduler's driver sets its clock.
+Times are tenths of a millisecond.
+"""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from random import Random
+
+from runspool.scheduling.engine_index import EngineIndex
+from runspool.scheduling.engine_state import DecayingEstimate, Engine, RequestClassState
+from runspool.scheduling.settings import RoutingSettings
+from runspool.scheduling.time_units import SECOND
+from runspool.scheduling.types import Request, Role
+
+INITIAL_PREFILL_RATE = 1.0  # tokens a tenth of a millisecond, before any prefill has been timed
+INITIAL_RETRY_BUDGET = 2.0  # repeated prefills
+RACK_BALANCE_INTERVAL = SECOND  # in a large fleet, between two counts of the racks' decode capacity
+
+
+class FrontState:
+    """The state that all decisions of one front share."""
+
+    def __init__(self, settings: RoutingSettings, seed: int) -> None:
+        """`seed` is this front's own: it starts its random draws and orders its samples of a large fleet."""
+        self.settings = settings
+        self.random = Random(seed).random
+        self.now = 0
+        self.engines: dict[int, Engine] = {}
+        self.seed = seed
+        self.engine_index: EngineIndex[Engine] = EngineIndex((), seed)
+        self.sample_count = 0  # samples of a large fleet that requests have looked at
+        self.active_engines: dict[int, Engine] = {}  # those with a request of this front
+        self.reserved_prefill_engine: Engine | None = None
+        self.reserved_decode_engine: Engine | None = None
+        self.is_subscribed = False
+
+        self.request_classes = [RequestClassState(row) for row in settings.request_classes]
+        self.tenant_arrivals = [(0.0, 0)] * len(settings.tenants)  # decayed count, and when it was updated
+        self.recent_prefixes: list[int] = []  # of the last requests that have one
+        self.prefill_queue: list[tuple[bool, int, int]] = []  # queue positions, the most pressing first
+        self.retry_budget = INITIAL_RETRY_BUDGET  # repeated prefills that are allowed now
+
+        self.prefill_rates = dict.fromkeys(Role, INITIAL_PREFILL_RATE)  # tokens a tenth of a millisecond
+        self.usual_queueing_delays = {role: DecayingEstimate() for role in Role}
+        self.usual_decode_waits = {role: DecayingEstimate() for role in Role}
+        self.rack_transfer_delays: defaultdict[int, DecayingEstimate] = defaultdict(DecayingEstimate)
+        """Rack: what a transfer of state out of it adds to the wait for a first token."""
+        self.usual_transfer_delay = DecayingEstimate()
+        self.mixed_answer_time = 0.0  # decayed sum of answers' times at mixed engines
+        self.mixed_answer_time_allowed = 0.0  # the same of what their classes allow
+
+        self.fleet_statistics_at = -1
+        self.mean_streams = 0.0  # this front's, over the decode engines
+        self.mean_memory_use = 0.0  # this front's fraction of the decode engines' memory
+        self.rack_balance: dict[int, float] = {}
+        """Rack: its decode engines with room for each prefill engine; 1 is the fleet's mean."""
+        self.rack_balance_at = -RACK_BALANCE_INTERVAL
+
+    def class_state(self, request: Request) -> RequestClassState:
+        """The request's class; the first one where it has none that is known."""
+        return self.request_classes[request.request_class or 0]
+
+    def ready_engines(self, role: Role) -> list[Engine]:
+        """All ready engines of a role; not to be changed."""
+        return self.engine_index.ready[role]
+
+    def shortest_objective(self) -> int:
+        """The first token objective of the class in the most hurry."""
+        return min(row.settings.first_token_objective for row in self.request_classes)
--- a/runspool/scheduling/request_progress.py
+++ b/runspool/scheduling/request_progress.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from runspool.scheduling.engine_state import Engine, Tariff
+from runspool.scheduling.engine_state import Engine, RequestClassState
 from runspool.scheduling.types import Request
 
 
@@ -16,7 +16,7 @@
     """
 
     request: Request
-    class_state: Tariff
+    class_state: RequestClassState
     deadline: int
     """Nothing is started from here on: the client's limit less a margin."""
     first_token_due: int
@@ -48,3 +48,7 @@
     """Ids of engines that took an attempt without a response."""
     is_given_up: bool = False
     """No engine can start it in time."""
+
+    def reservation_ends_before(self, time: int) -> bool:
+        """Whether a prefill's state expires before a time."""
+        return self.prefill_engine is not None and time > self.reserved_since + self.reservation_duration
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -5,13 +5,13 @@
 import heapq
 
 from runspool.runtime.scheduler_driver import SchedulerDriver
-from runspool.scheduling.scheduler import SECOND
 from runspool.scheduling.settings import (
     EngineTypeSettings,
     RequestClassSettings,
     RoutingSettings,
     TenantSettings,
 )
+from runspool.scheduling.time_units import SECOND
 from runspool.scheduling.types import (
     AttemptOutcome,
     AttemptStatus,
@@ -81,7 +81,7 @@
         self.timers: list[tuple[int, str]] = []
         self.desk = SchedulerDriver(house or terms(), 7, self, self.now)
         self.luck = 0.0  # no story hangs on a draw
-        self.desk.scheduler.draw = lambda: self.luck
+        self.desk.scheduler.random = lambda: self.luck
         self.lines = [
             EngineRecord(at, kind, 0, 0, 0, EngineState.READY, 1 + at * 2654435761 % 4294967291)
             for at, kind in enumerate(kinds)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -12,8 +12,8 @@
 
 from runspool.runtime.interning import stable_hash
 from runspool.runtime.scheduler_driver import SchedulerDriver
-from runspool.scheduling.scheduler import SECOND
 from runspool.scheduling.settings import RoutingSettings, TenantSettings
+from runspool.scheduling.time_units import SECOND
 from runspool.scheduling.types import (
     AttemptOutcome,
     AttemptStatus,
@@ -152,7 +152,7 @@
         heapq.heappush(self.heap, (when, self.set, act))
 
     def ask(self, session: int, prompt: int, beginning: int, length: int, turns: int, zone: int) -> None:
-        front = self.rng.choice([f for f in self.fronts if f.desk.scheduler.terms.zone == zone])
+        front = self.rng.choice([f for f in self.fronts if f.desk.scheduler.settings.zone == zone])
         front.arrive(
             Request(
                 0,
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -774,13 +774,13 @@
         rules = quarter.driver.scheduler
         found += [f"errand {index}" for index in quarter.driver.tasks if index != BACKGROUND_TASK]
         found += [f"{quarter.name} counts {quarter.queries} queries"] if quarter.queries else []
-        found += [f"room {place}" for place in rules.room]
+        found += [f"room {place}" for place in rules.prefill_queue]
         for one in rules.engines.values():
-            books = {"reads": one.reads, "waiting": one.waiting, "streams": one.streams}
+            books = {"prefills": one.prefills, "waiting_decodes": one.waiting_decodes, "streams": one.streams}
             found += [f"engine {one.id}: {name} {book}" for name, book in books.items() if book]
             found += (
-                [f"engine {one.id}: unread {one.unread}, tokens {one.tokens}"]
-                if one.unread or one.tokens
+                [f"engine {one.id}: prefill tokens {one.prefill_tokens}, stream tokens {one.stream_tokens}"]
+                if one.prefill_tokens or one.stream_tokens
                 else []
             )
     held = front.keeping
--- a/tests/soak/sabotage.py
+++ b/tests/soak/sabotage.py
@@ -41,7 +41,7 @@
             row.idempotency = Idempotency.IDEMPOTENT
         sound(self, terms, seed)
 
-    Scheduler.__init__ = init  # type: ignore[method-assign]
+    Scheduler.__init__ = init  # type: ignore[method-assign, assignment]
     RequestLifecycle.deny_attempt = lambda *said: None  # type: ignore[method-assign]
     RequestLifecycle.deny_rejection = lambda *said: None  # type: ignore[method-assign]
 
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -110,7 +110,9 @@
         def agree() -> bool:
             engines = running.executor.scheduler.driver.scheduler.engines
             believed = {
-                site.name: len(engines[index].reads if site.role is Role.PREFILL else engines[index].streams)
+                site.name: len(
+                    engines[index].prefills if site.role is Role.PREFILL else engines[index].streams
+                )
                 for index, site in running.executor.endpoints.items()
             }
             return believed == {name: open_at[name] for name in KINDS}
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -11,8 +11,13 @@
 import pytest
 
 from runspool.runtime.scheduler_driver import BACKGROUND_TASK, ReentrantCallError
+from runspool.scheduling import attempt_accounting
+from runspool.scheduling.endpoint_registry import DEPARTED_ENGINES_KEPT
 from runspool.scheduling.engine_state import Engine
-from runspool.scheduling.scheduler import LEFT_KEPT, SECOND
+from runspool.scheduling.latency_estimator import queueing_delay, update
+from runspool.scheduling.slow_start import warmup_fraction
+from runspool.scheduling.time_units import SECOND
+from runspool.scheduling.transfer_cost import transfer_delay
 from runspool.scheduling.types import (
     AttemptOutcome,
     AttemptStatus,
@@ -50,10 +55,10 @@
 def books(host: FakeHost) -> list[tuple[int, str, object]]:
     """Whatever the decisions still hold of any query."""
     rules = host.desk.scheduler
-    found: list[tuple[int, str, object]] = [(-1, "room", place) for place in rules.room]
+    found: list[tuple[int, str, object]] = [(-1, "room", place) for place in rules.prefill_queue]
     found += [(-1, "errand", index) for index in host.desk.tasks if index != BACKGROUND_TASK]
     for e in rules.engines.values():
-        for name in ("reads", "waiting", "streams", "unread", "tokens"):
+        for name in ("prefills", "waiting_decodes", "streams", "prefill_tokens", "stream_tokens"):
             if value := getattr(e, name):
                 found.append((e.id, name, value))
     return found
@@ -80,12 +85,12 @@
             mine = {query: begun for query, (_, engine, begun) in self.out.items() if engine == e.id}
             kind = self.host.lines[e.id].engine_type
             assert set(e.streams) == (set() if kind == READER else set(mine))
-            assert set(e.waiting) == {query for query in e.streams if not mine[query]}
-            assert set(e.reads) <= {query for query, begun in mine.items() if not begun}
-            assert kind != READER or set(e.reads) == set(mine)
-            assert e.unread == sum(tokens for _, tokens, _ in e.reads.values())
-            assert e.tokens == sum(e.streams.values())
-        held = [query for _, _, query in self.host.desk.scheduler.room]
+            assert set(e.waiting_decodes) == {query for query in e.streams if not mine[query]}
+            assert set(e.prefills) <= {query for query, begun in mine.items() if not begun}
+            assert kind != READER or set(e.prefills) == set(mine)
+            assert e.prefill_tokens == sum(tokens for _, tokens, _ in e.prefills.values())
+            assert e.stream_tokens == sum(e.streams.values())
+        held = [query for _, _, query in self.host.desk.scheduler.prefill_queue]
         assert len(held) == len(set(held))
         assert all(query in self.host.desk.tasks and query not in self.out for query in held)
 
@@ -95,7 +100,7 @@
     rng = Random(seed)
     effect = [Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.AT_MOST_ONCE][seed % 3]
     host = FakeHost([READER, READER, MIXED, MIXED, WRITER], terms(effect, DeduplicationScope.RACK))
-    host.desk.scheduler.draw = rng.random
+    host.desk.scheduler.random = rng.random
     recount = Recount(host)
     old: list[tuple[int, int, AttemptStatus]] = []  # ends of shots that were told already
     for step in range(2_000):
@@ -165,7 +170,7 @@
     out = host.at(one)
     host.end(one, AttemptStatus.CONNECT_FAILED, shot=2)
     host.begin(one, shot=2)
-    assert list(host.desk.scheduler.engines[out].waiting) == [one]
+    assert list(host.desk.scheduler.engines[out].waiting_decodes) == [one]
     host.end(one, AttemptStatus.CONNECTION_LOST)
     assert host.of(one) == ["send", "send", "send", "release", "scrap"]
 
@@ -201,24 +206,24 @@
     def fault(*said: object) -> None:
         raise ZeroDivisionError
 
-    def strike(name: str, news: Callable[[], None]) -> None:
-        sound = getattr(rules, name)
-        setattr(rules, name, fault)
+    def strike(owner: object, name: str, news: Callable[[], None]) -> None:
+        sound = getattr(owner, name)
+        setattr(owner, name, fault)
         with pytest.raises(ZeroDivisionError):
             news()
-        setattr(rules, name, sound)
+        setattr(owner, name, sound)
 
     if when == "in the line":
-        assert [place[2] for place in rules.room] == [one]
+        assert [place[2] for place in rules.prefill_queue] == [one]
     elif when == "as a read ends":
-        strike("learn", lambda: host.end(one, AttemptStatus.PREFILL_COMPLETE))
+        strike(attempt_accounting, "update", lambda: host.end(one, AttemptStatus.PREFILL_COMPLETE))
     else:
         host.end(one, AttemptStatus.PREFILL_COMPLETE)
         if when == "as an answer begins":
-            strike("learn", lambda: host.begin(one))
+            strike(attempt_accounting, "update", lambda: host.begin(one))
         else:
             host.begin(one)
-            strike("row", lambda: host.end(one, AttemptStatus.SUCCEEDED, over=True))
+            strike(rules, "class_state", lambda: host.end(one, AttemptStatus.SUCCEEDED, over=True))
     host.desk.abandon(host.now, one)
     if one is not first:
         host.serve(first)
@@ -227,17 +232,15 @@
     assert books(host) == []
 
 
-def test_a_fault_in_the_watch_starts_it_anew() -> None:
+def test_a_fault_in_the_watch_starts_it_anew(monkeypatch: pytest.MonkeyPatch) -> None:
     host = FakeHost([READER, WRITER])
-    rules = host.desk.scheduler
-    sound = rules.overload
-    rules.overload = lambda: 1 // 0  # type: ignore[method-assign]
+    name = "runspool.scheduling.scheduler.stream_to_migrate"
+    monkeypatch.setattr(name, lambda front: 1 // 0)
     with pytest.raises(ZeroDivisionError):
         host.wait(SECOND + 1)
     host.desk.abandon(host.now, BACKGROUND_TASK)
-    rules.overload = sound  # type: ignore[method-assign]
     looked: list[int] = []
-    rules.overload = lambda: looked.append(host.now)  # type: ignore[method-assign]
+    monkeypatch.setattr(name, lambda front: looked.append(host.now))
     host.wait(3 * SECOND)
     assert len(looked) >= 2
 
@@ -277,9 +280,9 @@
     host.tell(0, started=500)
     one = host.ask()
     host.tell(0, started=400)
-    assert list(host.desk.scheduler.engines[0].reads) == [one]
+    assert list(host.desk.scheduler.engines[0].prefills) == [one]
     host.tell(0, started=600)  # a new process has nothing to read
-    assert not host.desk.scheduler.engines[0].reads
+    assert not host.desk.scheduler.engines[0].prefills
 
 
 def test_an_engine_back_as_another_kind_is_picked_as_that() -> None:
@@ -297,9 +300,9 @@
             host.desk.update_endpoints(
                 host.now, EndpointUpdate(False, [EngineRecord(number, READER, 0, number, 0, state)])
             )
-            host.desk.scheduler.link(number)
-    assert len(host.desk.scheduler.engines) <= LEFT_KEPT + 2
-    assert len(host.desk.scheduler.links) <= LEFT_KEPT + 2
+            transfer_delay(host.desk.scheduler, number)
+    assert len(host.desk.scheduler.engines) <= DEPARTED_ENGINES_KEPT + 2
+    assert len(host.desk.scheduler.rack_transfer_delays) <= DEPARTED_ENGINES_KEPT + 2
 
 
 def test_an_engine_is_itself_and_no_other_that_looks_like_it() -> None:
@@ -308,7 +311,7 @@
         0,
         *[
             getattr(host.desk.scheduler.engines[0], name)
-            for name in ("mark", "role", "zone", "rack", "memory", "started")
+            for name in ("stable_hash", "role", "zone", "rack", "memory_tokens", "started_at")
         ],
     )
 
@@ -331,12 +334,12 @@
     host = FakeHost([READER, READER, READER, WRITER], terms(front_count=100))
     rules = host.desk.scheduler
     for engine in (0, 1):
-        rules.learn(rules.engines[engine].lag, rules.lags[Role.PREFILL], SECOND)
+        update(rules, rules.engines[engine].queueing_delay, rules.usual_queueing_delays[Role.PREFILL], SECOND)
     host.tell(2, started=host.now - SECOND)
-    assert rules.warmth(rules.engines[2]) < 1 and rules.lag(rules.engines[2]) == 0
-    assert rules.lag(rules.engines[0]) > 0
-    rules.learn(rules.engines[2].lag, rules.lags[Role.PREFILL], SECOND)
-    assert rules.lag(rules.engines[2]) > 0
+    assert warmup_fraction(rules, rules.engines[2]) < 1 and queueing_delay(rules, rules.engines[2]) == 0
+    assert queueing_delay(rules, rules.engines[0]) > 0
+    update(rules, rules.engines[2].queueing_delay, rules.usual_queueing_delays[Role.PREFILL], SECOND)
+    assert queueing_delay(rules, rules.engines[2]) > 0
 
 
 def test_a_reader_that_was_full_is_not_the_one_with_the_least_wait() -> None:
@@ -362,15 +365,15 @@
 def test_a_long_line_looks_at_the_engines_little_more_often_than_one_query() -> None:
     def looks(waiting: int) -> int:
         host = FakeHost([READER, WRITER], terms(max_attempts=5))
-        rules, counted, sound = host.desk.scheduler, [0], host.desk.scheduler.pick_reader
+        rules, counted, sound = host.desk.scheduler, [0], host.desk.scheduler.select_engine
         host.ask(prompt=20_000, budget=60 * SECOND)  # a queue that is over the line while it is out
 
         def pick(*said: Any) -> Any:
             counted[0] += 1
             return sound(*said)
 
-        rules.pick_reader = pick  # type: ignore
-        rules.rates[Role.PREFILL] = 8.0
+        rules.select_engine = pick  # type: ignore
+        rules.prefill_rates[Role.PREFILL] = 8.0
         for _ in range(waiting):
             host.ask(prompt=100, budget=60 * SECOND)
         at = counted[0]
@@ -405,7 +408,7 @@
 
 def test_a_thousand_engines_and_fronts_are_listed_and_used() -> None:
     host = FakeHost([READER] * 512 + [WRITER] * 512, terms(front_count=1_024))
-    assert sum(e.on for e in host.desk.scheduler.engines.values()) == 1_024
+    assert sum(e.ready for e in host.desk.scheduler.engines.values()) == 1_024
     queries = []
     for session in range(20):
         queries.append(host.ask(session=session, mark=session * 7_919, beginning=session))
--- a/tests/test_doctored.py
+++ b/tests/test_doctored.py
@@ -19,7 +19,7 @@
 from runspool.lab.clients import Clients, Entry
 from runspool.lab.engine import Engine
 from runspool.lab.workload import Item
-from runspool.scheduling.scheduler import Scheduler
+from runspool.scheduling import engine_eligibility
 from runspool.scheduling.types import AttemptStatus, EngineRecord
 from runspool.service.clock import now
 from runspool.service.completions_handler import CompletionsHandler, _EventStreamResponse
@@ -191,7 +191,7 @@
 
 
 def takes_cold_for_warm(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Scheduler, "bears", lambda *said: True)
+    patch.setattr(engine_eligibility, "admits_during_slow_start", lambda *said: True)
 
 
 KINDS = ["prefill", "prefill", "decode", "decode"]
--- a/tests/test_field.py
+++ b/tests/test_field.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from runspool.scheduling.engine_index import WIDE, EngineIndex
+from runspool.scheduling.engine_index import SAMPLE_SIZE, EngineIndex
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.types import AttemptStatus, EndpointUpdate, EngineState, Role
 from tests.fakehost import READER, FakeHost, terms
@@ -21,17 +21,17 @@
 
 
 def test_a_small_fleet_is_seen_whole_in_the_lists_order() -> None:
-    small = engines(WIDE)
+    small = engines(SAMPLE_SIZE)
     field = EngineIndex(small, 7)
-    assert all(field.run(Role.PREFILL, turn) == small for turn in range(20))
+    assert all(field.sample(Role.PREFILL, turn) == small for turn in range(20))
 
 
 def test_looks_at_a_large_fleet_come_to_every_engine_alike() -> None:
     field = EngineIndex(engines(1_200), 7)
     seen = [0] * 1_200
     for turn in range(1_000):
-        run = field.run(Role.PREFILL, turn)
-        assert len({e.id for e in run}) == WIDE
+        run = field.sample(Role.PREFILL, turn)
+        assert len({e.id for e in run}) == SAMPLE_SIZE
         for engine in run:
             seen[engine.id] += 1
     assert min(seen) > 40 and max(seen) < 120  # 80 each on average
@@ -49,9 +49,9 @@
 def test_engines_that_are_off_are_not_seen() -> None:
     some = engines(300)
     for engine in some[::2]:
-        engine.on = False
+        engine.ready = False
     field = EngineIndex(some, 7)
-    assert {e.id for turn in range(50) for e in field.run(Role.PREFILL, turn)} == set(range(1, 300, 2))
+    assert {e.id for turn in range(50) for e in field.sample(Role.PREFILL, turn)} == set(range(1, 300, 2))
 
 
 def fleet(count: int, cold: float = 0.0) -> FakeHost:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -15,6 +15,7 @@
 from runspool.discovery.snapshot import save_snapshot
 from runspool.lab.audit import audit
 from runspool.lab.replay import replay
+from runspool.scheduling.slow_start import warmup_fraction
 from runspool.scheduling.types import Role
 from runspool.service.clock import unix_ms, unix_ms_at_zero
 from runspool.service.pending_completion import PendingCompletion
@@ -179,7 +180,7 @@
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
         town.tell(0, "gone")
         town.tell(1, "gone")
-        while any(engine.on for engine in town.running.front.desk.scheduler.engines.values()):
+        while any(engine.ready for engine in town.running.front.desk.scheduler.engines.values()):
             await anyio.sleep(0.005)
         answer = await town.ask(runspool_limit_ms="500")
         assert (answer.status, answer.error["type"]) == (503, "dismissed")
@@ -320,19 +321,21 @@
 async def test_a_fault_in_the_decisions_scraps_one_query_and_spares_the_rest(tmp_path: Path) -> None:
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
         rules = town.running.front.desk.scheduler
-        sound = rules.pick_reader
-        rules.pick_reader = lambda *_: 1 // 0  # type: ignore[method-assign, assignment]
+        sound = rules.select_engine
+        rules.select_engine = lambda *_: 1 // 0  # type: ignore[method-assign, assignment]
         answer = await town.ask()
         assert (answer.status, answer.error["type"]) == (424, "scrapped")
-        rules.pick_reader = sound  # type: ignore[method-assign]
+        rules.select_engine = sound  # type: ignore[method-assign]
         assert (await town.ask()).status == 200
         assert not town.running.front.requests
 
 
-async def test_a_fault_while_an_answer_streams_calls_its_shot_back(tmp_path: Path) -> None:
+async def test_a_fault_while_an_answer_streams_calls_its_shot_back(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
         front = town.running.front
-        front.desk.scheduler.learn = lambda *_: 1 // 0  # type: ignore[method-assign, assignment]
+        monkeypatch.setattr("runspool.scheduling.attempt_accounting.update", lambda *_: 1 // 0)
         answer = await town.ask(out=200)
         assert answer.error["type"] == "scrapped" if answer.status != 200 else b"scrapped" in answer.body
         with anyio.fail_after(10):
@@ -366,7 +369,7 @@
             with anyio.fail_after(10):
                 await dialled.wait()
                 town.tell(to[0], "draining")
-                while town.running.front.desk.scheduler.engines[to[0]].on:
+                while town.running.front.desk.scheduler.engines[to[0]].ready:
                     await anyio.sleep(0.005)
             go.set()
         assert answers[0].status == 200
@@ -390,7 +393,7 @@
         town.plan.engines[1].kind = "novel"
         town.tell(1, "draining")
         with anyio.fail_after(10):
-            while front.desk.scheduler.engines[1].on:
+            while front.desk.scheduler.engines[1].ready:
                 await anyio.sleep(0.005)
         assert (await town.ask()).status == 200
 
@@ -430,9 +433,9 @@
         town.tell(1, "on")
         rules = front.desk.scheduler
         with anyio.fail_after(10):
-            while not rules.engines[1].started:
+            while not rules.engines[1].started_at:
                 await anyio.sleep(0.005)
-        known = rules.engines[1].started
+        known = rules.engines[1].started_at
         monkeypatch.setattr(
             "runspool.service.request_executor.unix_ms_at_zero", lambda: unix_ms_at_zero() - hour
         )
@@ -440,10 +443,10 @@
         town.started[2] = unix_ms() - hour
         town.tell(2, "on")
         with anyio.fail_after(10):
-            while not rules.engines[2].started:
+            while not rules.engines[2].started_at:
                 await anyio.sleep(0.005)
-        assert rules.warmth(rules.engines[2]) < 0.5
-        assert rules.engines[1].started == known
+        assert warmup_fraction(rules, rules.engines[2]) < 0.5
+        assert rules.engines[1].started_at == known
 
 
 async def test_what_is_known_of_engines_that_left_is_bounded(tmp_path: Path) -> None:
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -68,7 +68,7 @@
 
 
 async def in_the_line(town: Town, query: Query, patch: Any) -> None:
-    while not town.running.front.desk.scheduler.room:
+    while not town.running.front.desk.scheduler.prefill_queue:
         await anyio.sleep(0.005)
 
 
@@ -79,7 +79,7 @@
 async def state_held(town: Town, query: Query, patch: Any) -> None:
     await town.until("arrived", stage="read")
     town.tell(1, "draining")
-    while town.running.front.desk.scheduler.engines[1].on:
+    while town.running.front.desk.scheduler.engines[1].ready:
         await anyio.sleep(0.005)
     town.engines[0].fault("hang", on=False)
     await town.until("held")
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -5,8 +5,10 @@
 import io
 import unittest
 
-from runspool.scheduling.engine_state import Known
-from runspool.scheduling.scheduler import SECOND
+from runspool.scheduling.engine_state import DecayingEstimate
+from runspool.scheduling.fleet_statistics import refresh_fleet_statistics
+from runspool.scheduling.latency_estimator import queueing_delay
+from runspool.scheduling.time_units import SECOND
 from runspool.scheduling.types import (
     AttemptStatus,
     DeduplicationScope,
@@ -59,7 +61,7 @@
             host.end(one, AttemptStatus.PREFILL_COMPLETE)
             host.begin(one)
         busy = host.desk.scheduler.engines[host.at(one)]
-        busy.cap = 1_000
+        busy.observed_capacity = 1_000
         host.wait(SECOND + 1)
         self.assertEqual([word for word, _ in host.said].count("move"), 1)
 
@@ -84,7 +86,7 @@
         for again, ends in ((False, ["dismiss"]), (True, [])):
             host = FakeHost([READER, WRITER])
             host.luck = 0.9
-            host.desk.scheduler.engines[0].unread = 4_000
+            host.desk.scheduler.engines[0].prefill_tokens = 4_000
             one = host.ask(again=again)
             self.assertEqual([word for word in host.of(one) if word == "dismiss"], ends)
 
@@ -217,8 +219,8 @@
             host.serve(first)
             first = host.ask(3_000)
         host.end(first, AttemptStatus.PREFILL_COMPLETE, took=1_000)
-        busy.streams[99] = busy.tokens = 100
-        host.desk.scheduler.tariffs[0].out = 50.0
+        busy.streams[99] = busy.stream_tokens = 100
+        host.desk.scheduler.request_classes[0].mean_output_tokens = 50.0
         self.assertEqual(host.at(host.ask(12_500)), 0)
         self.assertEqual(host.at(host.ask(900)), 1)
 
@@ -235,7 +237,7 @@
         one = host.ask()
         host.end(one, AttemptStatus.PREFILL_COMPLETE)
         host.begin(one)
-        host.desk.scheduler.engines[1].cap = 1_000
+        host.desk.scheduler.engines[1].observed_capacity = 1_000
         self.assertEqual(host.of(host.ask()), [])
 
     def test_a_hung_writer_gets_no_more_streams(self) -> None:
@@ -271,7 +273,7 @@
     def test_a_slow_link_keeps_states_in_their_rack(self) -> None:
         host = FakeHost([READER, WRITER, WRITER])
         host.desk.scheduler.engines[2].rack = 1
-        host.desk.scheduler.links[0] = Known(SECOND, host.now)
+        host.desk.scheduler.rack_transfer_delays[0] = DecayingEstimate(SECOND, host.now)
         for _ in range(5):
             one = host.ask()
             host.end(one, AttemptStatus.PREFILL_COMPLETE)
@@ -316,14 +318,14 @@
 
         def streamed(took: int) -> None:
             """One answer of 50 tokens, for which the tariff allows 25,000, made at the mixed server."""
-            reader.unread = 0
+            reader.prefill_tokens = 0
             one = host.ask(200)
             host.end(one, AttemptStatus.PREFILL_COMPLETE)
             host.begin(one)
             host.end(one, AttemptStatus.SUCCEEDED, over=True, took=took)
-            reader.unread = 500
+            reader.prefill_tokens = 500
 
-        reader.unread = 500
+        reader.prefill_tokens = 500
         self.assertEqual(host.at(host.ask(200, likely_out=0)), 0)  # with no guess nothing tells of the pace
         one = host.ask(200)
         self.assertEqual(host.at(one), 1)
@@ -349,7 +351,7 @@
             host.luck = front / 100
             host.tell(0, started=host.now)
             for other in (1, 2, 3):
-                host.desk.scheduler.engines[other].unread = 1_600
+                host.desk.scheduler.engines[other].prefill_tokens = 1_600
             sends += host.at(host.ask(100)) == 0
         self.assertLess(sends, 12)
         self.assertGreater(sends, 0)
@@ -360,7 +362,7 @@
         host.end(one, AttemptStatus.TIMED_OUT, took=30_000)
         rules = host.desk.scheduler
         other = rules.engines[1 - host.shots[0][1]]
-        self.assertLess(rules.lag(other), 2_000)
+        self.assertLess(queueing_delay(rules, other), 2_000)
 
     def test_a_front_takes_as_many_homes_for_a_beginning_whether_it_has_met_it_or_not(self) -> None:
         def homes(length: int) -> list[int]:
@@ -386,7 +388,7 @@
         query = host.ask(500)
         host.end(query, AttemptStatus.TIMED_OUT, took=20_000)
         late = host.desk.scheduler.engines[host.shots[0][1]]
-        self.assertGreater(host.desk.scheduler.lag(late), 15_000)
+        self.assertGreater(queueing_delay(host.desk.scheduler, late), 15_000)
 
     def test_a_front_that_meets_a_reader_now_and_then_knows_a_jam_after_three_reads(self) -> None:
         host = FakeHost([READER] * 9 + [WRITER], terms(front_count=200))
@@ -396,20 +398,20 @@
             host.end(query, AttemptStatus.PREFILL_COMPLETE, took=15_000)
             host.begin(query)
             host.end(query, AttemptStatus.SUCCEEDED, over=True)
-        self.assertGreater(host.desk.scheduler.lags[Role.PREFILL].time, 3_500)
+        self.assertGreater(host.desk.scheduler.usual_queueing_delays[Role.PREFILL].time, 3_500)
 
     def test_in_a_jam_a_later_try_waits_less_than_a_first_and_is_told_to_stay_away(self) -> None:
         host = FakeHost([READER, WRITER], terms(front_count=200))
-        jam = host.desk.scheduler.lags[Role.PREFILL]
-        jam.time, jam.heard = 4_000.0, host.now
+        jam = host.desk.scheduler.usual_queueing_delays[Role.PREFILL]
+        jam.time, jam.updated_at = 4_000.0, host.now
         self.assertEqual(host.of(host.ask(500)), ["send"])
         self.assertEqual(host.of(host.ask(500, session=1, resent=1)), ["dismiss"])
         self.assertEqual(host.hold_off, SECOND)  # all that may be told
 
-    def test_the_reserved_writer_of_another_rack_does_not_draw_states_away(self) -> None:
+    def test_the_reserved_decode_engine_of_another_rack_does_not_draw_states_away(self) -> None:
         host = FakeHost([READER, MIXED, MIXED], terms(front_count=50))
         rules = host.desk.scheduler
-        rules.engines[1].rack, rules.reserved_writer = 1, rules.engines[1]
+        rules.engines[1].rack, rules.reserved_decode_engine = 1, rules.engines[1]
         one = host.ask()
         host.end(one, AttemptStatus.PREFILL_COMPLETE)
         self.assertEqual(host.at(one), 2)
@@ -426,10 +428,14 @@
         host = FakeHost([READER, READER, WRITER])
         rules = host.desk.scheduler
         rules.engines[1].rack = 1
-        rules.leaving.time, rules.leaving.heard, rules.surveyed = SECOND, host.now, -1
-        rules.survey()
-        self.assertLess(rules.balance[1], 0.5)
-        self.assertGreater(rules.balance[0], 1)
+        rules.usual_transfer_delay.time, rules.usual_transfer_delay.updated_at, rules.fleet_statistics_at = (
+            SECOND,
+            host.now,
+            -1,
+        )
+        refresh_fleet_statistics(rules)
+        self.assertLess(rules.rack_balance[1], 0.5)
+        self.assertGreater(rules.rack_balance[0], 1)
 
 
 class TheWire(unittest.TestCase):
