--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -87,9 +87,9 @@
         at, index = now(), self.accepted_count
         self.accepted_count += 1
         limit = min(came + ask.time_limit, self.shutdown_deadline or came + ask.time_limit)
-        taken = PendingNodeRequest(index, ask.id, came, limit, reply, client_request=ask)
+        pending = PendingNodeRequest(index, ask.id, came, limit, reply, client_request=ask)
         # The answer still has to reach the client within its time.
-        budget = max(0, taken.deadline - self.settings.response_slack - at)
+        budget = max(0, pending.deadline - self.settings.response_slack - at)
         self.counts["continuations"] += ask.is_continuation
         self.counts["client_retries"] += ask.is_client_retry
         self.log.debug(
@@ -102,17 +102,17 @@
             is_client_retry=ask.is_client_retry,
         )
         self.open_request_ids.add(ask.id)
-        self.accept(taken)
+        self.accept(pending)
         query = ask.to_request(
             index, self.intern_text("s", ask.session, at), self.intern_text("b", ask.prefix, at), budget
         )
-        self._notify(self.scheduler, index, CellScheduler.submit, query)
-        return taken
+        self.notify_scheduler(self.scheduler, index, CellScheduler.submit, query)
+        return pending
 
     def begin_shutdown(self, by: int) -> None:
         """This node may be killed after `by`: what is taken from now on must be answered sooner."""
         self.shutdown_deadline = by
-        self._notify(self.scheduler, SHUTDOWN_TASK, CellScheduler.begin_shutdown, by)
+        self.notify_scheduler(self.scheduler, SHUTDOWN_TASK, CellScheduler.begin_shutdown, by)
 
     def publish_engines(self) -> None:
         self.scheduler.update_engines(
@@ -124,91 +124,101 @@
     def scheduler_named(self, name: str) -> CellScheduler | None:
         return self.scheduler
 
-    def scheduler_for(self, taken: PendingNodeRequest) -> CellScheduler | None:
+    def scheduler_for(self, pending: PendingNodeRequest) -> CellScheduler | None:
         return self.scheduler
 
-    def request_class_of(self, taken: PendingNodeRequest) -> int:
-        return taken.client_request.request_class
+    def request_class_of(self, pending: PendingNodeRequest) -> int:
+        return pending.client_request.request_class
 
     async def run_exchange(
-        self, taken: PendingNodeRequest, site: Endpoint, shot: int, sent: int, limit: int, permit: SendPermit
+        self,
+        pending: PendingNodeRequest,
+        endpoint: Endpoint,
+        attempt: int,
+        sent_at: int,
+        limit: int,
+        permit: SendPermit,
     ) -> AttemptResult:
-        if site.role is Role.PREFILL:
-            return await self.engine_client.prefill(site.address, taken.client_request, limit, permit)
-        hearing = ResponseRelay(self, taken, shot, sent)
-        return await self.engine_client.decode(site.address, taken.client_request, limit, permit, hearing)
-
-    def release_prefill_state(self, taken: PendingNodeRequest) -> None:
-        self.release_unclaimed_state(taken)
-        taken.prefill_endpoint = taken.possible_prefill_endpoint = None
-
-    def release_unclaimed_state(self, taken: PendingNodeRequest) -> bool:
-        site = taken.prefill_endpoint or taken.possible_prefill_endpoint
-        if site is None:
+        if endpoint.role is Role.PREFILL:
+            return await self.engine_client.prefill(endpoint.address, pending.client_request, limit, permit)
+        hearing = ResponseRelay(self, pending, attempt, sent_at)
+        return await self.engine_client.decode(
+            endpoint.address, pending.client_request, limit, permit, hearing
+        )
+
+    def release_prefill_state(self, pending: PendingNodeRequest) -> None:
+        self.release_unclaimed_state(pending)
+        pending.prefill_endpoint = pending.possible_prefill_endpoint = None
+
+    def release_unclaimed_state(self, pending: PendingNodeRequest) -> bool:
+        endpoint = pending.prefill_endpoint or pending.possible_prefill_endpoint
+        if endpoint is None:
             return False
-        since = taken.lifecycle.release_started()
+        since = pending.lifecycle.release_started()
         release = PendingRelease(
-            taken.id,
-            site,
-            confirmed=lambda: self._let_go_confirmed(taken, since),
-            unsure=lambda: self._may_still_read(taken),
+            pending.id,
+            endpoint,
+            confirmed=lambda: self._let_go_confirmed(pending, since),
+            unsure=lambda: self._may_still_read(pending),
         )
         self._spawn(self.state_releaser.let_go, release)
         return True
 
-    async def before_attempt(self, taken: PendingNodeRequest, site: Endpoint) -> None:
+    async def before_attempt(self, pending: PendingNodeRequest, endpoint: Endpoint) -> None:
         """Against a call that lets go taking what the next read leaves: one that is under way goes first.
 
         None is begun for a read that was given up, as its engine may still be at it: made then, the call
         took the next read's state three times in four. It is made when its time comes, unless the next read
         is known to have arrived.
         """
-        if site.role is Role.PREFILL:
-            await self.state_releaser.settled_within(taken.id, RELEASE_FIRST)
+        if endpoint.role is Role.PREFILL:
+            await self.state_releaser.settled_within(pending.id, RELEASE_FIRST)
 
     def after_attempt(
-        self, taken: PendingNodeRequest, site: Endpoint, shot: int, ended: AttemptResult
+        self, pending: PendingNodeRequest, endpoint: Endpoint, attempt: int, result: AttemptResult
     ) -> None:
         """A read lost or given up may have ended well: what it left counts as held from its end on."""
-        if site.role is Role.PREFILL and ended.status in PREFILL_MAY_HAVE_RUN:
-            taken.possible_prefill_endpoint = site
-        elif taken.lifecycle.remote_end_unknown and not taken.stream_started:
+        if endpoint.role is Role.PREFILL and result.status in PREFILL_MAY_HAVE_RUN:
+            pending.possible_prefill_endpoint = endpoint
+        elif pending.lifecycle.remote_end_unknown and not pending.stream_started:
             # An earlier attempt ended here alone: what it left may have been taken up by this.
-            taken.possible_prefill_endpoint = taken.possible_prefill_endpoint or site
+            pending.possible_prefill_endpoint = pending.possible_prefill_endpoint or endpoint
         # A state that still waits goes with its own release: one call lets go of everything. What is behind
         # another attempt goes when its time comes, unless that attempt has arrived.
         if (
-            taken.possible_prefill_endpoint is not None
-            and taken.attempt_count == shot
-            and taken.prefill_endpoint is None
+            pending.possible_prefill_endpoint is not None
+            and pending.attempt_count == attempt
+            and pending.prefill_endpoint is None
         ):
-            self.release_prefill_state(taken)
+            self.release_prefill_state(pending)
 
-    def set_prefill_endpoint(self, taken: PendingNodeRequest, site: Endpoint | None, state: object) -> None:
-        super().set_prefill_endpoint(taken, site, state)
+    def set_prefill_endpoint(
+        self, pending: PendingNodeRequest, endpoint: Endpoint | None, state: object
+    ) -> None:
+        super().set_prefill_endpoint(pending, endpoint, state)
         # Against a call for what an earlier read left taking this state too. What it was for is owed still.
-        if site is not None and self.state_releaser.withdraw(taken.id):
-            taken.possible_prefill_endpoint = taken.possible_prefill_endpoint or site
+        if endpoint is not None and self.state_releaser.withdraw(pending.id):
+            pending.possible_prefill_endpoint = pending.possible_prefill_endpoint or endpoint
 
-    def after_request(self, taken: PendingNodeRequest) -> None:
-        self.open_request_ids.discard(taken.id)
-        self.release_prefill_state(taken)
+    def after_request(self, pending: PendingNodeRequest) -> None:
+        self.open_request_ids.discard(pending.id)
+        self.release_prefill_state(pending)
 
-    def _let_go_confirmed(self, taken: PendingNodeRequest, since: int | None) -> None:
-        if not taken.lifecycle.release_confirmed(now(), since):
+    def _let_go_confirmed(self, pending: PendingNodeRequest, since: int | None) -> None:
+        if not pending.lifecycle.release_confirmed(now(), since):
             self.invariants.record(
                 InvariantViolation.STATE_RELEASED_LATE,
-                request=taken.id,
+                request=pending.id,
                 reason="the call to let go was confirmed late",
                 held_for=now() - (since or 0),
             )
 
-    def _may_still_read(self, taken: PendingNodeRequest) -> bool:
+    def _may_still_read(self, pending: PendingNodeRequest) -> bool:
         """Whether an attempt that has ended here may leave something that nothing else would let go of."""
-        attempt = taken.lifecycle.last_attempt
+        attempt = pending.lifecycle.last_attempt
         return (
-            taken.lifecycle.remote_end_unknown
-            and taken.prefill_endpoint is None
+            pending.lifecycle.remote_end_unknown
+            and pending.prefill_endpoint is None
             and not (attempt is not None and attempt.in_progress)
         )
 
@@ -219,8 +229,8 @@
         """Engines on the list, those first that this node has heard from last."""
         idle = self.engine_client.pool.idle
 
-        def heard(site: Endpoint) -> int:
-            return max((link.idle_since for link in idle.get(site.address, ())), default=0)
+        def heard(endpoint: Endpoint) -> int:
+            return max((link.idle_since for link in idle.get(endpoint.address, ())), default=0)
 
         listed = [
             self.endpoints[line.engine]
--- /dev/null
+++ b/runspool/service/attempt_runner.py
@@ -0,0 +1,159 @@
+"""Runs one attempt of a request at one engine, and reports how it ended."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Generic, TypeVar
+
+import anyio
+
+from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
+from runspool.engines.http_exchange import AttemptResult, effective_timeout
+from runspool.scheduling.request_lifecycle import AttemptTarget, DenialReason, InvariantViolation
+from runspool.scheduling.types import AttemptOutcome, AttemptStatus
+from runspool.service.attempt_permit import AttemptPermit
+from runspool.service.cell_scheduler import CellScheduler
+from runspool.service.clock import now
+from runspool.service.pending_request import Endpoint, FinalResponse, PendingRequest, ResponseKind
+
+if TYPE_CHECKING:
+    from runspool.service.request_executor import RequestExecutor
+
+T = TypeVar("T", bound=PendingRequest)
+
+
+class AttemptRunner(Generic[T]):
+    """Runs attempts for an executor, whose subclasses know the protocol spoken with engines."""
+
+    def __init__(self, executor: RequestExecutor[T]) -> None:
+        self.executor = executor
+
+    async def run(self, pending: T, endpoint: Endpoint, first_token_limit: int) -> None:
+        """Runs an attempt and reports its end to the scheduler.
+
+        `first_token_limit` is the scheduler's own, in tenths of a millisecond, 0 for none. A
+        fault in the exchange ends this attempt only; a fault in the scheduler ends this request only.
+        """
+        executor = self.executor
+        await executor.before_attempt(pending, endpoint)
+        sent_at, attempt = now(), pending.attempt_count
+        limit = effective_timeout(
+            first_token_limit, executor.deadline_guard.attempts_end_at(pending) - sent_at
+        )
+        target = AttemptTarget(endpoint.index, endpoint.role, endpoint.zone, endpoint.rack)
+        denial = pending.lifecycle.deny_attempt(sent_at, target)
+        if pending.final_response is not None:
+            result = _result_of(FailureCause.CANCELLED)
+        elif denial is not None:
+            result = self._report_denied(pending, endpoint, attempt, denial)
+        else:
+            pending.lifecycle.attempt_started(sent_at, target)
+            result = await self._exchange(pending, endpoint, attempt, sent_at, limit)
+        try:
+            self._attempt_ended(pending, endpoint, attempt, sent_at, result)
+            executor.after_attempt(pending, endpoint, attempt, result)
+        except Exception as fault:  # noqa: BLE001 - a fault at one request must not end the others
+            executor.handle_scheduler_failure(executor.scheduler_for(pending), pending.index, fault)
+
+    def _report_denied(
+        self, pending: T, endpoint: Endpoint, attempt: int, denial: DenialReason
+    ) -> AttemptResult:
+        self.executor.invariants.record(
+            InvariantViolation.ATTEMPT_NOT_ALLOWED,
+            request=pending.id,
+            attempt=attempt,
+            engine=endpoint.name,
+            reason=denial.value,
+        )
+        return _result_of(FailureCause.NOT_PERMITTED, denial.value)
+
+    async def _exchange(
+        self, pending: T, endpoint: Endpoint, attempt: int, sent_at: int, limit: int
+    ) -> AttemptResult:
+        """Has the exchange run in a scope by which the request can cancel it."""
+        executor = self.executor
+        result = _result_of(FailureCause.CANCELLED)
+        with anyio.CancelScope() as scope:
+            pending.attempt_scope = scope
+            permit = AttemptPermit(executor.registry, pending, endpoint)
+            try:
+                result = await executor.run_exchange(pending, endpoint, attempt, sent_at, limit, permit)
+            except Exception as fault:
+                executor.log.exception("attempt_failed", request=pending.id, fault=repr(fault))
+                result = _result_of(FailureCause.MALFORMED_RESPONSE, repr(fault))
+        pending.attempt_scope = None
+        return result
+
+    def _attempt_ended(
+        self, pending: T, endpoint: Endpoint, attempt: int, sent_at: int, result: AttemptResult
+    ) -> None:
+        executor = self.executor
+        ended_at = now()
+        state_released = pending.lifecycle.released_during_attempt
+        pending.lifecycle.attempt_ended(ended_at, result.status)
+        if result.status is AttemptStatus.PREFILL_COMPLETE:
+            executor.set_prefill_endpoint(pending, endpoint, result.state)
+        elif result.status is AttemptStatus.STATE_MISSING:
+            executor.set_prefill_endpoint(pending, None, None)
+        is_final = self._finish_if_final(pending, result)
+        self._log_result(pending, endpoint, attempt, ended_at - sent_at, result)
+        outcome = AttemptOutcome(
+            result.status,
+            ended_at - sent_at,
+            result.cached_tokens,
+            result.load_report,
+            result.reached_engine,
+            state_released,
+        )
+        executor.schedule_release_check(pending)
+        if pending.index in executor.requests:
+            executor.notify_scheduler(
+                executor.scheduler_for(pending),
+                pending.index,
+                CellScheduler.attempt_ended,
+                pending.index,
+                attempt,
+                outcome,
+                is_final,
+            )
+        elif pending.prefill_endpoint is not None:
+            # The scheduler failed on this request during the attempt, so it will not have the state released.
+            executor.release_prefill_state(pending)
+
+    def _finish_if_final(self, pending: T, result: AttemptResult) -> bool:
+        """Answers the request if this attempt decides its answer; whether the request has been answered."""
+        if result.status is AttemptStatus.SUCCEEDED:
+            self.executor.finish(pending, FinalResponse(ResponseKind.SUCCEEDED, result=result))
+            return True
+        if pending.stream_started:
+            broken_off = FinalResponse(
+                ResponseKind.INDETERMINATE, "stream_cut", "the answer broke off; nothing is promised"
+            )
+            self.executor.finish(pending, broken_off)
+            return True
+        return pending.final_response is not None
+
+    def _log_result(
+        self, pending: T, endpoint: Endpoint, attempt: int, duration: int, result: AttemptResult
+    ) -> None:
+        executor = self.executor
+        executor.counts[f"attempt_{result.status.name.lower()}"] += 1
+        details = {
+            "request": pending.id,
+            "attempt": attempt,
+            "engine": endpoint.name,
+            "role": endpoint.role.name,
+            "status": result.status.name,
+            "failure_cause": result.failure_cause and result.failure_cause.name,
+            "detail": result.detail,
+            "duration": duration,
+            "reached_engine": result.reached_engine,
+            "cached_tokens": result.cached_tokens,
+            "output_tokens": result.output_tokens,
+        }
+        executor.log.debug("attempt_finished", **details)
+        if result.failure_cause is not None:
+            executor.trace.info("attempt_ended", **details)
+
+
+def _result_of(cause: FailureCause, detail: str = "") -> AttemptResult:
+    return AttemptResult(STATUS_BY_CAUSE[cause], cause, detail)
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -121,7 +121,7 @@
         at = now()
         limit = came + wish.limit
         name = f"{self.config.front.name}-{self.life:x}-{index}"
-        taken = PendingCompletion(
+        pending = PendingCompletion(
             index, name, came, limit, reply, completion=wish, headers=self._passed_on(wish), stay=stay
         )
         query = Request(
@@ -155,10 +155,10 @@
             time_limit=wish.limit,
             client_attempt=wish.mark,
         )
-        self.accept(taken)
+        self.accept(pending)
         self.quarter(stay.cell)
-        self._notify(self.scheduler_for(taken), index, CellScheduler.submit, query)
-        return taken
+        self.notify_scheduler(self.scheduler_for(pending), index, CellScheduler.submit, query)
+        return pending
 
     def _let_in(self, wish: CompletionRequest) -> CellAdmission:
         row = self.config.house.tariffs[wish.tariff]
@@ -287,99 +287,105 @@
     def scheduler_named(self, name: str) -> CellScheduler | None:
         return self.quarters.get(name)
 
-    def scheduler_for(self, taken: PendingCompletion) -> CellScheduler | None:
-        return self.quarters.get(taken.stay.cell)
+    def scheduler_for(self, pending: PendingCompletion) -> CellScheduler | None:
+        return self.quarters.get(pending.stay.cell)
 
-    def request_class_of(self, taken: PendingCompletion) -> int:
-        return self.tariffs[taken.completion.tariff]
+    def request_class_of(self, pending: PendingCompletion) -> int:
+        return self.tariffs[pending.completion.tariff]
 
     async def run_exchange(
-        self, taken: PendingCompletion, site: Endpoint, shot: int, sent: int, limit: int, permit: SendPermit
+        self,
+        pending: PendingCompletion,
+        endpoint: Endpoint,
+        attempt: int,
+        sent_at: int,
+        limit: int,
+        permit: SendPermit,
     ) -> AttemptResult:
-        headers = taken.headers | {"X-Request-Id": f"{taken.id}.{shot}"}
-        body = taken.completion.body
-        if site.role is Role.PREFILL:
-            ended = await self.engine_client.prefill(site.address, body, headers, limit, permit)
+        headers = pending.headers | {"X-Request-Id": f"{pending.id}.{attempt}"}
+        body = pending.completion.body
+        if endpoint.role is Role.PREFILL:
+            result = await self.engine_client.prefill(endpoint.address, body, headers, limit, permit)
         else:
-            ended = await self.engine_client.decode(
-                site.address,
+            result = await self.engine_client.decode(
+                endpoint.address,
                 body,
-                taken.state,
+                pending.state,
                 headers,
                 limit,
                 permit,
-                taken.completion.most_out,
-                ResponseRelay(self, taken, shot, sent),
+                pending.completion.most_out,
+                ResponseRelay(self, pending, attempt, sent_at),
             )
-        if ended.failure_cause in BROKE:
-            await self._look_for_poison(taken, site)
-        return ended
+        if result.failure_cause in BROKE:
+            await self._look_for_poison(pending, endpoint)
+        return result
 
     def set_prefill_endpoint(
-        self, taken: PendingCompletion, site: Endpoint | None, state: PrefillState | None
+        self, pending: PendingCompletion, endpoint: Endpoint | None, state: PrefillState | None
     ) -> None:
-        taken.prefill_endpoint, taken.state = site, state
+        pending.prefill_endpoint, pending.state = endpoint, state
 
     def after_attempt(
-        self, taken: PendingCompletion, site: Endpoint, shot: int, ended: AttemptResult
+        self, pending: PendingCompletion, endpoint: Endpoint, attempt: int, result: AttemptResult
     ) -> None:
-        if site.role is Role.PREFILL and ended.status in ENDED_LOCALLY:
+        if endpoint.role is Role.PREFILL and result.status in ENDED_LOCALLY:
             # The read may have ended while its answer was given up; named by its request, its state goes.
-            self.spawn_release(self._let_go, site, None, f"{taken.id}.{shot}")
+            self.spawn_release(self._let_go, endpoint, None, f"{pending.id}.{attempt}")
 
-    def release_prefill_state(self, taken: PendingCompletion) -> None:
-        if taken.state is not None and taken.prefill_endpoint is not None:
-            self.spawn_release(self._let_go, taken.prefill_endpoint, taken.state, taken.id)
-        taken.state = taken.prefill_endpoint = None
+    def release_prefill_state(self, pending: PendingCompletion) -> None:
+        if pending.state is not None and pending.prefill_endpoint is not None:
+            self.spawn_release(self._let_go, pending.prefill_endpoint, pending.state, pending.id)
+        pending.state = pending.prefill_endpoint = None
 
-    def is_guarded(self, taken: PendingCompletion) -> bool:
-        return not (taken.stream_started and taken.completion.stream)
+    def is_guarded(self, pending: PendingCompletion) -> bool:
+        return not (pending.stream_started and pending.completion.stream)
 
-    def after_request(self, taken: PendingCompletion) -> None:
+    def after_request(self, pending: PendingCompletion) -> None:
         kind = (
-            taken.final_response.kind
-            if taken.final_response is not None
+            pending.final_response.kind
+            if pending.final_response is not None
             else ResponseKind.CLIENT_DISCONNECTED
         )
         self.keeping.ended(
-            now(), taken.stay, {ResponseKind.SUCCEEDED: False, ResponseKind.REJECTED: True}.get(kind)
+            now(), pending.stay, {ResponseKind.SUCCEEDED: False, ResponseKind.REJECTED: True}.get(kind)
         )
-        quarter = self.quarters.get(taken.stay.cell)
+        quarter = self.quarters.get(pending.stay.cell)
         if quarter is not None:
             self._close_if_left(quarter.name, quarter)
 
-    async def _look_for_poison(self, taken: PendingCompletion, site: Endpoint) -> None:
+    async def _look_for_poison(self, pending: PendingCompletion, endpoint: Endpoint) -> None:
         """An engine that is down since the query was there counts against the query; it may be its doing.
 
         The query waits for it, and its state does: no longer than LOOK_LIMIT, nor once its client has left.
         """
         up = False
         with anyio.move_on_after(LOOK_LIMIT):
-            up = await self.engine_client.answers(site.address)
+            up = await self.engine_client.answers(endpoint.address)
         if (
             up
-            or taken.final_response is not None
-            or not self.keeping.engine_lost(now(), taken.stay, site.index)
+            or pending.final_response is not None
+            or not self.keeping.engine_lost(now(), pending.stay, endpoint.index)
         ):
             return
         self.log.error(
-            "request_poisonous", request=taken.id, tenant=taken.completion.tenant, engine=site.name
+            "request_poisonous", request=pending.id, tenant=pending.completion.tenant, engine=endpoint.name
         )
         self.counts["poisonous"] += 1
-        self._finish(
-            taken,
+        self.finish(
+            pending,
             FinalResponse(ResponseKind.INDETERMINATE, "poisonous", TURNED[AdmissionRefusal.POISONOUS][1]),
         )
 
-    async def _let_go(self, site: Endpoint, state: PrefillState | None, request: str) -> None:
+    async def _let_go(self, endpoint: Endpoint, state: PrefillState | None, request: str) -> None:
         """Against a call lost on its way pinning the state: it is repeated, soon at first."""
         for rest in (*RELEASE_RESTS, 0.0):
             limit = min(RELEASE_LIMIT, self.settings.state_release_timeout)
-            mishap = await self.engine_client.release_state(site.address, state, request, limit)
+            mishap = await self.engine_client.release_state(endpoint.address, state, request, limit)
             if mishap is None or mishap in WONT:
                 return
             await anyio.sleep(rest)
-        self.log.warning("release_failed", request=request, engine=site.name)
+        self.log.warning("release_failed", request=request, engine=endpoint.name)
 
     def _passed_on(self, wish: CompletionRequest) -> dict[str, str]:
         said = {
--- a/tests/clockwork.py
+++ b/tests/clockwork.py
@@ -54,7 +54,17 @@
 
 def wind(patch: pytest.MonkeyPatch) -> None:
     """Gives a front's parts this clock in place of the machine's."""
-    for module in ("front", "request_executor", "attempt_permit", "cell_scheduler", "timer_queue"):
+    modules = (
+        "front",
+        "request_executor",
+        "attempt_runner",
+        "attempt_permit",
+        "deadline_guard",
+        "endpoint_registry",
+        "cell_scheduler",
+        "timer_queue",
+    )
+    for module in modules:
         patch.setattr(f"runspool.service.{module}.now", now)
     patch.setattr("runspool.service.front.unix_ms", unix_ms)
     patch.setattr("runspool.service.request_executor.unix_ms_at_zero", lambda: WALL_MS)
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -411,7 +411,7 @@
         terms = terms_of(front_terms(world.plan, at, 1, Path(".")))
         self.front = Front(terms, seed=world.seed * 100 + number)
         self.front.engine_client = cast(Any, Calls(world, plan.source))
-        self.front.log = self.front.timers.log = cast(Any, _Quiet(world))
+        self.front.log = self.front.registry.log = self.front.timers.log = cast(Any, _Quiet(world))
         self.scope = anyio.CancelScope()
         self.killed = anyio.Event()
         self.up = False
--- a/tests/soak/sabotage.py
+++ b/tests/soak/sabotage.py
@@ -22,14 +22,14 @@
 
 def loses_refusals() -> None:
     """Never gives the answers that are no stream."""
-    sound = RequestExecutor._finish
+    sound = RequestExecutor.finish
 
-    def settle(self: Any, taken: Any, final: Any) -> bool:
+    def settle(self: Any, pending: Any, final: Any) -> bool:
         return final.kind not in (ResponseKind.REJECTED, ResponseKind.INDETERMINATE) and sound(
-            self, taken, final
+            self, pending, final
         )
 
-    RequestExecutor._finish = settle  # type: ignore[method-assign]
+    RequestExecutor.finish = settle  # type: ignore[method-assign]
 
 
 def repeats_effects() -> None:
--- a/tests/test_doctored.py
+++ b/tests/test_doctored.py
@@ -23,6 +23,7 @@
 from runspool.scheduling.types import AttemptStatus, EngineRecord
 from runspool.service.clock import now
 from runspool.service.completions_handler import CompletionsHandler, _EventStreamResponse
+from runspool.service.endpoint_registry import EndpointRegistry
 from runspool.service.front import Front
 from runspool.service.response_relay import ResponseRelay
 from runspool.transport.tcp import ConnectionClosedError
@@ -175,12 +176,12 @@
 
 
 def does_not_hear_of_drains(patch: pytest.MonkeyPatch) -> None:
-    sound = Front._engine_record
+    sound = EndpointRegistry.to_record
 
-    def listed(front: Front, entry: Line) -> EngineRecord | None:
-        return sound(front, msgspec.structs.replace(entry, state="on"))
+    def listed(registry: EndpointRegistry, entry: Line) -> EngineRecord | None:
+        return sound(registry, msgspec.structs.replace(entry, state="on"))
 
-    patch.setattr(Front, "_engine_record", listed)
+    patch.setattr(EndpointRegistry, "to_record", listed)
 
 
 def lets_no_state_go(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -454,7 +454,10 @@
                 entry = EndpointEntry(f"n{number}", f"127.0.0.1:{number + 1}", "decode", "a", 0, "on")
                 front.endpoints_changed([msgspec.structs.replace(entry, state=state)])
         assert (
-            len(front.endpoints) == len(front.engine_records) == len(front.engine_interner) <= GONE_KEPT + 2
+            len(front.endpoints)
+            == len(front.engine_records)
+            == len(front.registry.engine_interner)
+            <= GONE_KEPT + 2
         )
         assert (await town.ask()).status == 200
 
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -698,7 +698,7 @@
         )
         node.release_prefill_state(held)
         node.requests[0], held.attempt_count = held, 1
-        await node._run_attempt(held, site, 0)
+        await node.attempt_runner.run(held, site, 0)
         await until(lambda: not calling and not node.releases_in_progress)
         assert held.possible_prefill_endpoint is site and held.prefill_endpoint is site
 
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -302,7 +302,7 @@
         ends: dict[str, Callable[[], object]] = {
             "cancel": lambda: front.client_disconnected(taken),
             "limit": lambda: front._timer_fired(guard),
-            "end": lambda: front._finish(taken, FinalResponse(ResponseKind.SUCCEEDED)),
+            "end": lambda: front.finish(taken, FinalResponse(ResponseKind.SUCCEEDED)),
         }
         first, second = order.split(" and ")
         ends[first]()
