--- a/runspool/cells/cell_router.py
+++ b/runspool/cells/cell_router.py
@@ -1,7 +1,8 @@
-"""One front's cells: where a query is let in, whether it is at all, and which engines each cell has now.
+"""A front's cells: which cell serves a request, whether it is admitted, and each cell's present engines.
 
-Free of I/O; times in tenths of a millisecond, moments in unix milliseconds. It puts together what the map
-says (chart, placing, moving) and what this front has seen (ruling). It picks no engine: the module does.
+Free of I/O; times in tenths of a millisecond, moments in Unix milliseconds. It puts together what the map
+says (cell_map, engine_placement, tenant_migration) and what this front has seen (admission_policy). It picks
+no engine: the scheduler does.
 """
 
 from __future__ import annotations
@@ -24,31 +25,34 @@
 
 
 class AdmissionRefusal(Enum):
-    """Why a query is not let in. Nothing has been done for it."""
+    """Why a request is not admitted. Nothing has been done for it."""
 
     CELL_FULL = auto()
     FRONT_FULL = auto()
     POISONOUS = auto()  # it brought down each engine that it met
-    EARLIER_CELL_UNKNOWN = auto()  # a later try whose first may have run in another cell
+    EARLIER_CELL_UNKNOWN = auto()  # a retry whose first attempt may have executed in another cell
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """What of a query bears on its cell. `ticket` only where its repeats a group smaller than all drops, and
-    `binds` then says for how long: the tariff's window and the longest hard limit."""
+    """What of a request matters for its cell.
+
+    `ticket` is given only where its repeats are dropped by a group smaller than all; `binding_time` then says
+    for how long: the deduplication window and the longest deadline together.
+    """
 
     tenant: str | None
     session: str | None
     ticket: str | None
     is_retry: bool
     binding_time: int
-    size_bytes: int  # bytes it holds at the front
+    size_bytes: int  # held at the front until it ends
     fingerprint: str
 
 
 @dataclass(frozen=True, slots=True)
 class CellAdmission:
-    """A query let in: the cell that serves it, to its end, and the cell on whose account it is."""
+    """An admitted request: the cell that serves it, to its end, and the cell in whose budget it counts."""
 
     cell: str
     home_cell: str
@@ -56,12 +60,16 @@
 
     @property
     def overflowed(self) -> bool:
+        """Whether it is served at the reserve for its home cell."""
         return self.cell != self.home_cell
 
 
 @dataclass
 class CellRouter:
-    """`draw` is a bound method of the front's seeded random numbers."""
+    """A front's admission to cells under its map.
+
+    `draw_random` is a bound method of the front's seeded random numbers, from 0 to 1.
+    """
 
     cell_map: CellMap
     max_requests: int
@@ -79,106 +87,136 @@
         self.byte_budget = Budget(self.max_bytes, {})
         self.engines: list[EnginePlace] = []
         self.unavailable: set[str] = set()
-        self._weigh()
+        self._update_weights()
 
-    def adopt(self, chart: CellMap, unix_ms: int) -> bool:
-        """Takes a newer map; False, with nothing changed, for an older one or the same. What has been let in
-        stays where it is."""
-        if not self.migrations.adopt(chart, unix_ms):
+    def adopt(self, cell_map: CellMap, unix_ms: int) -> bool:
+        """Takes a newer map; False, with nothing changed, for an older one or the same.
+
+        Admitted requests stay where they are.
+        """
+        if not self.migrations.adopt(cell_map, unix_ms):
             return False
-        self.cell_map = self.overflow_policy.cell_map = chart
+        self.cell_map = self.overflow_policy.cell_map = cell_map
         self.adopted_unix_ms = unix_ms
-        self.poison_detector.loss_threshold = chart.poison_after
-        # A cell that is no more cannot overflow; what it lent comes back by itself.
-        for name in self.overflow_policy.states.keys() - set(chart.names()):
+        self.poison_detector.loss_threshold = cell_map.poison_after
+        # A removed cell cannot overflow; its state is kept while it has requests at the reserve.
+        for name in self.overflow_policy.states.keys() - set(cell_map.names()):
             if not self.overflow_policy.states[name].requests_at_reserve:
                 del self.overflow_policy.states[name]
-        self._weigh()
+        self._update_weights()
         self.update_engines(self.engines, self.unavailable)
         return True
 
-    def update_engines(self, engines: list[EnginePlace], off: set[str]) -> Placement:
-        """Places the engines of a list; those in `off` are drained or gone: they only tell its former size.
+    def update_engines(self, engines: list[EnginePlace], unavailable: set[str]) -> Placement:
+        """Places the engines of a list in the cells.
 
-        A cell takes no engine that is off: its place goes to another, so that every role stays served.
+        Those in `unavailable` are drained or gone: they only tell the former size of a cell. A cell takes no
+        unavailable engine: its place goes to another, so that every role stays served.
         """
-        self.engines, self.unavailable = engines, off
-        on = [one for one in engines if one.name not in off]
-        self.placement = place_engines(self.cell_map, on)
-        whole = place_engines(self.cell_map, engines).cells if off else self.placement.cells
+        self.engines = engines
+        self.unavailable = unavailable
+        available = [engine for engine in engines if engine.name not in unavailable]
+        self.placement = place_engines(self.cell_map, available)
+        configured = place_engines(self.cell_map, engines).cells if unavailable else self.placement.cells
         self.panicking_cells = frozenset(
             name
-            for name, there in self.placement.cells.items()
-            if is_panicking(self.cell_map, len(there), len(whole[name]))
+            for name, members in self.placement.cells.items()
+            if is_panicking(self.cell_map, len(members), len(configured[name]))
         )
         return self.placement
 
     def cells_per_engine(self) -> float:
-        """In how many cells an engine is on average, 1 where cells are apart. A cell's decisions must take
-        the others' for so many more fronts, or engines in two cells would be filled twice."""
-        count = Counter(engine for there in self.placement.cells.values() for engine in there)
+        """In how many cells an engine is on average, 1 where cells are disjoint.
+
+        Each cell's scheduler must count the others as so many more fronts, or engines in two cells would be
+        filled twice.
+        """
+        count = Counter(engine for members in self.placement.cells.values() for engine in members)
         return max(1.0, count.total() / len(count)) if count else 1.0
 
-    def admit(self, now: int, unix_ms: int, asked: AdmissionRequest) -> CellAdmission | AdmissionRefusal:
-        """Where a query is served, or why it is not. Let in, it is on a cell's account until ended()."""
-        if self.poison_detector.is_poisonous(now, asked.fingerprint):
+    def admit(self, now: int, unix_ms: int, request: AdmissionRequest) -> CellAdmission | AdmissionRefusal:
+        """The cell that serves a request, or why none does.
+
+        An admitted request counts in its home cell's budget until finish().
+        """
+        if self.poison_detector.is_poisonous(now, request.fingerprint):
             return AdmissionRefusal.POISONOUS
-        way = self.migrations.choose_cell(
-            now, unix_ms, asked.tenant, asked.session, asked.ticket, asked.is_retry, asked.binding_time
-        )
-        names = self.cell_map.names()
-        if way.earlier_cell_unknown or (
-            way.cell not in names and asked.ticket is not None and asked.is_retry
-        ):
+        home = self._home_cell(now, unix_ms, request)
+        if home is None:
             return AdmissionRefusal.EARLIER_CELL_UNKNOWN
-        home = (
-            way.cell if way.cell in names else self.migrations.home_cell(unix_ms, asked.tenant, asked.session)
-        )
-        for budget, amount in ((self.request_budget, 1), (self.byte_budget, asked.size_bytes)):
-            verdict = budget.check(home, amount)
-            if verdict is not BudgetDecision.ADMITTED:
-                return (
-                    AdmissionRefusal.CELL_FULL
-                    if verdict is BudgetDecision.CELL_FULL
-                    else AdmissionRefusal.FRONT_FULL
-                )
-        cell = home
-        # A later try of a ticketed query stays with those who know its ticket.
-        bound = asked.ticket is not None and asked.is_retry
-        if (
-            self.cell_map.reserve is not None
-            and not bound
-            and (
-                home in self.panicking_cells
-                or self.overflow_policy.use_reserve(now, home, self.draw_random())
-            )
-        ):
-            cell = self.cell_map.reserve
+        refusal = self._check_budgets(home, request)
+        if refusal is not None:
+            return refusal
+        cell = self._serving_cell(now, home, request)
         self.request_budget.acquire(home)
-        self.byte_budget.acquire(home, asked.size_bytes)
-        self.migrations.record_admission(now, asked.tenant, cell, asked.ticket, asked.binding_time)
-        return CellAdmission(cell, home, asked)
-
-    def finish(self, now: int, stay: CellAdmission, turned_away: bool | None) -> None:
-        """A query let in is over; `turned_away` where its cell could not serve it, None where that is not
-        known, as with one whose client left."""
-        self.request_budget.release(stay.home_cell)
-        self.byte_budget.release(stay.home_cell, stay.request.size_bytes)
-        self.migrations.record_finish(stay.request.tenant, stay.cell)
-        if turned_away is not None:
-            self.overflow_policy.record_outcome(now, stay.home_cell, turned_away, stay.overflowed)
-        elif stay.overflowed:
-            self.overflow_policy.state(stay.home_cell).requests_at_reserve -= 1
-        if turned_away is False:
-            self.poison_detector.record_success(stay.request.fingerprint)
-
-    def record_engine_loss(self, now: int, stay: CellAdmission, engine: int) -> bool:
-        """A connection broke with the query at the engine; True where it may be sent nowhere any more."""
-        return self.poison_detector.record_loss(now, stay.request.fingerprint, engine)
-
-    def _weigh(self) -> None:
+        self.byte_budget.acquire(home, request.size_bytes)
+        self.migrations.record_admission(now, request.tenant, cell, request.ticket, request.binding_time)
+        return CellAdmission(cell, home, request)
+
+    def finish(self, now: int, admission: CellAdmission, rejected: bool | None) -> None:
+        """Ends an admission; to be called once for each.
+
+        `rejected` tells whether its cell could not serve it; None where that is not known, as with one whose
+        client disconnected.
+        """
+        home = admission.home_cell
+        self.request_budget.release(home)
+        self.byte_budget.release(home, admission.request.size_bytes)
+        self.migrations.record_finish(admission.request.tenant, admission.cell)
+        if rejected is not None:
+            self.overflow_policy.record_outcome(now, home, rejected, admission.overflowed)
+        elif admission.overflowed:
+            self.overflow_policy.state(home).requests_at_reserve -= 1
+        if rejected is False:
+            self.poison_detector.record_success(admission.request.fingerprint)
+
+    def record_engine_loss(self, now: int, admission: CellAdmission, engine: int) -> bool:
+        """Records that an engine went down with the request; True where it may be sent nowhere any more."""
+        return self.poison_detector.record_loss(now, admission.request.fingerprint, engine)
+
+    def _home_cell(self, now: int, unix_ms: int, request: AdmissionRequest) -> str | None:
+        """The cell in whose budget a request counts; None where an earlier try may be in a cell not known."""
+        choice = self.migrations.choose_cell(
+            now,
+            unix_ms,
+            request.tenant,
+            request.session,
+            request.ticket,
+            request.is_retry,
+            request.binding_time,
+        )
+        if choice.earlier_cell_unknown:
+            return None
+        if choice.cell in self.cell_map.names():
+            return choice.cell
+        # Its cell is no longer in the map: a retry of a ticketed request may have executed there.
+        if request.ticket is not None and request.is_retry:
+            return None
+        return self.migrations.home_cell(unix_ms, request.tenant, request.session)
+
+    def _check_budgets(self, home: str, request: AdmissionRequest) -> AdmissionRefusal | None:
+        for budget, amount in ((self.request_budget, 1), (self.byte_budget, request.size_bytes)):
+            decision = budget.check(home, amount)
+            if decision is BudgetDecision.CELL_FULL:
+                return AdmissionRefusal.CELL_FULL
+            if decision is BudgetDecision.FRONT_FULL:
+                return AdmissionRefusal.FRONT_FULL
+        return None
+
+    def _serving_cell(self, now: int, home: str, request: AdmissionRequest) -> str:
+        """The home cell, or the reserve where that takes the request. Draws once unless that is moot."""
+        reserve = self.cell_map.reserve
+        if reserve is None:
+            return home
+        # A retry of a ticketed request stays with the engines that know its ticket.
+        if request.ticket is not None and request.is_retry:
+            return home
+        if home in self.panicking_cells or self.overflow_policy.use_reserve(now, home, self.draw_random()):
+            return reserve
+        return home
+
+    def _update_weights(self) -> None:
+        cells = self.cell_map.cells
         names = [name for name in self.cell_map.names() if name != self.cell_map.reserve]
-        weights = {
-            name: self.cell_map.cells[name].weight if name in self.cell_map.cells else 1.0 for name in names
-        }
+        weights = {name: cells[name].weight if name in cells else 1.0 for name in names}
         self.request_budget.weights = self.byte_budget.weights = weights
--- a/runspool/cells/engine_placement.py
+++ b/runspool/cells/engine_placement.py
@@ -1,10 +1,11 @@
-"""Which engines make up which cell. Free of I/O and of chance: the same list and map give the same cells.
-
-Three ways. *Fixed*: by name patterns. *Rendezvous*: each engine has a drawn affinity to each cell (weighted
-rendezvous hashing); a cell takes its quota of each role by affinity, so an engine that comes or goes moves
-little else. *Shuffle*: each shard takes the engines of each role it has the most affinity to, whatever
-others take, so two shards share few. In each way zones are spread first, and where a role is missing the
-reason is told.
+"""Which engines make up which cell, and which cell a tenant belongs to.
+
+Free of I/O and of chance: the same list and map give the same cells. There are three methods. *Fixed*: by
+name patterns. *Rendezvous*: each engine has a pseudo-random affinity to each cell (weighted rendezvous
+hashing); a cell takes its quota of each role by affinity, so an engine that comes or goes moves few others.
+*Shuffle*: each shard takes the engines of each role to which it has the highest affinity, whatever others
+take, so two shards share few. Rendezvous and shuffle spread over zones first; where a role is missing, the
+placement says so with the reason.
 """
 
 from __future__ import annotations
@@ -20,12 +21,12 @@
 from runspool.scheduling.types import Role
 
 ROLES = (Role.PREFILL, Role.DECODE, Role.MIXED)
-SPAN = float(1 << 64)
+HASH_RANGE = float(1 << 64)
 
 
 @dataclass(frozen=True, slots=True)
 class EnginePlace:
-    """An engine as the placing sees it."""
+    """What the placement needs to know of an engine."""
 
     name: str
     role: Role
@@ -35,156 +36,175 @@
 
 @dataclass(slots=True)
 class Placement:
-    """Cells with their engines, and what is missing where."""
+    """The names of each cell's engines, and what is missing where, for people to read."""
 
     cells: dict[str, frozenset[str]]
     shortages: list[str] = field(default_factory=list)
 
 
 def affinity(engine: str, cell: str, weight: float = 1.0) -> float:
-    """Drawn from the two names alone; the highest wins. Weighted rendezvous: -weight / ln(h)."""
-    drawn = (xxhash.xxh64_intdigest(f"{cell}\0{engine}".encode()) + 1) / (SPAN + 2)
-    return -weight / log(drawn)
+    """A pseudo-random number from the two names alone; the highest wins.
+
+    Weighted rendezvous hashing: -weight / ln(hash), with the hash scaled to between 0 and 1.
+    """
+    scaled_hash = (xxhash.xxh64_intdigest(f"{cell}\0{engine}".encode()) + 1) / (HASH_RANGE + 2)
+    return -weight / log(scaled_hash)
 
 
-def place_engines(chart: CellMap, engines: list[EnginePlace]) -> Placement:
-    """The cells of a map over a list of engines, in any order."""
-    if chart.way == "shuffle":
-        cells = _shuffled(chart, engines)
-    elif chart.way == "fixed" or not chart.cells:
+def place_engines(cell_map: CellMap, engines: list[EnginePlace]) -> Placement:
+    """The cells of a map over a list of engines; the order of the list does not matter."""
+    if cell_map.way == "shuffle":
+        cells = _shuffle_shards(cell_map, engines)
+    elif cell_map.way == "fixed" or not cell_map.cells:
         cells = {
-            name: frozenset(one.name for one in engines if _named(chart, name, one.name))
-            for name in chart.names()
+            name: frozenset(
+                engine.name for engine in engines if _matches_patterns(cell_map, name, engine.name)
+            )
+            for name in cell_map.names()
         }
     else:
-        cells = _drawn(chart, engines)
-    return Placement(cells, _lacks(chart, cells, {one.name: one for one in engines}))
+        cells = _rendezvous_cells(cell_map, engines)
+    return Placement(cells, _find_shortages(cell_map, cells, {engine.name: engine for engine in engines}))
 
 
-def home_cell(chart: CellMap, tenant: str | None, session: str | None) -> str:
-    """The cell of a tenant, or of a session where its tenant is spread or has no place of its own."""
-    cell = chart.tenants.get(tenant) if tenant is not None else None
+def home_cell(cell_map: CellMap, tenant: str | None, session: str | None) -> str:
+    """The cell of a tenant, or of a session where its tenant is spread or has no cell in the map."""
+    cell = cell_map.tenants.get(tenant) if tenant is not None else None
     if cell is not None and cell != SPREAD:
         return cell
-    names = [name for name in chart.names() if name != chart.reserve] or chart.names()
+    names = [name for name in cell_map.names() if name != cell_map.reserve] or cell_map.names()
     key = session if cell == SPREAD and session is not None else tenant or session or ""
-    weights = {name: chart.cells[name].weight if name in chart.cells else 1.0 for name in names}
+    weights = {name: cell_map.cells[name].weight if name in cell_map.cells else 1.0 for name in names}
     return max(names, key=lambda name: (affinity("key " + key, name, weights[name]), name))
 
 
-def _named(chart: CellMap, cell: str, engine: str) -> bool:
-    patterns = chart.cells[cell].engines if cell in chart.cells else []
+def _matches_patterns(cell_map: CellMap, cell: str, engine: str) -> bool:
+    patterns = cell_map.cells[cell].engines if cell in cell_map.cells else []
     return not patterns or any(fnmatchcase(engine, pattern) for pattern in patterns)
 
 
-def _drawn(chart: CellMap, engines: list[EnginePlace]) -> dict[str, frozenset[str]]:
-    cells: dict[str, set[str]] = {name: set() for name in chart.cells}
+def _rendezvous_cells(cell_map: CellMap, engines: list[EnginePlace]) -> dict[str, frozenset[str]]:
+    cells: dict[str, set[str]] = {name: set() for name in cell_map.cells}
     for role in ROLES:
-        there = [one for one in engines if one.role is role]
-        # Mixed engines stand in for a role that the pure ones cannot fill, so cells short of one come first.
-        quotas = _quotas(chart, len(there), _short(cells, engines) if role is Role.MIXED else set())
-        zones = len({one.zone for one in there}) or 1
-        pairs = sorted(
-            (
-                (affinity(one.name, name, chart.cells[name].weight), one.name, name, one.zone)
-                for one in there
-                for name in cells
-                if quotas[name]
-            ),
-            reverse=True,
-        )
-        taken: set[str] = set()
-        by_zone: Counter[tuple[str, str]] = Counter()
-        count: Counter[str] = Counter()
-        for spread in (True, False):  # first with zones kept apart, then whatever is left
-            for _, engine, cell, zone in pairs:
-                if engine in taken or count[cell] >= quotas[cell]:
-                    continue
-                if spread and by_zone[cell, zone] >= ceil(quotas[cell] / zones):
-                    continue
-                taken.add(engine)
-                count[cell] += 1
-                by_zone[cell, zone] += 1
-                cells[cell].add(engine)
-    return {name: frozenset(there) for name, there in cells.items()}
-
-
-def _quotas(chart: CellMap, many: int, first: set[str]) -> dict[str, int]:
-    """How many of `many` engines each cell gets: one each for `first`, then by weight, largest remainder."""
-    quotas = dict.fromkeys(chart.cells, 0)
-    for name in sorted(first, key=lambda name: (-chart.cells[name].weight, name))[:many]:
+        candidates = [engine for engine in engines if engine.role is role]
+        # Mixed engines serve for a role that the pure ones cannot fill, so cells short of one come first.
+        first = _cells_without_a_role(cells, engines) if role is Role.MIXED else set()
+        _assign_by_affinity(cell_map, candidates, _quotas(cell_map, len(candidates), first), cells)
+    return {name: frozenset(members) for name, members in cells.items()}
+
+
+def _assign_by_affinity(
+    cell_map: CellMap, candidates: list[EnginePlace], quotas: dict[str, int], cells: dict[str, set[str]]
+) -> None:
+    """Adds engines of one role to the cells up to their quotas, the highest affinity first."""
+    zone_count = len({engine.zone for engine in candidates}) or 1
+    pairs = sorted(
+        (
+            (affinity(engine.name, name, cell_map.cells[name].weight), engine.name, name, engine.zone)
+            for engine in candidates
+            for name in cells
+            if quotas[name]
+        ),
+        reverse=True,
+    )
+    assigned: set[str] = set()
+    by_zone: Counter[tuple[str, str]] = Counter()
+    count: Counter[str] = Counter()
+    for spread_zones in (True, False):  # first with zones kept apart, then whatever is left
+        for _, engine_name, cell, zone in pairs:
+            if engine_name in assigned or count[cell] >= quotas[cell]:
+                continue
+            if spread_zones and by_zone[cell, zone] >= ceil(quotas[cell] / zone_count):
+                continue
+            assigned.add(engine_name)
+            count[cell] += 1
+            by_zone[cell, zone] += 1
+            cells[cell].add(engine_name)
+
+
+def _quotas(cell_map: CellMap, engine_count: int, first: set[str]) -> dict[str, int]:
+    """How many of the engines each cell gets: one each for `first`, then by weight, largest remainder."""
+    quotas = dict.fromkeys(cell_map.cells, 0)
+    by_weight = sorted(first, key=lambda name: (-cell_map.cells[name].weight, name))
+    for name in by_weight[:engine_count]:
         quotas[name] = 1
-    left = many - sum(quotas.values())
-    total = sum(cell.weight for cell in chart.cells.values())
-    exact = {name: left * cell.weight / total for name, cell in chart.cells.items()}
+    remaining = engine_count - sum(quotas.values())
+    total_weight = sum(cell.weight for cell in cell_map.cells.values())
+    exact = {name: remaining * cell.weight / total_weight for name, cell in cell_map.cells.items()}
     for name in quotas:
         quotas[name] += int(exact[name])
-    rest = many - sum(quotas.values())
+    leftover = engine_count - sum(quotas.values())
     # A cell with none of them goes before one with the larger remainder: each should have its own.
     order = sorted(quotas, key=lambda name: (quotas[name] > 0, int(exact[name]) - exact[name], name))
-    for name in order[:rest]:
+    for name in order[:leftover]:
         quotas[name] += 1
     return quotas
 
 
-def _short(cells: dict[str, set[str]], engines: list[EnginePlace]) -> set[str]:
-    roles = {one.name: one.role for one in engines}
-    short = set()
-    for name, there in cells.items():
-        have = Counter(roles[engine] for engine in there)
-        if have[Role.PREFILL] < 1 or have[Role.DECODE] < 1:
-            short.add(name)
-    return short
+def _cells_without_a_role(cells: dict[str, set[str]], engines: list[EnginePlace]) -> set[str]:
+    roles = {engine.name: engine.role for engine in engines}
+    incomplete = set()
+    for name, members in cells.items():
+        count = Counter(roles[engine] for engine in members)
+        if count[Role.PREFILL] < 1 or count[Role.DECODE] < 1:
+            incomplete.add(name)
+    return incomplete
 
 
-def _shuffled(chart: CellMap, engines: list[EnginePlace]) -> dict[str, frozenset[str]]:
-    wanted = {
-        Role.PREFILL: chart.shards.readers,
-        Role.DECODE: chart.shards.writers,
-        Role.MIXED: chart.shards.mixed,
-    }
+def _shuffle_shards(cell_map: CellMap, engines: list[EnginePlace]) -> dict[str, frozenset[str]]:
+    shards = cell_map.shards
+    wanted = {Role.PREFILL: shards.readers, Role.DECODE: shards.writers, Role.MIXED: shards.mixed}
     cells = {}
-    for shard in chart.names():
-        picked: set[str] = set()
+    for shard in cell_map.names():
+        members: set[str] = set()
         for role in ROLES:
-            zones: defaultdict[str, list[EnginePlace]] = defaultdict(list)
-            for one in sorted(
-                (one for one in engines if one.role is role),
-                key=lambda one: (-affinity(one.name, shard), one.name),
-            ):
-                zones[one.zone].append(one)
-            # In turn over zones, the zone of the best first: a shard should not stand in one zone alone.
-            lines = sorted(zones.values(), key=lambda line: (-affinity(line[0].name, shard), line[0].name))
-            depth = 0
-            chosen: list[str] = []
-            while len(chosen) < wanted[role] and any(depth < len(line) for line in lines):
-                chosen += [line[depth].name for line in lines if depth < len(line)]
-                depth += 1
-            picked.update(chosen[: wanted[role]])
-        cells[shard] = frozenset(picked)
+            candidates = [engine for engine in engines if engine.role is role]
+            members.update(_choose_for_shard(shard, candidates, wanted[role]))
+        cells[shard] = frozenset(members)
     return cells
 
 
-def _lacks(chart: CellMap, cells: dict[str, frozenset[str]], engines: dict[str, EnginePlace]) -> list[str]:
-    lacks = []
-    total = Counter(one.role for one in engines.values())
-    for name, there in cells.items():
-        have = Counter(engines[engine].role for engine in there)
-        least = chart.cells.get(name)
+def _choose_for_shard(shard: str, candidates: list[EnginePlace], wanted: int) -> list[str]:
+    """The `wanted` engines with the highest affinity to a shard, taken from each zone in turn.
+
+    The zone of the best engine comes first: a shard should not be in one zone alone.
+    """
+    by_zone: defaultdict[str, list[EnginePlace]] = defaultdict(list)
+    for engine in sorted(candidates, key=lambda engine: (-affinity(engine.name, shard), engine.name)):
+        by_zone[engine.zone].append(engine)
+    zones = sorted(by_zone.values(), key=lambda zone: (-affinity(zone[0].name, shard), zone[0].name))
+    chosen: list[str] = []
+    depth = 0
+    while len(chosen) < wanted and any(depth < len(zone) for zone in zones):
+        chosen += [zone[depth].name for zone in zones if depth < len(zone)]
+        depth += 1
+    return chosen[:wanted]
+
+
+def _find_shortages(
+    cell_map: CellMap, cells: dict[str, frozenset[str]], engines: dict[str, EnginePlace]
+) -> list[str]:
+    shortages = []
+    total = Counter(engine.role for engine in engines.values())
+    zone_count = len({engine.zone for engine in engines.values()})
+    for name, members in cells.items():
+        count = Counter(engines[engine].role for engine in members)
+        minimum = cell_map.cells.get(name)
         for role, word, wanted in (
-            (Role.PREFILL, "reader", least.readers if least else 1),
-            (Role.DECODE, "writer", least.writers if least else 1),
+            (Role.PREFILL, "reader", minimum.readers if minimum else 1),
+            (Role.DECODE, "writer", minimum.writers if minimum else 1),
         ):
-            got = have[role] + have[Role.MIXED]
-            if got < wanted:
-                able = total[role] + total[Role.MIXED]
-                why = (
-                    f"the list has {able} that can"
-                    if able < wanted * len(cells)
-                    else "its patterns or weight leave it no more"
-                )
-                lacks.append(f"{name}: {got} of {wanted} {word}s: {why}")
-        zones = {engines[engine].zone for engine in there}
-        if len(there) > 1 and len(zones) < 2 and len({one.zone for one in engines.values()}) > 1:
-            lacks.append(f"{name}: stands in zone {min(zones)} alone")
-    return lacks
+            present = count[role] + count[Role.MIXED]
+            if present >= wanted:
+                continue
+            able = total[role] + total[Role.MIXED]
+            reason = (
+                f"the list has {able} that can"
+                if able < wanted * len(cells)
+                else "its patterns or weight leave it no more"
+            )
+            shortages.append(f"{name}: {present} of {wanted} {word}s: {reason}")
+        zones = {engines[engine].zone for engine in members}
+        if len(members) > 1 and len(zones) < 2 and zone_count > 1:
+            shortages.append(f"{name}: stands in zone {min(zones)} alone")
+    return shortages
