--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -64,19 +64,18 @@
     def handle_request(self, request: Request) -> Generator[Action, Any, None]:
         """Take one request to its end; however that comes, nothing of it is left in this front's state."""
         try:
-            yield from self._serve(request)
+            if request.request_class is None or 0 < self.engine_index.largest_memory < request.prompt_tokens:
+                yield FailIndeterminate()  # no later try would go better
+            else:
+                yield from self._serve(begin_request(self, request))
         except BaseException:
             forget_request(self, request)
             raise
         finally:
             self.prefill_queue = [place for place in self.prefill_queue if place[2] != request.index]
 
-    def _serve(self, request: Request) -> Generator[Action, Any, None]:
+    def _serve(self, progress: RequestProgress) -> Generator[Action, Any, None]:
         """Take a request through prefill and decode, with repeats, to its final response."""
-        if request.request_class is None or 0 < self.engine_index.largest_memory < request.prompt_tokens:
-            yield FailIndeterminate()  # no later try would go better
-            return
-        progress = begin_request(self, request)
         while may_continue(self, progress):
             if reservation_ends_before_connect(self, progress):
                 yield ReleaseState()
@@ -88,16 +87,9 @@
                 yield Sleep(retry_time(self, progress.latest_queueing))
                 continue
             engine = self.select_engine(progress)
-            if progress.is_given_up:
-                break
             if engine is None:
-                wake_at = next_look(self, progress)
-                if wake_at is None:
+                if not (yield from self._wait_for_engine(progress)):
                     break
-                if progress.reservation_ends_before(wake_at):
-                    yield ReleaseState()
-                    progress.prefill_engine = None
-                yield Sleep(wake_at)
                 continue
             leave_queue(self, progress)
             if not take_retry_token(self, progress):
@@ -106,9 +98,22 @@
                 return
         if progress.prefill_engine:
             yield ReleaseState()
-        if not request.finished:
+        if not progress.request.finished:
             yield final_response(self, progress)
 
+    def _wait_for_engine(self, progress: RequestProgress) -> Generator[Action, Any, bool]:
+        """Sleep until the next look for an engine; False where the request is given up instead."""
+        if progress.is_given_up:
+            return False
+        wake_at = next_look(self, progress)
+        if wake_at is None:
+            return False
+        if progress.reservation_ends_before(wake_at):
+            yield ReleaseState()
+            progress.prefill_engine = None
+        yield Sleep(wake_at)
+        return True
+
     def select_engine(self, progress: RequestProgress) -> Engine | None:
         """The engine for the next attempt, or None while none can be had; may give the request up."""
         request, failed, first_executed = progress.request, progress.failed, progress.first_executed
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -369,7 +369,7 @@
             met, counts = FakeHost([READER] * 40 + [WRITER], terms(front_count=200)), []
             for host in (FakeHost([READER] * 40 + [WRITER], terms(front_count=200)), met, met):
                 host.ask(3_000, beginning=1, beginning_length=length, mark=77)
-                query = host.desk.tasks[host.asked].query
+                query = host.desk.tasks[host.asked].request
                 counts.append(len(query.affinity_candidates) if query else 0)
             return counts
 
