--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -1,4 +1,4 @@
-"""A node's life: start, readiness, signals, its shares of descriptors, its stop."""
+"""Runs a node: its start, its listener and standing tasks, configuration reloads, signals and its end."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 import resource
 import signal
 from collections.abc import AsyncIterator, Awaitable, Callable, Mapping
-from contextlib import suppress
 
 import anyio
 import structlog
-from anyio.abc import SocketAttribute, SocketStream, TaskStatus
+from anyio.abc import SocketAttribute, SocketStream, TaskGroup, TaskStatus
 from anyio.streams.stapled import MultiListener
 
+from runspool.node.client_connections import ClientConnections
 from runspool.node.config import (
     InvalidNodeConfigError,
     NodeConfig,
@@ -22,58 +22,58 @@
 )
 from runspool.node.discovery_client import DiscoveryClient
 from runspool.node.executor import ConnectionSettings, NodeExecutor
-from runspool.node.request_handler import RequestHandler
+from runspool.node.graceful_shutdown import GracefulShutdown
 from runspool.service.accept_loop import accept_all
 from runspool.service.clock import now
-from runspool.transport.tcp import ConnectionClosedError, TcpConnection
-from runspool.wire.http_requests import head
 
-SWEEP = 0.5  # seconds between looks for idle connections
-AGAIN, LONGEST_AGAIN = 0.02, 1.0  # seconds before a standing task that failed begins again, doubled each time
-STOOD = 5.0  # seconds after which a standing task counts as sound again
-HELD_PORT, HELD_PORT_REST = 20.0, 0.05  # seconds that a start waits for its port, and between two looks
-RESERVE = 28  # descriptors for the list, the listener, the loop and what the interpreter opens
-CLIENTS_PART = 0.45  # of the rest; requests take a third of all at most, silent clients may be dropped
-LONGEST_COUNTED = 30_000  # tenths of a millisecond: a hard limit beyond it puts off the kill no further
-KILL_AFTER = 7_000  # beyond the longest hard limit: no sooner does a kill follow SIGTERM
-KILL_MARGIN = 5_000  # before that, by when nothing may be held any more
-LAST_TAKEN = 8_000  # and before that again, so that what is taken last can still be answered
-STILL_COME = 5_000  # after SIGTERM, for so long at least: new connections come for up to 400 ms
-FIRST_GIVEN = 2_500  # that a new connection has for its first request before a stop closes it
-LIST_BYTES = 16 << 20
-LOOK_AGAIN, LOOK_REST = 30_000, 0.25  # how long, and each how many seconds, a bad posting is looked at again
-FIRST_LIST = 1.5  # seconds that a start waits for a first whole list, against an agent that is silent
-TURNED, TURNED_TIME = 8, 0.5  # connections turned away that are listened to at once, and seconds for each
-LONGEST_STOP = 60.0  # seconds that running streams may take to their end
-
-FULL = head(503, [("Connection", "close"), ("Content-Length", "0")])
+IDLE_CLOSE_INTERVAL_SECONDS = 0.5  # between two searches for engine connections that are idle for too long
+RESTART_DELAY_SECONDS = 0.02  # before a standing task that failed is restarted; doubled each time
+MAX_RESTART_DELAY_SECONDS = 1.0
+STABLE_AFTER_SECONDS = 5.0  # a standing task that ran for so long is restarted with the first delay again
+PORT_WAIT_SECONDS = 20.0  # that a start waits for a port in use
+PORT_RETRY_SECONDS = 0.05
+RESERVED_DESCRIPTORS = 28  # for the list, the listener, the event loop and what the interpreter opens
+# Of the descriptors not reserved. Requests use a third of all at most, and silent clients can be dropped.
+CLIENT_SHARE = 0.45
+MAX_LIST_BYTES = 16 << 20
+CONFIG_RETRY_DURATION = 30_000  # tenths of a millisecond that an unusable configuration is read again for
+CONFIG_RETRY_SECONDS = 0.25  # between two readings
+FIRST_LIST_WAIT_SECONDS = 1.5  # that a start waits for a first whole list, as the agent may be silent
+LISTEN_BACKLOG = 1024
 
 
 class NodeServer:
-    """A node with its listener, its watch on the list and its stop."""
+    """A node with its listener, the client that follows the endpoint list, and its shutdown."""
+
+    def __init__(
+        self, config: NodeConfig, read_config: Callable[[], NodeConfig], max_descriptors: int
+    ) -> None:
+        """`read_config` reads the configuration anew for a reload, and raises InvalidNodeConfigError.
 
-    def __init__(self, posting: NodeConfig, again: Callable[[], NodeConfig], may_hold: int) -> None:
-        """`again` reads the posting anew, as at SIGHUP; `may_hold` is this process's share of descriptors."""
-        self.config, self.read_config = posting, again
+        `max_descriptors` is how many file descriptors this process may hold.
+        """
+        self.config = config
+        self.read_config = read_config
         self.log = structlog.get_logger()
-        room = may_hold - RESERVE
-        self.max_clients = int(room * CLIENTS_PART)
-        self.executor = NodeExecutor(posting, room - self.max_clients)
-        speech = ConnectionSettings(
-            connect_ms=1_000, idle_ms=60_000, connections_each=6, idle_each=1, read_answer_bytes=LIST_BYTES
-        )
+        available = max_descriptors - RESERVED_DESCRIPTORS
+        max_clients = int(available * CLIENT_SHARE)
+        self.executor = NodeExecutor(config, available - max_clients)
+        self.connections = ClientConnections(self.executor, max_clients)
         self.discovery = DiscoveryClient(
-            speech,
-            posting.discovery,
+            ConnectionSettings(
+                connect_ms=1_000,
+                idle_ms=60_000,
+                connections_each=6,
+                idle_each=1,
+                read_answer_bytes=MAX_LIST_BYTES,
+            ),
+            config.discovery,
             self.executor.endpoint_tracker,
             now,
             self.executor.endpoints_changed,
             self.executor.scheduler.subscription_lost,
         )
-        self.clients: set[RequestHandler] = set()
-        self.busy_handlers = 0
-        self.rejected_connections = 0
-        self.config_reloads = 0  # times that the configuration was to be read again
+        self.config_reloads = 0  # reloads begun; a reload gives up once another has begun
         self.stopping = anyio.Event()
         self.port = 0
 
@@ -83,82 +83,121 @@
         *,
         task_status: TaskStatus[int] = anyio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Serves until stop(), or a signal to; reports the port it listens on as started. Raises BadPosting
-        where it cannot listen. Cancelled, it ends at once."""
-        node, posting = self.executor, self.config
-        node.endpoints_changed(node.endpoint_tracker.restore(posting.last_endpoints.engines))
+        """Serves until stop() is called or a signal other than SIGHUP arrives, then shuts down gracefully.
+
+        Reports the port it listens on through `task_status` once it accepts connections. Raises
+        InvalidNodeConfigError where it cannot listen. Cancelled, it ends at once, without the shutdown; in
+        every case the connections to engines and to the discovery service are closed.
+        """
+        executor = self.executor
+        executor.endpoints_changed(executor.endpoint_tracker.restore(self.config.last_endpoints.engines))
         listener = await self._listen()
         try:
             async with listener, anyio.create_task_group() as tasks:
-                node.tasks = tasks
+                executor.tasks = tasks
                 self.port = listener.extra(SocketAttribute.local_port)
-                for work in (
-                    node.timers.run,
-                    node.engine_client.watchdog.run,
-                    node.state_releaser.run,
-                    self._sweep,
-                    self.discovery.follow,
-                ):
-                    tasks.start_soon(self._standing, work)
+                self._start_standing_tasks(tasks)
                 if signals is not None:
-                    tasks.start_soon(self._obey, signals)
-                # Against sending on what was known in an earlier life: what the agent has counts as told.
-                with anyio.move_on_after(FIRST_LIST):
+                    tasks.start_soon(self._handle_signals, signals)
+                # The list in the configuration may be from long ago. Requests accepted before a new one is
+                # here could be sent to engines that the discovery service has announced as leaving.
+                with anyio.move_on_after(FIRST_LIST_WAIT_SECONDS):
                     await self.discovery.heard.wait()
                 for each in listener.listeners:
-                    tasks.start_soon(accept_all, each.extra(SocketAttribute.raw_socket), tasks, self._client)
-                self.log.info(
-                    "node_listening",
-                    node=posting.name,
-                    port=self.port,
-                    clients=self.max_clients,
-                    engines=node.engine_client.pool.max_connections,
-                    known=len(posting.last_endpoints.engines),
-                )
+                    raw_socket = each.extra(SocketAttribute.raw_socket)
+                    tasks.start_soon(accept_all, raw_socket, tasks, self.connections.serve)
+                self._log_listening()
                 task_status.started(self.port)
                 await self.stopping.wait()
-                await self._stop()
+                await GracefulShutdown(self.config, executor, self.connections).run()
                 tasks.cancel_scope.cancel()
         finally:
-            node.engine_client.pool.close()
+            executor.engine_client.pool.close()
             self.discovery.pool.close()
-        self.log.info("node_stopped", node=posting.name, counts=dict(node.counts))
+        self.log.info("node_stopped", node=self.config.name, counts=dict(executor.counts))
+
+    def stop(self) -> None:
+        """Begins the graceful shutdown; run() returns at its end."""
+        self.stopping.set()
+
+    async def reload_config(self) -> None:
+        """Reads the configuration again and takes over the discovery service's address.
 
-    async def _standing(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Against one fault in work that never ends, or in what it rings for, ending the node. One that stays
-        neither takes the node's time nor fills the log."""
-        rest = AGAIN
+        The other settings need a restart. One that is not usable changes nothing, and is read again for
+        CONFIG_RETRY_DURATION, as it may be half written.
+        """
+        self.config_reloads += 1
+        this_reload = self.config_reloads
+        deadline = now() + CONFIG_RETRY_DURATION
+        while (config := self._try_read_config()) is None:
+            await anyio.sleep(CONFIG_RETRY_SECONDS)
+            if this_reload != self.config_reloads or now() > deadline:
+                return
+        if config.settings.routing != self.config.settings.routing or config.listen != self.config.listen:
+            self.log.warning("config_needs_restart", what="settings or listen changed; the old ones hold")
+        host, port = config.discovery
+        self.log.info("config_loaded", discovery=f"{host}:{port}")
+        self.discovery.move(config.discovery)
+
+    def _try_read_config(self) -> NodeConfig | None:
+        try:
+            return self.read_config()
+        except InvalidNodeConfigError as fault:
+            problem = str(fault)
+        self.log.error("config_unusable", fault=problem)
+        return None
+
+    def _start_standing_tasks(self, tasks: TaskGroup) -> None:
+        for work in (
+            self.executor.timers.run,
+            self.executor.engine_client.watchdog.run,
+            self.executor.state_releaser.run,
+            self._close_idle_engine_connections,
+            self.discovery.follow,
+        ):
+            tasks.start_soon(self._keep_running, work)
+
+    async def _keep_running(self, work: Callable[[], Awaitable[None]]) -> None:
+        """Restarts a standing task that fails, so that a fault in it or in a callback does not end the node.
+
+        The growing delay keeps a task that always fails from taking the node's time and filling the log.
+        """
+        delay = RESTART_DELAY_SECONDS
         while True:
-            began = anyio.current_time()
+            started = anyio.current_time()
             try:
                 return await work()
             except Exception as fault:
-                rest = AGAIN if anyio.current_time() - began > STOOD else rest
+                if anyio.current_time() - started > STABLE_AFTER_SECONDS:
+                    delay = RESTART_DELAY_SECONDS
                 self.log.exception("task_failed", work=work.__qualname__, fault=repr(fault))
-                await anyio.sleep(rest)
-                rest = min(2 * rest, LONGEST_AGAIN)
+                await anyio.sleep(delay)
+                delay = min(2 * delay, MAX_RESTART_DELAY_SECONDS)
 
     async def _listen(self) -> MultiListener[SocketStream]:
-        """Waits for a port that is held, by the process before this or by a connection that went out from it:
-        both end. Raises BadPosting where it is held for long, or cannot be had for another reason."""
+        """Opens the listener, and waits for a port that is in use.
+
+        The process before this one may still hold it, or an outgoing connection may have it as its local
+        port; both end. Raises InvalidNodeConfigError where that takes longer than PORT_WAIT_SECONDS, or the
+        address cannot be listened on for another reason.
+        """
         host, port = self.config.listen
-        until, waited = anyio.current_time() + HELD_PORT, False
+        deadline = anyio.current_time() + PORT_WAIT_SECONDS
+        has_logged = False
         while True:
             try:
-                return await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=1024)
+                return await anyio.create_tcp_listener(
+                    local_host=host, local_port=port, backlog=LISTEN_BACKLOG
+                )
             except OSError as fault:
-                if fault.errno != errno.EADDRINUSE or anyio.current_time() > until:
+                if fault.errno != errno.EADDRINUSE or anyio.current_time() > deadline:
                     raise InvalidNodeConfigError("listen", f"{host}:{port}: {fault}") from None
-                if not waited:
+                if not has_logged:
                     self.log.warning("port_held", listen=f"{host}:{port}")
-                waited = True
-            await anyio.sleep(HELD_PORT_REST)
+                has_logged = True
+            await anyio.sleep(PORT_RETRY_SECONDS)
 
-    def stop(self) -> None:
-        """Takes what still comes for a while; what is held ends in final answers first."""
-        self.stopping.set()
-
-    async def _obey(self, signals: AsyncIterator[signal.Signals]) -> None:
+    async def _handle_signals(self, signals: AsyncIterator[signal.Signals]) -> None:
         async for number in signals:
             if number == signal.SIGHUP:
                 assert self.executor.tasks is not None
@@ -166,149 +205,57 @@
             else:
                 self.stop()
 
-    async def reload_config(self) -> None:
-        """A new configuration: the list's address is taken at once. A bad one leaves all as it was, and is
-        looked at again for a while: it may be half written."""
-        self.config_reloads += 1
-        mine, until = self.config_reloads, now() + LOOK_AGAIN
+    async def _close_idle_engine_connections(self) -> None:
         while True:
-            try:
-                posting = self.read_config()
-                break
-            except InvalidNodeConfigError as fault:
-                self.log.error("config_unusable", fault=str(fault))
-            await anyio.sleep(LOOK_REST)
-            if mine != self.config_reloads or now() > until:
-                return
-        if posting.settings.routing != self.config.settings.routing or posting.listen != self.config.listen:
-            self.log.warning("config_needs_restart", what="settings or listen changed; the old ones hold")
-        self.log.info("config_loaded", discovery=f"{posting.discovery[0]}:{posting.discovery[1]}")
-        self.discovery.move(posting.discovery)
-
-    async def _stop(self) -> None:
-        """The listener stays open to the end: what the kernel accepted counts as taken."""
-        node = self.executor
-        self.log.info("node_stopping", node=self.config.name, requests=len(node.requests))
-        at = now()
-        longest = max(self.config.settings.deadlines) or LONGEST_COUNTED
-        by = at + min(LONGEST_COUNTED, longest) + KILL_AFTER - KILL_MARGIN
-        node.begin_shutdown(by)
-        # Against short hard limits ending the process while new connections still come; and, where streams
-        # cannot be moved, against taking any that would still run when the kill comes.
-        last = by - LAST_TAKEN - at if node.settings.streams_can_resume else STILL_COME
-        await anyio.sleep(max(STILL_COME, last) / 10_000)
-        node.closing = True
-        with anyio.move_on_after(LONGEST_STOP):
-            with anyio.move_on_after((by - now()) / 10_000) as in_time:
-                await self._nothing_held()
-            if in_time.cancelled_caught:
-                self.log.warning(
-                    "node_stop_timed_out",
-                    answers=self.busy_handlers,
-                    releases=node.releases_in_progress,
-                    requests={
-                        taken.id: [
-                            taken.stream_started,
-                            taken.attempt_count,
-                            taken.final_response is not None,
-                            taken.deadline - now(),
-                        ]
-                        for taken in list(node.requests.values())[:20]
-                    },
-                )
-                # Against hard limits beyond the kill: what is held is answered and let go of before it.
-                node.fail_all(begun=False)
-                await self._nothing_held()
-
-    async def _nothing_held(self) -> None:
-        while True:
-            # Those whose request has come in this moment are served first, and leave by themselves.
-            for intake in list(self.clients):
-                # A new connection's first request is a moment behind it: closed then, nobody has answered it.
-                if not intake.first or now() - intake.idle_since > FIRST_GIVEN:
-                    intake.close_if_waiting()
-            if not (
-                self.busy_handlers
-                or self.clients
-                or self.executor.requests
-                or self.executor.releases_in_progress
-            ):
-                return
-            await anyio.sleep(0.02)
-
-    async def _client(self, line: TcpConnection) -> None:
-        if len(self.clients) >= self.max_clients and not self._make_room():
-            await self._turn_away(line)
-            return
-        intake = RequestHandler(self.executor, line, self._working)
-        self.clients.add(intake)
-        try:
-            await intake.run()
-        except Exception as fault:  # one client's trouble stays its own
-            self.log.exception("client_failed", fault=repr(fault))
-        finally:
-            self.clients.discard(intake)
-            line.close()
-
-    async def _turn_away(self, line: TcpConnection) -> None:
-        """What it sends is swallowed briefly, or a reset would eat the answer; a few at a time, as each takes
-        a descriptor of the reserve."""
-        self.rejected_connections += 1
-        with anyio.move_on_after(TURNED_TIME), suppress(ConnectionClosedError):
-            await line.send(FULL)
-            line.send_eof()
-            while self.rejected_connections <= TURNED:
-                await line.receive()
-        self.rejected_connections -= 1
-        line.close()
+            await anyio.sleep(IDLE_CLOSE_INTERVAL_SECONDS)
+            self.executor.engine_client.pool.close_idle()
 
-    def _make_room(self) -> bool:
-        """Against silent connections keeping out those that ask: the one idle for longest goes, or one that
-        has sent half a head."""
-        idle = sorted(
-            (intake for intake in self.clients if intake.idle_since),
-            key=lambda intake: (intake.served, intake.idle_since),
-        )
-        return any(intake.close_if_waiting() for intake in idle) or any(
-            intake.close_if_waiting(True) for intake in idle
+    def _log_listening(self) -> None:
+        self.log.info(
+            "node_listening",
+            node=self.config.name,
+            port=self.port,
+            clients=self.connections.max_clients,
+            engines=self.executor.engine_client.pool.max_connections,
+            known=len(self.config.last_endpoints.engines),
         )
 
-    def _working(self, change: int) -> None:
-        self.busy_handlers += change
 
-    async def _sweep(self) -> None:
-        while True:
-            await anyio.sleep(SWEEP)
-            self.executor.engine_client.pool.close_idle()
+def raise_descriptor_limit(wanted: int) -> int:
+    """Sets this process's limit on file descriptors to `wanted`, or to the hard limit where that is lower.
 
+    Returns the limit set.
+    """
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    limit = wanted if hard_limit == resource.RLIM_INFINITY else min(wanted, hard_limit)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard_limit))
+    return limit
 
-def descriptors(wanted: int) -> int:
-    """Raises this process's limit as far as it may; what it then may hold of the wanted."""
-    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    may = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (may, hard))
-    return may
 
+async def read_first_config(environ: Mapping[str, str]) -> NodeConfig:
+    """Reads the configuration at a start.
 
-async def first_posting(environ: Mapping[str, str]) -> NodeConfig:
-    """What a start is told. A file that is not there or half written is looked at again for a while. Raises
-    BadPosting."""
-    until = now() + LOOK_AGAIN
+    A file that is missing or half written is read again for CONFIG_RETRY_DURATION. Raises
+    InvalidNodeConfigError.
+    """
+    deadline = now() + CONFIG_RETRY_DURATION
     while True:
         try:
             return read_node_config(environ)
         except UnreadableNodeConfigError:
-            if now() > until:
+            if now() > deadline:
                 raise
-        await anyio.sleep(LOOK_REST)
+        await anyio.sleep(CONFIG_RETRY_SECONDS)
 
 
 async def run_node(environ: Mapping[str, str]) -> None:
-    """Runs a node in this process until SIGTERM or SIGINT. Raises BadPosting."""
+    """Runs a node in this process until SIGTERM or SIGINT. Raises InvalidNodeConfigError."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-        posting = await first_posting(environ)
-        running = NodeServer(posting, lambda: read_node_config(environ), descriptors(posting.max_descriptors))
-        # What is there at the start stays: looking through it again would stop a node for tens of ms.
+        config = await read_first_config(environ)
+        max_descriptors = raise_descriptor_limit(config.max_descriptors)
+        server = NodeServer(config, lambda: read_node_config(environ), max_descriptors)
+        # Exclude the objects that exist now, which stay, from garbage collection: each full collection would
+        # stop the node for tens of milliseconds to look through them.
         gc.collect()
         gc.freeze()
-        await running.run(signals)
+        await server.run(signals)
--- a/tests/soak/sabotage.py
+++ b/tests/soak/sabotage.py
@@ -11,7 +11,7 @@
 from runspool.engines import http_exchange as exchange
 from runspool.node import __main__ as program
 from runspool.node import engine_client as calls
-from runspool.node import server as running
+from runspool.node.client_connections import ClientConnections
 from runspool.node.state_releaser import StateReleaser
 from runspool.scheduling.request_lifecycle import RequestLifecycle
 from runspool.scheduling.scheduler import Scheduler
@@ -94,15 +94,15 @@
 
 def ends_by_itself() -> None:
     """Ends after some seconds."""
-    sound = running.NodeServer._client
+    sound = ClientConnections.serve
     began = time.monotonic()
 
-    async def client(self: Any, line: Any) -> None:
+    async def serve(self: Any, connection: Any) -> None:
         if time.monotonic() - began > 3.0:
             os._exit(3)
-        await sound(self, line)
+        await sound(self, connection)
 
-    running.NodeServer._client = client  # type: ignore[method-assign]
+    ClientConnections.serve = serve  # type: ignore[method-assign]
 
 
 SABOTAGES: dict[str, Callable[[], None]] = {
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -18,6 +18,7 @@
 from runspool.engines.failure_classification import FailureCause
 from runspool.engines.http_exchange import AttemptResult, SendPermit
 from runspool.node import discovery_client as node_catalog
+from runspool.node import graceful_shutdown
 from runspool.node import server as node_running
 from runspool.node.config import InvalidNodeConfigError
 from runspool.node.executor import NodeExecutor, PendingNodeRequest
@@ -70,7 +71,7 @@
     client = await platform.client()
     client.send(post("q0"))
     assert (await client.answer()).whole
-    (intake,) = running.clients
+    (intake,) = running.connections.handlers
     await until(lambda: intake.idle_since)  # a round or two after its answer is out
     return client, intake
 
@@ -89,7 +90,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # So long that a slow machine cannot be late for it; where only hard limits count it is no time at all.
-    monkeypatch.setattr(node_running, "STILL_COME", 10 * 10_000, raising=False)
+    monkeypatch.setattr(graceful_shutdown, "MIN_ACCEPT_DURATION", 10 * 10_000, raising=False)
     platform = Platform(tmp_path, PAIR)
     platform.settings = hard_limit(600)
     async with platform.inside() as running:
@@ -108,8 +109,10 @@
     moved: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What comes 0.7 s after SIGTERM and still streams at the kill is lost, unless it can be moved."""
-    monkeypatch.setattr(node_running, "STILL_COME", 0)
-    monkeypatch.setattr(node_running, "LAST_TAKEN", -60 * 10_000)  # as if there were a minute to the last
+    monkeypatch.setattr(graceful_shutdown, "MIN_ACCEPT_DURATION", 0)
+    monkeypatch.setattr(
+        graceful_shutdown, "LAST_REQUEST_MARGIN", -60 * 10_000
+    )  # as if there were a minute to the last
     platform = Platform(tmp_path, PAIR)
     platform.settings = changed(lambda said: said["family-info"].update(resume=moved))
     async with platform.inside() as running:
@@ -128,7 +131,7 @@
 
         def comes(data: bytes) -> None:
             received(data)  # the connection's task is woken, and has not run
-            gave_way.append(running._make_room())
+            gave_way.append(running.connections.make_room())
 
         intake.tcp.data_received = comes  # type: ignore[method-assign]
         client.send(post("q1"))
@@ -141,7 +144,7 @@
     async with platform.inside() as running:
         client, _ = await kept(platform, running)
         client.send(post("q1"))  # to the kernel, at once
-        assert not running._make_room()  # no loop's round since: nobody here has read it
+        assert not running.connections.make_room()  # no loop's round since: nobody here has read it
         assert (await client.answer()).whole
 
 
@@ -157,14 +160,14 @@
         await until(lambda: intake.idle_since)  # a round or two after its answer is out
         client.send(post("q2")[:50])
         await until(lambda: intake.requests.ready)
-        assert running._make_room()
+        assert running.connections.make_room()
         assert (await client.answer()).status == 408
 
 
 async def test_hard_limits_beyond_the_kill_are_answered_and_let_go_before_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node_running, "LONGEST_COUNTED", 1_000)  # a stop of 0.3 s in place of 3.2
+    monkeypatch.setattr(graceful_shutdown, "MAX_COUNTED_DEADLINE", 1_000)  # a stop of 0.3 s in place of 3.2
     platform = Platform(tmp_path, PAIR)
     platform.settings = hard_limit(60_000)
     platform.engines["r"].scripts = [silent]
@@ -181,14 +184,14 @@
 async def test_a_new_connection_is_given_a_moment_by_a_stop_and_a_served_one_none(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node_running, "STILL_COME", 0)
-    monkeypatch.setattr(node_running, "LAST_TAKEN", 600_000)
-    monkeypatch.setattr(node_running, "FIRST_GIVEN", 600_000, raising=False)
+    monkeypatch.setattr(graceful_shutdown, "MIN_ACCEPT_DURATION", 0)
+    monkeypatch.setattr(graceful_shutdown, "LAST_REQUEST_MARGIN", 600_000)
+    monkeypatch.setattr(graceful_shutdown, "FIRST_REQUEST_GRACE", 600_000, raising=False)
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
         served, _ = await kept(platform, running)
         new = await platform.client()
-        await until(lambda: len(running.clients) == 2)
+        await until(lambda: len(running.connections.handlers) == 2)
         running.stop()
         assert await served.end() == b""  # by then the new one has been passed over as well
         new.send(post("q1"))
@@ -224,7 +227,7 @@
         client.send(post("q1"))
         for _ in range(100):  # time enough to be taken and sent on, were it taken
             await asyncio.sleep(0.001)
-        assert not running.clients and not platform.shots("q1")
+        assert not running.connections.handlers and not platform.shots("q1")
         platform.list_gate.set()
         assert (await client.answer()).whole
         assert [shot.engine for shot in platform.shots("q1")] == ["r", "w"]
@@ -233,7 +236,7 @@
 async def test_a_start_with_a_silent_agent_serves_on_the_last_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node_running, "FIRST_LIST", 0.05)
+    monkeypatch.setattr(node_running, "FIRST_LIST_WAIT_SECONDS", 0.05)
     platform = Platform(tmp_path, PAIR)
     platform.list_gate.clear()
     async with platform.inside():
@@ -494,7 +497,7 @@
         await platform.until(lambda: len(platform.shots("q1")) == 1)
         client.send(b"x" * 400_000)
         await asyncio.wait_for(client.writer.drain(), WAIT)
-        (intake,) = running.clients
+        (intake,) = running.connections.handlers
         await until(lambda: intake.tcp.shed)
         go.set()
         answer = await client.answer()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -234,9 +234,9 @@
         raise RuntimeError("a fault that stays")
 
     async with platform.inside() as running:
-        task = asyncio.ensure_future(running._standing(fails))
+        task = asyncio.ensure_future(running._keep_running(fails))
         await asyncio.sleep(1.0)
         assert 3 <= failures <= 10
         assert (await platform.ask(post("q1"))).whole
         task.cancel()
-    assert node_running.AGAIN < node_running.LONGEST_AGAIN
+    assert node_running.RESTART_DELAY_SECONDS < node_running.MAX_RESTART_DELAY_SECONDS
