--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -28,7 +28,7 @@
 from runspool.cells.cell_map import Cell, CellMap, Shards
 from runspool.cells.cell_router import AdmissionRequest, CellAdmission, CellRouter
 from runspool.cells.engine_placement import EnginePlace, home, place
-from runspool.config import terms_of
+from runspool.config import parse_config
 from runspool.lab import recording
 from runspool.lab.audit import history, judge
 from runspool.lab.cell_plans import bad_release, flood, full_cell, poisoned
@@ -44,7 +44,7 @@
 
 def played(plan: Plan) -> list[dict[str, Any]]:
     with tempfile.TemporaryDirectory() as folder:
-        return list(recording.read(anyio.run(ScenarioRunner(plan, Path(folder)).play)))
+        return list(recording.read_recording(anyio.run(ScenarioRunner(plan, Path(folder)).play)))
 
 
 def gains(events: list[dict[str, Any]], start: float = 0, end: float = 1e9) -> dict[str, tuple[float, float]]:
@@ -343,11 +343,11 @@
 def module(engines: list[EnginePlace], many: int, queries: int) -> float:
     """Microseconds that one query's arrival costs the module with `many` of the engines."""
     plan = flood(1)
-    house: RoutingSettings = terms_of(front_terms(plan, 0, 1, Path("/nowhere"))).house_terms()
+    house: RoutingSettings = parse_config(front_terms(plan, 0, 1, Path("/nowhere"))).routing_settings()
     out = _Out()
     desk = SchedulerDriver(house, 1, out, 0)
     kinds = {Role.PREFILL: "prefill", Role.DECODE: "decode", Role.MIXED: "mixed"}
-    names = list(terms_of(front_terms(plan, 0, 1, Path("/nowhere"))).house.kinds)
+    names = list(parse_config(front_terms(plan, 0, 1, Path("/nowhere"))).house.kinds)
     desk.update_endpoints(
         0,
         EndpointUpdate(
--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -28,7 +28,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from runspool.config import EnginesTerms
+from runspool.config import EngineClientConfig
 from runspool.engines.completions_client import CompletionsEngineClient
 from runspool.lab import recording
 from runspool.lab.clients import Clients, Entry, Seen
@@ -75,7 +75,7 @@
 
     def __init__(self, plan: Plan, entry: Entry, record: Recorder, direct: int) -> None:
         super().__init__(plan, entry, record)
-        terms = EnginesTerms(
+        terms = EngineClientConfig(
             connect_ms=1000,
             idle_ms=15000,
             connections_each=2000,
@@ -213,7 +213,7 @@
         bench = Bench(plan_of(engines, rate, seconds, out), Path(folder), together=4)
         bench.workers, bench.direct = workers, direct
         file = anyio.run(bench.play)
-        events = recording.read(file)
+        events = recording.read_recording(file)
         begin = next(event["at"] for event in events if event["what"] == "begin")
         found = gaps(events, begin)
         middle = bench.samples[int(WARM) :]
--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -19,7 +19,7 @@
 from runspool.cells import tenant_migration as moving
 from runspool.cells.cell_map import CellMap, Move
 from runspool.cells.engine_placement import EnginePlace, home, place
-from runspool.cli.terms import Vars, read
+from runspool.cli.terms import ExternalVariables, load_or_exit
 from runspool.config import FrontConfig
 from runspool.config.loader import InvalidConfigError, evaluate
 from runspool.config.schema import ROLES
@@ -58,7 +58,7 @@
     """The files that a front's terms name, and the engines that it last knew."""
 
     def __init__(self, file: Path, var: list[str] | None) -> None:
-        self.terms: FrontConfig = read(file, var)
+        self.terms: FrontConfig = load_or_exit(file, var)
         if self.terms.front.cells_file is None:
             typer.echo(f"{file}: front.cells_file is not set; this front has no cells", err=True)
             raise typer.Exit(2)
@@ -102,7 +102,7 @@
     file: TermsFile,
     source: Annotated[Path, typer.Argument(help="A Jsonnet file with a cell map.")],
     yes: ReallyDo = False,
-    var: Vars = None,
+    var: ExternalVariables = None,
 ) -> None:
     """Put a map written by hand in place, as the next version. Moves under way must be finished first."""
     desk = Desk(file, var)
@@ -121,7 +121,7 @@
 
 
 @app.command(epilog="Example: runspool cells show front.jsonnet")
-def show(file: TermsFile, var: Vars = None) -> None:
+def show(file: TermsFile, var: ExternalVariables = None) -> None:
     """Print the cells with their engines, what they lack, tenants and moves."""
     desk = Desk(file, var)
     with said_plainly():
@@ -162,7 +162,7 @@
     target: Target,
     starts_in_ms: StartsIn = 2000,
     warm: Warm = False,
-    var: Vars = None,
+    var: ExternalVariables = None,
 ) -> None:
     """Show what a move would change, by engine and tenant, or why it would be refused. Changes nothing."""
     _move(file, tenant, target, starts_in_ms, warm, False, var)
@@ -176,14 +176,14 @@
     starts_in_ms: StartsIn = 2000,
     warm: Warm = False,
     yes: ReallyDo = False,
-    var: Vars = None,
+    var: ExternalVariables = None,
 ) -> None:
     """Move a tenant while it is served. From the stated moment its new queries go to the new cell."""
     _move(file, tenant, target, starts_in_ms, warm, yes, var)
 
 
 @app.command(epilog="Example: runspool cells undo front.jsonnet m-7 --yes")
-def undo(file: TermsFile, move_id: str, yes: ReallyDo = False, var: Vars = None) -> None:
+def undo(file: TermsFile, move_id: str, yes: ReallyDo = False, var: ExternalVariables = None) -> None:
     """Turn a move back: new queries go to the old cell again. What is in the new cell ends there."""
     desk = Desk(file, var)
     with said_plainly():
@@ -194,7 +194,7 @@
 
 
 @app.command(epilog="Example: runspool cells finish front.jsonnet m-7 --yes")
-def finish(file: TermsFile, move_id: str, yes: ReallyDo = False, var: Vars = None) -> None:
+def finish(file: TermsFile, move_id: str, yes: ReallyDo = False, var: ExternalVariables = None) -> None:
     """Make a settled move the tenant's home. Refused while a ticket may still bind the old cell."""
     desk = Desk(file, var)
     with said_plainly():
--- a/runspool/cli/lab.py
+++ b/runspool/cli/lab.py
@@ -72,7 +72,7 @@
     """Check the five rules from a recording alone."""
     file = folder / "wire.jsonl" if folder.is_dir() else folder
     try:
-        rules = auditing.audit(recording.read(file))
+        rules = auditing.audit(recording.read_recording(file))
     except recording.UnreadableRecordingError as fault:
         _fail(str(fault))
     for name, rule in rules.items():
@@ -155,7 +155,7 @@
             while isinstance(leaf, BaseExceptionGroup):
                 leaf = leaf.exceptions[0]
             _fail(str(leaf), NOT_PLAYED)
-    said = verdict.verdict(recording.read(file))
+    said = verdict.verdict(recording.read_recording(file))
     verdict.write(said, out)
     typer.echo(verdict.page(said))
     raise typer.Exit(0 if said["kept"] and not (all_rules and said["unjudged"]) else BROKEN)
--- a/runspool/cli/main.py
+++ b/runspool/cli/main.py
@@ -31,13 +31,13 @@
     "2: bad terms, 3: address not to be had)"
 )
 def front(
-    file: terms_commands.File,
-    var: terms_commands.Vars = None,
+    file: terms_commands.ConfigFile,
+    var: terms_commands.ExternalVariables = None,
     seed: Annotated[int | None, typer.Option(help="Seed of its chance, in place of the terms'.")] = None,
     tape: Annotated[Path | None, typer.Option(help="Record what the decisions hear and ask, here.")] = None,
 ) -> None:
     """Run one front until SIGTERM. Logs are JSON lines on standard error."""
-    checked = terms_commands.read(file, var)
+    checked = terms_commands.load_or_exit(file, var)
     start_logs(checked.front.log_level)
     try:
         anyio.run(partial(run_front, checked, tape, seed), backend_options=LOOP)
--- a/runspool/cli/terms.py
+++ b/runspool/cli/terms.py
@@ -8,15 +8,17 @@
 
 import typer
 
-from runspool.config import FrontConfig, InvalidConfigError, read_terms
+from runspool.config import FrontConfig, InvalidConfigError, load_config
 
 app = typer.Typer(no_args_is_help=True, help="Check and show terms files (Jsonnet).")
 
-File = Annotated[Path, typer.Argument(help="A Jsonnet file; `import 'runspool.libsonnet'` is found.")]
-Vars = Annotated[list[str] | None, typer.Option("--var", help="NAME=VALUE for std.extVar, may be repeated.")]
+ConfigFile = Annotated[Path, typer.Argument(help="A Jsonnet file; `import 'runspool.libsonnet'` is found.")]
+ExternalVariables = Annotated[
+    list[str] | None, typer.Option("--var", help="NAME=VALUE for std.extVar, may be repeated.")
+]
 
 
-def given(pairs: list[str] | None) -> dict[str, str]:
+def external_variables(pairs: list[str] | None) -> dict[str, str]:
     """External variables from the command line; exits 2 on one without a value."""
     found = {}
     for pair in pairs or []:
@@ -28,19 +30,19 @@
     return found
 
 
-def read(file: Path, pairs: list[str] | None) -> FrontConfig:
+def load_or_exit(file: Path, pairs: list[str] | None) -> FrontConfig:
     """Checked terms, or every fault on standard error and exit 2."""
     try:
-        return read_terms(file, given(pairs))
+        return load_config(file, external_variables(pairs))
     except InvalidConfigError as fault:
         typer.echo(str(fault), err=True)
         raise typer.Exit(2) from None
 
 
 @app.command(epilog="Example: runspool terms check examples/house.jsonnet   (exit 0: good, 2: faults)")
-def check(file: File, var: Vars = None) -> None:
+def check(file: ConfigFile, var: ExternalVariables = None) -> None:
     """Print every fault at once: its path, its value, what is allowed."""
-    terms = read(file, var)
+    terms = load_or_exit(file, var)
     typer.echo(
         f"{file}: good; front {terms.front.name}, {len(terms.house.tariffs)} tariffs, "
         f"{len(terms.house.kinds)} kinds"
@@ -48,6 +50,6 @@
 
 
 @app.command(epilog="Example: runspool terms show examples/house.jsonnet --var port=8081")
-def show(file: File, var: Vars = None) -> None:
+def show(file: ConfigFile, var: ExternalVariables = None) -> None:
     """Print the checked terms as JSON."""
-    typer.echo(json.dumps(read(file, var).model_dump(), indent=2))
+    typer.echo(json.dumps(load_or_exit(file, var).model_dump(), indent=2))
--- a/runspool/config/__init__.py
+++ b/runspool/config/__init__.py
@@ -1,16 +1,22 @@
-"""What a front is told at its start: Jsonnet templates, evaluated, checked, and turned into house terms."""
+"""A front's configuration: Jsonnet templates, evaluated, checked, turned into the scheduler's settings."""
 
-from runspool.config.loader import ConfigFault, InvalidConfigError, read_terms, terms_of
-from runspool.config.schema import Bounds, EnginesTerms, FrontConfig, FrontTerms, ListTerms
+from runspool.config.loader import ConfigFault, InvalidConfigError, load_config, parse_config
+from runspool.config.schema import (
+    EndpointListConfig,
+    EngineClientConfig,
+    FrontBoundsConfig,
+    FrontConfig,
+    FrontProcessConfig,
+)
 
 __all__ = [
-    "Bounds",
     "ConfigFault",
-    "EnginesTerms",
+    "EndpointListConfig",
+    "EngineClientConfig",
+    "FrontBoundsConfig",
     "FrontConfig",
-    "FrontTerms",
+    "FrontProcessConfig",
     "InvalidConfigError",
-    "ListTerms",
-    "read_terms",
-    "terms_of",
+    "load_config",
+    "parse_config",
 ]
--- a/runspool/config/loader.py
+++ b/runspool/config/loader.py
@@ -13,7 +13,7 @@
 
 from runspool.config.schema import FrontConfig
 
-LIBRARY = Path(__file__).parent / "library"
+LIBRARY_DIRECTORY = Path(__file__).parent / "library"
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,9 @@
     Raises Unreadable with the evaluator's own message, which names file, line and column.
     """
     try:
-        text = _jsonnet.evaluate_file(str(path), jpathdir=[str(LIBRARY)], ext_vars=dict(given or {}))
+        text = _jsonnet.evaluate_file(
+            str(path), jpathdir=[str(LIBRARY_DIRECTORY)], ext_vars=dict(given or {})
+        )
     except (RuntimeError, OSError) as fault:
         said = " ".join(str(fault).split())
         raise InvalidConfigError(
@@ -57,7 +59,7 @@
     return found
 
 
-def terms_of(found: Mapping[str, Any], source: str = "terms") -> FrontConfig:
+def parse_config(found: Mapping[str, Any], source: str = "terms") -> FrontConfig:
     """Checked terms from plain data; raises Unreadable with all faults."""
     try:
         return FrontConfig.model_validate(found)
@@ -65,9 +67,9 @@
         raise InvalidConfigError(source, [_fault(error) for error in fault.errors()]) from None
 
 
-def read_terms(path: Path, given: Mapping[str, str] | None = None) -> FrontConfig:
+def load_config(path: Path, given: Mapping[str, str] | None = None) -> FrontConfig:
     """Evaluates and checks a terms file; raises Unreadable with all faults."""
-    return terms_of(evaluate(path, given), str(path))
+    return parse_config(evaluate(path, given), str(path))
 
 
 def _fault(error: Any) -> ConfigFault:
--- a/runspool/config/schema.py
+++ b/runspool/config/schema.py
@@ -38,11 +38,11 @@
 ROLES = {"reader": Role.PREFILL, "writer": Role.DECODE, "mixed": Role.MIXED}
 
 
-class Part(BaseModel):
+class ConfigSection(BaseModel):
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
-class TariffPart(Part):
+class RequestClassConfig(ConfigSection):
     due_ms: SomeMillis
     due_per_1000_tokens_ms: Millis
     limit_ms: SomeMillis
@@ -60,16 +60,16 @@
         return self
 
 
-class TenantPart(Part):
+class TenantConfig(ConfigSection):
     queries_per_second: Annotated[float, Field(gt=0)]
 
 
-class KindPart(Part):
+class EngineTypeConfig(ConfigSection):
     role: Literal["reader", "writer", "mixed"]
     memory_tokens: Annotated[int, Field(ge=0)]
 
 
-class RulesPart(Part):
+class RulesConfig(ConfigSection):
     answer_slack_ms: Millis
     drain_grace_ms: Millis
     cold_from: Annotated[float, Field(gt=0, le=1)]
@@ -79,31 +79,31 @@
     release_within_ms: Annotated[float, Field(ge=50, le=60_000)]
 
 
-class LimitsPart(Part):
+class AttemptLimitsConfig(ConfigSection):
     max_shots: Annotated[int, Field(ge=1, le=64)]
     second_copies: Literal[False]  # the module sends none; a house that wants them would not get them
     longest_wait_told_ms: Millis
     writers_read: bool
 
 
-class PricesPart(Part):
+class PricesConfig(ConfigSection):
     far: Share
     zone: Share
     late: Share
     waste: Share
 
 
-class House(Part):
+class HouseConfig(ConfigSection):
     """What every front of a house shares."""
 
     fronts: Count
     zones: Annotated[list[Name], Field(min_length=1)]
-    tariffs: Annotated[dict[Name, TariffPart], Field(min_length=1)]
-    tenants: dict[Name, TenantPart]
-    kinds: Annotated[dict[Name, KindPart], Field(min_length=1)]
-    rules: RulesPart
-    limits: LimitsPart
-    prices: PricesPart
+    tariffs: Annotated[dict[Name, RequestClassConfig], Field(min_length=1)]
+    tenants: dict[Name, TenantConfig]
+    kinds: Annotated[dict[Name, EngineTypeConfig], Field(min_length=1)]
+    rules: RulesConfig
+    limits: AttemptLimitsConfig
+    prices: PricesConfig
     over_share: Share
 
     @model_validator(mode="after")
@@ -113,12 +113,12 @@
         return self
 
 
-class Listening(Part):
+class ListenConfig(ConfigSection):
     host: str
     port: Port
 
 
-class Bounds(Part):
+class FrontBoundsConfig(ConfigSection):
     """What a front bears at most; past each a clean refusal, before the query counts as taken."""
 
     connections: Count
@@ -134,7 +134,7 @@
     drain_ms: SomeMillis
 
 
-class EnginesTerms(Part):
+class EngineClientConfig(ConfigSection):
     """How a front speaks to engines."""
 
     connect_ms: SomeMillis
@@ -146,7 +146,7 @@
     source_address: str | None
 
 
-class ListTerms(Part):
+class EndpointListConfig(ConfigSection):
     """Where the list of engines is watched, and when it counts as lost."""
 
     host: str
@@ -156,29 +156,29 @@
     line_bytes: Bytes
 
 
-class FrontTerms(Part):
+class FrontProcessConfig(ConfigSection):
     """One front: its place, its listener, its bounds."""
 
     name: Name
     number: Annotated[int, Field(ge=0)]
     zone: Name
     seed: int
-    listen: Listening
+    listen: ListenConfig
     default_tariff: Name | None
     model: Name
-    bounds: Bounds
-    engines: EnginesTerms
-    list: ListTerms
+    bounds: FrontBoundsConfig
+    engines: EngineClientConfig
+    list: EndpointListConfig
     memory_file: str | None
     cells_file: str | None
     log_level: Literal["debug", "info", "warning", "error"]
 
 
-class FrontConfig(Part):
+class FrontConfig(ConfigSection):
     """All that a front is told at its start."""
 
-    house: House
-    front: FrontTerms
+    house: HouseConfig
+    front: FrontProcessConfig
 
     @model_validator(mode="after")
     def front_fits_house(self) -> Self:
@@ -195,7 +195,7 @@
             raise ValueError("; ".join(faults))
         return self
 
-    def house_terms(self) -> RoutingSettings:
+    def routing_settings(self) -> RoutingSettings:
         """The module's view: indices by order, times in tenths of a millisecond."""
         house, rules, limits = self.house, self.house.rules, self.house.limits
         return RoutingSettings(
--- a/runspool/discovery/watch_client.py
+++ b/runspool/discovery/watch_client.py
@@ -9,7 +9,7 @@
 import h11
 from anyio.abc import SocketStream
 
-from runspool.config import ListTerms
+from runspool.config import EndpointListConfig
 from runspool.discovery.endpoint_tracker import EndpointTracker
 from runspool.discovery.watch_listener import WatchListener
 from runspool.wire.endpoint_list import EndpointEntry, MalformedListLineError, read_news
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        terms: ListTerms,
+        terms: EndpointListConfig,
         front: str,
         following: EndpointTracker,
         now: Callable[[], int],
--- a/runspool/engines/completions_client.py
+++ b/runspool/engines/completions_client.py
@@ -60,11 +60,11 @@
         call = Exchange(permit)
         try:
             with self._start_timer(limit) as clock, self._managed_connection(call):
-                words = self._posted(address, headers, wire.read_body(query))
+                words = self._posted(address, headers, wire.prefill_body(query))
                 await self._send_request(call, clock, address, lambda left: words)
                 head = await self._read_head(call)
-                report = wire.load_report(head.headers.get(wire.REPORT_HEADER))
-                answer = wire.answer(await self._read_body(call))
+                report = wire.load_report(head.headers.get(wire.LOAD_REPORT_HEADER))
+                answer = wire.parse_response(await self._read_body(call))
                 if not answer.kv_transfer_params:
                     raise ExchangeAbortedError(
                         FailureCause.MALFORMED_RESPONSE, "a read without kv_transfer_params"
@@ -88,7 +88,7 @@
         usage = answer.usage or wire.Usage()
         return AttemptResult(
             AttemptStatus.PREFILL_COMPLETE,
-            cached_tokens=usage.kept,
+            cached_tokens=usage.cached_tokens,
             prompt_tokens=usage.prompt_tokens,
             reached_engine=True,
             state=answer.kv_transfer_params,
@@ -116,10 +116,10 @@
         answer, call = _Answer(self, told, most_out, listener), Exchange(permit)
         try:
             with self._start_timer(limit) as clock, self._managed_connection(call):
-                words = self._posted(address, headers, wire.write_body(query, state))
+                words = self._posted(address, headers, wire.decode_body(query, state))
                 await self._send_request(call, clock, address, lambda left: words)
                 head = await self._read_head(call)
-                told.load_report = wire.load_report(head.headers.get(wire.REPORT_HEADER))
+                told.load_report = wire.load_report(head.headers.get(wire.LOAD_REPORT_HEADER))
                 texts = await answer.first(call)
                 clock.remove_limit(FailureCause.STREAM_INTERRUPTED)
                 watched = self.watchdog.watch(self.silence, clock.cancel)
@@ -194,7 +194,7 @@
         self.told = told
         self.most_out = most_out
         self.listener = listener
-        self.events = wire.Events(caller.settings.line_bytes)
+        self.events = wire.EventSplitter(caller.settings.line_bytes)
         self.begun = self.finished = self.over = False
 
     async def first(self, call: Exchange) -> str:
@@ -236,11 +236,11 @@
             if raw == b"[DONE]":
                 self.over = True
                 break
-            said = wire.answer(raw)
+            said = wire.parse_response(raw)
             if said.error is not None:
                 raise ExchangeAbortedError(FailureCause.SERVER_ERROR, str(said.error))
             if said.usage is not None:
-                told.cached_tokens, told.prompt_tokens = said.usage.kept, said.usage.prompt_tokens
+                told.cached_tokens, told.prompt_tokens = said.usage.cached_tokens, said.usage.prompt_tokens
             for choice in said.choices:
                 if choice.text and not self.finished:
                     told.output_tokens += 1
--- a/runspool/lab/clients.py
+++ b/runspool/lab/clients.py
@@ -13,7 +13,7 @@
 from runspool.lab.recording import Recorder
 from runspool.lab.workload import Item, text_of
 from runspool.service.clock import now
-from runspool.wire.engine_messages import Events
+from runspool.wire.engine_messages import EventSplitter
 
 GRACE = 3_000  # tenths of a millisecond that an answer is still listened for after the client's time is up
 STALL = 20.0  # seconds after which a stream that says nothing is taken to say nothing more
@@ -206,7 +206,7 @@
             return Seen("lost", type(fault).__name__)
 
     async def _streamed(self, deadline: int) -> Seen:
-        events, finish, tokens = Events(1 << 20), "", 0
+        events, finish, tokens = EventSplitter(1 << 20), "", 0
         with anyio.CancelScope(shield=True) as scope:  # the hard limit ends with the first token
             scope.deadline = anyio.current_time() + STALL
             while True:
--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -23,7 +23,7 @@
 from runspool.lab.recording import Recorder
 from runspool.service.clock import now
 from runspool.wire.completions import DONE, chunk, error_body
-from runspool.wire.engine_messages import REPORT_HEADER
+from runspool.wire.engine_messages import LOAD_REPORT_HEADER
 from runspool.wire.fields import TOKEN_BYTES
 
 FETCH_LIMIT = 10.0  # seconds that a writer waits for a state to come
@@ -552,7 +552,7 @@
         if not self.faults.reports:
             return {}
         figures = msgspec.json.encode({"named_metrics": self.model.report()}).decode()
-        return {REPORT_HEADER: f"JSON {figures}"}
+        return {LOAD_REPORT_HEADER: f"JSON {figures}"}
 
     def _spawn(self, work: Any, *args: Any) -> None:
         assert self.tasks is not None
--- a/runspool/lab/recording.py
+++ b/runspool/lab/recording.py
@@ -33,7 +33,7 @@
             self.file = -1
 
 
-def merge(parts: Iterable[Path], whole: Path) -> int:
+def merge_recordings(parts: Iterable[Path], whole: Path) -> int:
     """Joins recordings in order of time; lines cut by a kill are left out. Returns the count of lines."""
     lines: list[tuple[int, int, bytes]] = []
     for part in parts:
@@ -52,7 +52,7 @@
     """A recording that cannot be judged."""
 
 
-def read(path: Path) -> list[Event]:
+def read_recording(path: Path) -> list[Event]:
     """The events of a recording; raises Unreadable naming file and line."""
     events: list[Event] = []
     try:
--- a/runspool/lab/scenario_runner.py
+++ b/runspool/lab/scenario_runner.py
@@ -19,7 +19,7 @@
 import anyio.abc
 import msgspec
 
-from runspool.config.loader import LIBRARY
+from runspool.config.loader import LIBRARY_DIRECTORY
 from runspool.lab import recording
 from runspool.lab.clients import Clients, Entry
 from runspool.lab.listing import Listing
@@ -80,7 +80,7 @@
         local r = import 'runspool.libsonnet';
         { rules: r.rules, limits: r.limits, prices: r.prices, bounds: r.bounds, engines: r.engines }
     """,
-            jpathdir=[str(LIBRARY)],
+            jpathdir=[str(LIBRARY_DIRECTORY)],
         )
     )
     kinds = {"prefill": ("reader", 0), "decode": ("writer", 0), "mixed": ("mixed", 0)}
@@ -219,7 +219,7 @@
             claim.close()
         self.record.close()
         whole = folder / "wire.jsonl"
-        recording.merge(sorted(self.parts.iterdir()), whole)
+        recording.merge_recordings(sorted(self.parts.iterdir()), whole)
         return whole
 
     async def _start_all(self) -> None:
--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -66,7 +66,7 @@
 
     async def _query(self, request: HttpRequest, came: int) -> None:
         try:
-            wish = wire.read_wish(request.headers, bytes(request.body), self.front.config)
+            wish = wire.parse_completion_request(request.headers, bytes(request.body), self.front.config)
             if wish.stream and request.version == "1.0":
                 raise InvalidRequestError("stream", "an answer in parts needs HTTP/1.1", 505)
         except InvalidRequestError as bad:
@@ -116,7 +116,7 @@
             ended = final.result
             await self.send_response(
                 200,
-                wire.whole_answer(
+                wire.completion_body(
                     taken.id,
                     self.front.config.front.model,
                     int(time.time()),
@@ -177,7 +177,7 @@
 
     async def stream_started(self) -> None:
         self.opened = True
-        self.chunks = wire.Chunks(self.query, self.model, self.made_at)
+        self.chunks = wire.CompletionChunks(self.query, self.model, self.made_at)
         fields = [
             ("Content-Type", "text/event-stream"),
             ("Cache-Control", "no-store"),
@@ -201,6 +201,6 @@
             finish = final.result.finish_reason if final.result else "stop"
             last = wire.chunk(self.query, self.model, self.made_at, "", finish) + wire.DONE
         else:
-            last = wire.broken_event(final.code, final.message)
+            last = wire.error_event(final.code, final.message)
         with anyio.fail_after(self.conversation.write_time):
             await self.forward(chunk(last) + CHUNKS_END)
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -85,7 +85,7 @@
     ) -> None:
         self.config = terms
         super().__init__(
-            terms.house_terms(),
+            terms.routing_settings(),
             {name: at for at, name in enumerate(terms.house.kinds)},
             {name: at for at, name in enumerate(terms.house.zones)},
             NAMES_KNOWN,
@@ -118,41 +118,41 @@
         index = self.accepted_count
         self.accepted_count += 1
         at = now()
-        limit = came + wish.limit
+        limit = came + wish.time_limit
         name = f"{self.config.front.name}-{self.life:x}-{index}"
         taken = PendingCompletion(
             index, name, came, limit, reply, completion=wish, headers=self._passed_on(wish), stay=stay
         )
         query = Request(
             index=index,
-            request_class=self.tariffs[wish.tariff],
+            request_class=self.tariffs[wish.request_class],
             tenant=None if wish.tenant is None else self.tenants[wish.tenant],
             session=self.intern_text("s", wish.session, at),
-            prefix=self.intern_text("b", wish.beginning, at),
-            prompt_tokens=wish.prompt,
-            prefix_tokens=wish.beginning_length,
-            max_output_tokens=wish.most_out,
-            expected_output_tokens=wish.likely_out,
+            prefix=self.intern_text("b", wish.prefix, at),
+            prompt_tokens=wish.prompt_tokens,
+            prefix_tokens=wish.prefix_tokens,
+            max_output_tokens=wish.max_output_tokens,
+            expected_output_tokens=wish.expected_output_tokens,
             # The answer still has to reach the client within its time.
             time_budget=first_token_budget(
                 limit - self.settings.response_slack - at,
                 not wish.stream,
-                wish.likely_out,
-                self.settings.request_classes[self.tariffs[wish.tariff]],
+                wish.expected_output_tokens,
+                self.settings.request_classes[self.tariffs[wish.request_class]],
             ),
-            is_client_retry=wish.resent,
-            is_continuation=wish.again,
+            is_client_retry=wish.is_client_retry,
+            is_continuation=wish.is_continuation,
             session_hash=stable_hash(wish.session or ""),
-            prefix_hash=stable_hash(wish.beginning or ""),
+            prefix_hash=stable_hash(wish.prefix or ""),
         )
         self.log.debug(
             "request_accepted",
             request=name,
-            request_class=wish.tariff,
+            request_class=wish.request_class,
             tenant=wish.tenant,
-            prompt_tokens=wish.prompt,
-            time_limit=wish.limit,
-            client_attempt=wish.mark,
+            prompt_tokens=wish.prompt_tokens,
+            time_limit=wish.time_limit,
+            client_attempt=wish.client_attempt,
         )
         self.accept(taken)
         self.quarter(stay.cell)
@@ -160,17 +160,17 @@
         return taken
 
     def _let_in(self, wish: CompletionRequest) -> CellAdmission:
-        row = self.config.house.tariffs[wish.tariff]
+        row = self.config.house.tariffs[wish.request_class]
         # A ticket that all engines know binds no cell.
         bound = row.effect == "ticketed" and row.group != "all"
         print_ = xxhash.xxh64_hexdigest(f"{wish.tenant}\0".encode() + bytes(wish.body["prompt"]))
         asked = AdmissionRequest(
             wish.tenant,
             wish.session,
-            wish.ticket if bound else None,
-            wish.resent or wish.again,
+            wish.idempotency_key if bound else None,
+            wish.is_client_retry or wish.is_continuation,
             tenths(row.window_ms + self.config.front.bounds.longest_limit_ms) if bound else 0,
-            wish.size,
+            wish.body_bytes,
             print_,
         )
         stay = self.keeping.let_in(now(), unix_ms(), asked)
@@ -290,7 +290,7 @@
         return self.quarters.get(taken.stay.cell)
 
     def request_class_of(self, taken: PendingCompletion) -> int:
-        return self.tariffs[taken.completion.tariff]
+        return self.tariffs[taken.completion.request_class]
 
     async def run_exchange(
         self, taken: PendingCompletion, site: Endpoint, shot: int, sent: int, limit: int, permit: SendPermit
@@ -307,7 +307,7 @@
                 headers,
                 limit,
                 permit,
-                taken.completion.most_out,
+                taken.completion.max_output_tokens,
                 ResponseRelay(self, taken, shot, sent),
             )
         if ended.failure_cause in BROKE:
@@ -382,10 +382,10 @@
 
     def _passed_on(self, wish: CompletionRequest) -> dict[str, str]:
         said = {
-            "Runspool-Mark": wish.mark,
-            "Runspool-Tariff": wish.tariff,
+            "Runspool-Mark": wish.client_attempt,
+            "Runspool-Tariff": wish.request_class,
             "Runspool-Tenant": wish.tenant,
-            "Runspool-Ticket": wish.ticket,
+            "Runspool-Ticket": wish.idempotency_key,
             "Runspool-Front": self.config.front.name,
         }
         return {name: value for name, value in said.items() if value}
--- a/runspool/service/http_connection.py
+++ b/runspool/service/http_connection.py
@@ -106,7 +106,7 @@
         except (ConnectionClosedError, TimeoutError):
             return
         finally:
-            self.requests.free()
+            self.requests.close()
 
     async def _serve_one(self) -> None:
         try:
@@ -129,15 +129,15 @@
     async def _read_head(self) -> HttpRequest | None:
         """The next request, as soon as its head is there; None where no further one comes."""
         ready = self.requests.ready
-        if ready and ready[0].head_done:
+        if ready and ready[0].head_complete:
             return ready[0]
-        self.requests.put_off()
+        self.requests.raise_pending_error()
         self._begun = bool(ready)
         wait = self.limits.head_ms if self._begun else self.head_wait()
         with anyio.CancelScope(deadline=self._time_limit(wait)) as scope:
             self._wait = scope
             try:
-                while not (ready and ready[0].head_done):
+                while not (ready and ready[0].head_complete):
                     try:
                         self.requests.feed(await self.tcp.receive())
                     except ConnectionClosedError:
@@ -162,7 +162,7 @@
     async def _read_body(self, request: HttpRequest) -> None:
         if request.complete:
             return
-        if request.waits_to_be_told:
+        if request.expects_continue:
             await self.send(CONTINUE)
         with anyio.CancelScope(deadline=self._time_limit(self.limits.body_ms)):
             while not request.complete:
--- a/runspool/wire/completions.py
+++ b/runspool/wire/completions.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from runspool.config.schema import FrontConfig, TariffPart
+from runspool.config.schema import FrontConfig, RequestClassConfig
 from runspool.units import TENTHS, tenths
 from runspool.wire import fields
 from runspool.wire.fields import TOKEN_BYTES, UNREADABLE, InvalidRequestError
@@ -25,32 +25,34 @@
 class CompletionRequest:
     """One query as its client stated it, checked; durations in tenths of a millisecond, lengths in tokens."""
 
-    tariff: str
+    request_class: str
     tenant: str | None
     session: str | None
-    beginning: str | None
-    beginning_length: int
-    prompt: int
-    most_out: int
-    likely_out: int
-    limit: int
-    ticket: str | None
-    mark: str
-    again: bool
-    resent: bool
+    prefix: str | None
+    prefix_tokens: int
+    prompt_tokens: int
+    max_output_tokens: int
+    expected_output_tokens: int
+    time_limit: int
+    idempotency_key: str | None
+    client_attempt: str
+    is_continuation: bool
+    is_client_retry: bool
     stream: bool
-    size: int  # bytes of its body
+    body_bytes: int  # bytes of its body
     body: dict[str, msgspec.Raw]
 
 
-def read_wish(headers: Mapping[str, str], body: bytes, terms: FrontConfig) -> CompletionRequest:
+def parse_completion_request(
+    headers: Mapping[str, str], body: bytes, config: FrontConfig
+) -> CompletionRequest:
     """A checked wish from lower-case headers and a body; raises Misworded at the first thing wrong."""
     try:
         fields: dict[str, msgspec.Raw] = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
     except UNREADABLE as fault:
         raise InvalidRequestError("body", f"not a JSON object ({fault})") from None
-    house = terms.house
-    tariff = headers.get("runspool-tariff") or terms.front.default_tariff
+    house = config.house
+    tariff = headers.get("runspool-tariff") or config.front.default_tariff
     if tariff is None:
         raise InvalidRequestError("runspool-tariff", "missing, and this front has no default tariff")
     row = house.tariffs.get(tariff)
@@ -71,26 +73,26 @@
     if row.effect == "ticketed" and ticket is None:
         raise InvalidRequestError("runspool-ticket", f"missing, and tariff {tariff} is ticketed")
     return CompletionRequest(
-        tariff=tariff,
+        request_class=tariff,
         tenant=tenant,
         session=_name(headers, "runspool-session"),
-        beginning=beginning,
-        beginning_length=length if beginning is not None else 0,
-        prompt=prompt,
-        most_out=most_out,
-        likely_out=_whole(headers, "runspool-likely-tokens", 0, 0, 1_000_000),
-        limit=_limit(headers, row, prompt, terms),
-        ticket=ticket,
-        mark=_name(headers, "runspool-mark") or "",
-        again=headers.get("runspool-again", "0") == "1",
-        resent=_whole(headers, "runspool-try", 1, 1, 1000) > 1,
+        prefix=beginning,
+        prefix_tokens=length if beginning is not None else 0,
+        prompt_tokens=prompt,
+        max_output_tokens=most_out,
+        expected_output_tokens=_whole(headers, "runspool-likely-tokens", 0, 0, 1_000_000),
+        time_limit=_limit(headers, row, prompt, config),
+        idempotency_key=ticket,
+        client_attempt=_name(headers, "runspool-mark") or "",
+        is_continuation=headers.get("runspool-again", "0") == "1",
+        is_client_retry=_whole(headers, "runspool-try", 1, 1, 1000) > 1,
         stream=_field(fields, "stream", bool, False),
-        size=len(body),
+        body_bytes=len(body),
         body=fields,
     )
 
 
-def _limit(headers: Mapping[str, str], row: TariffPart, prompt: int, terms: FrontConfig) -> int:
+def _limit(headers: Mapping[str, str], row: RequestClassConfig, prompt: int, terms: FrontConfig) -> int:
     # The hard limit grows twice as fast with the prompt as the due time does.
     usual = row.limit_ms + 2 * row.due_per_1000_tokens_ms * prompt / 1000
     said = headers.get("runspool-limit-ms")
@@ -154,7 +156,7 @@
     )
 
 
-class Chunks:
+class CompletionChunks:
     """The events of one streamed answer: what does not change from token to token is made once."""
 
     def __init__(self, query: str, model: str, created: int) -> None:
@@ -167,13 +169,20 @@
         return b"%x\r\n%b\r\n" % (len(event), event)
 
 
-def broken_event(code: str, message: str) -> bytes:
+def error_event(code: str, message: str) -> bytes:
     """The last event of a stream that could not be finished; no [DONE] follows."""
     return b"data: " + error_body("scrapped", code, message) + b"\n\n"
 
 
-def whole_answer(
-    query: str, model: str, created: int, text: str, finish: str, read: int, kept: int, made: int
+def completion_body(
+    query: str,
+    model: str,
+    created: int,
+    text: str,
+    finish: str,
+    prompt_tokens: int,
+    cached_tokens: int,
+    output_tokens: int,
 ) -> bytes:
     """A whole answer; token counts are the engine's own."""
     return msgspec.json.encode(
@@ -184,10 +193,10 @@
             "model": model,
             "choices": [{"index": 0, "text": text, "logprobs": None, "finish_reason": finish}],
             "usage": {
-                "prompt_tokens": read,
-                "completion_tokens": made,
-                "total_tokens": read + made,
-                "prompt_tokens_details": {"cached_tokens": kept},
+                "prompt_tokens": prompt_tokens,
+                "completion_tokens": output_tokens,
+                "total_tokens": prompt_tokens + output_tokens,
+                "prompt_tokens_details": {"cached_tokens": cached_tokens},
             },
         }
     )
--- a/runspool/wire/engine_messages.py
+++ b/runspool/wire/engine_messages.py
@@ -27,7 +27,7 @@
         }
     )
 )
-REPORT_HEADER = "endpoint-load-metrics"
+LOAD_REPORT_HEADER = "endpoint-load-metrics"
 RELEASE_PATH = "/v1/kv/release"
 READ_ONLY = ("stream_options", "min_tokens", "max_completion_tokens")
 
@@ -46,7 +46,7 @@
     prompt_tokens_details: TokensDetails | None = None
 
     @property
-    def kept(self) -> int:
+    def cached_tokens(self) -> int:
         return (self.prompt_tokens_details.cached_tokens or 0) if self.prompt_tokens_details else 0
 
 
@@ -60,7 +60,7 @@
     code: str | int | None = None
 
 
-class Answer(msgspec.Struct):
+class CompletionResponse(msgspec.Struct):
     """A whole answer, or one event of a streamed one."""
 
     choices: list[Choice] = []
@@ -72,10 +72,10 @@
 _reports: msgspec.json.Decoder[dict[str, dict[str, float]]] = msgspec.json.Decoder(
     dict[str, dict[str, float]]
 )
-_answers: msgspec.json.Decoder[Answer] = msgspec.json.Decoder(Answer)
+_answers: msgspec.json.Decoder[CompletionResponse] = msgspec.json.Decoder(CompletionResponse)
 
 
-def read_body(query: dict[str, msgspec.Raw]) -> bytes:
+def prefill_body(query: dict[str, msgspec.Raw]) -> bytes:
     """The body of a shot that only reads the prompt."""
     said = {name: raw for name, raw in query.items() if name not in READ_ONLY}
     said |= {
@@ -86,7 +86,7 @@
     return msgspec.json.encode(said)
 
 
-def write_body(query: dict[str, msgspec.Raw], state: dict[str, msgspec.Raw] | None) -> bytes:
+def decode_body(query: dict[str, msgspec.Raw], state: dict[str, msgspec.Raw] | None) -> bytes:
     """The body of a shot that answers, always streamed; `state` is what the reader handed back."""
     said = dict(query)
     said |= {"stream": msgspec.Raw(b"true"), "stream_options": msgspec.Raw(b'{"include_usage":true}')}
@@ -100,7 +100,7 @@
     return msgspec.json.encode({"kv_transfer_params": state, "request_id": request})
 
 
-def answer(raw: bytes) -> Answer:
+def parse_response(raw: bytes) -> CompletionResponse:
     """Raises Garbled where the bytes are no answer."""
     try:
         return _answers.decode(raw)
@@ -111,7 +111,7 @@
 def error_code(raw: bytes) -> str:
     """The code in an error body, empty where it has none."""
     try:
-        error = answer(raw).error
+        error = parse_response(raw).error
     except MalformedResponseError:
         return ""
     return str(error.code or "") if isinstance(error, EngineError) else ""
@@ -135,10 +135,10 @@
 
 
 @dataclass(slots=True)
-class Events:
+class EventSplitter:
     """Splits server-sent events out of a byte stream, however it was cut; raises Garbled past `cap` bytes."""
 
-    cap: int
+    max_event_bytes: int
     _rest: bytearray = field(default_factory=bytearray)
 
     def feed(self, data: bytes) -> list[bytes]:
@@ -153,6 +153,6 @@
             said = [line[5:].removeprefix(b" ") for line in lines if line.startswith(b"data:")]
             if said:
                 found.append(b"\n".join(said))
-        if len(self._rest) > self.cap:
-            raise MalformedResponseError(f"an event of over {self.cap} bytes")
+        if len(self._rest) > self.max_event_bytes:
+            raise MalformedResponseError(f"an event of over {self.max_event_bytes} bytes")
         return found
--- a/runspool/wire/http_requests.py
+++ b/runspool/wire/http_requests.py
@@ -26,14 +26,14 @@
 class HttpRequest:
     """One request; header names in lower case."""
 
-    __slots__ = ("body", "complete", "head_done", "headers", "keeps_alive", "method", "target", "version")
+    __slots__ = ("body", "complete", "head_complete", "headers", "keeps_alive", "method", "target", "version")
 
     def __init__(self) -> None:
         self.method = ""
         self.target = b""
         self.version = ""
         self.headers: dict[str, str] = {}
-        self.head_done = self.complete = self.keeps_alive = False
+        self.head_complete = self.complete = self.keeps_alive = False
         self.body = bytearray()
 
     @property
@@ -41,7 +41,7 @@
         return self.target.partition(b"?")[0].decode("latin-1")
 
     @property
-    def waits_to_be_told(self) -> bool:
+    def expects_continue(self) -> bool:
         """True where the client sends its body only once it is told to go on."""
         return self.headers.get("expect", "").lower() == "100-continue" and not self.body
 
@@ -71,12 +71,12 @@
         except httptools.HttpParserError as wrong:
             self._refuse(400, "malformed", str(wrong))
         coming = self.ready[-1] if self.ready else None
-        if (coming is None or not coming.head_done) and self._unread > self.head_bytes:
+        if (coming is None or not coming.head_complete) and self._unread > self.head_bytes:
             self._refuse(431, "malformed", f"a head of over {self.head_bytes} bytes")
         if self._fault is not None:
             while len(self.ready) > self._sound:
                 self.ready.pop()
-            self.put_off()
+            self.raise_pending_error()
 
     def _refuse(self, status: int, code: str, message: str) -> None:
         """The first fault counts; the request in which it lies and all after it are not served."""
@@ -84,12 +84,12 @@
             self._fault = InvalidHttpRequestError(status, code, message)
             self._sound = sum(one.complete for one in self.ready)
 
-    def put_off(self) -> None:
+    def raise_pending_error(self) -> None:
         """Raises the fault that followed requests which have all been served now."""
         if self._fault is not None and not self.ready:
             raise self._fault
 
-    def free(self) -> None:
+    def close(self) -> None:
         """Lets the parser go, which holds this by its callbacks. To be fed no more."""
         del self._parser
 
@@ -114,7 +114,7 @@
         request = self.ready[-1]
         request.method = self._parser.get_method().decode("latin-1")
         request.version = self._parser.get_http_version()
-        request.head_done = True
+        request.head_complete = True
         self._unread = 0
         length = int(request.headers.get("content-length", "0"))  # the parser has seen that it is a number
         if request.version not in ("1.0", "1.1"):
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -21,7 +21,7 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from runspool.config import terms_of
+from runspool.config import parse_config
 from runspool.engines.completions_client import PrefillState
 from runspool.engines.connection_pool import Address
 from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
@@ -33,7 +33,7 @@
 from runspool.scheduling.types import AttemptStatus
 from runspool.service.front import Front
 from runspool.service.pending_request import RequestNotAcceptedError, ResponseKind
-from runspool.wire.completions import read_wish
+from runspool.wire.completions import parse_completion_request
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
 from tests.clockwork import WALL_MS, now
 
@@ -408,7 +408,7 @@
     def __init__(self, world: World, at: int, number: int, told: bool = True) -> None:
         self.world, self.at, self.told = world, at, told
         plan = world.plan.fronts[at]
-        terms = terms_of(front_terms(world.plan, at, 1, Path(".")))
+        terms = parse_config(front_terms(world.plan, at, 1, Path(".")))
         self.front = Front(terms, seed=world.seed * 100 + number)
         self.front.engine_client = cast(Any, Calls(world, plan.source))
         self.front.log = self.front.timers.log = cast(Any, _Quiet(world))
@@ -653,7 +653,7 @@
         }
         ear = Ear(self, try_, stream)
         body = msgspec.json.encode({"prompt": item, "max_tokens": 500, "stream": stream})
-        wish = read_wish(headers, body, life.front.config)
+        wish = parse_completion_request(headers, body, life.front.config)
         kind, code = "none", ""
         try:
             taken = life.front.submit(wish, ear, now())
--- a/tests/test_terms.py
+++ b/tests/test_config.py
@@ -7,19 +7,19 @@
 
 import pytest
 
-from runspool.config import InvalidConfigError, read_terms, terms_of
+from runspool.config import InvalidConfigError, load_config, parse_config
 from runspool.scheduling.types import Idempotency, Role
 
 HOUSE = Path(__file__).parents[1] / "examples" / "house.jsonnet"
 
 
 def said() -> dict[str, Any]:
-    return read_terms(HOUSE).model_dump()
+    return load_config(HOUSE).model_dump()
 
 
 def test_a_template_becomes_house_terms_in_tenths_of_a_millisecond() -> None:
-    terms = read_terms(HOUSE)
-    house = terms.house_terms()
+    terms = load_config(HOUSE)
+    house = terms.routing_settings()
     names = list(terms.house.tariffs)
     row = house.request_classes[names.index("payout-close")]
     assert (
@@ -42,7 +42,7 @@
     found["front"]["bounds"]["querries"] = 5
     del found["front"]["list"]["quiet_ms"]
     with pytest.raises(InvalidConfigError) as told:
-        terms_of(found)
+        parse_config(found)
     paths = {fault.path: fault for fault in told.value.faults}
     assert set(paths) == {
         "house.tariffs.staff-ask.due_ms",
@@ -69,19 +69,19 @@
     found = said()
     found["front"] |= change
     with pytest.raises(InvalidConfigError, match=named):
-        terms_of(found)
+        parse_config(found)
 
 
 def test_a_template_that_does_not_evaluate_names_file_and_line(tmp_path: Path) -> None:
     broken = tmp_path / "broken.jsonnet"
     broken.write_text("local a = 1;\n{ house: a + nothing }\n")
     with pytest.raises(InvalidConfigError, match=r"broken\.jsonnet:2"):
-        read_terms(broken)
+        load_config(broken)
     with pytest.raises(InvalidConfigError):
-        read_terms(tmp_path / "absent.jsonnet")
+        load_config(tmp_path / "absent.jsonnet")
 
 
 def test_external_variables_reach_the_template(tmp_path: Path) -> None:
     file = tmp_path / "port.jsonnet"
     file.write_text(f"(import '{HOUSE}') + {{ front+: {{ number: 0, name: std.extVar('name') }} }}")
-    assert read_terms(file, {"name": "front-z"}).front.name == "front-z"
+    assert load_config(file, {"name": "front-z"}).front.name == "front-z"
--- a/tests/test_doctored.py
+++ b/tests/test_doctored.py
@@ -257,7 +257,7 @@
                 await anyio.sleep(0.01)
         await anyio.sleep(said.get("held_on", 0))  # a state is pinned by being there for so long
         town.record.line("over")
-    found = audit(list(recording.read(town.file)), slack)
+    found = audit(list(recording.read_recording(town.file)), slack)
     broken = {name: judged.broken for name, judged in found.items() if judged.broken}
     assert found[rule].cases
     assert (broken.get(rule, 0) > 0) if doctored else not broken, [one.examples for one in found.values()]
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from runspool.config import EnginesTerms
+from runspool.config import EngineClientConfig
 from runspool.engines.completions_client import CompletionsEngineClient, PrefillState
 from runspool.engines.connection_pool import Address
 from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause, may_have_executed
@@ -22,7 +22,7 @@
 from tests.town import make
 
 SECOND = 10_000
-TERMS = EnginesTerms(
+TERMS = EngineClientConfig(
     connect_ms=300,
     idle_ms=15000,
     connections_each=4,
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -21,7 +21,7 @@
 from runspool.service.pending_request import FinalResponse, ResponseKind
 from runspool.service.request_executor import ResponseRelay
 from runspool.transport import tcp as lines
-from runspool.wire.completions import read_wish
+from runspool.wire.completions import parse_completion_request
 from runspool.wire.endpoint_list import EndpointEntry
 from tests.histories import leftovers
 from tests.town import Town, answered
@@ -152,7 +152,7 @@
             async def data_received(self, text: str) -> None:
                 passed.append(text)
 
-        wish = read_wish({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
+        wish = parse_completion_request({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
         taken = PendingCompletion(
             0, "q", 0, 10, completion=wish, listener=Ear(), headers={}, stay=front._let_in(wish)
         )
@@ -167,7 +167,7 @@
 async def test_late_news_for_a_closed_cell_opens_no_desk(tmp_path: Path) -> None:
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
         front = town.running.front
-        wish = read_wish({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
+        wish = parse_completion_request({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
         stay = replace(front._let_in(wish), cell="closed")
         front._disconnect(
             PendingCompletion(0, "q", 0, 10, completion=wish, listener=cast(Any, None), headers={}, stay=stay)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -226,7 +226,7 @@
         Trouble("errors", 2 * SECOND, 3 * SECOND, size=0.3, on=[writer + 4]),
     ]
     file = anyio.run(ScenarioRunner(plan, tmp_path).play)
-    said = verdict.verdict(recording.read(file))
+    said = verdict.verdict(recording.read_recording(file))
     verdict.write(said, tmp_path)
     assert said["kept"], said["rules"]
     assert said["unjudged"] == []
@@ -243,7 +243,7 @@
         if row["kind"] in ("ageing", "balancer_roll")
     ]  # also on top of itself
     file = anyio.run(ScenarioRunner(from_bench(day, 2, 9, 0.5), tmp_path).play)
-    said = verdict.verdict(recording.read(file))
+    said = verdict.verdict(recording.read_recording(file))
     assert said["kept"], said["rules"]
     assert {one["kind"] for one in said["troubles"]} >= {"ageing", "balancer_roll", "class_fail", "throttle"}
     assert said["rules"]["no query lost"]["cases"] > 30
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -77,10 +77,10 @@
 
 @given(st.lists(st.text(max_size=20), max_size=6), st.lists(st.integers(1, 40), min_size=1, max_size=30))
 def test_events_come_out_whole_however_the_bytes_were_cut(texts: list[str], cuts: list[int]) -> None:
-    chunks = completions.Chunks("q", "m", 0)
+    chunks = completions.CompletionChunks("q", "m", 0)
     body = b"".join(chunks.text(text) for text in texts) + b"0\r\n\r\n"
     raw = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: y\r\n\r\n" + body
-    reply, events, found = ResponseParser(65536), engine.Events(65536), []
+    reply, events, found = ResponseParser(65536), engine.EventSplitter(65536), []
     at = turn = 0
     while at < len(raw):
         size = cuts[turn % len(cuts)]
@@ -88,7 +88,7 @@
         found += events.feed(reply.take_body())
         at, turn = at + size, turn + 1
     assert reply.complete and reply.status == 200 and reply.headers["x"] == "y"
-    assert [engine.answer(event).choices[0].text for event in found] == texts
+    assert [engine.parse_response(event).choices[0].text for event in found] == texts
 
 
 def test_bytes_past_the_end_of_an_answer_are_no_second_answer() -> None:
@@ -155,10 +155,10 @@
         reading = HttpRequestParser(1000, 10)
         reading.feed(good + good + bad + good)
         assert [one.complete for one in reading.ready] == [True, True]
-        reading.put_off()  # nothing yet: two are to be served first
+        reading.raise_pending_error()  # nothing yet: two are to be served first
         reading.ready.clear()
         with pytest.raises(InvalidHttpRequestError) as told:
-            reading.put_off()
+            reading.raise_pending_error()
         assert told.value.status == status
 
 
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -13,7 +13,7 @@
 from runspool.engines.failure_classification import FailureCause
 from runspool.service.pending_request import FinalResponse, ResponseKind
 from runspool.transport import tcp as lines
-from runspool.wire.completions import read_wish
+from runspool.wire.completions import parse_completion_request
 from tests import clockwork
 from tests.histories import Days, Life, World, leftovers
 from tests.town import Answered, Town, answered
@@ -281,7 +281,7 @@
         front = life.front
         world.asked["1.1"] = 500, 3
         told: list[str] = []
-        wish = read_wish(
+        wish = parse_completion_request(
             {"runspool-tariff": "book", "runspool-mark": "1.1", "runspool-limit-ms": "2000"},
             b'{"prompt": "x", "stream": true}',
             front.config,
--- a/tests/town.py
+++ b/tests/town.py
@@ -16,7 +16,7 @@
 
 from runspool.cells import cell_store as book
 from runspool.cells.cell_map import CellMap
-from runspool.config import terms_of
+from runspool.config import parse_config
 from runspool.lab import recording
 from runspool.lab.engine import Engine
 from runspool.lab.listing import Listing
@@ -106,7 +106,7 @@
                 self.tell(at, "on")
             said = front_terms(self.plan, 0, self.listing.port, self.folder)
             said["front"]["bounds"] |= self.bounds
-            self.running = FrontServer(terms_of(said), tape)
+            self.running = FrontServer(parse_config(said), tape)
             self.port = await tasks.start(self.running.run)
             while len(self.running.front.endpoints) < len(self.engines):
                 await anyio.sleep(0.005)
@@ -183,7 +183,7 @@
     def seen(self, what: str, **said: Any) -> list[Event]:
         return [
             event
-            for event in recording.read(self.file)
+            for event in recording.read_recording(self.file)
             if event["what"] == what and all(event.get(name) == value for name, value in said.items())
         ]
 
