--- a/runspool/wire/completions.py
+++ b/runspool/wire/completions.py
@@ -1,14 +1,15 @@
-"""What clients send and are sent: OpenAI-style completions, with runspool's headers beside them.
+"""Messages from and to clients: OpenAI-style completions, with runspool's own headers beside them.
 
 Source: the published completions API (request body, chunk and error shapes, server-sent events ended by
-`data: [DONE]`); the headers are runspool's own and are listed in docs/operators/front.md.
+`data: [DONE]`). The headers are listed in docs/operators/front.md; CompletionRequest holds their values under
+the scheduler's terms.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import TypeVar
 
 import msgspec
 
@@ -17,13 +18,18 @@
 from runspool.wire import fields
 from runspool.wire.fields import TOKEN_BYTES, UNREADABLE, InvalidRequestError
 
-DEFAULT_OUT = 256
+Value = TypeVar("Value")
+
+DEFAULT_OUTPUT_TOKENS = 256  # where the body has no `max_tokens`
+MAX_OUTPUT_TOKENS = 1_000_000
+MAX_PROMPT_TOKENS = 100_000_000
+MAX_CLIENT_TRIES = 1_000
 DONE = b"data: [DONE]\n\n"
 
 
 @dataclass(slots=True)
 class CompletionRequest:
-    """One query as its client stated it, checked; durations in tenths of a millisecond, lengths in tokens."""
+    """A client's request, checked; durations in tenths of a millisecond, lengths in tokens."""
 
     request_class: str
     tenant: str | None
@@ -32,120 +38,139 @@
     prefix_tokens: int
     prompt_tokens: int
     max_output_tokens: int
-    expected_output_tokens: int
+    expected_output_tokens: int  # the client's estimate, 0 where it gave none
     time_limit: int
     idempotency_key: str | None
-    client_attempt: str
+    client_attempt: str  # the client's own name of this try, for its logs
     is_continuation: bool
     is_client_retry: bool
     stream: bool
-    body_bytes: int  # bytes of its body
+    body_bytes: int
     body: dict[str, msgspec.Raw]
 
 
 def parse_completion_request(
     headers: Mapping[str, str], body: bytes, config: FrontConfig
 ) -> CompletionRequest:
-    """A checked wish from lower-case headers and a body; raises Misworded at the first thing wrong."""
+    """Parse and check a request from its headers, named in lower case, and its body.
+
+    Raises InvalidRequestError for the first thing that is wrong.
+    """
     try:
-        fields: dict[str, msgspec.Raw] = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
-    except UNREADABLE as fault:
-        raise InvalidRequestError("body", f"not a JSON object ({fault})") from None
-    house = config.house
-    tariff = headers.get("runspool-tariff") or config.front.default_tariff
-    if tariff is None:
-        raise InvalidRequestError("runspool-tariff", "missing, and this front has no default tariff")
-    row = house.tariffs.get(tariff)
-    if row is None:
-        raise InvalidRequestError("runspool-tariff", f"{tariff!r} is none of {', '.join(house.tariffs)}")
+        parameters: dict[str, msgspec.Raw] = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
+    except UNREADABLE as error:
+        raise InvalidRequestError("body", f"not a JSON object ({error})") from None
+    request_class, class_config = _request_class(headers, config)
     tenant = headers.get("runspool-tenant")
-    if tenant is not None and tenant not in house.tenants:
+    if tenant is not None and tenant not in config.house.tenants:
         raise InvalidRequestError("runspool-tenant", f"{tenant!r} is not known here")
-    prompt = _whole(headers, "runspool-prompt-tokens", _counted(fields), 1, 100_000_000)
-    most_out = _field(fields, "max_tokens", int, DEFAULT_OUT)
-    if not 1 <= most_out <= 1_000_000:
-        raise InvalidRequestError("max_tokens", f"{most_out} is not from 1 to 1000000")
-    if _field(fields, "n", int, 1) != 1:
+    estimated_tokens = _estimated_prompt_tokens(parameters)
+    prompt_tokens = _integer(headers, "runspool-prompt-tokens", estimated_tokens, 1, MAX_PROMPT_TOKENS)
+    max_output_tokens = _max_output_tokens(parameters)
+    if _parameter(parameters, "n", int, 1) != 1:
         raise InvalidRequestError("n", "only one answer a query is made")
-    beginning = _name(headers, "runspool-beginning")
-    length = _whole(headers, "runspool-beginning-tokens", 0, 0, prompt)
-    ticket = _name(headers, "runspool-ticket")
-    if row.effect == "ticketed" and ticket is None:
-        raise InvalidRequestError("runspool-ticket", f"missing, and tariff {tariff} is ticketed")
+    prefix = _name(headers, "runspool-beginning")
+    prefix_tokens = _integer(headers, "runspool-beginning-tokens", 0, 0, prompt_tokens)
+    idempotency_key = _name(headers, "runspool-ticket")
+    if class_config.effect == "ticketed" and idempotency_key is None:
+        raise InvalidRequestError("runspool-ticket", f"missing, and tariff {request_class} is ticketed")
     return CompletionRequest(
-        request_class=tariff,
+        request_class=request_class,
         tenant=tenant,
         session=_name(headers, "runspool-session"),
-        prefix=beginning,
-        prefix_tokens=length if beginning is not None else 0,
-        prompt_tokens=prompt,
-        max_output_tokens=most_out,
-        expected_output_tokens=_whole(headers, "runspool-likely-tokens", 0, 0, 1_000_000),
-        time_limit=_limit(headers, row, prompt, config),
-        idempotency_key=ticket,
+        prefix=prefix,
+        prefix_tokens=prefix_tokens if prefix is not None else 0,
+        prompt_tokens=prompt_tokens,
+        max_output_tokens=max_output_tokens,
+        expected_output_tokens=_integer(headers, "runspool-likely-tokens", 0, 0, MAX_OUTPUT_TOKENS),
+        time_limit=_time_limit(headers, class_config, prompt_tokens, config),
+        idempotency_key=idempotency_key,
         client_attempt=_name(headers, "runspool-mark") or "",
         is_continuation=headers.get("runspool-again", "0") == "1",
-        is_client_retry=_whole(headers, "runspool-try", 1, 1, 1000) > 1,
-        stream=_field(fields, "stream", bool, False),
+        is_client_retry=_integer(headers, "runspool-try", 1, 1, MAX_CLIENT_TRIES) > 1,
+        stream=_parameter(parameters, "stream", bool, False),
         body_bytes=len(body),
-        body=fields,
+        body=parameters,
     )
 
 
-def _limit(headers: Mapping[str, str], row: RequestClassConfig, prompt: int, terms: FrontConfig) -> int:
-    # The hard limit grows twice as fast with the prompt as the due time does.
-    usual = row.limit_ms + 2 * row.due_per_1000_tokens_ms * prompt / 1000
-    said = headers.get("runspool-limit-ms")
-    if said is None:
-        return tenths(min(usual, terms.front.bounds.longest_limit_ms))
-    most = int(terms.front.bounds.longest_limit_ms)
-    return _whole(headers, "runspool-limit-ms", 0, 1, most) * TENTHS
+def _request_class(headers: Mapping[str, str], config: FrontConfig) -> tuple[str, RequestClassConfig]:
+    classes = config.house.tariffs
+    name = headers.get("runspool-tariff") or config.front.default_tariff
+    if name is None:
+        raise InvalidRequestError("runspool-tariff", "missing, and this front has no default tariff")
+    class_config = classes.get(name)
+    if class_config is None:
+        raise InvalidRequestError("runspool-tariff", f"{name!r} is none of {', '.join(classes)}")
+    return name, class_config
+
+
+def _max_output_tokens(parameters: dict[str, msgspec.Raw]) -> int:
+    tokens = _parameter(parameters, "max_tokens", int, DEFAULT_OUTPUT_TOKENS)
+    if not 1 <= tokens <= MAX_OUTPUT_TOKENS:
+        raise InvalidRequestError("max_tokens", f"{tokens} is not from 1 to {MAX_OUTPUT_TOKENS}")
+    return tokens
+
+
+def _time_limit(
+    headers: Mapping[str, str], class_config: RequestClassConfig, prompt_tokens: int, config: FrontConfig
+) -> int:
+    """Time that the request may take, in tenths of a millisecond: the client's, or its class's by default."""
+    longest_ms = config.front.bounds.longest_limit_ms
+    # The default grows twice as fast with the prompt as the first token's objective does.
+    default_ms = class_config.limit_ms + 2 * class_config.due_per_1000_tokens_ms * prompt_tokens / 1000
+    if headers.get("runspool-limit-ms") is None:
+        return tenths(min(default_ms, longest_ms))
+    return _integer(headers, "runspool-limit-ms", 0, 1, int(longest_ms)) * TENTHS
 
 
-def _whole(headers: Mapping[str, str], name: str, absent: int, least: int, most: int) -> int:
-    return fields.whole(headers.get(name), name, absent, least, most)
+def _integer(headers: Mapping[str, str], name: str, default: int, least: int, most: int) -> int:
+    return fields.whole(headers.get(name), name, default, least, most)
 
 
 def _name(headers: Mapping[str, str], name: str) -> str | None:
     return fields.name(headers.get(name), name)
 
 
-def _field(fields: dict[str, msgspec.Raw], name: str, kind: type[Any], absent: Any) -> Any:
-    raw = fields.get(name)
+def _parameter(parameters: dict[str, msgspec.Raw], name: str, kind: type[Value], default: Value) -> Value:
+    """Return a parameter of the body; null stands for its default, as in the published API."""
+    raw = parameters.get(name)
     if raw is None:
-        return absent
+        return default
     try:
-        found: Any = msgspec.json.decode(raw, type=kind | None)
-    except UNREADABLE as fault:
-        raise InvalidRequestError(name, str(fault)) from None
-    return absent if found is None else found
+        value: Value | None = msgspec.json.decode(raw, type=kind | None)
+    except UNREADABLE as error:
+        raise InvalidRequestError(name, str(error)) from None
+    return default if value is None else value
 
 
-def _counted(fields: dict[str, msgspec.Raw]) -> int:
-    raw = fields.get("prompt")
+def _estimated_prompt_tokens(parameters: dict[str, msgspec.Raw]) -> int:
+    """Length of the prompt: the count of a list of tokens, an estimate by its bytes for a text."""
+    raw = parameters.get("prompt")
     if raw is None:
         raise InvalidRequestError("prompt", "missing")
-    text = bytes(raw)
-    if text[:1] == b'"':
-        return max(1, (len(text) - 2) // TOKEN_BYTES)
+    encoded = bytes(raw)
+    if encoded[:1] == b'"':
+        text_bytes = len(encoded) - 2  # without the quotation marks
+        return max(1, text_bytes // TOKEN_BYTES)
     try:
-        return max(1, len(msgspec.json.decode(text, type=list[int])))
+        return max(1, len(msgspec.json.decode(encoded, type=list[int])))
     except UNREADABLE:
         raise InvalidRequestError("prompt", "must be one text or one list of token numbers") from None
 
 
 def error_body(kind: str, code: str, message: str) -> bytes:
-    """The published error shape; `kind` is its type, `code` the machine-readable reason."""
+    """Return the published error shape; `kind` is its type, `code` the machine-readable reason."""
     return msgspec.json.encode({"error": {"message": message, "type": kind, "param": None, "code": code}})
 
 
-def chunk(query: str, model: str, created: int, text: str, finish: str | None = None) -> bytes:
-    """One server-sent event of a streamed answer."""
+def chunk(request_id: str, model: str, created: int, text: str, finish: str | None = None) -> bytes:
+    """Return one server-sent event of a streamed response; `created` is in Unix seconds."""
     return (
         b"data: "
         + msgspec.json.encode(
             {
-                "id": query,
+                "id": request_id,
                 "object": "text_completion",
                 "created": created,
                 "model": model,
@@ -157,25 +182,26 @@
 
 
 class CompletionChunks:
-    """The events of one streamed answer: what does not change from token to token is made once."""
+    """Encodes the events of one streamed response; what is the same in all of them is encoded once."""
 
-    def __init__(self, query: str, model: str, created: int) -> None:
-        whole = chunk(query, model, created, "\0")
-        self.before, self.after = whole.split(msgspec.json.encode("\0"))
+    def __init__(self, request_id: str, model: str, created: int) -> None:
+        placeholder = "\0"
+        event = chunk(request_id, model, created, placeholder)
+        self.before, self.after = event.split(msgspec.json.encode(placeholder))
 
     def text(self, text: str) -> bytes:
-        """The event that carries a text, as one chunk of a chunked body."""
+        """Return the event that carries a text, as one chunk of a chunked body."""
         event = self.before + msgspec.json.encode(text) + self.after
         return b"%x\r\n%b\r\n" % (len(event), event)
 
 
 def error_event(code: str, message: str) -> bytes:
-    """The last event of a stream that could not be finished; no [DONE] follows."""
+    """Return the last event of a stream that could not be finished; no [DONE] follows it."""
     return b"data: " + error_body("scrapped", code, message) + b"\n\n"
 
 
 def completion_body(
-    query: str,
+    request_id: str,
     model: str,
     created: int,
     text: str,
@@ -184,10 +210,10 @@
     cached_tokens: int,
     output_tokens: int,
 ) -> bytes:
-    """A whole answer; token counts are the engine's own."""
+    """Return a whole response; the token counts are the engine's own, `created` is in Unix seconds."""
     return msgspec.json.encode(
         {
-            "id": query,
+            "id": request_id,
             "object": "text_completion",
             "created": created,
             "model": model,
--- a/runspool/wire/engine_messages.py
+++ b/runspool/wire/engine_messages.py
@@ -1,9 +1,10 @@
-"""What engines are sent and send: the two-stage completions that vLLM's OpenAI-style servers speak.
+"""Messages to and from engines: the two-stage completions that vLLM's OpenAI-style servers speak.
 
-Source: vLLM's published serving API. A read is a completion with `max_tokens` 1 and `kv_transfer_params` that
-ask for a remote decode; its answer hands back the parameters under which the read state waits. A write sends
-those on and streams. The load report is the published `endpoint-load-metrics` header in its JSON form.
-Letting a state go has no published call: `POST /v1/kv/release` is runspool's own and an engine may lack it.
+Source: vLLM's published serving API. A prefill is a completion with `max_tokens` 1 and `kv_transfer_params`
+that ask for a remote decode; its response returns the parameters under which the prefill state is held. A
+decode sends those parameters on and streams. The load report is the published `endpoint-load-metrics` header
+in its JSON form. Releasing a state has no published call: `POST /v1/kv/release` is runspool's own, and an
+engine may lack it.
 """
 
 from __future__ import annotations
@@ -12,10 +13,11 @@
 
 import msgspec
 
+from runspool.errors import RunspoolError
 from runspool.scheduling.types import LoadReport
 from runspool.wire.fields import UNREADABLE
 
-ASKS_REMOTE_WRITER = msgspec.Raw(
+REMOTE_DECODE_PARAMS = msgspec.Raw(
     msgspec.json.encode(
         {
             "do_remote_decode": True,
@@ -28,40 +30,54 @@
     )
 )
 LOAD_REPORT_HEADER = "endpoint-load-metrics"
+LOAD_REPORT_FORMAT = "JSON"  # the header's first word, before the report
 RELEASE_PATH = "/v1/kv/release"
-READ_ONLY = ("stream_options", "min_tokens", "max_completion_tokens")
 
+# Fields of a client's body that a prefill must not carry, as it makes one token and does not stream.
+DECODE_ONLY_FIELDS = ("stream_options", "min_tokens", "max_completion_tokens")
 
-class MalformedResponseError(Exception):
-    """An engine's answer that cannot be what it ought to be."""
+EVENT_DATA = b"data:"  # the only field of server-sent events that is read
+
+
+class MalformedResponseError(RunspoolError):
+    """An engine's response, or an event of it, that cannot be read."""
 
 
 class TokensDetails(msgspec.Struct):
+    """How many prompt tokens the engine had cached."""
+
     cached_tokens: int | None = None
 
 
 class Usage(msgspec.Struct):
+    """The engine's own counts of tokens."""
+
     prompt_tokens: int = 0
     completion_tokens: int = 0
     prompt_tokens_details: TokensDetails | None = None
 
     @property
     def cached_tokens(self) -> int:
+        """Prompt tokens that the engine had cached, 0 where it does not say."""
         return (self.prompt_tokens_details.cached_tokens or 0) if self.prompt_tokens_details else 0
 
 
 class Choice(msgspec.Struct):
+    """Text that the engine made, and why it ended, if it did."""
+
     text: str = ""
     finish_reason: str | None = None
 
 
 class EngineError(msgspec.Struct):
+    """The published error shape."""
+
     message: str = ""
     code: str | int | None = None
 
 
 class CompletionResponse(msgspec.Struct):
-    """A whole answer, or one event of a streamed one."""
+    """A whole response, or one event of a streamed one."""
 
     choices: list[Choice] = []
     usage: Usage | None = None
@@ -69,47 +85,53 @@
     error: EngineError | str | None = None
 
 
-_reports: msgspec.json.Decoder[dict[str, dict[str, float]]] = msgspec.json.Decoder(
+_load_reports: msgspec.json.Decoder[dict[str, dict[str, float]]] = msgspec.json.Decoder(
     dict[str, dict[str, float]]
 )
-_answers: msgspec.json.Decoder[CompletionResponse] = msgspec.json.Decoder(CompletionResponse)
+_responses: msgspec.json.Decoder[CompletionResponse] = msgspec.json.Decoder(CompletionResponse)
 
 
-def prefill_body(query: dict[str, msgspec.Raw]) -> bytes:
-    """The body of a shot that only reads the prompt."""
-    said = {name: raw for name, raw in query.items() if name not in READ_ONLY}
-    said |= {
+def prefill_body(body: dict[str, msgspec.Raw]) -> bytes:
+    """Return the body of an attempt that only prefills the prompt of a client's body."""
+    fields = {name: raw for name, raw in body.items() if name not in DECODE_ONLY_FIELDS}
+    fields |= {
         "max_tokens": msgspec.Raw(b"1"),
         "stream": msgspec.Raw(b"false"),
-        "kv_transfer_params": ASKS_REMOTE_WRITER,
+        "kv_transfer_params": REMOTE_DECODE_PARAMS,
     }
-    return msgspec.json.encode(said)
+    return msgspec.json.encode(fields)
+
 
+def decode_body(body: dict[str, msgspec.Raw], state: dict[str, msgspec.Raw] | None) -> bytes:
+    """Return the body of an attempt that answers, always streamed.
 
-def decode_body(query: dict[str, msgspec.Raw], state: dict[str, msgspec.Raw] | None) -> bytes:
-    """The body of a shot that answers, always streamed; `state` is what the reader handed back."""
-    said = dict(query)
-    said |= {"stream": msgspec.Raw(b"true"), "stream_options": msgspec.Raw(b'{"include_usage":true}')}
+    `state` holds the parameters that the prefill's response returned, or None where there was no prefill.
+    """
+    fields = dict(body)
+    fields |= {"stream": msgspec.Raw(b"true"), "stream_options": msgspec.Raw(b'{"include_usage":true}')}
     if state is not None:
-        said["kv_transfer_params"] = msgspec.Raw(msgspec.json.encode(state))
-    return msgspec.json.encode(said)
+        fields["kv_transfer_params"] = msgspec.Raw(msgspec.json.encode(state))
+    return msgspec.json.encode(fields)
 
 
 def release_body(state: dict[str, msgspec.Raw] | None, request: str) -> bytes:
-    """Names the state by its parameters, or by the read's request id where no answer told them."""
+    """Return the body that releases a state.
+
+    The state is named by its parameters, or by the prefill's request id where no response told them.
+    """
     return msgspec.json.encode({"kv_transfer_params": state, "request_id": request})
 
 
 def parse_response(raw: bytes) -> CompletionResponse:
-    """Raises Garbled where the bytes are no answer."""
+    """Parse a response or event; raise MalformedResponseError for bytes that are none."""
     try:
-        return _answers.decode(raw)
-    except UNREADABLE as fault:
-        raise MalformedResponseError(str(fault)) from None
+        return _responses.decode(raw)
+    except UNREADABLE as error:
+        raise MalformedResponseError(str(error)) from None
 
 
 def error_code(raw: bytes) -> str:
-    """The code in an error body, empty where it has none."""
+    """Return the code in an error body, empty where it has none. Never raises."""
     try:
         error = parse_response(raw).error
     except MalformedResponseError:
@@ -118,14 +140,14 @@
 
 
 def load_report(header: str | None) -> LoadReport | None:
-    """The figures of a load report, or None where there is none or it does not read."""
-    if header is None or not header.startswith("JSON"):
+    """Parse a load report's header; None where it is absent or unreadable. Never raises."""
+    if header is None or not header.startswith(LOAD_REPORT_FORMAT):
         return None
     try:
-        named = _reports.decode(header[4:].strip().encode())
+        report = _load_reports.decode(header[len(LOAD_REPORT_FORMAT) :].strip().encode())
     except UNREADABLE:
         return None
-    figures = named.get("named_metrics", {})
+    figures = report.get("named_metrics", {})
     return LoadReport(
         requests_in_flight=figures.get("num_requests_running"),
         slot_utilization=figures.get("slots_usage_perc"),
@@ -136,23 +158,28 @@
 
 @dataclass(slots=True)
 class EventSplitter:
-    """Splits server-sent events out of a byte stream, however it was cut; raises Garbled past `cap` bytes."""
+    """Splits a byte stream, however it was cut, into server-sent events of `max_event_bytes` at most."""
 
     max_event_bytes: int
     _rest: bytearray = field(default_factory=bytearray)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The data of each event that is now complete."""
+        """Return the data of each event that is now complete.
+
+        Raises MalformedResponseError where more than `max_event_bytes` have come without an event's end.
+        """
         self._rest += data
         if b"\r" in data:
             self._rest = self._rest.replace(b"\r\n", b"\n")
-        found = []
+        events = []
         while (end := self._rest.find(b"\n\n")) >= 0:
             lines = bytes(self._rest[:end]).split(b"\n")
             del self._rest[: end + 2]
-            said = [line[5:].removeprefix(b" ") for line in lines if line.startswith(b"data:")]
-            if said:
-                found.append(b"\n".join(said))
+            values = [
+                line[len(EVENT_DATA) :].removeprefix(b" ") for line in lines if line.startswith(EVENT_DATA)
+            ]
+            if values:
+                events.append(b"\n".join(values))
         if len(self._rest) > self.max_event_bytes:
             raise MalformedResponseError(f"an event of over {self.max_event_bytes} bytes")
-        return found
+        return events
