--- a/runspool/config/schema.py
+++ b/runspool/config/schema.py
@@ -1,4 +1,8 @@
-"""The shape that terms must have. Units stand in the field names; an unknown field is a fault."""
+"""The schema of a front's configuration, and its translation into the scheduler's settings.
+
+Field names are the keys of users' Jsonnet files and stay as they are; the classes and the tables below say
+what they stand for. Units are part of the field names. An unknown field is a fault.
+"""
 
 from __future__ import annotations
 
@@ -15,16 +19,18 @@
 from runspool.scheduling.types import DeduplicationScope, Idempotency, Role
 from runspool.units import tenths
 
-Millis = Annotated[float, Field(ge=0, le=86_400_000)]
-SomeMillis = Annotated[float, Field(gt=0, le=86_400_000)]
-Share = Annotated[float, Field(ge=0, le=1)]
+MILLISECONDS_A_DAY = 86_400_000
+
+Milliseconds = Annotated[float, Field(ge=0, le=MILLISECONDS_A_DAY)]
+PositiveMilliseconds = Annotated[float, Field(gt=0, le=MILLISECONDS_A_DAY)]
+Fraction = Annotated[float, Field(ge=0, le=1)]
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
 Count = Annotated[int, Field(ge=1, le=1_000_000)]
 Bytes = Annotated[int, Field(ge=256, le=1 << 30)]
 Port = Annotated[int, Field(ge=0, le=65535)]
 
 
-# The templates' words for the scheduler's types.
+# Users' words for the scheduler's types.
 IDEMPOTENCY = {
     "rerunnable": Idempotency.IDEMPOTENT,
     "ticketed": Idempotency.KEYED,
@@ -39,62 +45,90 @@
 
 
 class ConfigSection(BaseModel):
+    """A section whose values must have exactly the declared types, and no others."""
+
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
 class RequestClassConfig(ConfigSection):
-    due_ms: SomeMillis
-    due_per_1000_tokens_ms: Millis
-    limit_ms: SomeMillis
-    pace_ms_per_token: Millis
+    """One request class (`tariffs`): its objectives, its value, and how it may be repeated."""
+
+    due_ms: PositiveMilliseconds
+    due_per_1000_tokens_ms: Milliseconds
+    limit_ms: PositiveMilliseconds
+    pace_ms_per_token: Milliseconds
     gain: Annotated[float, Field(gt=0, le=1000)]
-    late_share: Share
+    late_share: Fraction
     effect: Literal["rerunnable", "ticketed", "exclusive"]
     group: Literal["all", "zone", "rack"]
-    window_ms: Millis
+    window_ms: Milliseconds
 
     @model_validator(mode="after")
     def due_before_limit(self) -> Self:
+        """Check that the objective lies within the limit."""
         if self.due_ms > self.limit_ms:
             raise ValueError(f"due_ms {self.due_ms:g} is over limit_ms {self.limit_ms:g}")
         return self
 
+    def request_class_settings(self) -> RequestClassSettings:
+        """Return the scheduler's settings of this class, times in tenths of a millisecond."""
+        return RequestClassSettings(
+            first_token_objective=tenths(self.due_ms),
+            first_token_objective_per_1000_tokens=tenths(self.due_per_1000_tokens_ms),
+            time_per_output_token=tenths(self.pace_ms_per_token),
+            priority_weight=self.gain,
+            late_value=self.late_share,
+            idempotency=IDEMPOTENCY[self.effect],
+            deduplication_scope=DEDUPLICATION_SCOPES[self.group],
+            deduplication_window=tenths(self.window_ms),
+        )
+
 
 class TenantConfig(ConfigSection):
+    """One tenant: the rate of requests that it has paid for."""
+
     queries_per_second: Annotated[float, Field(gt=0)]
 
 
 class EngineTypeConfig(ConfigSection):
+    """One type of engines (`kinds`): its role, and the memory for cached tokens."""
+
     role: Literal["reader", "writer", "mixed"]
     memory_tokens: Annotated[int, Field(ge=0)]
 
 
 class RulesConfig(ConfigSection):
-    answer_slack_ms: Millis
-    drain_grace_ms: Millis
+    """Margins and timeouts of the scheduler (`rules`)."""
+
+    answer_slack_ms: Milliseconds
+    drain_grace_ms: Milliseconds
     cold_from: Annotated[float, Field(gt=0, le=1)]
-    cold_ms: Millis
+    cold_ms: Milliseconds
     fall_multiple: Annotated[float, Field(gt=0)]
-    fall_ms: SomeMillis
+    fall_ms: PositiveMilliseconds
     release_within_ms: Annotated[float, Field(ge=50, le=60_000)]
 
 
 class AttemptLimitsConfig(ConfigSection):
+    """What the scheduler may do for one request (`limits`)."""
+
     max_shots: Annotated[int, Field(ge=1, le=64)]
-    second_copies: Literal[False]  # the module sends none; a house that wants them would not get them
-    longest_wait_told_ms: Millis
+    second_copies: Literal[False]  # the scheduler never hedges, so nobody may ask for it
+    longest_wait_told_ms: Milliseconds
     writers_read: bool
 
 
 class PricesConfig(ConfigSection):
-    far: Share
-    zone: Share
-    late: Share
-    waste: Share
+    """What a choice costs, as fractions of a request's value (`prices`)."""
+
+    far: Fraction
+    zone: Fraction
+    late: Fraction
+    waste: Fraction
 
 
 class HouseConfig(ConfigSection):
-    """What every front of a house shares."""
+    """What all fronts share (`house`)."""
 
     fronts: Count
     zones: Annotated[list[Name], Field(min_length=1)]
@@ -104,41 +138,44 @@
     rules: RulesConfig
     limits: AttemptLimitsConfig
     prices: PricesConfig
-    over_share: Share
+    over_share: Fraction
 
     @model_validator(mode="after")
     def zones_differ(self) -> Self:
+        """Check that no zone occurs twice."""
         if len(set(self.zones)) < len(self.zones):
             raise ValueError("zones names one twice")
         return self
 
 
 class ListenConfig(ConfigSection):
+    """The address that a front listens on; port 0 stands for any free one."""
+
     host: str
     port: Port
 
 
 class FrontBoundsConfig(ConfigSection):
-    """What a front bears at most; past each a clean refusal, before the query counts as taken."""
+    """The most that a front bears (`bounds`); beyond each, a request is refused before it is accepted."""
 
     connections: Count
     queries: Count
     head_bytes: Bytes
     query_bytes: Bytes
-    head_ms: SomeMillis
-    body_ms: SomeMillis
-    idle_ms: SomeMillis
-    answer_write_ms: SomeMillis
-    stream_silence_ms: SomeMillis
-    longest_limit_ms: SomeMillis
-    drain_ms: SomeMillis
+    head_ms: PositiveMilliseconds
+    body_ms: PositiveMilliseconds
+    idle_ms: PositiveMilliseconds
+    answer_write_ms: PositiveMilliseconds
+    stream_silence_ms: PositiveMilliseconds
+    longest_limit_ms: PositiveMilliseconds
+    drain_ms: PositiveMilliseconds
 
 
 class EngineClientConfig(ConfigSection):
-    """How a front speaks to engines."""
+    """Connections to engines (`engines`): their timeouts and bounds."""
 
-    connect_ms: SomeMillis
-    idle_ms: SomeMillis
+    connect_ms: PositiveMilliseconds
+    idle_ms: PositiveMilliseconds
     connections_each: Count
     idle_each: Annotated[int, Field(ge=0)]
     read_answer_bytes: Bytes
@@ -147,17 +184,17 @@
 
 
 class EndpointListConfig(ConfigSection):
-    """Where the list of engines is watched, and when it counts as lost."""
+    """The service that lists the engines (`list`), and when its watch counts as lost."""
 
     host: str
     port: Annotated[int, Field(ge=1, le=65535)]
-    quiet_ms: SomeMillis
-    retry_ms: SomeMillis
+    quiet_ms: PositiveMilliseconds
+    retry_ms: PositiveMilliseconds
     line_bytes: Bytes
 
 
 class FrontProcessConfig(ConfigSection):
-    """One front: its place, its listener, its bounds."""
+    """One front (`front`): its place among the others, its listener, its bounds, its files."""
 
     name: Name
     number: Annotated[int, Field(ge=0)]
@@ -175,13 +212,14 @@
 
 
 class FrontConfig(ConfigSection):
-    """All that a front is told at its start."""
+    """The whole configuration of a front."""
 
     house: HouseConfig
     front: FrontProcessConfig
 
     @model_validator(mode="after")
     def front_fits_house(self) -> Self:
+        """Check the front's own values against those that all fronts share."""
         faults = []
         if self.front.zone not in self.house.zones:
             faults.append(f"front.zone {self.front.zone!r} is none of house.zones {self.house.zones}")
@@ -196,28 +234,19 @@
         return self
 
     def routing_settings(self) -> RoutingSettings:
-        """The module's view: indices by order, times in tenths of a millisecond."""
+        """Return the scheduler's settings: indices by the order of keys, times in tenths of a millisecond."""
         house, rules, limits = self.house, self.house.rules, self.house.limits
         return RoutingSettings(
             front_index=self.front.number,
             front_count=house.fronts,
             zone=house.zones.index(self.front.zone),
             request_classes=[
-                RequestClassSettings(
-                    tenths(row.due_ms),
-                    tenths(row.due_per_1000_tokens_ms),
-                    tenths(row.pace_ms_per_token),
-                    row.gain,
-                    row.late_share,
-                    IDEMPOTENCY[row.effect],
-                    DEDUPLICATION_SCOPES[row.group],
-                    tenths(row.window_ms),
-                )
-                for row in house.tariffs.values()
+                request_class.request_class_settings() for request_class in house.tariffs.values()
             ],
-            tenants=[TenantSettings(row.queries_per_second) for row in house.tenants.values()],
+            tenants=[TenantSettings(tenant.queries_per_second) for tenant in house.tenants.values()],
             engine_types=[
-                EngineTypeSettings(ROLES[row.role], row.memory_tokens) for row in house.kinds.values()
+                EngineTypeSettings(ROLES[engine_type.role], engine_type.memory_tokens)
+                for engine_type in house.kinds.values()
             ],
             over_quota_value=house.over_share,
             response_slack=tenths(rules.answer_slack_ms),
@@ -233,7 +262,7 @@
             may_reserve=False,
             may_send_retry_after=True,
             max_retry_after=tenths(limits.longest_wait_told_ms),
-            streams_can_resume=False,  # a stopped stream cannot yet go on elsewhere, so none is stopped
+            streams_can_resume=False,  # a stopped stream cannot go on at another engine, so none is stopped
             decode_engines_prefill=limits.writers_read,
             must_subscribe=False,
             subscribe_interval=0,
