--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -65,7 +65,7 @@
         self.path = Path(self.terms.front.cells_file)
 
     def chart(self) -> CellMap:
-        chart = book.mend(self.path)
+        chart = book.recover_map(self.path)
         if chart is None:
             raise moving.MigrationRefusedError(
                 f"{self.path}: there is no map yet; `runspool cells adopt` makes one"
@@ -76,9 +76,9 @@
         last = memory.load_snapshot(Path(self.terms.front.memory_file or ""))
         kinds = self.terms.house.kinds
         return [
-            EnginePlace(one.engine, ROLES[kinds[one.kind].role], one.zone, one.rack)
+            EnginePlace(one.engine, ROLES[kinds[one.engine_type].role], one.zone, one.rack)
             for one in (last.engines if last else [])
-            if one.state == "on" and one.kind in kinds
+            if one.state == "on" and one.engine_type in kinds
         ]
 
     def binds(self) -> int:
@@ -107,10 +107,10 @@
     """Put a map written by hand in place, as the next version. Moves under way must be finished first."""
     desk = Desk(file, var)
     with said_plainly():
-        before = book.mend(desk.path)
+        before = book.recover_map(desk.path)
         said = evaluate(source)
         said["version"] = (before.version if before else 0) + 1
-        after = book.decoded(json.dumps(said).encode(), str(source))
+        after = book.decode_map(json.dumps(said).encode(), str(source))
         if before is not None and any(move.step == "planned" for move in before.moves):
             raise moving.MigrationRefusedError("a move is under way; finish or undo it first")
         engines = desk.engines()
@@ -270,11 +270,11 @@
     if not yes:
         out.print("nothing is changed; --yes does it")
         return
-    with book.changing(desk.path):
-        now = book.mend(desk.path)
+    with book.exclusive_change(desk.path):
+        now = book.recover_map(desk.path)
         if (now and now.version) != (before and before.version):
             raise moving.MigrationRefusedError("the map has been changed meanwhile; look again")
-        book.change(desk.path, what, after, unix_ms())
+        book.record_change(desk.path, what, after, unix_ms())
     out.print(f"{desk.path}: version {after.version}")
 
 
--- a/runspool/discovery/__init__.py
+++ b/runspool/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Following the list of engines: what its news say, what was last known, the watch that feeds both."""
+"""The endpoint list as followed by a front: its tracker, its stored snapshot, and the watch that feeds both."""
--- a/runspool/discovery/snapshot.py
+++ b/runspool/discovery/snapshot.py
@@ -1,4 +1,7 @@
-"""The last list on disk, for a front that comes back before the list service does."""
+"""The last known endpoint list on disk, for a front that restarts while the list service is unreachable.
+
+The file holds JSON under a checksum (see `runspool.storage.atomic_file`).
+"""
 
 from __future__ import annotations
 
@@ -6,35 +9,48 @@
 
 import msgspec
 
-from runspool.storage.atomic_file import CorruptFileError, read, replace, sealed
-from runspool.wire.endpoint_list import EndpointEntry, address_of
+from runspool.storage.atomic_file import CorruptFileError, add_checksum, read_checked, replace_file
+from runspool.wire.endpoint_list import EndpointEntry, parse_address
 
 
 class EndpointSnapshot(msgspec.Struct, frozen=True):
+    """The stored list: the version it was known at, and the engines that were active or draining then."""
+
     version: int
     engines: list[EndpointEntry]
 
 
-_last: msgspec.json.Decoder[EndpointSnapshot] = msgspec.json.Decoder(EndpointSnapshot)
+_decoder: msgspec.json.Decoder[EndpointSnapshot] = msgspec.json.Decoder(EndpointSnapshot)
 
 
 def save_snapshot(path: Path, version: int, engines: list[EndpointEntry]) -> None:
-    """Writes the list so that a reader finds the old one or the new one, whenever the writer is killed."""
-    replace(path, sealed(msgspec.json.encode(EndpointSnapshot(version, engines))))
+    """Replaces the stored list atomically.
+
+    Raises:
+        OSError: the file could not be written; the previous one is untouched.
+    """
+    replace_file(path, add_checksum(msgspec.json.encode(EndpointSnapshot(version, engines))))
 
 
 def load_snapshot(path: Path) -> EndpointSnapshot | None:
-    """The list last kept, None where there is none; raises Torn where it is damaged."""
-    body = read(path)
+    """Reads the stored list.
+
+    Returns:
+        The list that was saved last, or None if there is no file.
+
+    Raises:
+        CorruptFileError: the file is damaged, or holds an address that is not host:port.
+    """
+    body = read_checked(path)
     if body is None:
         return None
     try:
-        found = _last.decode(body)
+        snapshot = _decoder.decode(body)
     except msgspec.DecodeError as fault:
-        raise CorruptFileError(f"{path}: {fault}") from None
-    if any(not address_of(entry.address) for entry in found.engines):
-        raise CorruptFileError(f"{path}: an address that is not host:port")
-    return found
+        raise CorruptFileError(path, str(fault)) from None
+    if any(not parse_address(entry.address) for entry in snapshot.engines):
+        raise CorruptFileError(path, "an address that is not host:port")
+    return snapshot
 
 
 __all__ = ["CorruptFileError", "EndpointSnapshot", "load_snapshot", "save_snapshot"]
--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -24,7 +24,7 @@
 from runspool.service.clock import now
 from runspool.wire.completions import DONE, chunk, error_body
 from runspool.wire.engine_messages import REPORT_HEADER
-from runspool.wire.fields import TOKEN_BYTES
+from runspool.wire.fields import BYTES_PER_TOKEN
 
 FETCH_LIMIT = 10.0  # seconds that a writer waits for a state to come
 MODEL = "standin"
@@ -328,7 +328,7 @@
         tariff, tenant = asked.headers.get("runspool-tariff", ""), asked.headers.get("runspool-tenant", "")
         params = body.kv_transfer_params
         reads = params is not None and params.do_remote_decode
-        length = len(body.prompt) if isinstance(body.prompt, list) else len(body.prompt) // TOKEN_BYTES
+        length = len(body.prompt) if isinstance(body.prompt, list) else len(body.prompt) // BYTES_PER_TOKEN
         fetches = params is not None and params.do_remote_prefill
         self.record.line(
             "arrived",
@@ -562,7 +562,7 @@
 def blocks(prompt: str | list[int]) -> list[int]:
     """Hashes of a prompt's blocks, each over all that stands before it too."""
     raw = prompt.encode() if isinstance(prompt, str) else msgspec.json.encode(prompt)
-    size, running, found = BLOCK * TOKEN_BYTES, xxhash.xxh64(), []
+    size, running, found = BLOCK * BYTES_PER_TOKEN, xxhash.xxh64(), []
     for start in range(0, len(raw) - size + 1, size):
         running.update(raw[start : start + size])
         found.append(running.intdigest())
--- a/runspool/lab/listing.py
+++ b/runspool/lab/listing.py
@@ -12,7 +12,7 @@
 from runspool.lab.http_server import Asked, PeerClosedError, serve, serve_all
 from runspool.lab.recording import Recorder
 from runspool.service.clock import now
-from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, write_news
+from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, encode_message
 
 BEAT = 1.0
 HISTORY = 64
@@ -94,7 +94,9 @@
         missed = [news for news in self.history if news.version > after]
         if after < 0 or after > self.version or len(missed) != self.version - after:
             missed = [
-                EndpointListMessage(self.version, self.epoch, whole=True, engines=list(self.known.values()))
+                EndpointListMessage(
+                    self.version, self.epoch, is_snapshot=True, engines=list(self.known.values())
+                )
             ]
         for news in missed:
             watcher.put(news, plain=True)
@@ -128,7 +130,7 @@
     def put(self, news: EndpointListMessage, plain: bool = False) -> None:
         if len(self.lines) >= QUEUE:
             self.over = True  # it reads too slowly; it comes again and gets the whole list
-        raw, rng = write_news(news), self.listing.rng
+        raw, rng = encode_message(news), self.listing.rng
         if self.listing.noisy and not plain:
             mangle = rng.choice(["", "repeat", "reorder", "tear"])
             if mangle == "tear":
@@ -149,14 +151,16 @@
             while self.lines:
                 news, raw = self.lines.popleft()
                 await self.asked.chunk(raw)
-                if raw == write_news(news):  # a torn line has told nothing
+                if raw == encode_message(news):  # a torn line has told nothing
                     said = [[one.engine, one.state, one.started_unix_ms] for one in news.engines]
                     self.listing.record.line(
-                        "told", front=self.front, version=news.version, whole=news.whole, engines=said
+                        "told", front=self.front, version=news.version, whole=news.is_snapshot, engines=said
                     )
             with anyio.move_on_after(BEAT):
                 await self.more.wait()
                 continue
             await self.asked.chunk(
-                write_news(EndpointListMessage(self.listing.version, self.listing.epoch, beat=True))
+                encode_message(
+                    EndpointListMessage(self.listing.version, self.listing.epoch, is_heartbeat=True)
+                )
             )
--- a/runspool/lab/migration_script.py
+++ b/runspool/lab/migration_script.py
@@ -98,4 +98,4 @@
 
     def _write(self, at: int, chart: CellMap) -> None:
         self.written[at] = chart.version
-        book.write(self.folder / f"{self.plan.fronts[at].name}.map", book.encoded(chart))
+        book.write_checked(self.folder / f"{self.plan.fronts[at].name}.map", book.encode_map(chart))
--- a/runspool/lab/workload.py
+++ b/runspool/lab/workload.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from runspool.lab.plan import SECOND, Plan, RequestClassPlan, Trouble
-from runspool.wire.fields import TOKEN_BYTES
+from runspool.wire.fields import BYTES_PER_TOKEN
 
 MOST_PROMPT = 60_000
 
@@ -41,7 +41,7 @@
 def text_of(name: str, tokens: int) -> str:
     """A text that is the same wherever its name is."""
     raw = Random(name).randbytes(tokens * 3)
-    return base64.b64encode(raw).decode()[: tokens * TOKEN_BYTES]
+    return base64.b64encode(raw).decode()[: tokens * BYTES_PER_TOKEN]
 
 
 def crowd(plan: Plan) -> list[Item]:
--- a/runspool/node/config.py
+++ b/runspool/node/config.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from runspool.engines.connection_pool import Address
-from runspool.node.endpoint_list import InvalidEndpointListError, read_list
+from runspool.node.endpoint_list import InvalidEndpointListError, decode_endpoint_list
 from runspool.runtime.platform_settings import InvalidSettingsError, PlatformSettings, SettingsSection
-from runspool.wire.endpoint_list import EndpointListMessage, address_of
-from runspool.wire.fields import UNREADABLE
+from runspool.wire.endpoint_list import EndpointListMessage, parse_address
+from runspool.wire.fields import JSON_DECODE_ERRORS
 
 FILE_BYTES = 32 << 20
 SOCKETS = 1024  # where no limit is told
@@ -55,7 +55,9 @@
         top = SettingsSection(said, "")
         # The file is newer than the environment, which a running process keeps from its start.
         name = _text(top, "name", environ.get("BALANCER_NAME"))
-        known, faults = read_list(msgspec.json.encode(said.get("known") or {"index": 0, "snapshot": True}))
+        known, faults = decode_endpoint_list(
+            msgspec.json.encode(said.get("known") or {"index": 0, "snapshot": True})
+        )
         if faults:
             raise InvalidNodeConfigError(f"known.{faults[0]}")
         if "settings" not in said:
@@ -69,7 +71,7 @@
             last_endpoints=known,
             settings=_granted(said["settings"]),
         )
-    except UNREADABLE as fault:
+    except JSON_DECODE_ERRORS as fault:
         raise UnreadableNodeConfigError(f"{file}: no JSON: {fault}") from None
     except InvalidEndpointListError as fault:
         raise InvalidNodeConfigError(f"known: {fault}") from None
@@ -96,7 +98,7 @@
 
 def _address(top: SettingsSection, key: str, absent: str | None) -> Address:
     said = _text(top, key, absent)
-    found = address_of(said)
+    found = parse_address(said)
     if found is None:
         raise InvalidNodeConfigError(f"{key}: {said!r} is no host:port")
     return found
--- a/runspool/node/discovery_client.py
+++ b/runspool/node/discovery_client.py
@@ -14,47 +14,62 @@
 from runspool.engines.failure_classification import FailureCause
 from runspool.engines.http_exchange import Exchange, ExchangeAbortedError, HttpExchangeClient, encode_request
 from runspool.engines.response_parser import ResponseParser
-from runspool.node.endpoint_list import InvalidEndpointListError, read_list, target
+from runspool.node.endpoint_list import InvalidEndpointListError, decode_endpoint_list, request_target
 from runspool.units import TENTHS, tenths
 from runspool.wire.endpoint_list import EndpointEntry
 
-# What a silent watch misses counts as told 6 s after it fell silent, or later; what an agent gets at its
-# return counts at once, and what it was asked before that it never answers. So silence is to be known within
-# the seconds that an outage lasts, and from then on asked into again and again.
-WAIT_MS = 1_000  # that a watch may last
-GRACE_MS = 400  # beyond it, and for a whole list, before the agent counts as silent; anew with each piece
-RETRY = 0.1  # seconds between the beginnings of two tries; the first after a break comes at once
-LONGEST_MS = 3_000  # that an answer may take piece by piece, before what it says is too old
-SLOW_RETRY_MS = 1_000  # between two tries while an answer is coming: each makes the others slower
+# What a silent watch misses counts as announced 6 s after the silence began, or later; what an agent sends
+# after its return counts at once, and what it was asked before it may never answer. So silence has to be
+# noticed within the seconds that an outage lasts, and from then on new requests have to be repeated.
+WATCH_WAIT_MS = 1_000  # that the agent may hold a watch request open
+# Beyond that, and for a whole list, until the agent counts as silent; restarted by each piece of a response.
+SILENCE_TIMEOUT_MS = 400
+RETRY_INTERVAL_S = 0.1  # between the starts of two attempts; the first after an interruption starts at once
+MAX_RESPONSE_MS = 3_000  # that a response may take piece by piece; what it says would be too old
+SLOW_RETRY_MS = 1_000  # between two attempts while a response is arriving: each makes the others slower
+MAX_LOGGED_FAULTS = 3  # unusable endpoints logged for each response
+MS_PER_SECOND = 1_000
 
 
 class DiscoveryClient(HttpExchangeClient):
-    """Feeds `changed` with entries as they become known, and `lost` once for each break."""
+    """Follows the endpoint list of the platform's discovery agent.
+
+    Calls `on_changed` with the entries that changed as they become known, and `on_lost` once for each
+    interruption.
+
+    Attributes:
+        address: the agent's address.
+        snapshot_received: set once a first whole list has been applied.
+        snapshot_count: whole lists received; each starts a count of versions of its own.
+        round_started_at: when the current watch or its first attempt started, tenths of a millisecond.
+        last_progress_at: when a piece of a response arrived last, tenths of a millisecond.
+    """
 
     def __init__(
         self,
-        terms: ClientSettings,
+        settings: ClientSettings,
         address: Address,
-        following: EndpointTracker,
+        tracker: EndpointTracker,
         now: Callable[[], int],
-        changed: Callable[[list[EndpointEntry]], None],
-        lost: Callable[[], None],
+        on_changed: Callable[[list[EndpointEntry]], None],
+        on_lost: Callable[[], None],
     ) -> None:
-        super().__init__(terms, now, 0)
+        super().__init__(settings, now, 0)
         self.address = address
-        self.hearer = WatchListener(following, now, changed, lost)
+        self.listener = WatchListener(tracker, now, on_changed, on_lost)
         self.log = structlog.get_logger()
-        self.lists = 0  # whole ones, each the start of a count of its own
+        self.snapshot_count = 0
         self.scope: anyio.CancelScope | None = None
-        self.began = 0  # the watch or the tries that are under way
-        self.heard = anyio.Event()  # a first whole list
-        self.progressed = 0  # when a piece of an answer came last
+        self.round_started_at = 0
+        self.snapshot_received = anyio.Event()
+        self.last_progress_at = 0
 
     def classify_response(self, reply: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
+        """Every response that is not a success counts as a server error."""
         return FailureCause.SERVER_ERROR, ""
 
-    def move(self, address: Address) -> None:
-        """The list is at another address from now on; asked there at once."""
+    def change_address(self, address: Address) -> None:
+        """Follows the list at another address from now on; the current watch is cancelled."""
         if address == self.address:
             return
         self.address = address
@@ -62,77 +77,99 @@
             self.scope.cancel()
 
     async def follow(self) -> None:
-        """Runs until cancelled; whatever the service does, the last list stays."""
+        """Runs until cancelled; whatever the agent does, what is known of the list stays."""
         while True:
             with anyio.CancelScope() as self.scope:
-                self.began = self.now()
+                self.round_started_at = self.now()
                 try:
                     await self._watch(self.address)
                 except (ExchangeAbortedError, InvalidEndpointListError) as fault:
-                    self.hearer.connection_lost(fault)
+                    self.listener.connection_lost(fault)
                 self.pool.close()
-                self.hearer.lost()
-                # No rest after what has stood for a while: a drain may be told meanwhile, and its grace run.
-                await anyio.sleep(max(0.0, RETRY - (self.now() - self.began) / (1000 * TENTHS)))
+                self.listener.on_lost()
+                # No pause after a watch that lasted: a drain may be announced, and its grace pass, meanwhile.
+                elapsed = (self.now() - self.round_started_at) / (MS_PER_SECOND * TENTHS)
+                await anyio.sleep(max(0.0, RETRY_INTERVAL_S - elapsed))
 
     async def _watch(self, address: Address) -> None:
-        # A new connection may count anew, so it begins with the whole list.
-        after = self._heard(await self._whole_list(address), None)
+        """Requests the whole list, as a new connection may count anew; then changes until a request fails."""
+        version = self._apply_response(await self._get_snapshot(address), None)
         while True:
-            after = self._heard(await self._get(address, after), after)
+            version = self._apply_response(await self._get(address, version), version)
 
-    async def _whole_list(self, address: Address) -> bytes:
-        """By one try beside the other, for as long as none is answered."""
-        told: list[bytes] = []
+    async def _get_snapshot(self, address: Address) -> bytes:
+        """Requests the whole list by concurrent attempts, another at each interval, until one is answered."""
+        bodies: list[bytes] = []
 
-        async def ask() -> None:
+        async def attempt() -> None:
             try:
-                told.append(await self._get(address, None))
+                bodies.append(await self._get(address, None))
             except ExchangeAbortedError as fault:
-                self.hearer.connection_lost(fault)
+                self.listener.connection_lost(fault)
             else:
-                tries.cancel_scope.cancel()
+                attempts.cancel_scope.cancel()
 
-        async with anyio.create_task_group() as tries:
+        async with anyio.create_task_group() as attempts:
             while True:
-                tries.start_soon(ask)
-                await self._until_next_try(self.now())
-        return told[0]
+                attempts.start_soon(attempt)
+                await self._wait_for_next_attempt(self.now())
+        return bodies[0]
 
-    async def _until_next_try(self, began: int) -> None:
-        """For a while, and for longer as long as an answer is coming."""
+    async def _wait_for_next_attempt(self, started_at: int) -> None:
+        """Waits for the retry interval, and up to `SLOW_RETRY_MS` for as long as a response is arriving."""
         while True:
-            await anyio.sleep(RETRY)
-            coming = self.progressed >= began and self.now() - self.progressed < tenths(GRACE_MS)
-            if not coming or self.now() - began >= tenths(SLOW_RETRY_MS):
+            await anyio.sleep(RETRY_INTERVAL_S)
+            now = self.now()
+            is_arriving = self.last_progress_at >= started_at and now - self.last_progress_at < tenths(
+                SILENCE_TIMEOUT_MS
+            )
+            if not is_arriving or now - started_at >= tenths(SLOW_RETRY_MS):
                 return
 
-    def _heard(self, raw: bytes, since: int | None) -> int:
-        """Takes an answer; the version to ask after next."""
-        # A service that lost its numbers begins at a low one. Answers on one connection come in order, so
-        # that a whole list is always the newest word, whatever its number.
-        news, faults = read_list(raw, since)
-        if since is None and not news.whole:
+    def _apply_response(self, body: bytes, since: int | None) -> int:
+        """Applies a response.
+
+        An agent that lost its version numbers restarts at a low one. Responses on one connection come in
+        order, so a whole list is always the newest state, whatever its number: each starts an epoch of its
+        own.
+
+        Returns:
+            The version after which to request changes next.
+
+        Raises:
+            InvalidEndpointListError: the body is no list, or holds changes where the whole list was
+            requested.
+        """
+        message, faults = decode_endpoint_list(body, since)
+        if since is None and not message.is_snapshot:
             raise InvalidEndpointListError("changes in place of the whole list")
-        self.lists += news.whole
-        for fault in faults[:3]:
+        self.snapshot_count += message.is_snapshot
+        for fault in faults[:MAX_LOGGED_FAULTS]:
             self.log.warning("endpoint_list_line_unusable", fault=fault)
-        self.hearer.receive(msgspec.structs.replace(news, epoch=str(self.lists)))
-        self.heard.set()
-        return news.version
-
-    async def _get(self, address: Address, after: int | None) -> bytes:
-        limit = tenths((WAIT_MS if after is not None else 0) + GRACE_MS)
-        call = Exchange()
-        with self._start_timer(limit) as clock, self._managed_connection(call):
-            words = encode_request("GET", target(after, WAIT_MS), {"Host": f"{address[0]}:{address[1]}"})
-            await self._send_request(call, clock, address, lambda left: words)
-            with anyio.move_on_after(LONGEST_MS / 1000 if after is None else (WAIT_MS + LONGEST_MS) / 1000):
-                await self._read_head(call)
-                return await self._read_body(call)
+        self.listener.receive(msgspec.structs.replace(message, epoch=str(self.snapshot_count)))
+        self.snapshot_received.set()
+        return message.version
+
+    async def _get(self, address: Address, after_version: int | None) -> bytes:
+        """Makes one request and returns the response's body.
+
+        Raises:
+            ExchangeAbortedError: there is no successful response, the agent fell silent, or the response took
+                longer than `MAX_RESPONSE_MS`.
+        """
+        wait_ms = 0 if after_version is None else WATCH_WAIT_MS
+        exchange = Exchange()
+        timeout = tenths(wait_ms + SILENCE_TIMEOUT_MS)
+        with self._start_timer(timeout) as timer, self._managed_connection(exchange):
+            headers = {"Host": f"{address[0]}:{address[1]}"}
+            request = encode_request("GET", request_target(after_version, WATCH_WAIT_MS), headers)
+            await self._send_request(exchange, timer, address, lambda _remaining: request)
+            with anyio.move_on_after((wait_ms + MAX_RESPONSE_MS) / MS_PER_SECOND):
+                await self._read_head(exchange)
+                return await self._read_body(exchange)
         raise ExchangeAbortedError(FailureCause.TIMED_OUT_BEFORE_RESPONSE, "an answer that does not end")
 
-    async def _read_more(self, call: Exchange, cut: FailureCause) -> None:
-        await super()._read_more(call, cut)
-        self.progressed = self.now()
-        call.timer.extend(tenths(GRACE_MS))
+    async def _read_more(self, exchange: Exchange, cut: FailureCause) -> None:
+        await super()._read_more(exchange, cut)
+        self.last_progress_at = self.now()
+        exchange.timer.extend(tenths(SILENCE_TIMEOUT_MS))
--- a/runspool/node/endpoint_list.py
+++ b/runspool/node/endpoint_list.py
@@ -1,22 +1,38 @@
-"""The platform's list of engines, JSON to the entries that following the list takes. Free of I/O."""
+"""The platform's endpoint list: decodes its JSON into the endpoint tracker's messages. Free of I/O."""
 
 from __future__ import annotations
 
+from typing import Literal
+
 import msgspec
 
-from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, address_of
-from runspool.wire.fields import UNREADABLE
+from runspool.errors import RunspoolError
+from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, parse_address
+from runspool.wire.fields import JSON_DECODE_ERRORS
+
+# By the platform's status of an engine, the state that an endpoint entry has.
+STATES: dict[str, Literal["on", "draining", "gone"]] = {
+    "active": "on",
+    "leaving": "draining",
+    "left": "gone",
+}
+ENDPOINT_LIST_PATH = "/catalog/members"
+MAX_START_MS = 1 << 53  # milliseconds since the epoch; floats above no longer hold every integer
 
-STATES = {"active": "on", "leaving": "draining", "left": "gone"}
-PATH = "/catalog/members"
-MOST_MS = 1 << 53  # a start after this is no time
 
+class InvalidEndpointListError(RunspoolError):
+    """A response is not an endpoint list.
 
-class InvalidEndpointListError(Exception):
-    """An answer that is no list; the message names what is wrong."""
+    Attributes:
+        reason: what is wrong with it.
+    """
 
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
 
-class _Line(msgspec.Struct):
+
+class _PlatformEndpoint(msgspec.Struct):
     name: str
     address: str
     zone: str = ""
@@ -26,60 +42,82 @@
     since_ms: float = 0
 
 
-class _Told(msgspec.Struct):
+class _PlatformList(msgspec.Struct):
     index: int
     snapshot: bool
     endpoints: list[msgspec.Raw] = []
 
 
-_told: msgspec.json.Decoder[_Told] = msgspec.json.Decoder(_Told)
-_line: msgspec.json.Decoder[_Line] = msgspec.json.Decoder(_Line)
+_list_decoder: msgspec.json.Decoder[_PlatformList] = msgspec.json.Decoder(_PlatformList)
+_endpoint_decoder: msgspec.json.Decoder[_PlatformEndpoint] = msgspec.json.Decoder(_PlatformEndpoint)
+
 
+def decode_endpoint_list(raw: bytes, since: int | None = None) -> tuple[EndpointListMessage, list[str]]:
+    """Decodes a response of the discovery agent.
 
-def read_list(raw: bytes, since: int | None = None) -> tuple[EndpointListMessage, list[str]]:
-    """The news, and what was wrong with each line passed over; raises BadList where nothing can be used.
+    Args:
+        raw: the response's body.
+        since: the version after which changes were requested, None for the whole list; the response holds all
+            changes after it.
 
-    `since` is the version that changes were asked after: they hold everything from there on.
+    Returns:
+        The message, and for each endpoint that was left out what is wrong with it.
+
+    Raises:
+        InvalidEndpointListError: the body is no list, or is a whole list of which an endpoint is unusable;
+            taking the rest would report that engine as removed.
     """
     try:
-        told = _told.decode(raw)
-    except UNREADABLE as fault:
+        response = _list_decoder.decode(raw)
+    except JSON_DECODE_ERRORS as fault:
         raise InvalidEndpointListError(str(fault)) from None
-    if told.index < 0:
-        raise InvalidEndpointListError(f"index: {told.index} is below 0")
-    entries, faults = [], []
-    for at, line in enumerate(told.endpoints):
+    if response.index < 0:
+        raise InvalidEndpointListError(f"index: {response.index} is below 0")
+    entries: list[EndpointEntry] = []
+    faults: list[str] = []
+    for position, line in enumerate(response.endpoints):
         try:
-            entries.append(_entry(_line.decode(line)))
-        except (*UNREADABLE, ValueError) as fault:
-            faults.append(f"endpoints[{at}]: {fault}")
-    # Against a list of which nothing could be read passing for one that says every engine is gone.
-    if told.snapshot and faults:
+            entries.append(_convert(_endpoint_decoder.decode(line)))
+        except (*JSON_DECODE_ERRORS, ValueError) as fault:
+            faults.append(f"endpoints[{position}]: {fault}")
+    if response.snapshot and faults:
         raise InvalidEndpointListError(faults[0])
-    return EndpointListMessage(
-        told.index, whole=told.snapshot, engines=entries, since=None if told.snapshot else since
-    ), faults
+    message = EndpointListMessage(
+        response.index,
+        is_snapshot=response.snapshot,
+        engines=entries,
+        since=None if response.snapshot else since,
+    )
+    return message, faults
 
 
-def _entry(line: _Line) -> EndpointEntry:
-    state = STATES.get(line.status)
+def _convert(endpoint: _PlatformEndpoint) -> EndpointEntry:
+    """Converts one endpoint; raises ValueError saying what is wrong with it."""
+    state = STATES.get(endpoint.status)
     if state is None:
-        raise ValueError(f"status {line.status!r} is none of {', '.join(STATES)}")
-    if not line.name or address_of(line.address) is None:
-        raise ValueError(f"name {line.name!r}, address {line.address!r}: no name or no host:port")
-    if not 0 <= line.since_ms < MOST_MS:
-        raise ValueError(f"since_ms {line.since_ms!r} is no time")
+        raise ValueError(f"status {endpoint.status!r} is none of {', '.join(STATES)}")
+    if not endpoint.name or parse_address(endpoint.address) is None:
+        raise ValueError(f"name {endpoint.name!r}, address {endpoint.address!r}: no name or no host:port")
+    if not 0 <= endpoint.since_ms < MAX_START_MS:
+        raise ValueError(f"since_ms {endpoint.since_ms!r} is no time")
     return EndpointEntry(
-        line.name,
-        line.address,
-        line.type,
-        line.zone,
-        line.group,
-        state,  # type: ignore[arg-type]
-        int(line.since_ms),
+        engine=endpoint.name,
+        address=endpoint.address,
+        engine_type=endpoint.type,
+        zone=endpoint.zone,
+        rack=endpoint.group,
+        state=state,
+        started_unix_ms=int(endpoint.since_ms),
     )
 
 
-def target(after: int | None, wait_ms: int) -> str:
-    """What is asked: the whole list, or what is newer than a version, waited for so long."""
-    return PATH if after is None else f"{PATH}?after={after}&wait_ms={wait_ms}"
+def request_target(after_version: int | None, wait_ms: int) -> str:
+    """Returns the target of a request for the list.
+
+    Args:
+        after_version: requests what changed after this version; None requests the whole list.
+        wait_ms: milliseconds that the agent may wait for a change; not used for the whole list.
+    """
+    if after_version is None:
+        return ENDPOINT_LIST_PATH
+    return f"{ENDPOINT_LIST_PATH}?after={after_version}&wait_ms={wait_ms}"
--- a/runspool/node/engine_client.py
+++ b/runspool/node/engine_client.py
@@ -23,7 +23,7 @@
 from runspool.node.request_parser import ClientRequest
 from runspool.scheduling.types import AttemptStatus
 from runspool.units import TENTHS
-from runspool.wire.fields import UNREADABLE
+from runspool.wire.fields import JSON_DECODE_ERRORS
 
 READ_DONE, WRITING, LET_GO = 202, 200, 204
 HOST = "origin.svc"
@@ -71,7 +71,7 @@
             )
         try:
             kept = _kept.decode(body).cached_tokens
-        except UNREADABLE:
+        except JSON_DECODE_ERRORS:
             kept = 0  # the status has said that it was read; what was found kept is only good to know
         return AttemptResult(AttemptStatus.PREFILL_COMPLETE, cached_tokens=max(0, kept), reached_engine=True)
 
--- a/runspool/node/event_stream.py
+++ b/runspool/node/event_stream.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from runspool.wire.fields import UNREADABLE
+from runspool.wire.fields import JSON_DECODE_ERRORS
 
 ENDS = re.compile(rb"\n\r?\n|\r\r\n?")  # a line's end and an empty line, whichever of the three ends it has
 
@@ -91,7 +91,7 @@
             return
         try:
             said = _events.decode(data)
-        except UNREADABLE as fault:
+        except JSON_DECODE_ERRORS as fault:
             raise MalformedEventStreamError(f"an event that does not read: {fault}") from None
         if said.usage is not None:
             self.read, self.made = said.usage.prompt_tokens, said.usage.completion_tokens
--- a/runspool/node/request_parser.py
+++ b/runspool/node/request_parser.py
@@ -14,7 +14,7 @@
 from runspool.scheduling.types import Request
 from runspool.units import TENTHS
 from runspool.wire import fields
-from runspool.wire.fields import TOKEN_BYTES, InvalidRequestError
+from runspool.wire.fields import BYTES_PER_TOKEN, InvalidRequestError
 
 ID = re.compile(r"[A-Za-z0-9._:-]{1,64}")
 DEADLINE = re.compile(r"([0-9]{1,12})([mu])")
@@ -76,11 +76,11 @@
         raise InvalidRequestError("Req-Owner", f"{_short(owner)} is not known here")
     try:
         msgspec.json.decode(body, type=dict[str, msgspec.Raw])
-    except fields.UNREADABLE as fault:
+    except fields.JSON_DECODE_ERRORS as fault:
         raise InvalidRequestError("body", f"no JSON object ({fault})") from None
     said = _extras(headers.get("req-extra", ""))
     largest = max((kind.memory_tokens for kind in granted.routing.engine_types), default=0) or 10**9
-    prompt = _length(said, "prompt_len", max(1, len(body) // TOKEN_BYTES), 1, largest)
+    prompt = _length(said, "prompt_len", max(1, len(body) // BYTES_PER_TOKEN), 1, largest)
     beginning = said.get("prefix") or None
     again = headers.get("req-retry", "0")
     if again not in ("0", "1", "again"):
@@ -92,8 +92,8 @@
         body=body,
         request_class=tariff,
         tenant=tenant,
-        session=fields.name(headers.get("req-key"), "Req-Key"),
-        prefix=fields.name(beginning, "Req-Extra prefix"),
+        session=fields.parse_name(headers.get("req-key"), "Req-Key"),
+        prefix=fields.parse_name(beginning, "Req-Extra prefix"),
         prompt_tokens=prompt,
         prefix_tokens=_length(said, "prefix_len", 0, 0, prompt) if beginning else 0,
         max_output_tokens=_length(said, "max_out", 0, 0, largest),
@@ -136,7 +136,7 @@
 
 
 def _length(said: dict[str, str], key: str, absent: int, least: int, most: int) -> int:
-    return fields.whole(said.get(key), f"Req-Extra {key}", absent, least, most)
+    return fields.parse_integer(said.get(key), f"Req-Extra {key}", absent, least, most)
 
 
 def _short(said: str | None) -> str:
--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -104,7 +104,7 @@
                     tasks.start_soon(self._obey, signals)
                 # Against sending on what was known in an earlier life: what the agent has counts as told.
                 with anyio.move_on_after(FIRST_LIST):
-                    await self.discovery.heard.wait()
+                    await self.discovery.snapshot_received.wait()
                 for each in listener.listeners:
                     tasks.start_soon(accept_all, each.extra(SocketAttribute.raw_socket), tasks, self._client)
                 self.log.info(
@@ -183,7 +183,7 @@
         if posting.settings.routing != self.config.settings.routing or posting.listen != self.config.listen:
             self.log.warning("config_needs_restart", what="settings or listen changed; the old ones hold")
         self.log.info("config_loaded", discovery=f"{posting.discovery[0]}:{posting.discovery[1]}")
-        self.discovery.move(posting.discovery)
+        self.discovery.change_address(posting.discovery)
 
     async def _stop(self) -> None:
         """The listener stays open to the end: what the kernel accepted counts as taken."""
--- a/runspool/service/cell_map_watcher.py
+++ b/runspool/service/cell_map_watcher.py
@@ -27,13 +27,13 @@
         """The map to begin with, and since when it is this front's: the last life's, if that is as new."""
         kept: tuple[CellMap, int] | None = None
         try:
-            kept = book.recall(self.memory)
+            kept = book.load_adopted_map(self.memory)
         except book.CorruptFileError as fault:
             self.log.error("cell_map_snapshot_damaged", reason=str(fault))
         chart = self._load()
         if chart is None or (kept is not None and kept[0].version >= chart.version):
             return kept if kept is not None else (None, 0)
-        book.remember(self.memory, chart, since)
+        book.save_adopted_map(self.memory, chart, since)
         return chart, since
 
     async def follow(self, front: Front) -> None:
@@ -45,7 +45,7 @@
                 continue
             at = unix_ms()
             try:
-                await anyio.to_thread.run_sync(book.remember, self.memory, chart, at)
+                await anyio.to_thread.run_sync(book.save_adopted_map, self.memory, chart, at)
             except OSError as fault:
                 # Taken without being kept, a restart would not know when its tenants moved.
                 self.log.error("cell_map_not_kept", reason=str(fault))
@@ -63,7 +63,7 @@
         if mark == self.seen:
             return None
         try:
-            chart = book.load(self.file)
+            chart = book.load_map(self.file)
         except book.CorruptFileError as fault:
             self.log.error("cell_map_unusable", reason=str(fault))
             chart = None
--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -71,7 +71,7 @@
                 raise InvalidRequestError("stream", "an answer in parts needs HTTP/1.1", 505)
         except InvalidRequestError as bad:
             await self.send_response(
-                bad.status, wire.error_body("invalid_request_error", bad.where, str(bad))
+                bad.status, wire.error_body("invalid_request_error", bad.field_name, str(bad))
             )
             return
         reply = _EventStreamResponse(self) if wish.stream else _CollectedResponse()
--- a/runspool/service/front_server.py
+++ b/runspool/service/front_server.py
@@ -169,7 +169,7 @@
             following = self.front.endpoint_tracker
             try:
                 await anyio.to_thread.run_sync(
-                    save_snapshot, self.memory, following.version, following.listed()
+                    save_snapshot, self.memory, following.version, following.active_entries()
                 )
             except OSError as fault:
                 self.log.error("endpoint_snapshot_not_written", reason=str(fault))
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -14,7 +14,7 @@
 import structlog
 from anyio.abc import TaskGroup
 
-from runspool.discovery.endpoint_tracker import GONE_KEPT, EndpointTracker
+from runspool.discovery.endpoint_tracker import MAX_GONE_ENGINES, EndpointTracker
 from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
 from runspool.engines.http_exchange import AttemptResult, SendPermit, effective_timeout
 from runspool.logs import BoundedLog
@@ -33,7 +33,7 @@
 from runspool.service.pending_request import Endpoint, FinalResponse, PendingRequest, ResponseKind
 from runspool.service.timer_queue import TimerQueue
 from runspool.service.wall_clock import WallClock
-from runspool.wire.endpoint_list import EndpointEntry, address_of
+from runspool.wire.endpoint_list import EndpointEntry, parse_address
 
 NAME_KEPT = 6_000_000  # tenths of a millisecond: a text unseen for so long is kept by no engine any more
 GUARD = "guard."
@@ -144,7 +144,7 @@
                 self.engine_records.pop(entry.engine, None)
                 self.engine_records[entry.engine] = line
         gone = [name for name, line in self.engine_records.items() if line.state == EngineState.REMOVED]
-        for name in gone[: max(0, len(gone) - GONE_KEPT)]:
+        for name in gone[: max(0, len(gone) - MAX_GONE_ENGINES)]:
             # Against weeks of engines that come and go. A shot or state still out there knows its address.
             del self.endpoints[self.engine_records.pop(name).engine]
             self.engine_interner.forget(name)
@@ -495,10 +495,12 @@
             self.log.exception("task_failed", work=work.__qualname__, fault=repr(fault))
 
     def _engine_record(self, entry: EndpointEntry) -> EngineRecord | None:
-        kind, address = self.engine_types.get(entry.kind), address_of(entry.address)
+        kind, address = self.engine_types.get(entry.engine_type), parse_address(entry.address)
         before = self.engine_records.get(entry.engine)
         if kind is None or address is None:
-            self.log.warning("engine_unusable", engine=entry.engine, kind=entry.kind, address=entry.address)
+            self.log.warning(
+                "engine_unusable", engine=entry.engine, kind=entry.engine_type, address=entry.address
+            )
             # Against going on as before with an engine that may be draining, or be another by now.
             return before and replace(before, state=EngineState.REMOVED)
         index = self.engine_interner.intern(entry.engine)
--- a/runspool/storage/__init__.py
+++ b/runspool/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Files that are whole or not there."""
+"""Files on disk: replaced atomically, checked when read."""
--- a/runspool/wire/completions.py
+++ b/runspool/wire/completions.py
@@ -15,7 +15,7 @@
 from runspool.config.schema import FrontConfig, TariffPart
 from runspool.units import TENTHS, tenths
 from runspool.wire import fields
-from runspool.wire.fields import TOKEN_BYTES, UNREADABLE, InvalidRequestError
+from runspool.wire.fields import BYTES_PER_TOKEN, JSON_DECODE_ERRORS, InvalidRequestError
 
 DEFAULT_OUT = 256
 DONE = b"data: [DONE]\n\n"
@@ -47,7 +47,7 @@
     """A checked wish from lower-case headers and a body; raises Misworded at the first thing wrong."""
     try:
         fields: dict[str, msgspec.Raw] = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
-    except UNREADABLE as fault:
+    except JSON_DECODE_ERRORS as fault:
         raise InvalidRequestError("body", f"not a JSON object ({fault})") from None
     house = terms.house
     tariff = headers.get("runspool-tariff") or terms.front.default_tariff
@@ -101,11 +101,11 @@
 
 
 def _whole(headers: Mapping[str, str], name: str, absent: int, least: int, most: int) -> int:
-    return fields.whole(headers.get(name), name, absent, least, most)
+    return fields.parse_integer(headers.get(name), name, absent, least, most)
 
 
 def _name(headers: Mapping[str, str], name: str) -> str | None:
-    return fields.name(headers.get(name), name)
+    return fields.parse_name(headers.get(name), name)
 
 
 def _field(fields: dict[str, msgspec.Raw], name: str, kind: type[Any], absent: Any) -> Any:
@@ -114,7 +114,7 @@
         return absent
     try:
         found: Any = msgspec.json.decode(raw, type=kind | None)
-    except UNREADABLE as fault:
+    except JSON_DECODE_ERRORS as fault:
         raise InvalidRequestError(name, str(fault)) from None
     return absent if found is None else found
 
@@ -125,10 +125,10 @@
         raise InvalidRequestError("prompt", "missing")
     text = bytes(raw)
     if text[:1] == b'"':
-        return max(1, (len(text) - 2) // TOKEN_BYTES)
+        return max(1, (len(text) - 2) // BYTES_PER_TOKEN)
     try:
         return max(1, len(msgspec.json.decode(text, type=list[int])))
-    except UNREADABLE:
+    except JSON_DECODE_ERRORS:
         raise InvalidRequestError("prompt", "must be one text or one list of token numbers") from None
 
 
--- a/runspool/wire/engine_messages.py
+++ b/runspool/wire/engine_messages.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from runspool.scheduling.types import LoadReport
-from runspool.wire.fields import UNREADABLE
+from runspool.wire.fields import JSON_DECODE_ERRORS
 
 ASKS_REMOTE_WRITER = msgspec.Raw(
     msgspec.json.encode(
@@ -104,7 +104,7 @@
     """Raises Garbled where the bytes are no answer."""
     try:
         return _answers.decode(raw)
-    except UNREADABLE as fault:
+    except JSON_DECODE_ERRORS as fault:
         raise MalformedResponseError(str(fault)) from None
 
 
@@ -123,7 +123,7 @@
         return None
     try:
         named = _reports.decode(header[4:].strip().encode())
-    except UNREADABLE:
+    except JSON_DECODE_ERRORS:
         return None
     figures = named.get("named_metrics", {})
     return LoadReport(
--- a/runspool/wire/fields.py
+++ b/runspool/wire/fields.py
@@ -1,34 +1,66 @@
-"""Fields of a client's request, checked one by one, whatever the protocol. Free of I/O."""
+"""Validation of single fields of a client's request, for every protocol. Free of I/O."""
 
 from __future__ import annotations
 
 import msgspec
 
-# What reading JSON raises. Nested a thousand deep it is a RecursionError, which is none of the decoder's own.
-UNREADABLE = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
-MOST_NAME = 256  # bytes of a session's, beginning's, mark's or ticket's name
-TOKEN_BYTES = 4  # of text, where the client does not count its own tokens
+from runspool.errors import RunspoolError
 
+# What decoding JSON raises. A text nested a thousand levels deep raises RecursionError, which is not among
+# the decoder's own errors.
+JSON_DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
+MAX_NAME_LENGTH = 256  # characters of the name of a session, prefix, continuation or idempotency key
+MAX_INTEGER_DIGITS = 12
+MAX_QUOTED_LENGTH = 40  # characters of an unusable value that an error message repeats
+BYTES_PER_TOKEN = 4  # of text, where the client does not count its own tokens
+BAD_REQUEST = 400  # HTTP status
 
-class InvalidRequestError(Exception):
-    """A query that cannot be taken: `where` names the header or field, `status` is the HTTP status."""
 
-    def __init__(self, where: str, what: str, status: int = 400) -> None:
-        super().__init__(f"{where}: {what}")
-        self.where, self.what, self.status = where, what, status
+class InvalidRequestError(RunspoolError):
+    """A request cannot be accepted as it stands.
 
+    Attributes:
+        field_name: the header or body field at fault.
+        reason: what is wrong with it.
+        status: the HTTP status of the response.
+    """
 
-def whole(said: str | None, where: str, absent: int, least: int, most: int) -> int:
-    """A whole number of plain digits, `absent` where nothing was said; raises Misworded."""
-    if said is None:
-        return absent
-    if not (said.isascii() and said.isdigit()) or len(said) > 12 or not least <= int(said) <= most:
-        raise InvalidRequestError(where, f"{said[:40]!r} is no whole number from {least} to {most}")
-    return int(said)
+    def __init__(self, field_name: str, reason: str, status: int = BAD_REQUEST) -> None:
+        super().__init__(f"{field_name}: {reason}")
+        self.field_name = field_name
+        self.reason = reason
+        self.status = status
 
 
-def name(said: str | None, where: str) -> str | None:
-    """A name of bounded size, or none; raises Misworded."""
-    if said is not None and not 0 < len(said) <= MOST_NAME:
-        raise InvalidRequestError(where, f"must have 1 to {MOST_NAME} bytes")
-    return said
+def parse_integer(value: str | None, field_name: str, default: int, minimum: int, maximum: int) -> int:
+    """Parses an integer written in plain decimal digits.
+
+    Args:
+        value: the field's text, None if the field is absent.
+        field_name: the field's name, for the error.
+        default: returned if the field is absent; not checked against the bounds.
+        minimum: the smallest value accepted.
+        maximum: the largest value accepted.
+
+    Raises:
+        InvalidRequestError: the text is not such an integer, or is out of bounds.
+    """
+    if value is None:
+        return default
+    is_integer = value.isascii() and value.isdigit() and len(value) <= MAX_INTEGER_DIGITS
+    if not is_integer or not minimum <= int(value) <= maximum:
+        raise InvalidRequestError(
+            field_name, f"{value[:MAX_QUOTED_LENGTH]!r} is no whole number from {minimum} to {maximum}"
+        )
+    return int(value)
+
+
+def parse_name(value: str | None, field_name: str) -> str | None:
+    """Checks that a name is not empty and not too long; an absent one stays None.
+
+    Raises:
+        InvalidRequestError: the name is empty or longer than `MAX_NAME_LENGTH`.
+    """
+    if value is not None and not 0 < len(value) <= MAX_NAME_LENGTH:
+        raise InvalidRequestError(field_name, f"must have 1 to {MAX_NAME_LENGTH} bytes")
+    return value
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -434,7 +434,7 @@
             "told",
             front=self.world.plan.fronts[self.at].name,
             version=news.version,
-            whole=news.whole,
+            whole=news.is_snapshot,
             engines=[[one.engine, one.state, one.started_unix_ms] for one in news.engines],
         )
         if changed := self.front.endpoint_tracker.apply(now(), news):
@@ -530,7 +530,7 @@
 
     def whole(self) -> EndpointListMessage:
         listed = [self.entry(at) for at, state in enumerate(self.states) if state != "gone"]
-        return EndpointListMessage(self.version, "epoch", whole=True, engines=listed)
+        return EndpointListMessage(self.version, "epoch", is_snapshot=True, engines=listed)
 
     def tell(self, at: int, state: str) -> None:
         """News of an engine, to each front at its own time, now and then twice or overtaken by newer news."""
@@ -753,7 +753,9 @@
                     entry = self.entry(at)
                     entries.append(entry if started else msgspec.structs.replace(entry, started_unix_ms=0))
                 self.lives[self.front_numbers[event["front"]]].hear(
-                    EndpointListMessage(event["version"], "epoch", whole=event["whole"], engines=entries)
+                    EndpointListMessage(
+                        event["version"], "epoch", is_snapshot=event["whole"], engines=entries
+                    )
                 )
             case "engine_up":
                 self.engines[self.numbers[event["engine"]]].begin(event["cold"])
--- a/tests/test_cells_at_work.py
+++ b/tests/test_cells_at_work.py
@@ -42,7 +42,7 @@
 
 
 async def adopted(town: Town, chart: CellMap) -> None:
-    book.write(town.map_file, book.encoded(chart))
+    book.write_checked(town.map_file, book.encode_map(chart))
     with anyio.fail_after(10):
         while town.running.front.keeping.chart.version < chart.version:
             await anyio.sleep(0.005)
@@ -157,7 +157,7 @@
             with anyio.fail_after(10):
                 while maps.seen == before:
                     await anyio.sleep(0.005)
-        book.write(town.map_file, book.encoded(CHART))
+        book.write_checked(town.map_file, book.encode_map(CHART))
         assert (await town.ask(runspool_tenant="one", runspool_mark="q")).status == 200
         assert town.running.front.keeping.chart.version == 2
 
@@ -277,7 +277,7 @@
         (["one", "spare"], "reserve"),
     ):
         assert why in run("move", front, *wrong, "--yes", code=1)
-    assert book.load(file) == CHART
+    assert book.load_map(file) == CHART
     run("move", front, "one", "b", "--yes")
     assert "already being moved" in run("move", front, "one", "b", "--yes", code=1)
     assert "under way" in run("adopt", front, source, "--yes", code=1)
@@ -286,9 +286,15 @@
     assert "no move m-9" in run("undo", front, "m-9", "--yes", code=1)
     run("move", front, "one", "b", "--starts-in-ms", "0", "--yes")
     run("finish", front, "m-4", "--yes")
-    last = book.load(file)
+    last = book.load_map(file)
     assert last is not None and last.tenants["one"] == "b" and last.version == 5
-    assert [one.what.split()[0] for one in book.changes(file)] == ["adopt", "move", "undo", "move", "finish"]
+    assert [one.description.split()[0] for one in book.read_changes(file)] == [
+        "adopt",
+        "move",
+        "undo",
+        "move",
+        "finish",
+    ]
 
 
 def test_a_map_that_would_leave_a_cell_without_a_role_is_refused(front: Path) -> None:
@@ -304,26 +310,26 @@
 @pytest.mark.parametrize("torn", ["file", "after the log"])
 def test_a_change_killed_half_way_is_finished_or_never_was(torn: str, front: Path) -> None:
     file = front.with_name("cells.map")
-    book.change(file, "adopt", CHART, 1)
+    book.record_change(file, "adopt", CHART, 1)
     after = moving.planned(CHART, moved().moves[0], [])
     if torn == "file":
-        book.change(file, "move", after, 2)
+        book.record_change(file, "move", after, 2)
         file.write_bytes(b"half a ma")
-        assert book.mend(file) == after
+        assert book.recover_map(file) == after
     else:
         before = file.read_bytes()
-        book.change(file, "move", after, 2)
+        book.record_change(file, "move", after, 2)
         file.write_bytes(before)  # killed between log and file
-        assert book.mend(file) == after == book.load(file)
+        assert book.recover_map(file) == after == book.load_map(file)
     # A log whose last line is torn tells of the changes before it.
-    log = book.log_of(file)
+    log = book.log_path(file)
     log.write_bytes(log.read_bytes()[:-9])
-    assert [one.version for one in book.changes(file)] == [1]
+    assert [one.version for one in book.read_changes(file)] == [1]
 
 
 def test_two_operators_cannot_change_one_map_at_once(front: Path) -> None:
     file = front.with_name("cells.map")
-    book.change(file, "adopt", CHART, 1)
-    with book.changing(file):
+    book.record_change(file, "adopt", CHART, 1)
+    with book.exclusive_change(file):
         assert "another change" in run("move", front, "one", "b", "--yes", code=1)
-    assert book.load(file) == CHART
+    assert book.load_map(file) == CHART
--- a/tests/test_roster.py
+++ b/tests/test_discovery.py
@@ -8,10 +8,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from runspool.discovery.endpoint_tracker import GAP_PATIENCE, EndpointTracker
+from runspool.discovery.endpoint_tracker import GAP_TIMEOUT, EndpointTracker
 from runspool.discovery.snapshot import CorruptFileError, load_snapshot, save_snapshot
 from runspool.wire import endpoint_list as listing
-from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, read_news, write_news
+from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, decode_message, encode_message
 
 STATES = ["on", "draining", "gone"]
 
@@ -35,7 +35,7 @@
     mixed = [*news, *news[::2]]
     rng.shuffle(mixed)  # type: ignore[attr-defined]
     following = EndpointTracker()
-    following.apply(0, EndpointListMessage(0, "e", whole=True))
+    following.apply(0, EndpointListMessage(0, "e", is_snapshot=True))
     drained: dict[str, int] = {}
     for line in mixed:
         for changed in following.apply(1, line):
@@ -43,15 +43,15 @@
             assert line.version >= drained.get(changed.engine, -1)
             drained[changed.engine] = line.version
     last = {name: state for name, state in said}
-    assert {one.engine: one.state for one in following.listed()} == {
+    assert {one.engine: one.state for one in following.active_entries()} == {
         name: state for name, state in last.items() if state != "gone"
     }
-    assert (following.version, following.early, following.gap_since) == (len(said), set(), None)
+    assert (following.version, following.versions_ahead, following.gap_since) == (len(said), set(), None)
 
 
 def test_a_drain_out_of_order_counts_at_once() -> None:
     following = EndpointTracker()
-    following.apply(0, EndpointListMessage(1, "e", whole=True, engines=[entry("p", "on")]))
+    following.apply(0, EndpointListMessage(1, "e", is_snapshot=True, engines=[entry("p", "on")]))
     assert (
         following.apply(5, EndpointListMessage(3, "e", engines=[entry("p", "draining")]))[0].state
         == "draining"
@@ -61,36 +61,40 @@
 
 def test_a_gap_that_does_not_close_asks_for_the_whole_list() -> None:
     following = EndpointTracker()
-    following.apply(0, EndpointListMessage(1, "e", whole=True))
+    following.apply(0, EndpointListMessage(1, "e", is_snapshot=True))
     following.apply(10, EndpointListMessage(3, "e", engines=[entry("p", "on")]))
-    assert not following.needs_snapshot(10 + GAP_PATIENCE - 1)
-    assert following.needs_snapshot(10 + GAP_PATIENCE)
-    following.apply(10 + GAP_PATIENCE, EndpointListMessage(3, "e", whole=True, engines=[entry("p", "on")]))
-    assert not following.needs_snapshot(10 + 3 * GAP_PATIENCE)
+    assert not following.needs_snapshot(10 + GAP_TIMEOUT - 1)
+    assert following.needs_snapshot(10 + GAP_TIMEOUT)
+    following.apply(
+        10 + GAP_TIMEOUT, EndpointListMessage(3, "e", is_snapshot=True, engines=[entry("p", "on")])
+    )
+    assert not following.needs_snapshot(10 + 3 * GAP_TIMEOUT)
 
 
 def test_a_beat_shows_what_was_missed() -> None:
     following = EndpointTracker()
-    following.apply(0, EndpointListMessage(1, "e", whole=True))
-    following.apply(5, EndpointListMessage(1, "e", beat=True))
+    following.apply(0, EndpointListMessage(1, "e", is_snapshot=True))
+    following.apply(5, EndpointListMessage(1, "e", is_heartbeat=True))
     assert following.gap_since is None
-    following.apply(6, EndpointListMessage(2, "e", beat=True))
-    assert following.needs_snapshot(6 + GAP_PATIENCE)
+    following.apply(6, EndpointListMessage(2, "e", is_heartbeat=True))
+    assert following.needs_snapshot(6 + GAP_TIMEOUT)
 
 
 def test_a_whole_list_lets_go_of_those_it_does_not_name() -> None:
     following = EndpointTracker()
     following.restore([entry("old", "on"), entry("p", "on")])
-    changed = following.apply(0, EndpointListMessage(4, "e", whole=True, engines=[entry("p", "on")]))
+    changed = following.apply(0, EndpointListMessage(4, "e", is_snapshot=True, engines=[entry("p", "on")]))
     assert [(one.engine, one.state) for one in changed] == [("old", "gone")]
-    assert following.apply(1, EndpointListMessage(3, "e", whole=True)) == []  # an older list says nothing
+    assert (
+        following.apply(1, EndpointListMessage(3, "e", is_snapshot=True)) == []
+    )  # an older list says nothing
 
 
 def test_a_service_that_lost_its_numbers_is_believed_only_with_a_whole_list() -> None:
     following = EndpointTracker()
-    following.apply(0, EndpointListMessage(90, "e", whole=True, engines=[entry("p", "on")]))
+    following.apply(0, EndpointListMessage(90, "e", is_snapshot=True, engines=[entry("p", "on")]))
     assert following.apply(1, EndpointListMessage(2, "f", engines=[entry("p", "draining")])) == []
-    assert following.apply(2, EndpointListMessage(2, "f", whole=True, engines=[entry("p", "draining")]))
+    assert following.apply(2, EndpointListMessage(2, "f", is_snapshot=True, engines=[entry("p", "draining")]))
     assert following.version == 2
 
 
@@ -102,13 +106,15 @@
         b'{"version": -1}',
         b'{"version": 1, "engines": [{"engine": "p"}]}',
         b"\xff\xfe",
-        write_news(EndpointListMessage(1, engines=[entry("p", "on")]))[:-20],
-        write_news(EndpointListMessage(1, engines=[EndpointEntry("p", "nowhere", "prefill", "a", 0, "on")])),
+        encode_message(EndpointListMessage(1, engines=[entry("p", "on")]))[:-20],
+        encode_message(
+            EndpointListMessage(1, engines=[EndpointEntry("p", "nowhere", "prefill", "a", 0, "on")])
+        ),
     ],
 )
 def test_a_torn_line_is_no_news(line: bytes) -> None:
     with pytest.raises(listing.MalformedListLineError):
-        read_news(line)
+        decode_message(line)
 
 
 def test_a_last_list_is_whole_or_nothing(tmp_path: Path) -> None:
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from runspool.discovery.endpoint_tracker import GONE_KEPT
+from runspool.discovery.endpoint_tracker import MAX_GONE_ENGINES
 from runspool.discovery.snapshot import save_snapshot
 from runspool.lab.audit import audit
 from runspool.lab.replay import replay
@@ -449,12 +449,15 @@
 async def test_what_is_known_of_engines_that_left_is_bounded(tmp_path: Path) -> None:
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
         front = town.running.front
-        for number in range(GONE_KEPT + 200):
+        for number in range(MAX_GONE_ENGINES + 200):
             for state in ("on", "gone"):
                 entry = EndpointEntry(f"n{number}", f"127.0.0.1:{number + 1}", "decode", "a", 0, "on")
                 front.endpoints_changed([msgspec.structs.replace(entry, state=state)])
         assert (
-            len(front.endpoints) == len(front.engine_records) == len(front.engine_interner) <= GONE_KEPT + 2
+            len(front.endpoints)
+            == len(front.engine_records)
+            == len(front.engine_interner)
+            <= MAX_GONE_ENGINES + 2
         )
         assert (await town.ask()).status == 200
 
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -243,12 +243,12 @@
 async def test_a_reset_watch_is_opened_anew_without_a_rest(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node_catalog, "RETRY", 600.0)
+    monkeypatch.setattr(node_catalog, "RETRY_INTERVAL_S", 600.0)
     platform = Platform(tmp_path, PAIR | {"s": "prefill"})
     async with platform.inside() as running:
         await platform.until(lambda: any("after=" in one for one in platform.lists))
         # It has stood for as long as two tries lie apart.
-        monkeypatch.setattr(running.discovery, "began", -tenths(600_000), raising=False)
+        monkeypatch.setattr(running.discovery, "round_started_at", -tenths(600_000), raising=False)
         await cut_off(platform)
         platform.tell(s="leaving")  # told while no watch is open
         await platform.until(lambda: any("after=2" in one for one in platform.lists))
@@ -258,7 +258,8 @@
 async def test_an_agent_that_never_answers_what_it_was_asked_in_an_outage_is_asked_anew(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node_catalog, "GRACE_MS", 600_000)  # no try runs out: another is begun beside it
+    # No try runs out: another is begun beside it.
+    monkeypatch.setattr(node_catalog, "SILENCE_TIMEOUT_MS", 600_000)
     platform = Platform(tmp_path, PAIR | {"s": "prefill"})
     async with platform.inside() as running:
         await platform.until(lambda: any("after=" in one for one in platform.lists))
@@ -274,9 +275,9 @@
 
 
 async def test_silence_is_known_and_asked_into_within_what_the_platform_allows() -> None:
-    known = node_catalog.WAIT_MS + node_catalog.GRACE_MS
-    assert known + 2 * 1000 * node_catalog.RETRY < 2_000  # an outage lasts some seconds
-    assert 2 * 1000 * node_catalog.RETRY <= 250  # a drain's grace, from the agent's return on
+    known = node_catalog.WATCH_WAIT_MS + node_catalog.SILENCE_TIMEOUT_MS
+    assert known + 2 * 1000 * node_catalog.RETRY_INTERVAL_S < 2_000  # an outage lasts some seconds
+    assert 2 * 1000 * node_catalog.RETRY_INTERVAL_S <= 250  # a drain's grace, from the agent's return on
 
 
 @pytest.mark.parametrize(
@@ -321,15 +322,15 @@
             faults.append(said)
             raise RuntimeError("a fault of the program")
 
-        sound = running.executor.timers.ring, running.discovery.hearer.receive
+        sound = running.executor.timers.ring, running.discovery.listener.receive
         running.executor.timers.ring = fails
-        running.discovery.hearer.receive = fails  # type: ignore[method-assign, assignment]
+        running.discovery.listener.receive = fails  # type: ignore[method-assign, assignment]
         running.executor.timers.schedule(0, "0.0@node")
         platform.tell()
         running.executor.engine_client.watchdog.watch(0, fails).waiting_since = 1
         await until(lambda: len(faults) >= 3)
         running.executor.timers.ring = sound[0]
-        running.discovery.hearer.receive = sound[1]  # type: ignore[method-assign]
+        running.discovery.listener.receive = sound[1]  # type: ignore[method-assign]
         assert (await platform.ask(post("q1"))).whole
         assert not platform.run.done()
 
--- a/tests/town.py
+++ b/tests/town.py
@@ -85,7 +85,7 @@
         if cells is not None:
             self.plan.cells = cells.model_dump()
             self.map_file = folder / "front-0.map"
-            book.write(self.map_file, book.encoded(cells))
+            book.write_checked(self.map_file, book.encode_map(cells))
         self.file = folder / "town.jsonl"
         self.record = Recorder(self.file)
         self.listing = Listing(self.record, 0)
