--- a/runspool/node/config.py
+++ b/runspool/node/config.py
@@ -14,10 +14,10 @@
 
 from runspool.engines.connection_pool import Address
 from runspool.errors import RunspoolError
-from runspool.node.endpoint_list import InvalidEndpointListError, read_list
+from runspool.node.endpoint_list import InvalidEndpointListError, decode_endpoint_list
 from runspool.runtime.platform_settings import InvalidSettingsError, PlatformSettings, SettingsSection
-from runspool.wire.endpoint_list import EndpointListMessage, address_of
-from runspool.wire.fields import UNREADABLE
+from runspool.wire.endpoint_list import EndpointListMessage, parse_address
+from runspool.wire.fields import JSON_DECODE_ERRORS
 
 MAX_FILE_BYTES = 32 << 20
 DEFAULT_MAX_DESCRIPTORS = 1024  # where the file sets no limit
@@ -72,7 +72,7 @@
     raw = _read_file(file)
     try:
         return _check_document(msgspec.json.decode(raw), environ)
-    except UNREADABLE as fault:
+    except JSON_DECODE_ERRORS as fault:
         raise UnreadableNodeConfigError(file, f"no JSON: {fault}") from None
     except InvalidEndpointListError as fault:
         raise InvalidNodeConfigError("known", str(fault)) from None
@@ -94,7 +94,9 @@
     top = SettingsSection(document, "")
     # The file comes first, as it is newer than the environment, which a running process keeps from its start.
     name = _text(top, "name", environ.get("BALANCER_NAME"))
-    last_endpoints, faults = read_list(msgspec.json.encode(document.get("known") or EMPTY_ENDPOINT_LIST))
+    last_endpoints, faults = decode_endpoint_list(
+        msgspec.json.encode(document.get("known") or EMPTY_ENDPOINT_LIST)
+    )
     if faults:
         where, _, problem = faults[0].partition(": ")
         raise InvalidNodeConfigError(f"known.{where}", problem)
@@ -130,7 +132,7 @@
 
 def _address(top: SettingsSection, key: str, default: str | None) -> Address:
     text = _text(top, key, default)
-    address = address_of(text)
+    address = parse_address(text)
     if address is None:
         raise InvalidNodeConfigError(key, f"{text!r} is no host:port")
     return address
--- a/runspool/node/request_parser.py
+++ b/runspool/node/request_parser.py
@@ -14,7 +14,7 @@
 from runspool.scheduling.types import Request
 from runspool.units import TENTHS
 from runspool.wire import fields
-from runspool.wire.fields import TOKEN_BYTES, InvalidRequestError
+from runspool.wire.fields import BYTES_PER_TOKEN, InvalidRequestError
 
 REQUEST_ID = re.compile(r"[A-Za-z0-9._:-]{1,64}")
 DEADLINE = re.compile(r"([0-9]{1,12})([mu])")  # milliseconds or microseconds
@@ -87,7 +87,7 @@
     _check_body(body)
     extras = _parse_extras(headers.get("req-extra", ""))
     max_tokens = _max_prompt_tokens(settings)
-    prompt_tokens = _token_count(extras, "prompt_len", max(1, len(body) // TOKEN_BYTES), 1, max_tokens)
+    prompt_tokens = _token_count(extras, "prompt_len", max(1, len(body) // BYTES_PER_TOKEN), 1, max_tokens)
     prefix = extras.get("prefix") or None
     retry = headers.get("req-retry", "0")
     if retry not in ("0", "1", "again"):
@@ -99,8 +99,8 @@
         body=body,
         request_class=request_class,
         tenant=tenant,
-        session=fields.name(headers.get("req-key"), "Req-Key"),
-        prefix=fields.name(prefix, "Req-Extra prefix"),
+        session=fields.parse_name(headers.get("req-key"), "Req-Key"),
+        prefix=fields.parse_name(prefix, "Req-Extra prefix"),
         prompt_tokens=prompt_tokens,
         prefix_tokens=_token_count(extras, "prefix_len", 0, 0, prompt_tokens) if prefix else 0,
         max_output_tokens=_token_count(extras, "max_out", 0, 0, max_tokens),
@@ -132,7 +132,7 @@
     """Only that it is a JSON object: its content is for the engine."""
     try:
         msgspec.json.decode(body, type=dict[str, msgspec.Raw])
-    except fields.UNREADABLE as fault:
+    except fields.JSON_DECODE_ERRORS as fault:
         raise InvalidRequestError("body", f"no JSON object ({fault})") from None
 
 
@@ -176,7 +176,7 @@
 
 
 def _token_count(extras: dict[str, str], key: str, default: int, least: int, most: int) -> int:
-    return fields.whole(extras.get(key), f"Req-Extra {key}", default, least, most)
+    return fields.parse_integer(extras.get(key), f"Req-Extra {key}", default, least, most)
 
 
 def _quote(value: str | None) -> str:
--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -102,7 +102,7 @@
                 # The list in the configuration may be from long ago. Requests accepted before a new one is
                 # here could be sent to engines that the discovery service has announced as leaving.
                 with anyio.move_on_after(FIRST_LIST_WAIT_SECONDS):
-                    await self.discovery.heard.wait()
+                    await self.discovery.snapshot_received.wait()
                 for each in listener.listeners:
                     raw_socket = each.extra(SocketAttribute.raw_socket)
                     tasks.start_soon(accept_all, raw_socket, tasks, self.connections.serve)
@@ -137,7 +137,7 @@
             self.log.warning("config_needs_restart", what="settings or listen changed; the old ones hold")
         host, port = config.discovery
         self.log.info("config_loaded", discovery=f"{host}:{port}")
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
 
     def _try_read_config(self) -> NodeConfig | None:
         try:
--- a/runspool/service/endpoint_registry.py
+++ b/runspool/service/endpoint_registry.py
@@ -7,14 +7,14 @@
 
 import structlog
 
-from runspool.discovery.endpoint_tracker import GONE_KEPT
+from runspool.discovery.endpoint_tracker import MAX_GONE_ENGINES
 from runspool.runtime.interning import Interner, stable_hash
 from runspool.scheduling.settings import RoutingSettings
 from runspool.scheduling.types import EngineRecord, EngineState
 from runspool.service.clock import now
 from runspool.service.pending_request import Endpoint
 from runspool.service.wall_clock import WallClock
-from runspool.wire.endpoint_list import EndpointEntry, address_of
+from runspool.wire.endpoint_list import EndpointEntry, parse_address
 
 UNKNOWN_ZONE = -2  # the list names a zone that is not configured
 
@@ -66,10 +66,12 @@
         Where the entry's type or address is unusable, the record known before, as REMOVED; None where there
         was none.
         """
-        engine_type, address = self.engine_types.get(entry.kind), address_of(entry.address)
+        engine_type, address = self.engine_types.get(entry.engine_type), parse_address(entry.address)
         known = self.engine_records.get(entry.engine)
         if engine_type is None or address is None:
-            self.log.warning("engine_unusable", engine=entry.engine, kind=entry.kind, address=entry.address)
+            self.log.warning(
+                "engine_unusable", engine=entry.engine, kind=entry.engine_type, address=entry.address
+            )
             # The engine known before may be draining or another by now, so it must not be used any more.
             return known and replace(known, state=EngineState.REMOVED)
         index = self.engine_interner.intern(entry.engine)
@@ -95,6 +97,6 @@
         removed = [
             name for name, record in self.engine_records.items() if record.state == EngineState.REMOVED
         ]
-        for name in removed[: max(0, len(removed) - GONE_KEPT)]:
+        for name in removed[: max(0, len(removed) - MAX_GONE_ENGINES)]:
             del self.endpoints[self.engine_records.pop(name).engine]
             self.engine_interner.forget(name)
--- a/runspool/wire/completions.py
+++ b/runspool/wire/completions.py
@@ -16,7 +16,7 @@
 from runspool.config.schema import FrontConfig, RequestClassConfig
 from runspool.units import TENTHS, tenths
 from runspool.wire import fields
-from runspool.wire.fields import TOKEN_BYTES, UNREADABLE, InvalidRequestError
+from runspool.wire.fields import BYTES_PER_TOKEN, JSON_DECODE_ERRORS, InvalidRequestError
 
 Value = TypeVar("Value")
 
@@ -58,7 +58,7 @@
     """
     try:
         parameters: dict[str, msgspec.Raw] = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
-    except UNREADABLE as error:
+    except JSON_DECODE_ERRORS as error:
         raise InvalidRequestError("body", f"not a JSON object ({error})") from None
     request_class, class_config = _request_class(headers, config)
     tenant = headers.get("runspool-tenant")
@@ -125,11 +125,11 @@
 
 
 def _integer(headers: Mapping[str, str], name: str, default: int, least: int, most: int) -> int:
-    return fields.whole(headers.get(name), name, default, least, most)
+    return fields.parse_integer(headers.get(name), name, default, least, most)
 
 
 def _name(headers: Mapping[str, str], name: str) -> str | None:
-    return fields.name(headers.get(name), name)
+    return fields.parse_name(headers.get(name), name)
 
 
 def _parameter(parameters: dict[str, msgspec.Raw], name: str, kind: type[Value], default: Value) -> Value:
@@ -139,7 +139,7 @@
         return default
     try:
         value: Value | None = msgspec.json.decode(raw, type=kind | None)
-    except UNREADABLE as error:
+    except JSON_DECODE_ERRORS as error:
         raise InvalidRequestError(name, str(error)) from None
     return default if value is None else value
 
@@ -152,10 +152,10 @@
     encoded = bytes(raw)
     if encoded[:1] == b'"':
         text_bytes = len(encoded) - 2  # without the quotation marks
-        return max(1, text_bytes // TOKEN_BYTES)
+        return max(1, text_bytes // BYTES_PER_TOKEN)
     try:
         return max(1, len(msgspec.json.decode(encoded, type=list[int])))
-    except UNREADABLE:
+    except JSON_DECODE_ERRORS:
         raise InvalidRequestError("prompt", "must be one text or one list of token numbers") from None
 
 
--- a/runspool/wire/engine_messages.py
+++ b/runspool/wire/engine_messages.py
@@ -15,7 +15,7 @@
 
 from runspool.errors import RunspoolError
 from runspool.scheduling.types import LoadReport
-from runspool.wire.fields import UNREADABLE
+from runspool.wire.fields import JSON_DECODE_ERRORS
 
 REMOTE_DECODE_PARAMS = msgspec.Raw(
     msgspec.json.encode(
@@ -126,7 +126,7 @@
     """Parse a response or event; raise MalformedResponseError for bytes that are none."""
     try:
         return _responses.decode(raw)
-    except UNREADABLE as error:
+    except JSON_DECODE_ERRORS as error:
         raise MalformedResponseError(str(error)) from None
 
 
@@ -145,7 +145,7 @@
         return None
     try:
         report = _load_reports.decode(header[len(LOAD_REPORT_FORMAT) :].strip().encode())
-    except UNREADABLE:
+    except JSON_DECODE_ERRORS:
         return None
     figures = report.get("named_metrics", {})
     return LoadReport(
