--- a/runspool/engines/completions_client.py
+++ b/runspool/engines/completions_client.py
@@ -1,48 +1,42 @@
-"""One shot at one engine: sends it, follows it, and says how it ended. Picks nothing, repeats nothing."""
+"""A front's HTTP client for engines with the completions API: one attempt at one engine at a time."""
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Awaitable, Callable, Mapping
 
 import anyio
 import msgspec
 
+from runspool.engines.attempt_result import AttemptResult, ResponseListener
 from runspool.engines.connection_pool import Address
-from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause, classify_http_status
-from runspool.engines.http_exchange import (
-    AttemptResult,
-    Exchange,
+from runspool.engines.failure_classification import (
+    STATUS_BY_CAUSE,
     ExchangeAbortedError,
-    HttpExchangeClient,
-    ResponseListener,
-    SendPermit,
-    encode_request,
+    FailureCause,
+    classify_http_status,
 )
+from runspool.engines.http_exchange import Exchange, HttpExchangeClient, encode_request
 from runspool.engines.idle_watchdog import WatchedWait
 from runspool.engines.response_parser import ResponseParser
+from runspool.engines.send_permit import SendPermit
 from runspool.scheduling.types import AttemptStatus, LoadReport
 from runspool.transport.tcp import connect
 from runspool.wire import engine_messages as wire
 
+# The parameters that name a prefill state, in the engine's own form.
 PrefillState = dict[str, msgspec.Raw]
 
+MAX_TRAILING_READS = 8  # reads after a response's last token, so that its connection can be kept
+STREAM_END = b"[DONE]"  # the data of a stream's last event
+
 
 class CompletionsEngineClient(HttpExchangeClient):
-    """Carries out shots on pooled connections."""
+    """Carries out attempts on pooled connections. It neither chooses engines nor retries."""
 
-    def classify_response(self, reply: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
+    def classify_response(self, response: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
+        """Return what a response with an unexpected status means, and the code from its error body."""
         code = wire.error_code(body)
-        return classify_http_status(reply.status, code), code
-
-    def _posted(
-        self, address: Address, headers: Mapping[str, str], body: bytes, path: str = "/v1/completions"
-    ) -> bytes:
-        return encode_request(
-            "POST",
-            path,
-            {"Host": f"{address[0]}:{address[1]}", "Content-Type": "application/json", **headers},
-            body,
-        )
+        return classify_http_status(response.status, code), code
 
     async def prefill(
         self,
@@ -52,38 +46,38 @@
         limit: int,
         permit: SendPermit,
     ) -> AttemptResult:
-        """Has a prompt read; READ with the waiting state, or what else it came to. Arguments as in write().
+        """Have a prompt prefilled; PREFILL_COMPLETE with the state, or the failure. Arguments as in decode().
 
-        Cancelled, the connection is closed and nothing is told.
+        Cancelled, it closes the connection and returns nothing.
         """
-        report: LoadReport | None = None
-        call = Exchange(permit)
+        load_report: LoadReport | None = None
+        exchange = Exchange(permit)
         try:
-            with self._start_timer(limit) as clock, self._managed_connection(call):
-                words = self._posted(address, headers, wire.read_body(query))
-                await self._send_request(call, clock, address, lambda left: words)
-                head = await self._read_head(call)
-                report = wire.load_report(head.headers.get(wire.REPORT_HEADER))
-                answer = wire.answer(await self._read_body(call))
+            with self._start_timer(limit) as timer, self._managed_connection(exchange):
+                request = _encode_post(address, headers, wire.read_body(query))
+                await self._send_request(exchange, timer, address, lambda remaining: request)
+                head = await self._read_head(exchange)
+                load_report = wire.load_report(head.headers.get(wire.REPORT_HEADER))
+                answer = wire.answer(await self._read_body(exchange))
                 if not answer.kv_transfer_params:
                     raise ExchangeAbortedError(
                         FailureCause.MALFORMED_RESPONSE, "a read without kv_transfer_params"
                     )
-        except ExchangeAbortedError as stop:
+        except ExchangeAbortedError as error:
             return AttemptResult(
-                STATUS_BY_CAUSE[stop.cause],
-                stop.cause,
-                stop.detail,
-                reached_engine=call.reached_engine,
-                load_report=report,
+                STATUS_BY_CAUSE[error.cause],
+                error.cause,
+                error.detail,
+                reached_engine=exchange.reached_engine,
+                load_report=load_report,
             )
-        except wire.MalformedResponseError as fault:
+        except wire.MalformedResponseError as error:
             return AttemptResult(
                 STATUS_BY_CAUSE[FailureCause.MALFORMED_RESPONSE],
                 FailureCause.MALFORMED_RESPONSE,
-                str(fault),
+                str(error),
                 reached_engine=True,
-                load_report=report,
+                load_report=load_report,
             )
         usage = answer.usage or wire.Usage()
         return AttemptResult(
@@ -92,7 +86,7 @@
             prompt_tokens=usage.prompt_tokens,
             reached_engine=True,
             state=answer.kv_transfer_params,
-            load_report=report,
+            load_report=load_report,
         )
 
     async def decode(
@@ -103,150 +97,202 @@
         headers: Mapping[str, str],
         limit: int,
         permit: SendPermit,
-        most_out: int,
+        max_output_tokens: int,
         listener: ResponseListener[str],
     ) -> AttemptResult:
-        """Has a query answered, telling `listener` as the answer comes.
+        """Have a query answered, passing its text to `listener` as it comes.
 
-        `permit` is asked before the last byte goes, and hears of the first that comes back.
-        `limit`, in tenths of a millisecond, holds to the first token; from then on only the bound of silence.
-        Cancelled, the connection is closed and nothing is told.
+        `permit` is asked before the last byte is sent, and notified when the first byte comes back.
+        `limit`, in tenths of a millisecond, applies until the first token; after it only the idle timeout.
+        Cancelled, it closes the connection and returns nothing.
         """
-        told = AttemptResult(AttemptStatus.SUCCEEDED)
-        answer, call = _Answer(self, told, most_out, listener), Exchange(permit)
+        result = AttemptResult(AttemptStatus.SUCCEEDED)
+        stream = _TokenStream(self._read_more, result, self.settings.line_bytes, max_output_tokens)
+        exchange = Exchange(permit)
         try:
-            with self._start_timer(limit) as clock, self._managed_connection(call):
-                words = self._posted(address, headers, wire.write_body(query, state))
-                await self._send_request(call, clock, address, lambda left: words)
-                head = await self._read_head(call)
-                told.load_report = wire.load_report(head.headers.get(wire.REPORT_HEADER))
-                texts = await answer.first(call)
-                clock.remove_limit(FailureCause.STREAM_INTERRUPTED)
-                watched = self.watchdog.watch(self.silence, clock.cancel)
+            with self._start_timer(limit) as timer, self._managed_connection(exchange):
+                request = _encode_post(address, headers, wire.write_body(query, state))
+                await self._send_request(exchange, timer, address, lambda remaining: request)
+                head = await self._read_head(exchange)
+                result.load_report = wire.load_report(head.headers.get(wire.REPORT_HEADER))
+                text = await stream.read_first(exchange)
+                timer.remove_limit(FailureCause.STREAM_INTERRUPTED)
+                wait = self.watchdog.watch(self.idle_timeout, timer.cancel)
                 try:
-                    await answer.rest(call, texts, watched)
+                    await self._forward_text(exchange, stream, text, wait, listener)
                 finally:
-                    self.watchdog.unwatch(watched)
-                if not answer.finished:
-                    raise ExchangeAbortedError(
-                        FailureCause.STREAM_INTERRUPTED if answer.begun else FailureCause.MALFORMED_RESPONSE,
-                        "ends without a finish",
-                    )
-                await self._rest(call)
-        except ExchangeAbortedError as stop:
-            # Past its finish an answer is whole: only its last lines are missing.
-            if not (answer.finished and stop.cause is FailureCause.STREAM_INTERRUPTED):
-                told.fail(stop.cause, stop.detail, answer.begun)
-        except wire.MalformedResponseError as fault:
-            told.fail(FailureCause.MALFORMED_RESPONSE, str(fault), answer.begun)
-        told.reached_engine = call.reached_engine
-        return told
+                    self.watchdog.unwatch(wait)
+                stream.check_finished()
+                await self._read_trailing_bytes(exchange)
+        except ExchangeAbortedError as error:
+            # After its finish reason a response is complete: only its last lines are missing.
+            if not (stream.finished and error.cause is FailureCause.STREAM_INTERRUPTED):
+                result.fail(error.cause, error.detail, stream.started)
+        except wire.MalformedResponseError as error:
+            result.fail(FailureCause.MALFORMED_RESPONSE, str(error), stream.started)
+        result.reached_engine = exchange.reached_engine
+        return result
 
     async def release_state(
         self, address: Address, state: PrefillState | None, request: str, limit: int
     ) -> FailureCause | None:
-        """Lets a waiting state go, named by itself or by its read's request; None, or what came between."""
-        call = Exchange()
+        """Release a state, named by itself or by its prefill's request; None once confirmed, or the failure.
+
+        `limit` is in tenths of a millisecond. Cancelled, it closes the connection.
+        """
+        exchange = Exchange()
         try:
-            with self._start_timer(limit) as clock, self._managed_connection(call):
-                words = self._posted(address, {}, wire.release_body(state, request), wire.RELEASE_PATH)
-                await self._send_request(call, clock, address, lambda left: words)
-                await self._read_head(call)
-                await self._read_body(call)
-        except ExchangeAbortedError as stop:
-            return stop.cause
+            with self._start_timer(limit) as timer, self._managed_connection(exchange):
+                encoded = _encode_post(address, {}, wire.release_body(state, request), wire.RELEASE_PATH)
+                await self._send_request(exchange, timer, address, lambda remaining: encoded)
+                await self._read_head(exchange)
+                await self._read_body(exchange)
+        except ExchangeAbortedError as error:
+            return error.cause
         return None
 
-    async def answers(self, address: Address) -> bool:
-        """Whether an engine still takes connections; asked when one broke, to tell a reset from its end."""
+    async def accepts_connections(self, address: Address) -> bool:
+        """Return whether an engine accepts connections.
+
+        Asked after a connection broke, to tell a reset by the engine from the engine's end.
+        """
         try:
             with anyio.fail_after(self.settings.connect_ms / 1000):
-                line = await connect(address, self.settings.source_address)
+                connection = await connect(address, self.settings.source_address)
         except (OSError, TimeoutError):
             return False
-        line.close()
+        connection.close()
         return True
 
-    async def _rest(self, call: Exchange) -> None:
-        """What stands after the answer's end, so that the link can serve again; not waited for long."""
+    async def _forward_text(
+        self,
+        exchange: Exchange,
+        stream: _TokenStream,
+        text: str,
+        wait: WatchedWait,
+        listener: ResponseListener[str],
+    ) -> None:
+        """Forward `text` and all that follows; what came together is forwarded together."""
+        if text:
+            stream.started = True
+            await listener.stream_started()
+            await listener.data_received(text)
+        while not stream.ended:
+            wait.waiting_since = self.now()
+            try:
+                text = await stream.read(exchange, FailureCause.STREAM_INTERRUPTED)
+            except ExchangeAbortedError:
+                if stream.finished:  # the response is complete; only its last lines are missing
+                    return
+                raise
+            wait.waiting_since = 0
+            if text:
+                await listener.data_received(text)
+
+    async def _read_trailing_bytes(self, exchange: Exchange) -> None:
+        """Read what follows the last event, for a short time, so that the connection can be kept."""
         with anyio.move_on_after(self.settings.connect_ms / 1000):
             try:
-                for _ in range(8):
-                    if call.response.complete:
+                for _ in range(MAX_TRAILING_READS):
+                    if exchange.response.complete:
                         return
-                    await self._read_more(call, FailureCause.STREAM_INTERRUPTED)
-                    call.response.take_body()
+                    await self._read_more(exchange, FailureCause.STREAM_INTERRUPTED)
+                    exchange.response.take_body()
             except ExchangeAbortedError:
                 return
 
 
-class _Answer:
-    """A streamed answer as it is read off a link."""
+class _TokenStream:
+    """A streamed response as it is read from a connection; counts its tokens in the attempt's result.
+
+    Attributes:
+        started: Set by the reader once the first text is forwarded.
+        finished: Whether the finish reason has come: the text is complete.
+        ended: Whether nothing more is to be read.
+    """
 
     def __init__(
         self,
-        caller: CompletionsEngineClient,
-        told: AttemptResult,
-        most_out: int,
-        listener: ResponseListener[str],
+        read_more: Callable[[Exchange, FailureCause], Awaitable[None]],
+        result: AttemptResult,
+        max_line_bytes: int,
+        max_output_tokens: int,
     ) -> None:
-        self.caller = caller
-        self.told = told
-        self.most_out = most_out
-        self.listener = listener
-        self.events = wire.Events(caller.settings.line_bytes)
-        self.begun = self.finished = self.over = False
-
-    async def first(self, call: Exchange) -> str:
-        """The first text, or empty where the answer ends without any."""
-        while not self.over:
-            if texts := await self._texts(call, FailureCause.CLOSED_DURING_RESPONSE):
-                return texts
+        self.started = False
+        self.finished = False
+        self.ended = False
+        self._read_more = read_more
+        self._result = result
+        self._max_output_tokens = max_output_tokens
+        self._events = wire.Events(max_line_bytes)
+
+    async def read_first(self, exchange: Exchange) -> str:
+        """Read until the first text; empty where the response ends without any."""
+        while not self.ended:
+            if text := await self.read(exchange, FailureCause.CLOSED_DURING_RESPONSE):
+                return text
         return ""
 
-    async def rest(self, call: Exchange, texts: str, watched: WatchedWait) -> None:
-        """Passes on what has come and all that follows; what came together goes on together."""
-        if texts:
-            self.begun = True
-            await self.listener.stream_started()
-            await self.listener.data_received(texts)
-        while not self.over:
-            watched.waiting_since = self.caller.now()
-            try:
-                texts = await self._texts(call, FailureCause.STREAM_INTERRUPTED)
-            except ExchangeAbortedError:
-                if self.finished:  # the answer is whole; only its last lines are missing
-                    return
-                raise
-            watched.waiting_since = 0
-            if texts:
-                await self.listener.data_received(texts)
+    async def read(self, exchange: Exchange, cause_if_closed: FailureCause) -> str:
+        """Read once and return the text that came, which may be empty.
 
-    async def _texts(self, call: Exchange, cut: FailureCause) -> str:
-        reply, told = call.response, self.told
-        body = reply.take_body()
+        Raises:
+            ExchangeAbortedError: The connection was lost, for which the cause is `cause_if_closed`; the
+                engine has sent an error, or more tokens than it was asked for.
+            wire.MalformedResponseError: An event cannot be parsed.
+        """
+        response = exchange.response
+        body = response.take_body()
         if not body:
-            if reply.complete:
-                self.over = True
+            if response.complete:
+                self.ended = True
                 return ""
-            await self.caller._read_more(call, cut)
-            body = reply.take_body()
-        texts = []
-        for raw in self.events.feed(body):
-            if raw == b"[DONE]":
-                self.over = True
+            await self._read_more(exchange, cause_if_closed)
+            body = response.take_body()
+        texts: list[str] = []
+        for event in self._events.feed(body):
+            if event == STREAM_END:
+                self.ended = True
                 break
-            said = wire.answer(raw)
-            if said.error is not None:
-                raise ExchangeAbortedError(FailureCause.SERVER_ERROR, str(said.error))
-            if said.usage is not None:
-                told.cached_tokens, told.prompt_tokens = said.usage.kept, said.usage.prompt_tokens
-            for choice in said.choices:
-                if choice.text and not self.finished:
-                    told.output_tokens += 1
-                    texts.append(choice.text)
-                if choice.finish_reason:
-                    self.finished, told.finish_reason = True, choice.finish_reason
-        if told.output_tokens > self.most_out:
-            raise ExchangeAbortedError(FailureCause.MALFORMED_RESPONSE, f"more than {self.most_out} tokens")
+            self._read_event(event, texts)
+        if self._result.output_tokens > self._max_output_tokens:
+            raise ExchangeAbortedError(
+                FailureCause.MALFORMED_RESPONSE, f"more than {self._max_output_tokens} tokens"
+            )
         return "".join(texts)
+
+    def check_finished(self) -> None:
+        """Raise ExchangeAbortedError where the response has ended without a finish reason."""
+        if not self.finished:
+            raise ExchangeAbortedError(
+                FailureCause.STREAM_INTERRUPTED if self.started else FailureCause.MALFORMED_RESPONSE,
+                "ends without a finish",
+            )
+
+    def _read_event(self, event: bytes, texts: list[str]) -> None:
+        """Append an event's texts to `texts`, and note its usage and finish reason in the result."""
+        result = self._result
+        answer = wire.answer(event)
+        if answer.error is not None:
+            raise ExchangeAbortedError(FailureCause.SERVER_ERROR, str(answer.error))
+        if answer.usage is not None:
+            result.cached_tokens = answer.usage.kept
+            result.prompt_tokens = answer.usage.prompt_tokens
+        for choice in answer.choices:
+            if choice.text and not self.finished:
+                result.output_tokens += 1
+                texts.append(choice.text)
+            if choice.finish_reason:
+                self.finished = True
+                result.finish_reason = choice.finish_reason
+
+
+def _encode_post(
+    address: Address, headers: Mapping[str, str], body: bytes, path: str = "/v1/completions"
+) -> bytes:
+    return encode_request(
+        "POST",
+        path,
+        {"Host": f"{address[0]}:{address[1]}", "Content-Type": "application/json", **headers},
+        body,
+    )
--- a/runspool/engines/failure_classification.py
+++ b/runspool/engines/failure_classification.py
@@ -1,39 +1,65 @@
-"""The one table that says which ending each failure on a socket is, and whether the shot may have run.
+"""Maps each failure seen on a socket to an attempt status, which says whether the attempt may have executed.
 
-A shot is known not to have run while the last byte of its request has not left this process: an engine cannot
-act on a body that it has not got. It is also known by the engine's word, given in a status that promises so.
-Everything else may have run. docs/operators/endings.md shows the same table.
+An attempt is known not to have executed as long as the last byte of its request has not left this process,
+because an engine cannot act on a body that it has not received completely. It is also known from a response
+status with which the engine promises so. After any other failure the attempt may have executed.
+docs/operators/endings.md shows the same table.
 """
 
 from __future__ import annotations
 
 from enum import Enum, auto
 
+from runspool.errors import RunspoolError
 from runspool.scheduling.types import NOT_EXECUTED, AttemptStatus
 
 
 class FailureCause(Enum):
-    """What was seen on the socket."""
-
-    NO_TIME_LEFT = auto()  # the shot's time was over before it was begun
-    CONNECTION_LIMIT_REACHED = auto()  # this front holds as many connections to the engine as it may
-    NOT_PERMITTED = (
-        auto()
-    )  # the list took the engine out while the shot was on its way, its last byte not sent
-    CONNECT_FAILED = auto()  # no connection: refused, unreachable, not made in time
-    CLOSED_WHILE_SENDING = auto()  # closed or reset while the request was still being sent
-    TIMED_OUT_WHILE_SENDING = auto()  # time ran out while the request was still being sent
-    CLOSED_BEFORE_RESPONSE = auto()  # closed or reset, request sent whole, no full answer head yet
-    TIMED_OUT_BEFORE_RESPONSE = auto()  # request sent whole, no (first) answer in the shot's time
-    OVERLOADED = auto()  # 429 or 503
-    STATE_MISSING = auto()  # 409 with code state_gone
-    REQUEST_REJECTED = auto()  # 400, 413 or 422: the engine refuses what was asked
-    UNSUPPORTED_ENDPOINT = auto()  # another 4xx: what answers there does not serve this
-    SERVER_ERROR = auto()  # 5xx other than 503, or a status that has no place here
-    MALFORMED_RESPONSE = auto()  # 200, but what follows cannot be read, is endless or lacks what it must hold
-    CLOSED_DURING_RESPONSE = auto()  # 200, then closed, reset or silent before the first token
-    STREAM_INTERRUPTED = auto()  # closed, reset or silent after the first token
-    CANCELLED = auto()  # this front closed the connection itself
+    """What was observed on the socket."""
+
+    # The attempt's time had run out before it was started.
+    NO_TIME_LEFT = auto()
+    # This process holds as many connections to the engine as it may.
+    CONNECTION_LIMIT_REACHED = auto()
+    # The engine was removed from the endpoint list before the last byte of the request was sent.
+    NOT_PERMITTED = auto()
+    # No connection: refused, unreachable, or not established in time.
+    CONNECT_FAILED = auto()
+    # Closed or reset while the request was still being sent.
+    CLOSED_WHILE_SENDING = auto()
+    # Time ran out while the request was still being sent.
+    TIMED_OUT_WHILE_SENDING = auto()
+    # Closed or reset after the whole request was sent, before a complete response head.
+    CLOSED_BEFORE_RESPONSE = auto()
+    # The whole request was sent; no (first) response within the attempt's time.
+    TIMED_OUT_BEFORE_RESPONSE = auto()
+    # Status 429 or 503.
+    OVERLOADED = auto()
+    # Status 409 with the error code STATE_GONE.
+    STATE_MISSING = auto()
+    # Status 400, 413 or 422: the engine rejects the request itself.
+    REQUEST_REJECTED = auto()
+    # Another 4xx status: the peer does not serve this API.
+    UNSUPPORTED_ENDPOINT = auto()
+    # A 5xx status other than 503, or a status that is not expected here.
+    SERVER_ERROR = auto()
+    # Status 200, but the rest cannot be parsed, exceeds a size limit or lacks a required part.
+    MALFORMED_RESPONSE = auto()
+    # Status 200, then closed, reset or idle for too long before the first token.
+    CLOSED_DURING_RESPONSE = auto()
+    # Closed, reset or idle for too long after the first token.
+    STREAM_INTERRUPTED = auto()
+    # This process closed the connection itself.
+    CANCELLED = auto()
+
+
+class ExchangeAbortedError(RunspoolError):
+    """An exchange ended early; `cause` says what was observed, `detail` is for the log."""
+
+    def __init__(self, cause: FailureCause, detail: str = "") -> None:
+        super().__init__(detail)
+        self.cause = cause
+        self.detail = detail
 
 
 STATUS_BY_CAUSE: dict[FailureCause, AttemptStatus] = {
@@ -60,18 +86,19 @@
 
 
 def classify_http_status(status: int, code: str) -> FailureCause:
-    """What a status other than 200 says; `code` is the one in its error body."""
+    """Return what a response status other than 200 means; `code` is the code from its error body."""
     if status in (429, 503):
         return FailureCause.OVERLOADED
     if status == 409 and code == STATE_GONE:
         return FailureCause.STATE_MISSING
     if status in (400, 413, 422):
         return FailureCause.REQUEST_REJECTED
-    # 408 may come from something in between after the engine got it all.
+    # An intermediary may send 408 after the engine has received the whole request.
     if 400 <= status < 500 and status != 408:
         return FailureCause.UNSUPPORTED_ENDPOINT
     return FailureCause.SERVER_ERROR
 
 
-def may_have_executed(mishap: FailureCause) -> bool:
-    return STATUS_BY_CAUSE[mishap] not in NOT_EXECUTED
+def may_have_executed(cause: FailureCause) -> bool:
+    """Return whether an attempt that failed from `cause` may have executed at the engine."""
+    return STATUS_BY_CAUSE[cause] not in NOT_EXECUTED
--- a/runspool/engines/http_exchange.py
+++ b/runspool/engines/http_exchange.py
@@ -1,12 +1,12 @@
-"""One request on a pooled connection: sent, its answer read, its time kept. Knows no protocol's words."""
+"""One HTTP exchange on a pooled connection: the request is sent and its response read, within a time limit.
+
+Subclasses of HttpExchangeClient know the protocol of their peer.
+"""
 
 from __future__ import annotations
 
-import math
 from collections.abc import Callable, Iterator, Mapping
 from contextlib import contextmanager, suppress
-from dataclasses import dataclass
-from typing import Any, Protocol, TypeVar
 
 import anyio
 
@@ -17,88 +17,24 @@
     ConnectionPool,
     PooledConnection,
 )
-from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
+from runspool.engines.exchange_timer import UNITS_PER_SECOND, ExchangeTimer
+from runspool.engines.failure_classification import ExchangeAbortedError, FailureCause
 from runspool.engines.idle_watchdog import IdleWatchdog
 from runspool.engines.response_parser import MalformedHttpResponseError, ResponseParser
-from runspool.scheduling.types import AttemptStatus, LoadReport
+from runspool.engines.send_permit import UNRESTRICTED, SendPermit
 from runspool.transport.tcp import ConnectionClosedError
-from runspool.units import TENTHS, tenths
-
-LONGEST_LOOK = 50  # tenths of a millisecond: a connect may have been slow for other reasons
-
-RequestEncoder = Callable[
-    [int], bytes
-]  # a request's bytes, from the tenths of a millisecond that are left for it
-Piece = TypeVar("Piece", contravariant=True)
-
-
-class ResponseListener(Protocol[Piece]):
-    """Hears a streamed answer while it comes, in the protocol's own pieces."""
-
-    async def stream_started(self) -> None: ...
-    async def data_received(self, piece: Piece, /) -> None: ...
-
-
-@dataclass(slots=True)
-class AttemptResult:
-    """How a shot ended; `mishap` is None where it did what it was sent for."""
-
-    status: AttemptStatus
-    failure_cause: FailureCause | None = None
-    detail: str = ""
-    cached_tokens: int = 0
-    prompt_tokens: int = 0
-    output_tokens: int = 0
-    finish_reason: str = ""
-    reached_engine: bool = False  # the engine has said something: it had the request, or its head at least
-    state: Any = None  # what names the state that waits, in the protocol's own form
-    load_report: LoadReport | None = None
-
-    def fail(self, mishap: FailureCause, detail: str, begun: bool) -> None:
-        """Whatever breaks an answer once its client has seen some of it is a stream cut."""
-        self.failure_cause, self.detail = FailureCause.STREAM_INTERRUPTED if begun else mishap, detail
-        self.status = STATUS_BY_CAUSE[self.failure_cause]
-
-
-class ExchangeAbortedError(Exception):
-    """An exchange that ended early, and what was seen."""
-
-    def __init__(self, mishap: FailureCause, detail: str = "") -> None:
-        super().__init__(detail)
-        self.cause, self.detail = mishap, detail
-
-
-class SendPermit(Protocol):
-    """Says whether an exchange may go on, and hears how far it has come."""
-
-    def deny_last_byte(self, worded: int) -> str | None:
-        """Why the last byte may not go now; None where it may. `worded`: when the request was worded."""
-
-    def request_written(self) -> None:
-        """The kernel has all of it, which says nothing of the engine."""
-
-    def response_started(self) -> None:
-        """The engine has said something."""
-
-
-class UnrestrictedPermit:
-    """Permits everything and hears nothing."""
-
-    def deny_last_byte(self, worded: int) -> str | None:
-        return None
-
-    def request_written(self) -> None:
-        return
-
-    def response_started(self) -> None:
-        return
+from runspool.units import tenths
 
+# An idle connection is observed for its round trip before the last byte is sent, but for no longer than this,
+# in tenths of a millisecond: connecting may have been slow for other reasons.
+MAX_OBSERVATION_TIME = 50
 
-UNRESTRICTED = UnrestrictedPermit()
+# Encodes a request; the argument is the time that is left for it, in tenths of a millisecond.
+RequestEncoder = Callable[[int], bytes]
 
 
 class Exchange:
-    """One exchange: its link, once it stands, and how far it has come."""
+    """The state of one exchange; `connection` and `timer` are set once a connection has been acquired."""
 
     __slots__ = ("connection", "permit", "reached_engine", "timer")
 
@@ -110,129 +46,152 @@
 
     @property
     def response(self) -> ResponseParser:
+        """The response that is being read."""
         return self.connection.response
 
 
 def encode_request(method: str, target: str, headers: Mapping[str, str], body: bytes = b"") -> bytes:
-    """A whole request; names and values are checked where they came in."""
+    """Encode a whole request; the caller must have checked the headers' names and values."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     length = f"Content-Length: {len(body)}\r\n" if body else ""
     return f"{method} {target} HTTP/1.1\r\n{lines}{length}\r\n".encode("latin-1") + body
 
 
 class HttpExchangeClient:
-    """Carries out exchanges on pooled connections."""
+    """Base of clients that carry out exchanges on pooled connections.
+
+    An exchange that is cancelled, or that fails, closes its connection.
+    """
 
     def __init__(
         self,
-        terms: ClientSettings,
+        settings: ClientSettings,
         now: Callable[[], int],
-        silence_ms: float,
-        most: int = 0,
-        rest_ms: float = 0,
+        idle_timeout_ms: float,
+        max_connections: int = 0,
+        quiet_ms: float = 0,
     ) -> None:
-        """`most` bounds the connections to all peers together, 0 sets no bound; `rest_ms` is how long after
-        an exchange its peer may still say what belongs to it."""
-        self.settings = terms
+        """Create a client without connections.
+
+        Args:
+            settings: Limits and timeouts.
+            now: The time in tenths of a millisecond.
+            idle_timeout_ms: How long a stream that has started may be silent.
+            max_connections: The limit for the connections to all peers together; 0 sets none.
+            quiet_ms: How long after an exchange its peer may still send bytes that belong to it.
+        """
+        self.settings = settings
         self.now = now
-        self.silence = tenths(silence_ms)
+        self.idle_timeout = tenths(idle_timeout_ms)
         self.watchdog = IdleWatchdog(now)
-        self.pool = ConnectionPool(terms, now, most, tenths(rest_ms))
+        self.pool = ConnectionPool(settings, now, max_connections, tenths(quiet_ms))
 
-    def classify_response(self, reply: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
-        """What an answer of another status than the wanted one means, and a detail for the log."""
+    def classify_response(self, response: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
+        """Return what a response with an unexpected status means, and a detail for the log."""
         raise NotImplementedError
 
-    def _start_timer(self, limit: int) -> ExchangeTimer:
-        if limit <= 0:
+    def _start_timer(self, timeout: int) -> ExchangeTimer:
+        if timeout <= 0:
             raise ExchangeAbortedError(FailureCause.NO_TIME_LEFT)
-        return ExchangeTimer(limit)
+        return ExchangeTimer(timeout)
 
     @contextmanager
-    def _managed_connection(self, call: Exchange) -> Iterator[None]:
-        """At the end gives the call's link back or drops it, if it has one."""
+    def _managed_connection(self, exchange: Exchange) -> Iterator[None]:
+        """At the end release the exchange's connection, if it has one; discard it if it was cut short."""
         try:
             yield
         finally:
-            link = getattr(call, "connection", None)
-            if link is not None and link.response.complete:
-                self.pool.release(link)
-            elif link is not None:
-                self.pool.discard(link)
+            connection = getattr(exchange, "connection", None)
+            if connection is not None and connection.response.complete:
+                self.pool.release(connection)
+            elif connection is not None:
+                self.pool.discard(connection)
 
     async def _send_request(
-        self, call: Exchange, clock: ExchangeTimer, address: Address, words: RequestEncoder
+        self, exchange: Exchange, timer: ExchangeTimer, address: Address, encode: RequestEncoder
     ) -> None:
-        """Gives the call a link on which the request has been sent whole."""
+        """Acquire a connection for the exchange and send the whole request on it."""
         try:
-            call.connection = await self.pool.acquire(address)
-        except ConnectionLimitError as fault:
-            raise ExchangeAbortedError(FailureCause.CONNECTION_LIMIT_REACHED, str(fault)) from None
-        except Exception as fault:  # whatever the loop raises, nothing has been sent
+            exchange.connection = await self.pool.acquire(address)
+        except ConnectionLimitError as error:
+            raise ExchangeAbortedError(FailureCause.CONNECTION_LIMIT_REACHED, str(error)) from None
+        except Exception as error:  # noqa: BLE001 - whatever the event loop raises, nothing has been sent
             raise ExchangeAbortedError(
-                FailureCause.CONNECT_FAILED, str(fault) or type(fault).__name__
+                FailureCause.CONNECT_FAILED, str(error) or type(error).__name__
             ) from None
-        call.timer = clock
-        clock.timeout_cause = FailureCause.TIMED_OUT_WHILE_SENDING
-        await self._transmit(call, clock, words)
-        clock.timeout_cause = FailureCause.TIMED_OUT_BEFORE_RESPONSE
+        exchange.timer = timer
+        timer.timeout_cause = FailureCause.TIMED_OUT_WHILE_SENDING
+        await self._transmit(exchange, timer, encode)
+        timer.timeout_cause = FailureCause.TIMED_OUT_BEFORE_RESPONSE
+
+    async def _transmit(self, exchange: Exchange, timer: ExchangeTimer, encode: RequestEncoder) -> None:
+        connection = exchange.connection
+        encoded_at = self.now()
+        observation_time = self._observation_time(connection)
+        # Encoded only now: the time that is left has shrunk while the connection was established.
+        request = encode(max(1, timer.remaining() - observation_time))
+        # The last byte is held back: the engine cannot have started before it is sent, so that a connection
+        # that broke while it was idle leaves no doubt about what was executed.
+        await self._send_all_but_last_byte(connection, request, observation_time)
+        reason = exchange.permit.deny_last_byte(encoded_at)
+        if reason is not None:
+            raise ExchangeAbortedError(FailureCause.NOT_PERMITTED, reason)
+        try:
+            await connection.tcp.send(request[-1:])
+        except ConnectionClosedError as error:
+            raise ExchangeAbortedError(FailureCause.CLOSED_BEFORE_RESPONSE, str(error)) from None
+        exchange.permit.request_written()
 
-    async def _transmit(self, call: Exchange, clock: ExchangeTimer, words: RequestEncoder) -> None:
-        link, worded = call.connection, self.now()
-        look = self._observation_time(link)
-        # In words only now: what is left has shrunk while the connection came up.
-        request = words(max(1, clock.remaining() - look))
+    async def _send_all_but_last_byte(
+        self, connection: PooledConnection, request: bytes, observation_time: int
+    ) -> None:
         try:
-            # The last byte is held back: until it goes the engine cannot have begun, so a connection
-            # that broke while idle costs no doubt about what ran.
-            await link.tcp.send(request[:-1])
-            if look:
-                await link.tcp.stays_silent(look / (1000 * TENTHS))
-            if link.has_unsolicited_data():
+            await connection.tcp.send(request[:-1])
+            if observation_time:
+                await connection.tcp.stays_silent(observation_time / UNITS_PER_SECOND)
+            if connection.has_unsolicited_data():
                 raise ExchangeAbortedError(
                     FailureCause.CLOSED_WHILE_SENDING, "closed or answered before it had the request"
                 )
-        except ConnectionClosedError as fault:
-            raise ExchangeAbortedError(FailureCause.CLOSED_WHILE_SENDING, str(fault)) from None
-        reason = call.permit.deny_last_byte(worded)
-        if reason is not None:
-            raise ExchangeAbortedError(FailureCause.NOT_PERMITTED, reason)
-        try:
-            await link.tcp.send(request[-1:])
-        except ConnectionClosedError as fault:
-            raise ExchangeAbortedError(FailureCause.CLOSED_BEFORE_RESPONSE, str(fault)) from None
-        call.permit.request_written()
+        except ConnectionClosedError as error:
+            raise ExchangeAbortedError(FailureCause.CLOSED_WHILE_SENDING, str(error)) from None
 
-    def _observation_time(self, link: PooledConnection) -> int:
-        """How long the link is looked at before the last byte goes, in tenths of a millisecond.
+    def _observation_time(self, connection: PooledConnection) -> int:
+        """Return how long to observe the connection before the last byte, in tenths of a millisecond.
 
-        A connection that its engine gave up without a word is reset by the first bytes to reach it, which
-        takes a round trip to be seen: sooner the last byte would go, and with it all certainty. And an answer
-        too many may come some milliseconds after the one before, and would be taken for this request's.
+        A connection that its engine dropped silently is reset when the first bytes reach it, which takes a
+        round trip to be seen. Without the wait the last byte would be sent sooner, and it would be unknown
+        whether the request was executed. Also, a surplus response may come some milliseconds after the
+        previous one, and would be taken for the response to this request.
         """
-        if not link.idle_since:
+        if not connection.idle_since:
             return 0
-        return max(min(link.round_trip, LONGEST_LOOK), self.pool.quiet_time - self.now() + link.idle_since)
-
-    async def _read_head(self, call: Exchange, wanted: int = 200) -> ResponseParser:
-        """The head of an answer of the wanted status; any other status ends the exchange."""
-        reply = call.response
-        while not reply.head_complete:
-            await self._read_more(call, FailureCause.CLOSED_BEFORE_RESPONSE)
-        if reply.status == wanted:
-            return reply
+        return max(
+            min(connection.round_trip, MAX_OBSERVATION_TIME),
+            self.pool.quiet_time - self.now() + connection.idle_since,
+        )
+
+    async def _read_head(self, exchange: Exchange, expected_status: int = 200) -> ResponseParser:
+        """Read the head of a response with the expected status; any other status ends the exchange."""
+        response = exchange.response
+        while not response.head_complete:
+            await self._read_more(exchange, FailureCause.CLOSED_BEFORE_RESPONSE)
+        if response.status == expected_status:
+            return response
         body = b""
-        # The status alone has said what it promises: a body that breaks or never ends changes nothing.
+        # The status alone decides what is promised: a body that breaks off or never ends changes nothing.
         with suppress(ExchangeAbortedError), anyio.move_on_after(self.settings.connect_ms / 1000):
-            body = await self._read_body(call)
-        mishap, detail = self.classify_response(reply, body)
-        raise ExchangeAbortedError(mishap, f"status {reply.status} {detail}".strip())
-
-    async def _read_body(self, call: Exchange) -> bytes:
-        body = bytearray(call.response.take_body())
-        while not call.response.complete:
-            await self._read_more(call, FailureCause.CLOSED_DURING_RESPONSE)
-            body += call.response.take_body()
+            body = await self._read_body(exchange)
+        cause, detail = self.classify_response(response, body)
+        raise ExchangeAbortedError(cause, f"status {response.status} {detail}".strip())
+
+    async def _read_body(self, exchange: Exchange) -> bytes:
+        """Read the whole body, of `read_answer_bytes` at most."""
+        response = exchange.response
+        body = bytearray(response.take_body())
+        while not response.complete:
+            await self._read_more(exchange, FailureCause.CLOSED_DURING_RESPONSE)
+            body += response.take_body()
             if len(body) > self.settings.read_answer_bytes:
                 raise ExchangeAbortedError(
                     FailureCause.MALFORMED_RESPONSE,
@@ -240,56 +199,16 @@
                 )
         return bytes(body)
 
-    async def _read_more(self, call: Exchange, cut: FailureCause) -> None:
-        """Reads what comes next; `cut` is what a connection lost here means."""
+    async def _read_more(self, exchange: Exchange, cause_if_closed: FailureCause) -> None:
+        """Feed the next bytes that come to the response; a connection lost here has `cause_if_closed`."""
         try:
-            come = await call.connection.tcp.receive()
-        except ConnectionClosedError as fault:
-            raise ExchangeAbortedError(cut, str(fault) or "closed") from None
-        if not call.reached_engine:
-            call.reached_engine = True
-            call.permit.response_started()
+            data = await exchange.connection.tcp.receive()
+        except ConnectionClosedError as error:
+            raise ExchangeAbortedError(cause_if_closed, str(error) or "closed") from None
+        if not exchange.reached_engine:
+            exchange.reached_engine = True
+            exchange.permit.response_started()
         try:
-            call.response.feed(come)
-        except MalformedHttpResponseError as fault:
-            raise ExchangeAbortedError(FailureCause.MALFORMED_RESPONSE, str(fault)) from None
-
-
-class ExchangeTimer:
-    """A shot's time; `mishap` is what its running out means at the point which the shot has come to."""
-
-    __slots__ = ("scope", "timeout_cause")
-
-    def __init__(self, limit: int) -> None:
-        self.scope = anyio.CancelScope(deadline=anyio.current_time() + limit / (1000 * TENTHS))
-        self.timeout_cause = FailureCause.CONNECT_FAILED
-
-    def remove_limit(self, mishap: FailureCause) -> None:
-        """From here on only cancel() ends the shot."""
-        self.timeout_cause, self.scope.deadline = mishap, math.inf
-
-    def extend(self, time: int) -> None:
-        """Puts it off until so many tenths of a millisecond from now, if that is later."""
-        self.scope.deadline = max(self.scope.deadline, anyio.current_time() + time / (1000 * TENTHS))
-
-    def remaining(self) -> int:
-        """Tenths of a millisecond until it runs out."""
-        return int((self.scope.deadline - anyio.current_time()) * 1000 * TENTHS)
-
-    def cancel(self) -> None:
-        self.scope.cancel()
-
-    def __enter__(self) -> ExchangeTimer:
-        self.scope.__enter__()
-        return self
-
-    def __exit__(self, *exc: object) -> bool:
-        swallowed = self.scope.__exit__(*exc)  # type: ignore[arg-type]
-        if self.scope.cancelled_caught:
-            raise ExchangeAbortedError(self.timeout_cause, "time ran out")
-        return bool(swallowed)
-
-
-def effective_timeout(cap: int, left: int) -> int:
-    """A shot's time: its cap, 0 for none, cut to what the client leaves; both in tenths of a millisecond."""
-    return min(cap, left) if cap else left
+            exchange.response.feed(data)
+        except MalformedHttpResponseError as error:
+            raise ExchangeAbortedError(FailureCause.MALFORMED_RESPONSE, str(error)) from None
--- a/runspool/node/discovery_client.py
+++ b/runspool/node/discovery_client.py
@@ -11,8 +11,8 @@
 from runspool.discovery.endpoint_tracker import EndpointTracker
 from runspool.discovery.watch_listener import WatchListener
 from runspool.engines.connection_pool import Address, ClientSettings
-from runspool.engines.failure_classification import FailureCause
-from runspool.engines.http_exchange import Exchange, ExchangeAbortedError, HttpExchangeClient, encode_request
+from runspool.engines.failure_classification import ExchangeAbortedError, FailureCause
+from runspool.engines.http_exchange import Exchange, HttpExchangeClient, encode_request
 from runspool.engines.response_parser import ResponseParser
 from runspool.node.endpoint_list import InvalidEndpointListError, read_list, target
 from runspool.units import TENTHS, tenths
--- a/runspool/node/engine_client.py
+++ b/runspool/node/engine_client.py
@@ -1,4 +1,4 @@
-"""What a front node says to engines and makes of their answers: read, write, let go."""
+"""A node's HTTP client for engines: prefill, decode and the release of state."""
 
 from __future__ import annotations
 
@@ -6,39 +6,38 @@
 
 import msgspec
 
+from runspool.engines.attempt_result import AttemptResult, ResponseListener
 from runspool.engines.connection_pool import Address
-from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
-from runspool.engines.http_exchange import (
-    AttemptResult,
-    Exchange,
-    ExchangeAbortedError,
-    HttpExchangeClient,
-    ResponseListener,
-    SendPermit,
-    encode_request,
-)
+from runspool.engines.failure_classification import STATUS_BY_CAUSE, ExchangeAbortedError, FailureCause
+from runspool.engines.http_exchange import Exchange, HttpExchangeClient, encode_request
 from runspool.engines.idle_watchdog import WatchedWait
 from runspool.engines.response_parser import ResponseParser
+from runspool.engines.send_permit import SendPermit
 from runspool.node.event_stream import EventStreamParser, MalformedEventStreamError
 from runspool.node.request_parser import ClientRequest
 from runspool.scheduling.types import AttemptStatus
 from runspool.units import TENTHS
 from runspool.wire.fields import UNREADABLE
 
-READ_DONE, WRITING, LET_GO = 202, 200, 204
+PREFILL_COMPLETE_STATUS = 202
+STREAM_STATUS = 200
+RELEASED_STATUS = 204
 HOST = "origin.svc"
 
 
-class _Kept(msgspec.Struct):
+class _PrefillSummary(msgspec.Struct):
     cached_tokens: int = 0
 
 
-_kept: msgspec.json.Decoder[_Kept] = msgspec.json.Decoder(_Kept)
+_prefill_decoder: msgspec.json.Decoder[_PrefillSummary] = msgspec.json.Decoder(_PrefillSummary)
 
 
 def classify_http_status(status: int, declined: bool) -> FailureCause:
-    """What another status than the wanted one says. Only an engine's own word that it declined promises that
-    the shot never ran; whatever else comes, it may have."""
+    """Return what an unexpected response status means.
+
+    Only an engine's explicit statement that it `declined` guarantees that the attempt did not execute; after
+    any other response it may have.
+    """
     if declined and status in (503, 504):
         return FailureCause.OVERLOADED
     if declined and status == 410:
@@ -47,146 +46,155 @@
 
 
 class EngineClient(HttpExchangeClient):
-    """Carries out a node's shots. Picks nothing, repeats nothing."""
+    """Carries out a node's attempts. It neither chooses engines nor retries."""
 
-    def classify_response(self, reply: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
-        return classify_http_status(reply.status, reply.headers.get("srv-declined") == "1"), ""
+    def classify_response(self, response: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
+        """Return what a response with an unexpected status means; the detail is always empty."""
+        return classify_http_status(response.status, response.headers.get("srv-declined") == "1"), ""
 
     async def prefill(
-        self, address: Address, ask: ClientRequest, limit: int, permit: SendPermit
+        self, address: Address, request: ClientRequest, limit: int, permit: SendPermit
     ) -> AttemptResult:
-        """Has a prompt read; READ, or what else it came to. Arguments as in write().
+        """Have the prompt prefilled; PREFILL_COMPLETE, or the failure. Arguments as in decode().
 
-        Cancelled, the connection is closed and nothing is told.
+        Cancelled, it closes the connection and returns nothing.
         """
-        call = Exchange(permit)
+        exchange = Exchange(permit)
         try:
-            with self._start_timer(limit) as clock, self._managed_connection(call):
-                await self._send_request(call, clock, address, partial(_request, ask))
-                await self._read_head(call, READ_DONE)
-                body = await self._read_body(call)
-        except ExchangeAbortedError as stop:
+            with self._start_timer(limit) as timer, self._managed_connection(exchange):
+                await self._send_request(exchange, timer, address, partial(_encode_request, request))
+                await self._read_head(exchange, PREFILL_COMPLETE_STATUS)
+                body = await self._read_body(exchange)
+        except ExchangeAbortedError as error:
             return AttemptResult(
-                STATUS_BY_CAUSE[stop.cause], stop.cause, stop.detail, reached_engine=call.reached_engine
+                STATUS_BY_CAUSE[error.cause],
+                error.cause,
+                error.detail,
+                reached_engine=exchange.reached_engine,
             )
         try:
-            kept = _kept.decode(body).cached_tokens
+            cached_tokens = _prefill_decoder.decode(body).cached_tokens
         except UNREADABLE:
-            kept = 0  # the status has said that it was read; what was found kept is only good to know
-        return AttemptResult(AttemptStatus.PREFILL_COMPLETE, cached_tokens=max(0, kept), reached_engine=True)
+            cached_tokens = 0  # informative only: the status has already confirmed the prefill
+        return AttemptResult(
+            AttemptStatus.PREFILL_COMPLETE, cached_tokens=max(0, cached_tokens), reached_engine=True
+        )
 
     async def decode(
         self,
         address: Address,
-        ask: ClientRequest,
+        request: ClientRequest,
         limit: int,
         permit: SendPermit,
-        hearing: ResponseListener[bytes],
+        listener: ResponseListener[bytes],
     ) -> AttemptResult:
-        """Has a query answered, telling `hearing` as its events come, whole ones only.
+        """Have the request answered, passing events to `listener` as they come, whole ones only.
 
-        `permit` is asked before the last byte goes, and hears of the first that comes back.
-        `limit`, in tenths of a millisecond, holds to the first event; from then on only the bound of silence.
-        Cancelled, the connection is closed and nothing is told.
+        `permit` is asked before the last byte is sent, and notified when the first byte comes back.
+        `limit`, in tenths of a millisecond, applies until the first event; after it only the idle timeout.
+        Cancelled, it closes the connection and returns nothing.
         """
-        told, events, call = (
-            AttemptResult(AttemptStatus.SUCCEEDED),
-            EventStreamParser(self.settings.line_bytes),
-            Exchange(permit),
-        )
-        begun = False
+        result = AttemptResult(AttemptStatus.SUCCEEDED)
+        events = EventStreamParser(self.settings.line_bytes)
+        exchange = Exchange(permit)
+        stream_started = False
         try:
-            with self._start_timer(limit) as clock, self._managed_connection(call):
-                await self._send_request(call, clock, address, partial(_request, ask))
-                await self._read_head(call, WRITING)
-                first = await self._first(call, events)
-                clock.remove_limit(FailureCause.STREAM_INTERRUPTED)
-                watched = self.watchdog.watch(self.silence, clock.cancel)
-                begun = True
+            with self._start_timer(limit) as timer, self._managed_connection(exchange):
+                await self._send_request(exchange, timer, address, partial(_encode_request, request))
+                await self._read_head(exchange, STREAM_STATUS)
+                first_events = await self._read_first_events(exchange, events)
+                timer.remove_limit(FailureCause.STREAM_INTERRUPTED)
+                wait = self.watchdog.watch(self.idle_timeout, timer.cancel)
+                stream_started = True
                 try:
-                    await hearing.stream_started()
-                    await hearing.data_received(first)
-                    await self._follow(call, events, watched, hearing)
+                    await listener.stream_started()
+                    await listener.data_received(first_events)
+                    await self._forward_events(exchange, events, wait, listener)
                 finally:
-                    self.watchdog.unwatch(watched)
-        except ExchangeAbortedError as stop:
-            told.fail(stop.cause, stop.detail, begun)
-        except MalformedEventStreamError as fault:
-            told.fail(FailureCause.MALFORMED_RESPONSE, str(fault), begun)
-        told.cached_tokens, told.prompt_tokens, told.output_tokens, told.reached_engine = (
-            events.kept,
-            events.read,
-            events.made,
-            call.reached_engine,
-        )
-        return told
+                    self.watchdog.unwatch(wait)
+        except ExchangeAbortedError as error:
+            result.fail(error.cause, error.detail, stream_started)
+        except MalformedEventStreamError as error:
+            result.fail(FailureCause.MALFORMED_RESPONSE, str(error), stream_started)
+        result.cached_tokens = events.cached_tokens
+        result.prompt_tokens = events.prompt_tokens
+        result.output_tokens = events.output_tokens
+        result.reached_engine = exchange.reached_engine
+        return result
 
     async def release_state(self, address: Address, request: str, limit: int) -> FailureCause | None:
-        """Lets go of all that is held for a request, at whatever engine; None, or what came between."""
-        call = Exchange()
+        """Release all state held for a request, at any engine; None once confirmed, else the failure.
+
+        `limit` is in tenths of a millisecond. Cancelled, it closes the connection.
+        """
+        exchange = Exchange()
         try:
-            with self._start_timer(limit) as clock, self._managed_connection(call):
+            with self._start_timer(limit) as timer, self._managed_connection(exchange):
                 await self._send_request(
-                    call,
-                    clock,
+                    exchange,
+                    timer,
                     address,
-                    lambda left: encode_request("DELETE", f"/state/{request}", {"Host": HOST}),
+                    lambda remaining: encode_request("DELETE", f"/state/{request}", {"Host": HOST}),
                 )
-                await self._read_head(call, LET_GO)
-                await self._read_body(call)
-        except ExchangeAbortedError as stop:
-            return stop.cause
+                await self._read_head(exchange, RELEASED_STATUS)
+                await self._read_body(exchange)
+        except ExchangeAbortedError as error:
+            return error.cause
         return None
 
-    async def _first(self, call: Exchange, events: EventStreamParser) -> bytes:
-        """The first whole events."""
-        while not (come := events.feed(call.response.take_body())):
-            if call.response.complete:
+    async def _read_first_events(self, exchange: Exchange, events: EventStreamParser) -> bytes:
+        """Read until at least one event is whole."""
+        while not (data := events.feed(exchange.response.take_body())):
+            if exchange.response.complete:
                 raise ExchangeAbortedError(FailureCause.MALFORMED_RESPONSE, "an answer without any event")
-            await self._read_more(call, FailureCause.CLOSED_DURING_RESPONSE)
-        _sound(events)  # nothing has been passed on: another engine may still give the whole stream
-        return come
+            await self._read_more(exchange, FailureCause.CLOSED_DURING_RESPONSE)
+        # Nothing has been forwarded yet, so that after an error another engine may give the whole stream.
+        _raise_error_of(events)
+        return data
 
-    async def _follow(
+    async def _forward_events(
         self,
-        call: Exchange,
+        exchange: Exchange,
         events: EventStreamParser,
-        watched: WatchedWait,
-        hearing: ResponseListener[bytes],
+        wait: WatchedWait,
+        listener: ResponseListener[bytes],
     ) -> None:
-        """Passes on all that follows, to the answer's last chunk."""
-        reply = call.response
-        while not reply.complete:
-            watched.waiting_since = self.now()
+        """Forward all that follows, up to the end of the response."""
+        response = exchange.response
+        while not response.complete:
+            wait.waiting_since = self.now()
             try:
-                await self._read_more(call, FailureCause.STREAM_INTERRUPTED)
+                await self._read_more(exchange, FailureCause.STREAM_INTERRUPTED)
             except ExchangeAbortedError:
-                # What came whole ahead of bytes that cannot be read is the client's.
-                if come := events.feed(reply.take_body()):
-                    await hearing.data_received(come)
+                # The client still gets the whole events that came before the unreadable bytes.
+                if data := events.feed(response.take_body()):
+                    await listener.data_received(data)
                 raise
-            watched.waiting_since = 0
-            if come := events.feed(reply.take_body()):
-                await hearing.data_received(come)
-            _sound(events)
-        events.ended()
+            wait.waiting_since = 0
+            if data := events.feed(response.take_body()):
+                await listener.data_received(data)
+            _raise_error_of(events)
+        events.check_end()
+
 
+def _raise_error_of(events: EventStreamParser) -> None:
+    if events.error is not None:
+        raise events.error
 
-def _sound(events: EventStreamParser) -> None:
-    if events.fault is not None:
-        raise events.fault
 
+def _encode_request(request: ClientRequest, remaining: int) -> bytes:
+    """Encode the client's request for the engine: target, body and id unchanged.
 
-def _request(ask: ClientRequest, left: int) -> bytes:
-    """The client's request as it goes on: method, target, body and id unchanged."""
+    `remaining`: the time that is left, in tenths of a millisecond.
+    """
     return encode_request(
         "POST",
-        ask.target,
+        request.target,
         {
             "Host": HOST,
             "Content-Type": "application/json",
-            "Req-Id": ask.id,
-            "Req-Deadline": f"{max(1, left) * 1000 // TENTHS}u",
+            "Req-Id": request.id,
+            "Req-Deadline": f"{max(1, remaining) * 1000 // TENTHS}u",
         },
-        ask.body,
+        request.body,
     )
--- a/runspool/node/event_stream.py
+++ b/runspool/node/event_stream.py
@@ -1,6 +1,6 @@
-"""An engine's stream of events, as its bytes come: which of them are whole events, and whether it is spoilt.
+"""An incremental parser of an engine's event stream: which bytes are whole events, and whether it is valid.
 
-The bytes of events go on to the client as they came. Free of I/O.
+The bytes of the events are forwarded to the client unchanged. Does no I/O.
 """
 
 from __future__ import annotations
@@ -9,23 +9,27 @@
 
 import msgspec
 
+from runspool.errors import RunspoolError
 from runspool.wire.fields import UNREADABLE
 
-ENDS = re.compile(rb"\n\r?\n|\r\r\n?")  # a line's end and an empty line, whichever of the three ends it has
+# The end of a line and an empty line, with whichever of the three line endings.
+EVENT_END = re.compile(rb"\n\r?\n|\r\r\n?")
+# Fields without meaning here, and comments.
+IGNORED_FIELDS = (b":", b"event:", b"id:", b"retry:")
 
 
-class MalformedEventStreamError(Exception):
-    """Bytes that cannot belong to a good stream."""
+class MalformedEventStreamError(RunspoolError):
+    """The bytes received cannot belong to a valid event stream."""
 
 
-class _Details(msgspec.Struct):
+class _PromptTokensDetails(msgspec.Struct):
     cached_tokens: int = 0
 
 
 class _Usage(msgspec.Struct):
     prompt_tokens: int = 0
     completion_tokens: int = 0
-    prompt_tokens_details: _Details | None = None
+    prompt_tokens_details: _PromptTokensDetails | None = None
 
 
 class _Choice(msgspec.Struct):
@@ -37,63 +41,83 @@
     usage: _Usage | None = None
 
 
-_events: msgspec.json.Decoder[_Event] = msgspec.json.Decoder(_Event)
+_event_decoder: msgspec.json.Decoder[_Event] = msgspec.json.Decoder(_Event)
 
 
 class EventStreamParser:
-    """One stream. `done` once its last event has come; `kept`, `read` and `made` as the usage says."""
-
-    def __init__(self, cap: int) -> None:
-        """`cap` bounds the bytes of one event."""
-        self.cap = cap
+    """Parses one stream.
+
+    Attributes:
+        done: Whether the last event has come.
+        cached_tokens: From the last usage that came, as are the other two counts.
+        prompt_tokens: See `cached_tokens`.
+        output_tokens: See `cached_tokens`.
+        error: What was found after the events that feed() returned last; nothing more must be fed then.
+    """
+
+    def __init__(self, max_event_bytes: int) -> None:
+        self.max_event_bytes = max_event_bytes
         self.done = False
-        self.kept = self.read = self.made = 0
-        self.fault: MalformedEventStreamError | None = None  # what was found after the events last handed out
-        self._rest = b""
+        self.cached_tokens = 0
+        self.prompt_tokens = 0
+        self.output_tokens = 0
+        self.error: MalformedEventStreamError | None = None
+        self._incomplete = b""  # the beginning of the next event
 
     def feed(self, data: bytes) -> bytes:
-        """The bytes of all events that are whole by now. Raises Spoilt where the first of them is bad; where
-        one after it is, `fault` says so, and nothing more is to be fed."""
-        come = self._rest + data if self._rest else data
-        whole = 0
-        for end in ENDS.finditer(come):
+        """Return the bytes of all events that are whole with `data`; empty where none is.
+
+        Raises:
+            MalformedEventStreamError: The first of them is invalid. Where a later one is, the events before
+                it are returned and `error` is set.
+        """
+        pending = self._incomplete + data if self._incomplete else data
+        whole_bytes = 0
+        for end in EVENT_END.finditer(pending):
             try:
-                self._look(come[whole : end.end()])
-            except MalformedEventStreamError as fault:
-                # Against good events being kept from the client by a bad one that came in the same bytes.
-                if not whole:
+                self._parse_event(pending[whole_bytes : end.end()])
+            except MalformedEventStreamError as error:
+                # The client still gets the valid events that came together with an invalid one.
+                if not whole_bytes:
                     raise
-                self.fault = fault
+                self.error = error
                 break
-            whole = end.end()
-        self._rest = come[whole:]
-        if len(self._rest) > self.cap and self.fault is None:
-            self.fault = MalformedEventStreamError(f"an event of over {self.cap} bytes")
-            if not whole:
-                raise self.fault
-        return come[:whole]
-
-    def ended(self) -> None:
-        """The answer's body is over; raises Spoilt where it lacks its last event or has half of one."""
-        if not self.done or self._rest.strip():
+            whole_bytes = end.end()
+        self._incomplete = pending[whole_bytes:]
+        if len(self._incomplete) > self.max_event_bytes and self.error is None:
+            self.error = MalformedEventStreamError(f"an event of over {self.max_event_bytes} bytes")
+            if not whole_bytes:
+                raise self.error
+        return pending[:whole_bytes]
+
+    def check_end(self) -> None:
+        """Check the stream's state after the end of the response.
+
+        Raises:
+            MalformedEventStreamError: The last event has not come, or an incomplete one follows.
+        """
+        if not self.done or self._incomplete.strip():
             raise MalformedEventStreamError("the stream ends without its last event")
 
-    def _look(self, event: bytes) -> None:
+    def _parse_event(self, event: bytes) -> None:
         for line in event.splitlines():
             if line.startswith(b"data:"):
-                self._data(line[5:].strip())
-            elif line and not line.startswith((b":", b"event:", b"id:", b"retry:")):
+                self._parse_data(line[5:].strip())
+            elif line and not line.startswith(IGNORED_FIELDS):
                 raise MalformedEventStreamError(f"no event: {line[:40]!r}")
 
-    def _data(self, data: bytes) -> None:
+    def _parse_data(self, data: bytes) -> None:
         if data == b"[DONE]":
             self.done = True
             return
         try:
-            said = _events.decode(data)
-        except UNREADABLE as fault:
-            raise MalformedEventStreamError(f"an event that does not read: {fault}") from None
-        if said.usage is not None:
-            self.read, self.made = said.usage.prompt_tokens, said.usage.completion_tokens
-            if said.usage.prompt_tokens_details is not None:
-                self.kept = said.usage.prompt_tokens_details.cached_tokens
+            event = _event_decoder.decode(data)
+        except UNREADABLE as error:
+            raise MalformedEventStreamError(f"an event that does not read: {error}") from None
+        usage = event.usage
+        if usage is None:
+            return
+        self.prompt_tokens = usage.prompt_tokens
+        self.output_tokens = usage.completion_tokens
+        if usage.prompt_tokens_details is not None:
+            self.cached_tokens = usage.prompt_tokens_details.cached_tokens
--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass
 
-from runspool.engines.http_exchange import AttemptResult, ResponseListener, SendPermit
+from runspool.engines.attempt_result import AttemptResult, ResponseListener
+from runspool.engines.send_permit import SendPermit
 from runspool.node.config import NodeConfig
 from runspool.node.engine_client import EngineClient
 from runspool.node.request_parser import ClientRequest
@@ -149,10 +150,10 @@
         release = PendingRelease(
             taken.id,
             site,
-            confirmed=lambda: self._let_go_confirmed(taken, since),
-            unsure=lambda: self._may_still_read(taken),
+            on_confirmed=lambda: self._let_go_confirmed(taken, since),
+            remote_end_unknown=lambda: self._may_still_read(taken),
         )
-        self._spawn(self.state_releaser.let_go, release)
+        self._spawn(self.state_releaser.release, release)
         return True
 
     async def before_attempt(self, taken: PendingNodeRequest, site: Endpoint) -> None:
@@ -163,7 +164,7 @@
         is known to have arrived.
         """
         if site.role is Role.PREFILL:
-            await self.state_releaser.settled_within(taken.id, RELEASE_FIRST)
+            await self.state_releaser.wait_settled(taken.id, RELEASE_FIRST)
 
     def after_attempt(
         self, taken: PendingNodeRequest, site: Endpoint, shot: int, ended: AttemptResult
--- a/runspool/node/state_releaser.py
+++ b/runspool/node/state_releaser.py
@@ -1,8 +1,8 @@
-"""Letting go of what engines hold for a request: owed until some engine has confirmed the call.
+"""Releases the state that engines hold for a request; each release is pending until an engine confirms it.
 
-Any engine takes the call. Where one says nothing for a while another is asked beside it, those first that
-this node has heard from last. Requests that no engine of the first round has confirmed wait in a list, asked
-about again and again while the process lives: while connections fail to come up, the time goes on.
+Any engine accepts the call. Where one does not respond for a while, another is asked concurrently, those
+that this node has heard from last come first. Requests that no engine has confirmed in the first round wait
+in a list and are retried as long as the process lives, because time goes on while connections fail.
 """
 
 from __future__ import annotations
@@ -20,182 +20,206 @@
 from runspool.service.pending_request import Endpoint
 from runspool.units import TENTHS
 
-TRIES_IN_HALF = 6  # engines asked within half of the time that the settings grant
-MOST_ENGINES = 64  # asked in a first round
-AGAIN_ENGINES = 8  # and in each later one, other ones each time
-AGAIN_TOGETHER = 16  # requests asked about at once, as soon as one call has been confirmed
-REST, LONGEST_REST = 0.1, 1.0  # seconds between two rounds that nobody confirmed
-MOST_OWED = 10_000  # requests that wait for a later round; past them the oldest is given up, and said so
-REPEATS = (0.1, 0.4)  # seconds after which the call is made again where an attempt may have ended there since
+ENGINES_IN_HALF_TIMEOUT = 6  # engines asked one after another within half of the release timeout
+MAX_ENGINES_FIRST_ROUND = 64
+MAX_ENGINES_LATER_ROUND = 8  # half of them the likeliest to respond, the others different each time
+MAX_CONCURRENT_RETRIES = 16  # requests retried at once after a confirmation; one at a time before it
+MIN_RETRY_DELAY = 0.1  # seconds after a round that nobody confirmed; doubled after each further one
+MAX_RETRY_DELAY = 1.0  # seconds
+MAX_OVERDUE = 10_000  # requests that wait for a later round; past them the oldest is abandoned and logged
+# Seconds after a confirmation at which the call is repeated, where an attempt may have ended there since.
+REPEAT_DELAYS = (0.1, 0.4)
 
 
 class ReleaseClient(Protocol):
-    """Makes the call at one engine."""
+    """Makes the release call at one engine."""
 
-    async def release_state(self, address: Address, request: str, limit: int) -> FailureCause | None: ...
+    async def release_state(self, address: Address, request: str, limit: int) -> FailureCause | None:
+        """Release a request's state within `limit` tenths of a millisecond; None once it is confirmed."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingRelease:
-    """One request's call: where its state waits, what is told when an engine has confirmed it, and whether
-    an attempt may still end after that."""
+    """The release of one request's state, kept at `endpoint`.
+
+    `on_confirmed` is called when an engine has confirmed it. `remote_end_unknown` says whether an attempt may
+    still end at its engine after that. `done` is set once it is confirmed, withdrawn or abandoned.
+    """
 
     request: str
-    site: Endpoint
-    confirmed: Callable[[], None]
-    unsure: Callable[[], bool]
+    endpoint: Endpoint
+    on_confirmed: Callable[[], None]
+    remote_end_unknown: Callable[[], bool]
     scope: anyio.CancelScope | None = None
-    done: anyio.Event = field(default_factory=anyio.Event)  # confirmed, withdrawn or given up
+    done: anyio.Event = field(default_factory=anyio.Event)
 
 
 class StateReleaser:
-    """The calls that are owed, by request. The newest for a request replaces those before it."""
+    """The pending releases, by request. The newest for a request replaces the one before it."""
 
     def __init__(
         self,
-        caller: ReleaseClient,
-        within: int,
+        client: ReleaseClient,
+        timeout: int,
         engines: Callable[[], list[Endpoint]],
         count: Callable[[int], None],
     ) -> None:
-        """`within`: the time granted, in tenths of a millisecond. `engines`: whom to ask, the likeliest to
-        answer first. `count` hears +1 and -1 for each that is owed."""
-        self.caller, self.within, self.engines, self.count = caller, within, engines, count
-        self.owed: dict[str, PendingRelease] = {}
-        self.overdue: dict[str, PendingRelease] = {}  # those of them that a first round has not settled
-        self.waiting = anyio.Event()
-        self.turn = 0
+        """Create a releaser without pending releases.
+
+        Args:
+            client: Makes the calls.
+            timeout: The time granted for a release, in tenths of a millisecond.
+            engines: Returns the engines to ask, the likeliest to respond first.
+            count: Called with +1 and -1 as the number of pending releases changes.
+        """
+        self.client = client
+        self.timeout = timeout
+        self.engines = engines
+        self.count = count
+        self.pending: dict[str, PendingRelease] = {}
+        self.overdue: dict[str, PendingRelease] = {}  # those that the first round has not settled
+        self.overdue_added = anyio.Event()
+        self.rotation = 0  # where the next later round begins among the engines less likely to respond
         self.log = structlog.get_logger()
 
-    async def let_go(self, release: PendingRelease) -> None:
-        """Makes the call until it is confirmed, withdrawn, or left to later rounds."""
+    async def release(self, release: PendingRelease) -> None:
+        """Make the call until it is confirmed, withdrawn, or left to later rounds."""
         self.withdraw(release.request)
-        self.owed[release.request] = release
+        self.pending[release.request] = release
         self.count(1)
         confirmed = False
         with anyio.CancelScope() as release.scope:
-            confirmed = await self._round(release, self._first_round(release.site))
-        if self.owed.get(release.request) is not release:
+            confirmed = await self._run_round(release, self._first_round_engines(release.endpoint))
+        if self.pending.get(release.request) is not release:
             return  # withdrawn meanwhile
         if not confirmed:
-            self._put_off(release)
+            self._add_overdue(release)
             return
-        self._settled(release)
-        release.confirmed()
+        self._settle(release)
+        release.on_confirmed()
         await self._repeat(release)
 
     def withdraw(self, request: str) -> bool:
-        """Stops the call for a request, owed anew by whoever withdraws it; False where there is none."""
-        release = self.owed.get(request)
+        """Stop the release of a request's state; False where none is pending.
+
+        Whoever withdraws it must release the state later.
+        """
+        release = self.pending.get(request)
         if release is None:
             return False
-        self._settled(release)
+        self._settle(release)
         if release.scope is not None:
             release.scope.cancel()
         return True
 
     async def run(self) -> None:
-        """Asks about what is overdue, until cancelled."""
-        rest, together = REST, 1
+        """Retry overdue releases until cancelled."""
+        delay = MIN_RETRY_DELAY
+        concurrency = 1
         while True:
             if not self.overdue:
-                self.waiting = anyio.Event()
-                await self.waiting.wait()
-            if await self._later_round(together):
-                rest, together = REST, AGAIN_TOGETHER
+                self.overdue_added = anyio.Event()
+                await self.overdue_added.wait()
+            if await self._retry_oldest(concurrency):
+                delay = MIN_RETRY_DELAY
+                concurrency = MAX_CONCURRENT_RETRIES
                 continue
-            await anyio.sleep(rest)
-            rest, together = min(2 * rest, LONGEST_REST), 1
+            await anyio.sleep(delay)
+            delay = min(2 * delay, MAX_RETRY_DELAY)
+            concurrency = 1
+
+    async def wait_settled(self, request: str, seconds: float) -> None:
+        """Wait until no release is pending for a request, but for `seconds` at most."""
+        release = self.pending.get(request)
+        if release is not None:
+            with anyio.move_on_after(seconds):
+                await release.done.wait()
 
-    async def _later_round(self, together: int) -> bool:
-        """Whether any of the oldest was confirmed."""
-        oldest = list(self.overdue.values())[:together]
-        done: list[PendingRelease] = []
+    async def _retry_oldest(self, concurrency: int) -> bool:
+        """Retry the oldest overdue releases, so many at once; return whether any was confirmed."""
+        oldest = list(self.overdue.values())[:concurrency]
+        confirmed: list[PendingRelease] = []
 
-        async def again(release: PendingRelease) -> None:
-            if await self._round(release, self._next_engines()):
-                done.append(release)
+        async def retry(release: PendingRelease) -> None:
+            if await self._run_round(release, self._later_round_engines()):
+                confirmed.append(release)
 
-        async with anyio.create_task_group() as calls:
+        async with anyio.create_task_group() as tasks:
             for release in oldest:
-                calls.start_soon(again, release)
+                tasks.start_soon(retry, release)
         for release in oldest:
-            if self.overdue.pop(release.request, None) is release and release not in done:
-                self.overdue[release.request] = release  # behind those that have waited longer since
-        for release in done:
-            if self.owed.get(release.request) is release:
-                self._settled(release)
-                release.confirmed()
-        return bool(done)
+            if self.overdue.pop(release.request, None) is release and release not in confirmed:
+                self.overdue[release.request] = release  # behind those that were not retried since
+        for release in confirmed:
+            if self.pending.get(release.request) is release:
+                self._settle(release)
+                release.on_confirmed()
+        return bool(confirmed)
 
     async def _repeat(self, release: PendingRelease) -> None:
-        """An attempt whose connection was closed here may end there after the call: it is made again."""
-        for rest in REPEATS:
-            if not release.unsure():
+        """Repeat the call: an attempt whose connection was closed here may end at its engine after it."""
+        for delay in REPEAT_DELAYS:
+            if not release.remote_end_unknown():
                 return
-            await anyio.sleep(rest)
-            if release.unsure():
-                await self._round(release, self._first_round(release.site))
+            await anyio.sleep(delay)
+            if release.remote_end_unknown():
+                await self._run_round(release, self._first_round_engines(release.endpoint))
 
-    async def _round(self, release: PendingRelease, engines: Iterable[Endpoint]) -> bool:
-        """Asks one engine beside the other, each a while after the one before; whether any confirmed it."""
-        patience = self.within // (2 * TRIES_IN_HALF) / (1000 * TENTHS)
+    async def _run_round(self, release: PendingRelease, engines: Iterable[Endpoint]) -> bool:
+        """Ask the engines, each a while after the one before; return whether any confirmed."""
+        interval = self.timeout // (2 * ENGINES_IN_HALF_TIMEOUT) / (1000 * TENTHS)  # seconds
         confirmed = False
-        async with anyio.create_task_group() as calls:
+        async with anyio.create_task_group() as tasks:
 
-            async def call(at: Endpoint, failed: anyio.Event) -> None:
+            async def call(engine: Endpoint, failed: anyio.Event) -> None:
                 nonlocal confirmed
-                if await self.caller.release_state(at.address, release.request, self.within) is None:
+                if await self.client.release_state(engine.address, release.request, self.timeout) is None:
                     confirmed = True
-                    calls.cancel_scope.cancel()
+                    tasks.cancel_scope.cancel()
                 failed.set()
 
-            for at in engines:
+            for engine in engines:
                 failed = anyio.Event()
-                calls.start_soon(call, at, failed)
-                with anyio.move_on_after(patience):
+                tasks.start_soon(call, engine, failed)
+                with anyio.move_on_after(interval):
                     await failed.wait()
         return confirmed
 
-    def _first_round(self, site: Endpoint) -> Iterator[Endpoint]:
-        """The others are put in order only where the state's own engine has not confirmed at once."""
-        yield site
-        others = (other for other in self.engines() if other.address != site.address)
-        yield from islice(others, MOST_ENGINES - 1)
+    def _first_round_engines(self, endpoint: Endpoint) -> Iterator[Endpoint]:
+        """Yield the state's own engine, then others, sorted only if the first has not confirmed at once."""
+        yield endpoint
+        others = (engine for engine in self.engines() if engine.address != endpoint.address)
+        yield from islice(others, MAX_ENGINES_FIRST_ROUND - 1)
 
-    def _next_engines(self) -> list[Endpoint]:
-        """Others each time, so that no part of the fleet that is cut off is all that is ever asked."""
+    def _later_round_engines(self) -> list[Endpoint]:
+        """Return different engines each time: not always an unreachable part of the fleet."""
+        half = MAX_ENGINES_LATER_ROUND // 2
         engines = self.engines()
-        likeliest, rest = engines[: AGAIN_ENGINES // 2], engines[AGAIN_ENGINES // 2 :]
-        if rest:
-            self.turn = (self.turn + AGAIN_ENGINES // 2) % len(rest)
-        return likeliest + (rest[self.turn :] + rest[: self.turn])[: AGAIN_ENGINES // 2]
+        likeliest = engines[:half]
+        others = engines[half:]
+        if others:
+            self.rotation = (self.rotation + half) % len(others)
+        return likeliest + (others[self.rotation :] + others[: self.rotation])[:half]
 
-    def _put_off(self, release: PendingRelease) -> None:
+    def _add_overdue(self, release: PendingRelease) -> None:
         self.log.warning(
             "release_overdue",
             request=release.request,
-            engine=release.site.name,
+            engine=release.endpoint.name,
             overdue=len(self.overdue) + 1,
         )
         self.overdue[release.request] = release
-        if len(self.overdue) > MOST_OWED:
+        if len(self.overdue) > MAX_OVERDUE:
             oldest = next(iter(self.overdue.values()))
-            self.log.error("release_abandoned", request=oldest.request, engine=oldest.site.name)
-            self._settled(oldest)
-        self.waiting.set()
-
-    async def settled_within(self, request: str, seconds: float) -> None:
-        """Until nothing is owed for a request, but no longer than that."""
-        release = self.owed.get(request)
-        if release is not None:
-            with anyio.move_on_after(seconds):
-                await release.done.wait()
+            self.log.error("release_abandoned", request=oldest.request, engine=oldest.endpoint.name)
+            self._settle(oldest)
+        self.overdue_added.set()
 
-    def _settled(self, release: PendingRelease) -> None:
+    def _settle(self, release: PendingRelease) -> None:
+        """Remove a release that is no longer pending."""
         release.done.set()
-        if self.owed.get(release.request) is release:
-            del self.owed[release.request]
+        if self.pending.get(release.request) is release:
+            del self.pending[release.request]
             self.count(-1)
         if self.overdue.get(release.request) is release:
             del self.overdue[release.request]
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -15,9 +15,10 @@
 from runspool.cells.cell_router import AdmissionRefusal, AdmissionRequest, CellAdmission, CellRouter
 from runspool.cells.engine_placement import EnginePlace
 from runspool.config import FrontConfig
+from runspool.engines.attempt_result import AttemptResult, ResponseListener
 from runspool.engines.completions_client import CompletionsEngineClient, PrefillState
 from runspool.engines.failure_classification import FailureCause
-from runspool.engines.http_exchange import AttemptResult, ResponseListener, SendPermit
+from runspool.engines.send_permit import SendPermit
 from runspool.runtime.interning import stable_hash
 from runspool.runtime.scheduler_driver import SchedulerDriver
 from runspool.scheduling.request_lifecycle import ENDED_LOCALLY
@@ -354,7 +355,7 @@
         """
         up = False
         with anyio.move_on_after(LOOK_LIMIT):
-            up = await self.engine_client.answers(site.address)
+            up = await self.engine_client.accepts_connections(site.address)
         if (
             up
             or taken.final_response is not None
--- a/runspool/service/http_connection.py
+++ b/runspool/service/http_connection.py
@@ -67,7 +67,7 @@
     @property
     def last(self) -> bool:
         """True where the answer under way says that the connection ends with it."""
-        return self.closing or not self.keeps_alive or self.tcp.shed > 0
+        return self.closing or not self.keeps_alive or self.tcp.discarded_bytes > 0
 
     @abstractmethod
     async def route(self, request: HttpRequest, came: int) -> None:
@@ -152,7 +152,7 @@
             if self._begun:
                 raise InvalidHttpRequestError(408, "head_time", "the request's head took too long")
             # Against a request that came in the moment the wait ended: it has been received, so it is taken.
-            return await self._read_head() if self.tcp.waiting else None
+            return await self._read_head() if self.tcp.has_buffered_data else None
         return ready[0]
 
     def _time_limit(self, wait_ms: float) -> float:
@@ -214,7 +214,7 @@
             front.client_disconnected(taken)  # this connection is being ended: nobody is there to answer
             raise
         finally:
-            self.tcp.lost = None
+            self.tcp.lost_callback = None
             if sending is not None:
                 sending.unwatch()
         assert taken.final_response is not None
--- a/runspool/service/pending_request.py
+++ b/runspool/service/pending_request.py
@@ -8,8 +8,8 @@
 
 import anyio
 
+from runspool.engines.attempt_result import AttemptResult, ResponseListener
 from runspool.engines.connection_pool import Address
-from runspool.engines.http_exchange import AttemptResult, ResponseListener
 from runspool.scheduling.request_lifecycle import RequestLifecycle
 from runspool.scheduling.types import Role
 
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -15,8 +15,10 @@
 from anyio.abc import TaskGroup
 
 from runspool.discovery.endpoint_tracker import GONE_KEPT, EndpointTracker
+from runspool.engines.attempt_result import AttemptResult
+from runspool.engines.exchange_timer import effective_timeout
 from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
-from runspool.engines.http_exchange import AttemptResult, SendPermit, effective_timeout
+from runspool.engines.send_permit import SendPermit
 from runspool.logs import BoundedLog
 from runspool.runtime.interning import Interner, stable_hash
 from runspool.scheduling.request_lifecycle import (
--- a/runspool/transport/tcp.py
+++ b/runspool/transport/tcp.py
@@ -1,9 +1,9 @@
-"""One TCP connection: what comes is kept until asked for, what goes is handed to the kernel at once.
+"""TCP connections: received data is buffered until it is read, sent data goes to the kernel at once.
 
-anyio's streams give way to every other task once for each thing sent and received. A front passes thousands
-of tokens a second: 37% of its time went into passing them on, half of that into giving way. Here a send that
-the kernel takes whole costs no task switch. Cancelling works as with anyio's streams, since what is awaited
-are plain futures of the loop.
+anyio's streams yield to every other task once for each receive and send. A front forwards thousands of tokens
+a second: 37% of its time went into forwarding them, half of that into yielding. Here a send that the kernel
+takes whole needs no task switch. Cancellation works as with anyio's streams, because what is awaited are
+plain futures of the event loop.
 """
 
 from __future__ import annotations
@@ -17,104 +17,123 @@
 
 import anyio
 
-KEPT = 65_536  # bytes kept for a reader that does not ask; past them the peer is made to wait
-SHED = 8 << 20  # bytes thrown away of a peer that is watched, after which it counts as gone
+from runspool.errors import RunspoolError
 
+# Bytes buffered for a reader that does not read; past them reading from the socket is paused.
+MAX_BUFFERED_BYTES = 65_536
+# Bytes discarded from a peer that is watched by on_lost(); past them it counts as gone.
+MAX_DISCARDED_BYTES = 8 << 20
 
-class ConnectionClosedError(ConnectionError):
-    """The peer has closed, reset or been lost; nothing more comes, or nothing more can be sent."""
+
+class ConnectionClosedError(RunspoolError, ConnectionError):
+    """The peer has closed or reset, or was lost; nothing more can be received, or nothing more sent."""
 
 
 class TcpConnection(asyncio.Protocol):
-    """One connection. One task at a time may receive, and one may send."""
+    """One connection. At most one task at a time may receive, and one may send.
+
+    Attributes:
+        transport: Set by the event loop once the connection is established.
+        lost_callback: Called once, when the peer has gone; see on_lost().
+        discarded_bytes: How many bytes were discarded; if any were, nothing past the buffer can be read.
+    """
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport
-        self.lost: Callable[[], None] | None = None  # called once, when the peer has gone; see watch()
-        self.shed = 0  # bytes thrown away: what comes after those kept can no longer be read
-        self._come: list[bytes] = []
-        self._size = 0
-        self._fault: BaseException | None = None
-        self._over = False  # the peer has said that it sends no more, or the connection is lost
+        self.lost_callback: Callable[[], None] | None = None
+        self.discarded_bytes = 0
+        self._buffer: list[bytes] = []
+        self._buffered_bytes = 0
+        self._error: BaseException | None = None
+        self._peer_closed = False  # the peer has closed its sending side, or the connection is lost
         self._closed = False
-        self._paused = False
-        self._held = False  # reading is held up
+        self._writing_paused = False
+        self._reading_paused = False
         self._reader: asyncio.Future[None] | None = None
         self._writer: asyncio.Future[None] | None = None
         self._poll: select.poll | None = None
 
-    # What users do.
+    # Operations for users.
 
     @property
     def closed(self) -> bool:
-        """True once the peer has closed or been lost, whether or not all that it sent was received."""
-        return self._over
+        """True once the peer has closed or was lost, even if not all that it sent has been received."""
+        return self._peer_closed
 
-    def on_lost(self, lost: Callable[[], None]) -> None:
-        """Has `lost` called once the peer has gone, until it is set to None again.
+    def on_lost(self, callback: Callable[[], None]) -> None:
+        """Have `callback` called once the peer has gone, until `lost_callback` is set to None again.
 
-        Against a peer that sends much ahead and goes: were it made to wait, the end behind that would never
-        be seen. So what it sends past the bytes that are kept is read all the same, and thrown away.
+        While it is set, reading is not paused: behind the unread data of a peer that sends much ahead and
+        goes, its end would never be seen. What it sends past the buffer's size is read and discarded.
         """
-        self.lost = lost
-        if self._held and not self._closed:
-            self._held = False
-            self.transport.resume_reading()
+        self.lost_callback = callback
+        self._resume_reading()
 
     @property
-    def waiting(self) -> bool:
+    def has_buffered_data(self) -> bool:
         """True where something has come that was not received yet."""
-        return bool(self._come)
+        return bool(self._buffer)
 
     async def receive(self) -> bytes:
-        """What has come since, at least a byte. Raises Gone at the end, after all that came before it."""
-        while not self._come:
-            if self._over or self.shed:
+        """Return all that has come since the last call, at least one byte; cancelled, it loses nothing.
+
+        Raises:
+            ConnectionClosedError: The peer has closed, and all that it sent before was received.
+        """
+        while not self._buffer:
+            if self._peer_closed or self.discarded_bytes:
                 raise ConnectionClosedError(
-                    str(self._fault or ("sent too much ahead" if self.shed else "closed"))
+                    str(self._error or ("sent too much ahead" if self.discarded_bytes else "closed"))
                 )
             self._reader = asyncio.get_running_loop().create_future()
             try:
                 await self._reader
             finally:
                 self._reader = None
-        come = self._come[0] if len(self._come) == 1 else b"".join(self._come)
-        self._come.clear()
-        self._size = 0
-        if self._held and not self._closed:
-            self._held = False
-            self.transport.resume_reading()
-        return come
+        data = self._buffer[0] if len(self._buffer) == 1 else b"".join(self._buffer)
+        self._buffer.clear()
+        self._buffered_bytes = 0
+        if self._reading_paused:
+            self._resume_reading()
+        return data
 
     def write(self, data: bytes) -> bool:
-        """Hands bytes on; False where the kernel has not taken all, and drained() is to be awaited.
+        """Send `data`; False where the kernel has not taken all of it, and drained() must be awaited.
 
-        Raises Gone where the connection is lost.
+        Raises:
+            ConnectionClosedError: The connection is lost or was closed.
         """
         if self._closed or self.transport.is_closing():
-            raise ConnectionClosedError(str(self._fault or "closed"))
+            raise ConnectionClosedError(str(self._error or "closed"))
         self.transport.write(data)
-        return not self._paused
+        return not self._writing_paused
 
     async def drained(self) -> None:
-        """Waits until the kernel has taken all that was written. Raises Gone where it never will."""
-        while self._paused and not self._closed:
+        """Wait until the kernel has taken all that was written.
+
+        Raises:
+            ConnectionClosedError: It never will, because the connection is lost.
+        """
+        while self._writing_paused and not self._closed:
             self._writer = asyncio.get_running_loop().create_future()
             try:
                 await self._writer
             finally:
                 self._writer = None
         if self._closed:
-            raise ConnectionClosedError(str(self._fault or "closed"))
+            raise ConnectionClosedError(str(self._error or "closed"))
 
     async def send(self, data: bytes) -> None:
-        """Writes, and waits until all of it has gone."""
+        """Send `data` and wait until the kernel has all of it; raises as write() and drained() do.
+
+        Cancelled, some or all of `data` may still be sent.
+        """
         if not self.write(data):
             await self.drained()
 
     def has_unsolicited_data(self) -> bool:
-        """True where the peer has closed, reset or sent something not yet received."""
-        if self._come or self._over or self._closed:
+        """Return whether the peer has closed, reset or sent something that was not received yet."""
+        if self._buffer or self._peer_closed or self._closed:
             return True
         if self._poll is None:
             self._poll = select.poll()
@@ -122,7 +141,7 @@
         return bool(self._poll.poll(0))
 
     async def stays_silent(self, seconds: float) -> bool:
-        """False as soon as the peer speaks, closes or resets, True where it does not in that time."""
+        """Return False as soon as the peer sends, closes or resets; True if it does not in that time."""
         if not self.has_unsolicited_data():
             with anyio.move_on_after(seconds):
                 self._reader = asyncio.get_running_loop().create_future()
@@ -133,92 +152,109 @@
         return not self.has_unsolicited_data()
 
     def send_eof(self) -> None:
-        """Tells the peer that nothing more is sent."""
+        """Close the sending side."""
         if not self._closed and self.transport.can_write_eof():
             self.transport.write_eof()
 
     def close(self) -> None:
-        """Closes at once."""
-        self.lost = None
+        """Close at once; what was not sent yet is dropped."""
+        self.lost_callback = None
         self.transport.abort()
 
-    # What the loop calls.
+    def _resume_reading(self) -> None:
+        if self._reading_paused and not self._closed:
+            self._reading_paused = False
+            self.transport.resume_reading()
+
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the transport, and have every write that the kernel does not take pause the writer."""
         self.transport = cast(asyncio.Transport, transport)
-        # Nothing is held back here: what the kernel does not take is the writer's to wait for.
         self.transport.set_write_buffer_limits(0)
 
     def data_received(self, data: bytes) -> None:
-        if self.shed or (self.lost is not None and self._size > KEPT):
-            self.shed += len(data)
-            if self.shed > SHED:
-                self._end()
+        """Buffer `data`; where the buffer is full, pause reading or discard `data`."""
+        if self.discarded_bytes or (
+            self.lost_callback is not None and self._buffered_bytes > MAX_BUFFERED_BYTES
+        ):
+            self.discarded_bytes += len(data)
+            if self.discarded_bytes > MAX_DISCARDED_BYTES:
+                self._peer_gone()
             return
-        self._come.append(data)
-        self._size += len(data)
-        if self._size > KEPT and not self._held and self.lost is None:
-            self._held = True
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
+        if (
+            self._buffered_bytes > MAX_BUFFERED_BYTES
+            and not self._reading_paused
+            and self.lost_callback is None
+        ):
+            self._reading_paused = True
             self.transport.pause_reading()
         _wake(self._reader)
 
     def eof_received(self) -> bool:
-        self._end()
-        return True  # what is still to be sent may be
+        """Note the peer's end; returns True, which keeps the sending side open."""
+        self._peer_gone()
+        return True
 
     def pause_writing(self) -> None:
-        self._paused = True
+        """Note that the kernel has not taken all that was written."""
+        self._writing_paused = True
 
     def resume_writing(self) -> None:
-        self._paused = False
+        """Note that the kernel has taken all that was written."""
+        self._writing_paused = False
         _wake(self._writer)
 
-    def connection_lost(self, fault: Exception | None) -> None:
-        self._fault = fault
+    def connection_lost(self, error: Exception | None) -> None:
+        """Note that the connection is closed, and wake both the reader and the writer."""
+        self._error = error
         self._closed = True
-        self._end()
+        self._peer_gone()
         _wake(self._writer)
 
-    def _end(self) -> None:
-        self._over = True
+    def _peer_gone(self) -> None:
+        self._peer_closed = True
         _wake(self._reader)
-        if self.lost is not None:
-            tell, self.lost = self.lost, None
-            tell()
+        if self.lost_callback is not None:
+            callback = self.lost_callback
+            self.lost_callback = None  # called once only
+            callback()
 
 
-def _wake(waiting: asyncio.Future[None] | None) -> None:
-    if waiting is not None and not waiting.done():
-        waiting.set_result(None)
+def _wake(waiter: asyncio.Future[None] | None) -> None:
+    if waiter is not None and not waiter.done():
+        waiter.set_result(None)
 
 
 async def connect(address: tuple[str, int], source: str | None) -> TcpConnection:
-    """A new connection, from a local address where one is given. Raises OSError."""
+    """Open a connection, from the local address `source` where one is given. Raises OSError."""
     loop = asyncio.get_running_loop()
-    _, line = await loop.create_connection(
+    _, connection = await loop.create_connection(
         TcpConnection, *address, local_addr=(source, 0) if source else None
     )
-    return line
+    return connection
 
 
-async def next_connection(listening: socket) -> socket:
-    """The next connection's socket, non-blocking. Raises OSError; cancelled, takes none."""
-    # Not the loop's sock_accept(): cancelled just as a connection comes, it takes it, fails in the loop and
-    # leaves it open.
+async def next_connection(listener: socket) -> socket:
+    """Accept the next connection as a non-blocking socket; cancelled, it accepts none. Raises OSError."""
+    # Not the event loop's sock_accept(): cancelled just as a connection comes, that one accepts it, fails in
+    # the loop and leaves it open.
     while True:
-        await anyio.wait_readable(listening)
+        await anyio.wait_readable(listener)
         with suppress(BlockingIOError, InterruptedError):
-            taken, _ = listening.accept()
-            taken.setblocking(False)
-            return taken
+            accepted, _ = listener.accept()
+            accepted.setblocking(False)
+            return accepted
 
 
-async def accept(listening: socket) -> TcpConnection:
-    """The next connection of a listening, non-blocking socket. Raises OSError."""
-    taken = await next_connection(listening)
+async def accept(listener: socket) -> TcpConnection:
+    """Accept the next connection of a listening, non-blocking socket. Raises OSError."""
+    accepted = await next_connection(listener)
     try:
-        _, line = await asyncio.get_running_loop().connect_accepted_socket(TcpConnection, taken)
+        _, connection = await asyncio.get_running_loop().connect_accepted_socket(TcpConnection, accepted)
     except BaseException:
-        taken.close()
+        accepted.close()
         raise
-    return line
+    return connection
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -22,10 +22,11 @@
 from anyio.abc import TaskGroup
 
 from runspool.config import terms_of
+from runspool.engines.attempt_result import AttemptResult, ResponseListener
 from runspool.engines.completions_client import PrefillState
 from runspool.engines.connection_pool import Address
 from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
-from runspool.engines.http_exchange import AttemptResult, ResponseListener, SendPermit
+from runspool.engines.send_permit import SendPermit
 from runspool.lab.plan import ClientsPlan, FrontPlan, Plan, RequestClassPlan, TenantPlan, engine
 from runspool.lab.recording import Event
 from runspool.lab.scenario_runner import front_terms
@@ -327,7 +328,7 @@
         one.let_go(name, "released", told=now())
         return None
 
-    async def answers(self, address: Address) -> bool:
+    async def accepts_connections(self, address: Address) -> bool:
         await anyio.sleep(self.spread(0, 5) / 10_000)
         return self.world.at(address).up
 
--- a/tests/soak/sabotage.py
+++ b/tests/soak/sabotage.py
@@ -65,7 +65,7 @@
     async def let_go(self: StateReleaser, release: Any) -> None:
         self.withdraw(release.request)
 
-    StateReleaser.let_go = let_go  # type: ignore[method-assign]
+    StateReleaser.release = let_go  # type: ignore[method-assign]
 
 
 def serves_who_has_gone() -> None:
@@ -75,8 +75,8 @@
 
 def tells_long_deadlines() -> None:
     """Tells engines a second more than is left."""
-    sound = calls._request
-    calls._request = lambda ask, left: sound(ask, left + 10_000)
+    sound = calls._encode_request
+    calls._encode_request = lambda request, remaining: sound(request, remaining + 10_000)
 
 
 def changes_bodies() -> None:
--- a/tests/test_doctored.py
+++ b/tests/test_doctored.py
@@ -13,7 +13,7 @@
 import pytest
 
 from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
-from runspool.engines.http_exchange import UNRESTRICTED
+from runspool.engines.send_permit import UNRESTRICTED
 from runspool.lab import recording
 from runspool.lab.audit import RULES, Slack, audit
 from runspool.lab.clients import Clients, Entry
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -11,10 +11,11 @@
 import pytest
 
 from runspool.config import EnginesTerms
+from runspool.engines.attempt_result import AttemptResult
 from runspool.engines.completions_client import CompletionsEngineClient, PrefillState
 from runspool.engines.connection_pool import Address
 from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause, may_have_executed
-from runspool.engines.http_exchange import UNRESTRICTED, AttemptResult
+from runspool.engines.send_permit import UNRESTRICTED
 from runspool.lab.engine import ROWS, Engine
 from runspool.lab.recording import Recorder
 from runspool.scheduling.types import NOT_EXECUTED, AttemptStatus
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -406,7 +406,7 @@
             await anyio.sleep_forever()
             return True
 
-        monkeypatch.setattr(front.engine_client, "answers", answers)
+        monkeypatch.setattr(front.engine_client, "accepts_connections", answers)
         monkeypatch.setattr("runspool.service.front.LOOK_LIMIT", 60.0)
         town.engines[1].fault("row", row="reset_after", share=1.0)
         with anyio.fail_after(10):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -506,7 +506,7 @@
         asked.reset()
 
     monkeypatch.setattr("runspool.engines.connection_pool.connect", far)
-    monkeypatch.setattr("runspool.engines.http_exchange.LONGEST_LOOK", 100_000)
+    monkeypatch.setattr("runspool.engines.http_exchange.MAX_OBSERVATION_TIME", 100_000)
     platform = Platform(tmp_path, PAIR)
     # Nobody is in a hurry: that connecting takes long is not what this is about.
     classes = [row | {"aim-us": 5_000_000} for row in SETTINGS["classes"]]
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -14,9 +14,10 @@
 from msgspec.structs import replace
 from structlog.testing import capture_logs
 
+from runspool.engines.attempt_result import AttemptResult
 from runspool.engines.connection_pool import Address
 from runspool.engines.failure_classification import FailureCause
-from runspool.engines.http_exchange import AttemptResult, SendPermit
+from runspool.engines.send_permit import SendPermit
 from runspool.node import discovery_client as node_catalog
 from runspool.node import server as node_running
 from runspool.node.config import InvalidNodeConfigError
@@ -495,7 +496,7 @@
         client.send(b"x" * 400_000)
         await asyncio.wait_for(client.writer.drain(), WAIT)
         (intake,) = running.clients
-        await until(lambda: intake.tcp.shed)
+        await until(lambda: intake.tcp.discarded_bytes)
         go.set()
         answer = await client.answer()
         assert answer.whole and answer.headers["connection"] == "close"
@@ -674,7 +675,9 @@
                 calling -= 1
             return None
 
-        async def read(address: Address, ask: ClientRequest, limit: int, permit: SendPermit) -> AttemptResult:
+        async def read(
+            address: Address, request: ClientRequest, limit: int, permit: SendPermit
+        ) -> AttemptResult:
             await until(lambda: calling == 2 and node.releases_in_progress == 1)
             assert permit.deny_last_byte(now()) is None
             permit.request_written()
