--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass
 
-from runspool.engines.http_exchange import AttemptResult, ResponseListener, SendPermit
+from runspool.engines.attempt_result import AttemptResult, ResponseListener
+from runspool.engines.send_permit import SendPermit
 from runspool.node.config import NodeConfig
 from runspool.node.engine_client import EngineClient
 from runspool.node.request_parser import ClientRequest
@@ -158,10 +159,10 @@
         release = PendingRelease(
             pending.id,
             endpoint,
-            confirmed=lambda: self._let_go_confirmed(pending, since),
-            unsure=lambda: self._may_still_read(pending),
+            on_confirmed=lambda: self._let_go_confirmed(pending, since),
+            remote_end_unknown=lambda: self._may_still_read(pending),
         )
-        self._spawn(self.state_releaser.let_go, release)
+        self._spawn(self.state_releaser.release, release)
         return True
 
     async def before_attempt(self, pending: PendingNodeRequest, endpoint: Endpoint) -> None:
@@ -172,7 +173,7 @@
         is known to have arrived.
         """
         if endpoint.role is Role.PREFILL:
-            await self.state_releaser.settled_within(pending.id, RELEASE_FIRST)
+            await self.state_releaser.wait_settled(pending.id, RELEASE_FIRST)
 
     def after_attempt(
         self, pending: PendingNodeRequest, endpoint: Endpoint, attempt: int, result: AttemptResult
--- a/runspool/service/attempt_runner.py
+++ b/runspool/service/attempt_runner.py
@@ -6,8 +6,9 @@
 
 import anyio
 
+from runspool.engines.attempt_result import AttemptResult
+from runspool.engines.exchange_timer import effective_timeout
 from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
-from runspool.engines.http_exchange import AttemptResult, effective_timeout
 from runspool.scheduling.request_lifecycle import AttemptTarget, DenialReason, InvariantViolation
 from runspool.scheduling.types import AttemptOutcome, AttemptStatus
 from runspool.service.attempt_permit import AttemptPermit
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -17,7 +17,8 @@
 from anyio.abc import TaskGroup
 
 from runspool.discovery.endpoint_tracker import EndpointTracker
-from runspool.engines.http_exchange import AttemptResult, SendPermit
+from runspool.engines.attempt_result import AttemptResult
+from runspool.engines.send_permit import SendPermit
 from runspool.logs import BoundedLog
 from runspool.runtime.interning import Interner
 from runspool.scheduling.request_lifecycle import (
