--- a/runspool/discovery/__init__.py
+++ b/runspool/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list as followed by a front: its tracker, its stored snapshot, and the watch that feeds both."""
+"""The endpoint list as a front follows it: its tracker, stored snapshot, and the watch that feeds both."""
