--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -36,7 +36,8 @@
 SMALLEST_WEIGHT = 0.1  # that a class's priority counts with
 SHORTEST_RETRY_AFTER = 200 * MILLISECOND
 RETRY_AFTER_FACTOR = 4  # times the soonest first token that a rejected client is told to stay away for
-SHARE_HALF_LIFE = 2 * SECOND  # of a tenant's counted arrivals
+SHARE_HALF_LIFE_SECONDS = 2  # of a tenant's counted arrivals
+LN_2 = 0.693
 SHARE_TOLERANCE = 1.3  # times its share that a tenant may come to
 SHARE_BURST = 2  # requests that it may have over that
 
@@ -92,11 +93,11 @@
     if request.tenant is None:
         return False
     count, updated_at = front.tenant_arrivals[request.tenant]
-    count = count * decay(front, updated_at, SHARE_HALF_LIFE) + 1
+    count = count * decay(front, updated_at, SHARE_HALF_LIFE_SECONDS * SECOND) + 1
     front.tenant_arrivals[request.tenant] = count, front.now
     rate = front.settings.tenants[request.tenant].requests_per_second
-    # The count that the share comes to in the long run, with a half-life of 2 s: 0.693 is ln 2.
-    usual = rate / front.settings.front_count * 2 / 0.693
+    # What a decayed count of arrivals at that rate comes to in the long run.
+    usual = rate / front.settings.front_count * SHARE_HALF_LIFE_SECONDS / LN_2
     return 0 < SHARE_TOLERANCE * usual + SHARE_BURST < count
 
 
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -16,6 +16,7 @@
 FULL_LOAD_WAIT = SECOND  # wait for a first token, or for a rack's link, that counts as a full load
 LARGEST_RACK_BALANCE = 1.6  # times its usual part that a prefill engine takes in a rack with spare decode
 SMALLEST_RACK_BALANCE = 0.2  # the same where its rack has no spare decode capacity
+LARGEST_BALANCE_EXPONENT = 1.5  # where transfers between racks are the only delay
 TRANSFER_JAM = 300 * MILLISECOND  # delay beside which, and queueing, transfer delay weighs in the balance
 
 
@@ -105,7 +106,7 @@
     usual_transfer, usual_queueing = front.usual_transfer_delay, front.usual_queueing_delays[Role.PREFILL]
     transfer = usual_transfer.time * decay(front, usual_transfer.updated_at)
     queueing = usual_queueing.time * decay(front, usual_queueing.updated_at)
-    exponent = 1.5 * transfer / (transfer + queueing + TRANSFER_JAM)
+    exponent = LARGEST_BALANCE_EXPONENT * transfer / (transfer + queueing + TRANSFER_JAM)
     return {
         rack: min(max(roomy[rack] / count / usual, SMALLEST_RACK_BALANCE), LARGEST_RACK_BALANCE) ** exponent
         for rack, count in prefill.items()
--- a/runspool/scheduling/latency_estimator.py
+++ b/runspool/scheduling/latency_estimator.py
@@ -19,6 +19,10 @@
 ESTIMATE_HALF_LIFE = 12 * SECOND  # of what was learned from an engine that is not heard of
 SAMPLE_HALF_LIFE = 3 * SECOND  # of a queue: older samples weigh little beside a new one
 OUTLIER_ALLOWANCE = 600 * MILLISECOND  # over three times what is usual, up to which a sample counts for peers
+SMALLEST_PEER_WEIGHT = 1 / 8  # of a sample in the estimate over its engine's peers
+LARGEST_PEER_WEIGHT = 1 / 4
+SMALLEST_OWN_WEIGHT = 1 / 4  # of a sample in its engine's own estimate
+PREFILL_RATE_SAMPLES = 16  # that a rate falls over to slower ones
 PREFILL_RATE_FLOOR = 0.01  # tokens a tenth of a millisecond
 
 
@@ -42,8 +46,8 @@
     own_part = 1 - decay(front, own.updated_at, SAMPLE_HALF_LIFE)
     # One sample counts so far only: a few engines that hang must not make all look slow.
     sample = min(time, 3 * usual + OUTLIER_ALLOWANCE)
-    peers.time = usual + (sample - usual) * max(1 / 8, min(1 / 4, part))
-    own.time = before + (time - before) * max(1 / 4, own_part)
+    peers.time = usual + (sample - usual) * max(SMALLEST_PEER_WEIGHT, min(LARGEST_PEER_WEIGHT, part))
+    own.time = before + (time - before) * max(SMALLEST_OWN_WEIGHT, own_part)
     peers.updated_at = own.updated_at = front.now
 
 
@@ -74,7 +78,9 @@
     The rate is the best seen of late, as unseen waits only slow a prefill; the rest is queueing delay.
     """
     rate, seen = front.prefill_rates[engine.role], max(1, tokens) / max(1, duration)
-    front.prefill_rates[engine.role] = max(seen, rate + (seen - rate) / 16, PREFILL_RATE_FLOOR)
+    front.prefill_rates[engine.role] = max(
+        seen, rate + (seen - rate) / PREFILL_RATE_SAMPLES, PREFILL_RATE_FLOOR
+    )
 
 
 def predicted_first_token_time(front: FrontState, engine: Engine, request: Request) -> int:
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -17,9 +17,8 @@
     assert host.desk.scheduler.prefill_rates[Role.MIXED] <= 1.0
     one = host.ask(6_000)
     host.begin(one, took=2_000)
-    assert (
-        host.desk.scheduler.prefill_rates[Role.MIXED] <= 1.0
-    )  # before its end nothing is known of what was cached
+    # before its end nothing is known of what was cached
+    assert host.desk.scheduler.prefill_rates[Role.MIXED] <= 1.0
     host.end(one, AttemptStatus.SUCCEEDED, over=True, took=5_000, kept=0)
     assert host.desk.scheduler.prefill_rates[Role.MIXED] == 3.0
 
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -624,9 +624,8 @@
 
     platform = Platform(tmp_path, {"r": "prefill"} | {f"w{at}": "decode" for at in range(6)})
     monkeypatch.setattr("runspool.engines.connection_pool.connect", dials)
-    monkeypatch.setattr(
-        "runspool.scheduling.admission.RETRY_INTERVAL", 20_000
-    )  # no read before it has been let go
+    # no read before it has been let go
+    monkeypatch.setattr("runspool.scheduling.admission.RETRY_INTERVAL", 20_000)
     async with platform.inside() as running:
         client = await platform.client()
         client.send(post("q1"))
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -408,7 +408,7 @@
         self.assertEqual(host.of(host.ask(500, session=1, resent=1)), ["dismiss"])
         self.assertEqual(host.hold_off, SECOND)  # all that may be told
 
-    def test_the_reserved_decode_engine_of_another_rack_does_not_draw_states_away(self) -> None:
+    def test_the_reserved_writer_of_another_rack_does_not_draw_states_away(self) -> None:
         host = FakeHost([READER, MIXED, MIXED], terms(front_count=50))
         rules = host.desk.scheduler
         rules.engines[1].rack, rules.reserved_decode_engine = 1, rules.engines[1]
