--- a/runspool/service/attempt_permit.py
+++ b/runspool/service/attempt_permit.py
@@ -2,28 +2,20 @@
 
 from __future__ import annotations
 
-from typing import Protocol
-
 from runspool.service.clock import now
+from runspool.service.endpoint_registry import EndpointRegistry
 from runspool.service.pending_request import Endpoint, PendingRequest
 
 WITHDRAWN = "taken off the list before it had the request"
 
 
-class EndpointStatus(Protocol):
-    """What an attempt asks about its engine: `EndpointRegistry` answers it."""
-
-    def is_withdrawn(self, endpoint: Endpoint) -> bool:
-        """Whether the engine is no longer READY in the endpoint list."""
-
-
 class AttemptPermit:
     """A `SendPermit` that follows the request's lifecycle and the engine's current state in the list."""
 
-    __slots__ = ("endpoint", "endpoint_status", "pending")
+    __slots__ = ("endpoint", "pending", "registry")
 
-    def __init__(self, endpoint_status: EndpointStatus, pending: PendingRequest, endpoint: Endpoint) -> None:
-        self.endpoint_status = endpoint_status
+    def __init__(self, registry: EndpointRegistry, pending: PendingRequest, endpoint: Endpoint) -> None:
+        self.registry = registry
         self.pending = pending
         self.endpoint = endpoint
 
@@ -35,7 +27,7 @@
         denial = self.pending.lifecycle.deny_last_byte(now(), encoded_at)
         if denial is not None:
             return denial.value
-        return WITHDRAWN if self.endpoint_status.is_withdrawn(self.endpoint) else None
+        return WITHDRAWN if self.registry.is_withdrawn(self.endpoint) else None
 
     def request_written(self) -> None:
         """The kernel has taken the whole request; the engine may or may not receive it."""
--- a/runspool/service/cell_scheduler.py
+++ b/runspool/service/cell_scheduler.py
@@ -1,13 +1,13 @@
-"""One cell at one front: its own desk, so that what one cell's trouble teaches is not held against another's.
+"""One cell's scheduler at one front, with the recording of what it is told and what it asks for.
 
-It is its desk's outbox: writes the tape, knows which engines its cell has; the front carries out the rest.
+Each cell has a scheduler of its own, so that trouble in one cell does not count against another's engines.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import replace
-from typing import Any, Protocol
+from typing import Protocol
 
 from runspool.runtime.scheduler_driver import SchedulerDriver
 from runspool.scheduling.settings import RoutingSettings
@@ -19,66 +19,101 @@
 
 
 class CellActionHandler(Protocol):
-    """What the front does for a cell's desk."""
+    """Carries out the actions of cells' schedulers.
 
-    def start_attempt(self, query: int, engine: int, cap: int) -> None: ...
-    def reject(self, query: int, hold_off: int) -> None: ...
-    def fail_indeterminate(self, query: int) -> None: ...
-    def release_state(self, query: int) -> None: ...
-    def migrate_stream(self, query: int) -> None: ...
-    def set_timer(self, timer: SchedulerTimer, at: int) -> None: ...
-    def log_message(self, text: str) -> None: ...
-    def forget_request(self, query: int) -> None: ...
+    Requests and engines are given by index, times in tenths of a millisecond.
+    """
+
+    def start_attempt(self, request: int, engine: int, timeout: int) -> None:
+        """Starts an attempt; `timeout` is 0 for none of its own."""
+
+    def reject(self, request: int, retry_after: int) -> None:
+        """Answers that the request has not run."""
+
+    def fail_indeterminate(self, request: int) -> None:
+        """Answers that the request may or may not have run."""
+
+    def release_state(self, request: int) -> None:
+        """Begins to release the request's prefill state."""
+
+    def migrate_stream(self, request: int) -> None:
+        """Ends a running stream, so that its client comes again for the rest."""
+
+    def set_timer(self, timer: SchedulerTimer, at: int) -> None:
+        """Has the timer fire at `at`."""
+
+    def log_message(self, text: str) -> None:
+        """Logs what the scheduler has to say."""
+
+    def forget_request(self, request: int) -> None:
+        """Forgets a request that the scheduler is done with."""
 
 
 class CellScheduler:
+    """Drives one cell's scheduler: passes events on to it and its actions on to a handler.
+
+    Everything is recorded before it is passed on. Requests and engines are given by index, times in tenths of
+    a millisecond.
+    """
+
     def __init__(
-        self, name: str, terms: RoutingSettings, seed: int, front: CellActionHandler, tape: EventRecorder
+        self,
+        name: str,
+        settings: RoutingSettings,
+        seed: int,
+        handler: CellActionHandler,
+        recorder: EventRecorder,
     ) -> None:
         self.name = name
-        self.front = front
-        self.recorder = tape
-        self.engines: dict[int, EngineRecord] = {}  # as last told, those that are on or draining
-        self.queries = 0
+        self.handler = handler
+        self.recorder = recorder
+        self.engines: dict[int, EngineRecord] = {}  # as last told to the scheduler, without REMOVED ones
+        self.open_requests = 0
         at = now()
-        self.recorder.record(at, Event.STARTED, seed, terms)
-        self.driver = SchedulerDriver(terms, seed, self, at)
+        self.recorder.record(at, Event.STARTED, seed, settings)
+        self.driver = SchedulerDriver(settings, seed, self, at)
 
-    # News.
+    # Events.
 
-    def submit(self, query: Request) -> None:
-        self.queries += 1
-        self._news(Event.SUBMITTED, self.driver.submit, query)
+    def submit(self, request: Request) -> None:
+        """Hands a new request to the scheduler."""
+        self.open_requests += 1
+        self._notify(Event.SUBMITTED, self.driver.submit, request)
 
-    def stream_started(self, query: int, shot: int, took: int) -> None:
-        self._news(Event.STREAM_STARTED, self.driver.stream_started, query, shot, took)
+    def stream_started(self, request: int, attempt: int, duration: int) -> None:
+        """An attempt's first token has come, `duration` after it was sent."""
+        self._notify(Event.STREAM_STARTED, self.driver.stream_started, request, attempt, duration)
 
-    def attempt_ended(self, query: int, shot: int, outcome: AttemptOutcome, over: bool) -> None:
-        self._news(Event.ATTEMPT_ENDED, self.driver.attempt_ended, query, shot, outcome, over)
+    def attempt_ended(self, request: int, attempt: int, outcome: AttemptOutcome, is_final: bool) -> None:
+        """An attempt has ended; with `is_final` the request has its response."""
+        self._notify(Event.ATTEMPT_ENDED, self.driver.attempt_ended, request, attempt, outcome, is_final)
 
-    def client_disconnected(self, query: int) -> None:
-        self._news(Event.CLIENT_DISCONNECTED, self.driver.client_disconnected, query)
+    def client_disconnected(self, request: int) -> None:
+        """Nobody waits for the request's response any more."""
+        self._notify(Event.CLIENT_DISCONNECTED, self.driver.client_disconnected, request)
 
     def timer_fired(self, token: str) -> None:
-        self._news(Event.TIMER_FIRED, self.driver.timer_fired, token)
+        """The time has come for which the scheduler set the timer with this token."""
+        self._notify(Event.TIMER_FIRED, self.driver.timer_fired, token)
 
-    def abandon(self, query: int) -> None:
-        """Ends a query whose decisions failed; nothing where there is none."""
-        self._news(Event.ABANDONED, self.driver.abandon, query)
+    def abandon(self, request: int) -> None:
+        """Ends a request at which the scheduler failed; nothing where there is none."""
+        self._notify(Event.ABANDONED, self.driver.abandon, request)
 
     def begin_shutdown(self, by: int) -> None:
-        """The front is stopped on purpose, and may be killed after `by`."""
-        self._news(Event.SHUTDOWN_BEGUN, self.driver.begin_shutdown, by)
+        """The front is being stopped on purpose, and may be killed after `by`."""
+        self._notify(Event.SHUTDOWN_BEGUN, self.driver.begin_shutdown, by)
 
     def subscription_lost(self) -> None:
-        self._news(Event.SUBSCRIPTION_LOST, self.driver.subscription_lost)
+        """The endpoint list's updates have stopped coming."""
+        self._notify(Event.SUBSCRIPTION_LOST, self.driver.subscription_lost)
 
     def update_engines(self, known: dict[int, EngineRecord]) -> None:
-        """The engines that the cell has now; tells the desk what has changed."""
-        changed = [line for engine, line in known.items() if self.engines.get(engine) != line]
+        """Tells the scheduler what has changed, where `known` are the engines that the cell has now."""
+        changed = [record for engine, record in known.items() if self.engines.get(engine) != record]
         changed += [
-            replace(line, state=EngineState.REMOVED)
-            for engine, line in self.engines.items()
+            replace(record, state=EngineState.REMOVED)
+            for engine, record in self.engines.items()
             if engine not in known
         ]
         if not changed:
@@ -88,45 +123,54 @@
         self.recorder.record(at, Event.ENDPOINTS_UPDATED, False, changed)
         self.driver.update_endpoints(at, EndpointUpdate(False, changed))
 
-    def _news(self, word: Event, tell: Callable[..., Any], *said: Any) -> None:
+    def _notify(self, event: Event, deliver: Callable[..., object], *details: object) -> None:
         at = now()
-        self.recorder.record(at, word, *said)
-        tell(at, *said)
+        self.recorder.record(at, event, *details)
+        deliver(at, *details)
 
-    # What the desk asks for.
+    # Actions, as the driver asks for them.
 
-    def start_attempt(self, query: int, engine: int, cap: int) -> None:
-        self.recorder.record(now(), RecordedAction.START_ATTEMPT, query, engine, cap)
-        self.front.start_attempt(query, engine, cap)
+    def start_attempt(self, request: int, engine: int, timeout: int) -> None:
+        """Starts an attempt; `timeout` is 0 for none of its own."""
+        self.recorder.record(now(), RecordedAction.START_ATTEMPT, request, engine, timeout)
+        self.handler.start_attempt(request, engine, timeout)
 
-    def reject(self, query: int, hold_off: int) -> None:
-        self.recorder.record(now(), RecordedAction.REJECT, query, hold_off)
-        self.front.reject(query, hold_off)
+    def reject(self, request: int, retry_after: int) -> None:
+        """Answers that the request has not run."""
+        self.recorder.record(now(), RecordedAction.REJECT, request, retry_after)
+        self.handler.reject(request, retry_after)
 
-    def fail_indeterminate(self, query: int) -> None:
-        self.recorder.record(now(), RecordedAction.FAIL_INDETERMINATE, query)
-        self.front.fail_indeterminate(query)
+    def fail_indeterminate(self, request: int) -> None:
+        """Answers that the request may or may not have run."""
+        self.recorder.record(now(), RecordedAction.FAIL_INDETERMINATE, request)
+        self.handler.fail_indeterminate(request)
 
-    def release_state(self, query: int) -> None:
-        self.recorder.record(now(), RecordedAction.RELEASE_STATE, query)
-        self.front.release_state(query)
+    def release_state(self, request: int) -> None:
+        """Begins to release the request's prefill state."""
+        self.recorder.record(now(), RecordedAction.RELEASE_STATE, request)
+        self.handler.release_state(request)
 
-    def migrate_stream(self, query: int) -> None:
-        self.recorder.record(now(), RecordedAction.MIGRATE_STREAM, query)
-        self.front.migrate_stream(query)
+    def migrate_stream(self, request: int) -> None:
+        """Ends a running stream, so that its client comes again for the rest."""
+        self.recorder.record(now(), RecordedAction.MIGRATE_STREAM, request)
+        self.handler.migrate_stream(request)
 
     def subscribe_to_endpoints(self) -> None:
+        """Only records it: a front follows the endpoint list on its own."""
         self.recorder.record(now(), RecordedAction.SUBSCRIBE)
 
     def set_timer(self, token: str, at: int) -> None:
+        """Has `timer_fired` called with the token at `at`."""
         self.recorder.record(now(), RecordedAction.SET_TIMER, token, at)
-        self.front.set_timer(SchedulerTimer(self.name, token), at)
+        self.handler.set_timer(SchedulerTimer(self.name, token), at)
 
     def log_message(self, text: str) -> None:
+        """Logs what the scheduler has to say."""
         self.recorder.record(now(), RecordedAction.LOG_MESSAGE, text)
-        self.front.log_message(text)
+        self.handler.log_message(text)
 
-    def forget_request(self, query: int) -> None:
-        self.recorder.record(now(), RecordedAction.FORGET_REQUEST, query)
-        self.queries -= 1
-        self.front.forget_request(query)
+    def forget_request(self, request: int) -> None:
+        """The scheduler is done with the request."""
+        self.recorder.record(now(), RecordedAction.FORGET_REQUEST, request)
+        self.open_requests -= 1
+        self.handler.forget_request(request)
--- a/runspool/service/deadlines.py
+++ b/runspool/service/deadlines.py
@@ -1,21 +1,25 @@
-"""How much of a client's time the decisions may spend. Free of I/O.
+"""How much of a client's time the scheduler may spend. Free of I/O.
 
-The decisions count to an answer's first token, since a client that reads along sees it then. A client that
-takes its answer whole sees nothing before the last token, so what the writing will take is set aside for it.
+The scheduler counts to a response's first token, which a streaming client sees at once. A client that takes
+its response whole sees nothing before the last token, so the time to generate the output is set aside for it.
 """
 
 from __future__ import annotations
 
 from runspool.scheduling.settings import RequestClassSettings
 
-WRITING_PART = 0.75  # of the time at most that is set aside: a hint too long must not leave no time to try
+MAX_OUTPUT_FRACTION = 0.75  # of the time left that is set aside: too long a hint must leave time to try
 
 
-def first_token_budget(left: int, whole: bool, likely_out: int, terms: RequestClassSettings) -> int:
-    """Tenths of a millisecond to the first token, of `left` to the hard limit; never below 0.
+def first_token_budget(
+    time_left: int, is_whole: bool, expected_output_tokens: int, settings: RequestClassSettings
+) -> int:
+    """The time to the first token, of `time_left` to the deadline; in tenths of a millisecond, never below 0.
 
-    `likely_out` is the hint of the answer's tokens, 0 where none came: then nothing is set aside.
+    `is_whole` says that the client takes its response whole. `expected_output_tokens` is the client's hint, 0
+    where none came: then nothing is set aside.
     """
-    if not whole:
-        return max(0, left)
-    return max(0, left - min(likely_out * terms.time_per_output_token, int(left * WRITING_PART)))
+    if not is_whole:
+        return max(0, time_left)
+    output_time = expected_output_tokens * settings.time_per_output_token
+    return max(0, time_left - min(output_time, int(time_left * MAX_OUTPUT_FRACTION)))
--- a/runspool/service/event_recorder.py
+++ b/runspool/service/event_recorder.py
@@ -6,15 +6,15 @@
 from __future__ import annotations
 
 from pathlib import Path
-from typing import Any, BinaryIO
+from typing import BinaryIO
 
 import msgspec
 import structlog
 
 from runspool.service.recording_format import Event, RecordedAction, to_stored
 
-MAX_BYTES = 1 << 30
-BUFFER_BYTES = 1 << 16
+MAX_BYTES = 1 << 30  # of one recording
+BUFFER_BYTES = 1 << 16  # written at once
 
 
 class EventRecorder:
@@ -24,11 +24,11 @@
         self._file: BinaryIO | None = path.open("ab", buffering=BUFFER_BYTES) if path else None
         self._bytes_left = max_bytes
 
-    def record(self, now: int, word: Event | RecordedAction, *values: Any) -> None:
-        """One line; `now` in tenths of a millisecond."""
+    def record(self, now: int, entry: Event | RecordedAction, *values: object) -> None:
+        """Appends one line; `now` in tenths of a millisecond on the front's clock."""
         if self._file is None:
             return
-        line = msgspec.json.encode([now, word, *map(to_stored, values)]) + b"\n"
+        line = msgspec.json.encode([now, entry, *map(to_stored, values)]) + b"\n"
         self._bytes_left -= len(line)
         if self._bytes_left < 0:
             structlog.get_logger().warning("event_recording_full")
@@ -37,7 +37,7 @@
         self._file.write(line)
 
     def close(self) -> None:
-        """Ends the recording; what is recorded after it is dropped."""
+        """Ends the recording; what is recorded afterwards is dropped."""
         if self._file is not None:
             self._file.close()
             self._file = None
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -269,7 +269,7 @@
         return found
 
     def _close_if_left(self, name: str, quarter: CellScheduler) -> None:
-        if not quarter.queries and name not in self.keeping.chart.names():
+        if not quarter.open_requests and name not in self.keeping.chart.names():
             quarter.recorder.close()
             del self.quarters[name]
 
--- a/runspool/service/recording_format.py
+++ b/runspool/service/recording_format.py
@@ -1,15 +1,14 @@
 """The stored form of a front's recorded events: one JSON array a line, `[time, word, *values]`.
 
 The words and the field names are those of the first recordings, so that old ones replay. This module holds
-the only
-table between them and the names in the code.
+the only table between them and the names in the code.
 """
 
 from __future__ import annotations
 
 from dataclasses import fields, is_dataclass
 from enum import Enum, StrEnum
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import msgspec
 
@@ -40,7 +39,7 @@
 
 
 class RecordedAction(StrEnum):
-    """What it asked for."""
+    """What a scheduler driver asked for."""
 
     START_ATTEMPT = "send"
     REJECT = "dismiss"
@@ -136,7 +135,7 @@
 }
 
 
-def to_stored(value: Any) -> Any:
+def to_stored(value: object) -> object:
     """A value of an event as plain objects, under its stored names."""
     if isinstance(value, Enum):
         return value.value
@@ -145,15 +144,17 @@
     if not is_dataclass(value):
         return value
     names = STORED_NAMES[type(value)]
-    return {names.get(one.name, one.name): to_stored(getattr(value, one.name)) for one in fields(value)}
+    return {
+        names.get(field.name, field.name): to_stored(getattr(value, field.name)) for field in fields(value)
+    }
 
 
-def from_stored(raw: Any, kind: type[T]) -> T:
+def from_stored(raw: object, kind: type[T]) -> T:
     """The value that was stored; raises `msgspec.ValidationError` where it cannot be one."""
     return msgspec.convert(_with_current_names(raw, kind), kind)
 
 
-def _with_current_names(raw: Any, kind: type) -> Any:
+def _with_current_names(raw: object, kind: type) -> object:
     if isinstance(raw, list):
         return [_with_current_names(item, kind) for item in raw]
     if not isinstance(raw, dict):
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -773,7 +773,7 @@
     for quarter in front.quarters.values():
         rules = quarter.driver.scheduler
         found += [f"errand {index}" for index in quarter.driver.tasks if index != BACKGROUND_TASK]
-        found += [f"{quarter.name} counts {quarter.queries} queries"] if quarter.queries else []
+        found += [f"{quarter.name} counts {quarter.open_requests} queries"] if quarter.open_requests else []
         found += [f"room {place}" for place in rules.room]
         for one in rules.engines.values():
             books = {"reads": one.reads, "waiting": one.waiting, "streams": one.streams}
