--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -37,7 +37,7 @@
 from runspool.lab.scenario_runner import ScenarioRunner, front_terms
 from runspool.runtime.scheduler_driver import SchedulerDriver
 from runspool.scheduling.settings import RoutingSettings
-from runspool.scheduling.types import EndpointUpdate, EngineRecord, Request, Role
+from runspool.scheduling.types import EndpointUpdate, EngineRecord, EngineState, Request, Role
 
 STUDENT = {2: 12.706, 3: 4.303, 4: 3.182, 5: 2.776, 6: 2.571, 8: 2.365, 10: 2.262}  # two-sided, 95%
 
@@ -297,23 +297,23 @@
     tenants = [f"tenant-{at}" for at in range(1000)]
     said: dict[str, Any] = {}
     for way, chart in charts(64).items():
-        keeping = CellRouter(chart, 10_000, 1 << 30, Random(1).random)
-        keeping.update_engines(engines, set())
+        router = CellRouter(chart, 10_000, 1 << 30, Random(1).random)
+        router.update_engines(engines, set())
         rng = Random(2)
         asked = [
             AdmissionRequest(tenants[rng.randrange(1000)], None, None, False, 0, 1000, str(at))
             for at in range(queries)
         ]
         begun = time.perf_counter()
-        stays = [keeping.admit(at, 1, one) for at, one in enumerate(asked)]
-        for stay in stays:
-            assert isinstance(stay, CellAdmission)
-            keeping.finish(0, stay, False)
+        admissions = [router.admit(at, 1, one) for at, one in enumerate(asked)]
+        for admission in admissions:
+            assert isinstance(admission, CellAdmission)
+            router.finish(0, admission, False)
         spent = (time.perf_counter() - begun) / queries * 1e6
         begun = time.perf_counter()
-        keeping.update_engines(engines, set())
+        router.update_engines(engines, set())
         placing = (time.perf_counter() - begun) * 1e3
-        many = len(next(iter(keeping.placement.cells.values())))
+        many = len(next(iter(router.placement.cells.values())))
         row = {
             "a_query_us": round(spent, 1),
             "a_list_ms": round(placing, 2),
@@ -331,13 +331,14 @@
     def __init__(self) -> None:
         self.sent: list[tuple[int, int]] = []
 
-    def send(self, query: int, engine: int, cap: int) -> None:
-        self.sent.append((query, engine))
+    def start_attempt(self, request: int, engine: int, timeout: int) -> None:
+        self.sent.append((request, engine))
 
     def nothing(self, *said: Any) -> None:
         return
 
-    dismiss = scrap = release = move = subscribe = wake = note = forget = nothing
+    reject = fail_indeterminate = release_state = migrate_stream = nothing
+    subscribe_to_endpoints = set_timer = log_message = forget_request = nothing
 
 
 def module(engines: list[EnginePlace], many: int, queries: int) -> float:
@@ -353,7 +354,7 @@
         EndpointUpdate(
             True,
             [
-                EngineRecord(at, names.index(kinds[one.role]), 0, one.rack, 0, "on", at)
+                EngineRecord(at, names.index(kinds[one.role]), 0, one.rack, 0, EngineState.READY, at)
                 for at, one in enumerate(engines[:many])
             ],
         ),
--- a/runspool/cells/cell_router.py
+++ b/runspool/cells/cell_router.py
@@ -144,10 +144,15 @@
         home = self._home_cell(now, unix_ms, request)
         if home is None:
             return AdmissionRefusal.EARLIER_CELL_UNKNOWN
-        refusal = self._check_budgets(home, request)
-        if refusal is not None:
-            return refusal
-        cell = self._serving_cell(now, home, request)
+        decision = self.request_budget.check(home)
+        if decision is BudgetDecision.ADMITTED:
+            decision = self.byte_budget.check(home, request.size_bytes)
+        if decision is BudgetDecision.CELL_FULL:
+            return AdmissionRefusal.CELL_FULL
+        if decision is BudgetDecision.FRONT_FULL:
+            return AdmissionRefusal.FRONT_FULL
+        reserve = self.cell_map.reserve
+        cell = home if reserve is None else self._home_or_reserve(now, home, reserve, request)
         self.request_budget.acquire(home)
         self.byte_budget.acquire(home, request.size_bytes)
         self.migrations.record_admission(now, request.tenant, cell, request.ticket, request.binding_time)
@@ -194,20 +199,8 @@
             return None
         return self.migrations.home_cell(unix_ms, request.tenant, request.session)
 
-    def _check_budgets(self, home: str, request: AdmissionRequest) -> AdmissionRefusal | None:
-        for budget, amount in ((self.request_budget, 1), (self.byte_budget, request.size_bytes)):
-            decision = budget.check(home, amount)
-            if decision is BudgetDecision.CELL_FULL:
-                return AdmissionRefusal.CELL_FULL
-            if decision is BudgetDecision.FRONT_FULL:
-                return AdmissionRefusal.FRONT_FULL
-        return None
-
-    def _serving_cell(self, now: int, home: str, request: AdmissionRequest) -> str:
-        """The home cell, or the reserve where that takes the request. Draws once unless that is moot."""
-        reserve = self.cell_map.reserve
-        if reserve is None:
-            return home
+    def _home_or_reserve(self, now: int, home: str, reserve: str, request: AdmissionRequest) -> str:
+        """The cell that serves a request; makes one random draw unless the answer does not depend on it."""
         # A retry of a ticketed request stays with the engines that know its ticket.
         if request.ticket is not None and request.is_retry:
             return home
--- a/runspool/service/cell_map_watcher.py
+++ b/runspool/service/cell_map_watcher.py
@@ -1,71 +1,88 @@
-"""Keeps a front's cell map as new as its file, and what the front has taken on disk before it counts."""
+"""Keeps a front's cell map up to date with its file, and stores each adopted map before it takes effect."""
 
 from __future__ import annotations
 
-import os
 from pathlib import Path
 
 import anyio
 import anyio.to_thread
 import structlog
 
-from runspool.cells import cell_store as book
+from runspool.cells import cell_store
 from runspool.cells.cell_map import CellMap
 from runspool.service.clock import unix_ms
 from runspool.service.front import Front
 
-LOOK = 0.2  # seconds between looks at the file
+POLL_INTERVAL = 0.2  # seconds between looks at the file
 
 
 class CellMapWatcher:
-    def __init__(self, file: Path, memory: Path) -> None:
-        self.file, self.snapshot_file = file, memory
-        self.last_file_version: tuple[int, int] | None = None
+    """Follows the cell map file that all fronts share; `snapshot_file` keeps the map this front adopted."""
+
+    def __init__(self, file: Path, snapshot_file: Path) -> None:
+        self.file = file
+        self.snapshot_file = snapshot_file
+        self.last_file_version: tuple[int, int] | None = None  # modification time in ns, inode
         self.log = structlog.get_logger()
 
-    def load_initial(self, since: int) -> tuple[CellMap | None, int]:
-        """The map to begin with, and since when it is this front's: the last life's, if that is as new."""
-        kept: tuple[CellMap, int] | None = None
-        try:
-            kept = book.recall(self.snapshot_file)
-        except book.CorruptFileError as fault:
-            self.log.error("cell_map_snapshot_damaged", reason=str(fault))
-        chart = self._load()
-        if chart is None or (kept is not None and kept[0].version >= chart.version):
-            return kept if kept is not None else (None, 0)
-        book.remember(self.snapshot_file, chart, since)
-        return chart, since
+    def load_initial(self, adopted_unix_ms: int) -> tuple[CellMap | None, int]:
+        """The map to begin with, and the Unix milliseconds at which this front adopted it.
+
+        That is the stored map of the last run where it is as new as the file's; a newer one of the file is
+        stored as adopted at `adopted_unix_ms`. Where neither can be read, None and 0. Raises OSError where it
+        cannot be stored.
+        """
+        stored = self._load_snapshot()
+        cell_map = self._load_if_changed()
+        if cell_map is None or (stored is not None and stored[0].version >= cell_map.version):
+            return stored if stored is not None else (None, 0)
+        cell_store.remember(self.snapshot_file, cell_map, adopted_unix_ms)
+        return cell_map, adopted_unix_ms
 
     async def follow(self, front: Front) -> None:
-        """Looks until cancelled. A map that cannot be read or kept is said, and the old one stays."""
+        """Has the front adopt newer maps until cancelled.
+
+        A map that cannot be read or stored is logged, and the old one stays in effect.
+        """
         while True:
-            await anyio.sleep(LOOK)
-            chart = await anyio.to_thread.run_sync(self._load)
-            if chart is None or chart.version <= front.cell_router.cell_map.version:
+            await anyio.sleep(POLL_INTERVAL)
+            cell_map = await anyio.to_thread.run_sync(self._load_if_changed)
+            if cell_map is None or cell_map.version <= front.cell_router.cell_map.version:
                 continue
-            at = unix_ms()
+            adopted_at = unix_ms()
             try:
-                await anyio.to_thread.run_sync(book.remember, self.snapshot_file, chart, at)
-            except OSError as fault:
-                # Taken without being kept, a restart would not know when its tenants moved.
-                self.log.error("cell_map_not_kept", reason=str(fault))
+                await anyio.to_thread.run_sync(cell_store.remember, self.snapshot_file, cell_map, adopted_at)
+            except OSError as error:
+                # Adopted without being stored, a restart would not know when its tenants moved.
+                self._log_error("cell_map_not_kept", error)
                 self.last_file_version = None
                 continue
-            front.cell_map_changed(chart, at)
+            front.cell_map_changed(cell_map, adopted_at)
 
-    def _load(self) -> CellMap | None:
-        """The map, where the file has changed since the last look."""
+    def _load_snapshot(self) -> tuple[CellMap, int] | None:
         try:
-            now = os.stat(self.file)
+            return cell_store.recall(self.snapshot_file)
+        except cell_store.CorruptFileError as error:
+            self._log_error("cell_map_snapshot_damaged", error)
+            return None
+
+    def _load_if_changed(self) -> CellMap | None:
+        """The map, where the file has changed since the last look and can be read."""
+        try:
+            status = self.file.stat()
         except OSError:
             return None
-        mark = (now.st_mtime_ns, now.st_ino)
-        if mark == self.last_file_version:
+        file_version = (status.st_mtime_ns, status.st_ino)
+        if file_version == self.last_file_version:
             return None
         try:
-            chart = book.load(self.file)
-        except book.CorruptFileError as fault:
-            self.log.error("cell_map_unusable", reason=str(fault))
-            chart = None
-        self.last_file_version = mark
-        return chart
+            cell_map = cell_store.load(self.file)
+        except cell_store.CorruptFileError as error:
+            self._log_error("cell_map_unusable", error)
+            cell_map = None
+        self.last_file_version = file_version
+        return cell_map
+
+    def _log_error(self, event: str, error: Exception) -> None:
+        """Logs an expected fault by its reason, without a traceback."""
+        self.log.error(event, reason=str(error))
--- a/runspool/service/pending_completion.py
+++ b/runspool/service/pending_completion.py
@@ -1,4 +1,4 @@
-"""A completion that this front has taken."""
+"""A completion request that this front has accepted."""
 
 from __future__ import annotations
 
@@ -12,7 +12,9 @@
 
 @dataclass(slots=True, kw_only=True)
 class PendingCompletion(PendingRequest):
+    """A pending request with what the completions protocol and the cells add."""
+
     completion: CompletionRequest
-    headers: dict[str, str]
+    headers: dict[str, str]  # of the client, passed on to engines
     admission: CellAdmission
-    state: PrefillState | None = None  # the read state that waits
+    state: PrefillState | None = None  # of the finished prefill, while an engine keeps it
--- a/tests/test_doctored.py
+++ b/tests/test_doctored.py
@@ -159,7 +159,7 @@
 
     async def finish(one: _EventStreamResponse, final: Any) -> None:
         await sound(one, final)
-        one.conversation.tcp.write(wire.DONE)
+        one.handler.tcp.write(wire.DONE)
 
     patch.setattr(_EventStreamResponse, "finish", finish)
 
