--- a/tests/test_cells_at_work.py
+++ b/tests/test_cells_at_work.py
@@ -135,12 +135,12 @@
     async with town.open():
         await adopted(town, moved())
         at = town.running.front.cell_router.adopted_unix_ms
-    again = FrontServer(town.running.terms)
+    again = FrontServer(town.running.config)
     assert again.front.cell_router.cell_map == moved()
     assert again.front.cell_router.migrations.adopted_unix_ms == at
     # A damaged memory of it counts as a map taken just now, so that no ticket is trusted too early.
     (tmp_path / "front-0.list.cells").write_bytes(b"torn")
-    torn = FrontServer(town.running.terms)
+    torn = FrontServer(town.running.config)
     assert torn.front.cell_router.cell_map == moved()
     assert torn.front.cell_router.adopted_unix_ms > at
 
@@ -149,7 +149,7 @@
 async def test_a_torn_or_older_map_changes_nothing(tmp_path: Path) -> None:
     async with Town(tmp_path, KINDS, CHART).open() as town:
         await adopted(town, moved())
-        maps = town.running.maps
+        maps = town.running.cell_map_watcher
         assert maps is not None
         for raw in (b"torn", b"%08x\n{}" % 0):
             town.map_file.write_bytes(raw)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -263,7 +263,7 @@
             refused = await town.ask()
             assert (refused.status, refused.error["code"]) == (503, "front_full")
             idle = [await anyio.connect_tcp("127.0.0.1", town.port) for _ in range(2)]
-            while town.running.open < 3:
+            while town.running.open_connections < 3:
                 await anyio.sleep(0.005)
             async with await anyio.connect_tcp("127.0.0.1", town.port) as stream:
                 over = await answered(stream)
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -63,7 +63,7 @@
 
 
 async def half_read(town: Town, query: Query, patch: Any) -> None:
-    while not town.running.busy:
+    while not town.running.active_requests:
         await anyio.sleep(0.005)
 
 
