--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -15,15 +15,14 @@
 from rich.console import Console
 from rich.table import Table
 
-from runspool.cells import cell_store as book
-from runspool.cells import tenant_migration as moving
+from runspool.cells import cell_store, tenant_migration
 from runspool.cells.cell_map import CellMap, Move
 from runspool.cells.engine_placement import EnginePlace, home_cell, place_engines
 from runspool.cli.terms import Vars, read
 from runspool.config import FrontConfig
 from runspool.config.loader import InvalidConfigError, evaluate
 from runspool.config.schema import ROLES
-from runspool.discovery import snapshot as memory
+from runspool.discovery import snapshot
 from runspool.scheduling.types import Role
 from runspool.service.clock import unix_ms
 from runspool.units import tenths
@@ -40,21 +39,21 @@
 
 
 @contextmanager
-def said_plainly() -> Iterator[None]:
+def refusals_reported() -> Iterator[None]:
     """A refusal or a damaged file ends in one line on standard error and exit 1."""
     try:
         yield
     except (
-        moving.MigrationRefusedError,
-        book.CorruptFileError,
-        memory.CorruptFileError,
+        tenant_migration.MigrationRefusedError,
+        cell_store.CorruptFileError,
+        snapshot.CorruptFileError,
         InvalidConfigError,
     ) as fault:
         typer.echo(f"refused: {fault}", err=True)
         raise typer.Exit(1) from None
 
 
-class Desk:
+class FrontFiles:
     """The files that a front's terms name, and the engines that it last knew."""
 
     def __init__(self, file: Path, var: list[str] | None) -> None:
@@ -64,16 +63,18 @@
             raise typer.Exit(2)
         self.path = Path(self.terms.front.cells_file)
 
-    def chart(self) -> CellMap:
-        chart = book.mend(self.path)
-        if chart is None:
-            raise moving.MigrationRefusedError(
+    def cell_map(self) -> CellMap:
+        """The published map, mended from its log where needed; raises MigrationRefusedError where none is."""
+        cell_map = cell_store.mend(self.path)
+        if cell_map is None:
+            raise tenant_migration.MigrationRefusedError(
                 f"{self.path}: there is no map yet; `runspool cells adopt` makes one"
             )
-        return chart
+        return cell_map
 
     def engines(self) -> list[EnginePlace]:
-        last = memory.load_snapshot(Path(self.terms.front.memory_file or ""))
+        """The ready engines of the front's last endpoint list, none where it has no list."""
+        last = snapshot.load_snapshot(Path(self.terms.front.memory_file or ""))
         kinds = self.terms.house.kinds
         return [
             EnginePlace(one.engine, ROLES[kinds[one.kind].role], one.zone, one.rack)
@@ -81,7 +82,7 @@
             if one.state == "on" and one.kind in kinds
         ]
 
-    def binds(self) -> int:
+    def binding_time(self) -> int:
         """The longest that a ticket can bind, in tenths of a millisecond."""
         limit = self.terms.front.bounds.longest_limit_ms
         return max(
@@ -105,30 +106,32 @@
     var: Vars = None,
 ) -> None:
     """Put a map written by hand in place, as the next version. Moves under way must be finished first."""
-    desk = Desk(file, var)
-    with said_plainly():
-        before = book.mend(desk.path)
-        said = evaluate(source)
-        said["version"] = (before.version if before else 0) + 1
-        after = book.decoded(json.dumps(said).encode(), str(source))
+    front_files = FrontFiles(file, var)
+    with refusals_reported():
+        before = cell_store.mend(front_files.path)
+        fields = evaluate(source)
+        fields["version"] = (before.version if before else 0) + 1
+        after = cell_store.decoded(json.dumps(fields).encode(), str(source))
         if before is not None and any(move.step == "planned" for move in before.moves):
-            raise moving.MigrationRefusedError("a move is under way; finish or undo it first")
-        engines = desk.engines()
+            raise tenant_migration.MigrationRefusedError("a move is under way; finish or undo it first")
+        engines = front_files.engines()
         if engines and (
-            missing := [lack for lack in place_engines(after, engines).shortages if ": 0 of" in lack]
+            missing := [
+                shortage for shortage in place_engines(after, engines).shortages if ": 0 of" in shortage
+            ]
         ):
-            raise moving.MigrationRefusedError("; ".join(missing))
+            raise tenant_migration.MigrationRefusedError("; ".join(missing))
         _differences(before, after, engines)
-        _write(desk, yes, f"adopt {source.name}", before, after)
+        _write(front_files, yes, f"adopt {source.name}", before, after)
 
 
 @app.command(epilog="Example: runspool cells show front.jsonnet")
 def show(file: TermsFile, var: Vars = None) -> None:
-    """Print the cells with their engines, what they lack, tenants and moves."""
-    desk = Desk(file, var)
-    with said_plainly():
-        chart, engines = desk.chart(), desk.engines()
-    placed = place_engines(chart, engines)
+    """Print the cells with their engines, what they shortage, tenants and moves."""
+    front_files = FrontFiles(file, var)
+    with refusals_reported():
+        cell_map, engines = front_files.cell_map(), front_files.engines()
+    placed = place_engines(cell_map, engines)
     table = Table(
         "cell",
         "readers",
@@ -136,24 +139,24 @@
         "mixed",
         "zones",
         "tenants",
-        title=f"version {chart.version}, {chart.way}, {len(engines)} engines",
+        title=f"version {cell_map.version}, {cell_map.way}, {len(engines)} engines",
     )
     roles = {one.name: one for one in engines}
-    for name, there in placed.cells.items():
-        count = [sum(roles[engine].role is role for engine in there) for role in Role]
-        tenants = [tenant for tenant in chart.tenants if home_cell(chart, tenant, None) == name]
+    for name, members in placed.cells.items():
+        count = [sum(roles[engine].role is role for engine in members) for role in Role]
+        tenants = [tenant for tenant in cell_map.tenants if home_cell(cell_map, tenant, None) == name]
         more = f" and {len(tenants) - 4} more" if len(tenants) > 4 else ""
-        zones = " ".join(sorted({roles[engine].zone for engine in there}))
+        zones = " ".join(sorted({roles[engine].zone for engine in members}))
         table.add_row(
-            name + (" (reserve)" if name == chart.reserve else ""),
+            name + (" (reserve)" if name == cell_map.reserve else ""),
             *map(str, count),
             zones,
             " ".join(tenants[:4]) + more,
         )
     out.print(table)
-    for lack in placed.shortages:
-        out.print(f"lacks: {lack}")
-    for move in chart.moves:
+    for shortage in placed.shortages:
+        out.print(f"lacks: {shortage}")
+    for move in cell_map.moves:
         out.print(f"move {move.id}: {move.tenant} from {move.source} to {move.target}, {move.step}")
 
 
@@ -187,23 +190,23 @@
 @app.command(epilog="Example: runspool cells undo front.jsonnet m-7 --yes")
 def undo(file: TermsFile, move_id: str, yes: ReallyDo = False, var: Vars = None) -> None:
     """Turn a move back: new queries go to the old cell again. What is in the new cell ends there."""
-    desk = Desk(file, var)
-    with said_plainly():
-        before = desk.chart()
-        after = moving.undo_move(before, move_id, unix_ms())
-        _differences(before, after, desk.engines())
-        _write(desk, yes, f"undo {move_id}", before, after)
+    front_files = FrontFiles(file, var)
+    with refusals_reported():
+        before = front_files.cell_map()
+        after = tenant_migration.undo_move(before, move_id, unix_ms())
+        _differences(before, after, front_files.engines())
+        _write(front_files, yes, f"undo {move_id}", before, after)
 
 
 @app.command(epilog="Example: runspool cells finish front.jsonnet m-7 --yes")
 def finish(file: TermsFile, move_id: str, yes: ReallyDo = False, var: Vars = None) -> None:
     """Make a settled move the tenant's home. Refused while a ticket may still bind the old cell."""
-    desk = Desk(file, var)
-    with said_plainly():
-        before = desk.chart()
-        after = moving.finish_move(before, move_id, unix_ms(), desk.binds())
-        _differences(before, after, desk.engines())
-        _write(desk, yes, f"finish {move_id}", before, after)
+    front_files = FrontFiles(file, var)
+    with refusals_reported():
+        before = front_files.cell_map()
+        after = tenant_migration.finish_move(before, move_id, unix_ms(), front_files.binding_time())
+        _differences(before, after, front_files.engines())
+        _write(front_files, yes, f"finish {move_id}", before, after)
 
 
 @app.command(
@@ -218,21 +221,21 @@
     """Print where each front stands: its map's version, its moves and what they still wait for."""
     end = time.monotonic() + patience_s
     while True:
-        seen = {front: _ask(front) for front in fronts}
-        for front, said in seen.items():
-            if isinstance(said, str):
-                out.print(f"{front}: {said}")
+        replies = {front: _fetch_status(front) for front in fronts}
+        for front, reply in replies.items():
+            if isinstance(reply, str):
+                out.print(f"{front}: {reply}")
                 continue
-            moves = ", ".join(f"{one['id']} {one['stage']} ({one['out']} out)" for one in said["moves"])
-            out.print(f"{front}: version {said['version']}; {moves or 'no moves'}")
+            moves = ", ".join(f"{move['id']} {move['stage']} ({move['out']} out)" for move in reply["moves"])
+            out.print(f"{front}: version {reply['version']}; {moves or 'no moves'}")
         if not until_settled:
             return
         stages = [
-            one["stage"]
-            for said in seen.values()
-            if not isinstance(said, str)
-            for one in said["moves"]
-            if one["id"] == until_settled
+            move["stage"]
+            for reply in replies.values()
+            if not isinstance(reply, str)
+            for move in reply["moves"]
+            if move["id"] == until_settled
         ]
         if len(stages) == len(fronts) and all(stage in ("settled", "back") for stage in stages):
             return
@@ -245,65 +248,69 @@
 def _move(
     file: Path, tenant: str, target: str, starts_in_ms: int, warm: bool, yes: bool, var: list[str] | None
 ) -> None:
-    desk = Desk(file, var)
-    with said_plainly():
-        before = desk.chart()
-        if tenant not in desk.terms.house.tenants:
-            raise moving.MigrationRefusedError(f"{tenant} is none of the house's tenants")
-        wall = unix_ms()
-        source = moving.TenantMigrations(before).home_cell(wall, tenant, None)
-        engines = desk.engines()
-        asked = Move(
+    front_files = FrontFiles(file, var)
+    with refusals_reported():
+        before = front_files.cell_map()
+        if tenant not in front_files.terms.house.tenants:
+            raise tenant_migration.MigrationRefusedError(f"{tenant} is none of the house's tenants")
+        now_unix_ms = unix_ms()
+        source = tenant_migration.TenantMigrations(before).home_cell(now_unix_ms, tenant, None)
+        engines = front_files.engines()
+        new_move = Move(
             id=f"m-{before.version + 1}",
             tenant=tenant,
             source=source,
             target=target,
-            starts_unix_ms=wall + starts_in_ms,
+            starts_unix_ms=now_unix_ms + starts_in_ms,
             warm=warm,
         )
-        after = moving.plan_move(before, asked, place_engines(before, engines).shortages)
+        after = tenant_migration.plan_move(before, new_move, place_engines(before, engines).shortages)
         _differences(before, after, engines)
-        _write(desk, yes, f"move {tenant} {source} {target}", before, after)
+        _write(front_files, yes, f"move {tenant} {source} {target}", before, after)
         if yes:
-            out.print(f"move {asked.id}: new queries go to {target} in {starts_in_ms} ms")
+            out.print(f"move {new_move.id}: new queries go to {target} in {starts_in_ms} ms")
 
 
-def _write(desk: Desk, yes: bool, what: str, before: CellMap | None, after: CellMap) -> None:
+def _write(front_files: FrontFiles, yes: bool, what: str, before: CellMap | None, after: CellMap) -> None:
     if not yes:
         out.print("nothing is changed; --yes does it")
         return
-    with book.changing(desk.path):
-        now = book.mend(desk.path)
+    with cell_store.changing(front_files.path):
+        now = cell_store.mend(front_files.path)
         if (now and now.version) != (before and before.version):
-            raise moving.MigrationRefusedError("the map has been changed meanwhile; look again")
-        book.change(desk.path, what, after, unix_ms())
-    out.print(f"{desk.path}: version {after.version}")
+            raise tenant_migration.MigrationRefusedError("the map has been changed meanwhile; look again")
+        cell_store.change(front_files.path, what, after, unix_ms())
+    out.print(f"{front_files.path}: version {after.version}")
 
 
 def _differences(before: CellMap | None, after: CellMap, engines: list[EnginePlace]) -> None:
     old = place_engines(before, engines).cells if before is not None else {}
     changed = 0
-    for name, there in place_engines(after, engines).cells.items():
-        for engine in sorted(there - old.get(name, frozenset())):
+    for name, members in place_engines(after, engines).cells.items():
+        for engine in sorted(members - old.get(name, frozenset())):
             out.print(f"engine {engine}: now in {name}")
             changed += 1
-        for engine in sorted(old.get(name, frozenset()) - there):
+        for engine in sorted(old.get(name, frozenset()) - members):
             out.print(f"engine {engine}: no longer in {name}")
             changed += 1
     out.print(f"{changed} changes of engines in {len(engines)}")
-    far = 1 << 60  # after every moment that a map states
+    after_all_moves = 1 << 60  # after every moment that a map states
     tenants = {*after.tenants, *(one.tenant for one in after.moves), *(before.tenants if before else ())}
     for tenant in sorted(tenants):
-        was = moving.TenantMigrations(before).home_cell(far, tenant, None) if before else "nowhere"
-        will = moving.TenantMigrations(after).home_cell(far, tenant, None)
+        was = (
+            tenant_migration.TenantMigrations(before).home_cell(after_all_moves, tenant, None)
+            if before
+            else "nowhere"
+        )
+        will = tenant_migration.TenantMigrations(after).home_cell(after_all_moves, tenant, None)
         if was != will:
             out.print(f"tenant {tenant}: from {was} to {will}")
 
 
-def _ask(front: str) -> dict[str, Any] | str:
+def _fetch_status(front: str) -> dict[str, Any] | str:
     try:
-        with urllib.request.urlopen(f"http://{front}/cells", timeout=5) as said:
-            found: dict[str, Any] = json.load(said)
-            return found
+        with urllib.request.urlopen(f"http://{front}/cells", timeout=5) as response:
+            status: dict[str, Any] = json.load(response)
+            return status
     except (urllib.error.URLError, OSError, ValueError) as fault:
         return f"not reached: {fault}"
