--- a/runspool/cli/main.py
+++ b/runspool/cli/main.py
@@ -1,4 +1,4 @@
-"""`runspool`: the sub-commands."""
+"""The command `runspool`: its sub-commands and its entry point."""
 
 from __future__ import annotations
 
@@ -15,7 +15,12 @@
 from runspool.service.front_server import run_front
 
 # Measured on the benchmark of a front: a sixth less CPU than with the loop of the standard library.
-LOOP = {"use_uvloop": True}
+EVENT_LOOP_OPTIONS = {"use_uvloop": True}
+
+EXIT_ADDRESS_UNAVAILABLE = 3
+
+# What the extra [lab] installs; without it there is no sub-command `lab`.
+LAB_PACKAGES = frozenset({"xxhash", "jinja2", "hdrh", "numpy"})
 
 app = typer.Typer(
     no_args_is_help=True,
@@ -34,26 +39,28 @@
     file: terms_commands.ConfigFile,
     var: terms_commands.ExternalVariables = None,
     seed: Annotated[int | None, typer.Option(help="Seed of its chance, in place of the terms'.")] = None,
-    tape: Annotated[Path | None, typer.Option(help="Record what the decisions hear and ask, here.")] = None,
+    recording: Annotated[
+        Path | None, typer.Option("--tape", help="Record what the decisions hear and ask, here.")
+    ] = None,
 ) -> None:
     """Run one front until SIGTERM. Logs are JSON lines on standard error."""
-    checked = terms_commands.load_or_exit(file, var)
-    start_logs(checked.front.log_level)
+    config = terms_commands.load_or_exit(file, var)
+    start_logs(config.front.log_level)
     try:
-        anyio.run(partial(run_front, checked, tape, seed), backend_options=LOOP)
-    except* OSError as faults:
-        typer.echo(f"front {checked.front.name}: {faults.exceptions[0]}", err=True)
-        raise typer.Exit(3) from None
+        anyio.run(partial(run_front, config, recording, seed), backend_options=EVENT_LOOP_OPTIONS)
+    except* OSError as errors:
+        typer.echo(f"front {config.front.name}: {errors.exceptions[0]}", err=True)
+        raise typer.Exit(EXIT_ADDRESS_UNAVAILABLE) from None
 
 
 def run() -> None:
-    """The entry point."""
+    """Run the command line; the sub-command `lab` is there where its packages are installed."""
     try:
         from runspool.cli import lab
-    except ImportError as fault:
-        if str(fault.name).partition(".")[0] not in {"xxhash", "jinja2", "hdrh", "numpy"}:
+    except ImportError as error:
+        package = str(error.name).partition(".")[0]
+        if package not in LAB_PACKAGES:
             raise
-        # Without the extra [lab] the front runs all the same.
     else:
         app.add_typer(lab.app, name="lab")
     app(prog_name="runspool")
--- a/runspool/cli/terms.py
+++ b/runspool/cli/terms.py
@@ -1,4 +1,4 @@
-"""`runspool terms`: checks and shows what a front would be told."""
+"""`runspool terms`: checks and shows a front's configuration."""
 
 from __future__ import annotations
 
@@ -10,6 +10,8 @@
 
 from runspool.config import FrontConfig, InvalidConfigError, load_config
 
+EXIT_INVALID = 2  # an argument or a file that cannot be used
+
 app = typer.Typer(no_args_is_help=True, help="Check and show terms files (Jsonnet).")
 
 ConfigFile = Annotated[Path, typer.Argument(help="A Jsonnet file; `import 'runspool.libsonnet'` is found.")]
@@ -19,33 +21,33 @@
 
 
 def external_variables(pairs: list[str] | None) -> dict[str, str]:
-    """External variables from the command line; exits 2 on one without a value."""
-    found = {}
+    """Return external variables given as NAME=VALUE; exit 2 for one without a value."""
+    variables = {}
     for pair in pairs or []:
         name, equals, value = pair.partition("=")
         if not equals or not name:
             typer.echo(f"--var {pair}: NAME=VALUE is wanted", err=True)
-            raise typer.Exit(2)
-        found[name] = value
-    return found
+            raise typer.Exit(EXIT_INVALID)
+        variables[name] = value
+    return variables
 
 
 def load_or_exit(file: Path, pairs: list[str] | None) -> FrontConfig:
-    """Checked terms, or every fault on standard error and exit 2."""
+    """Return the checked configuration, or print every fault on standard error and exit 2."""
     try:
         return load_config(file, external_variables(pairs))
-    except InvalidConfigError as fault:
-        typer.echo(str(fault), err=True)
-        raise typer.Exit(2) from None
+    except InvalidConfigError as error:
+        typer.echo(str(error), err=True)
+        raise typer.Exit(EXIT_INVALID) from None
 
 
 @app.command(epilog="Example: runspool terms check examples/house.jsonnet   (exit 0: good, 2: faults)")
 def check(file: ConfigFile, var: ExternalVariables = None) -> None:
     """Print every fault at once: its path, its value, what is allowed."""
-    terms = load_or_exit(file, var)
+    config = load_or_exit(file, var)
     typer.echo(
-        f"{file}: good; front {terms.front.name}, {len(terms.house.tariffs)} tariffs, "
-        f"{len(terms.house.kinds)} kinds"
+        f"{file}: good; front {config.front.name}, {len(config.house.tariffs)} tariffs, "
+        f"{len(config.house.kinds)} kinds"
     )
 
 
--- a/runspool/lab/replay.py
+++ b/runspool/lab/replay.py
@@ -1,127 +1,171 @@
-"""Plays a front's tape through a fresh desk: the same news must bring the same asks, one by one."""
+"""Replays a front's recorded events on a new scheduler driver and compares its actions with those recorded.
+
+The same events at the same times must bring the same actions, one by one and in their order.
+"""
 
 from __future__ import annotations
 
+from collections import deque
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
 import msgspec
 
+from runspool.errors import RunspoolError
 from runspool.runtime.scheduler_driver import SchedulerDriver
 from runspool.scheduling.settings import RoutingSettings
 from runspool.scheduling.types import AttemptOutcome, EndpointUpdate, EngineRecord, Request
-from runspool.service.recording_format import Event, from_stored
+from runspool.service.recording_format import Event, RecordedAction, from_stored
 
 EVENTS = frozenset(Event)
 
 
-class UnreadableEventsError(Exception):
-    """A tape that cannot be played; names file and line."""
+class UnreadableEventsError(RunspoolError):
+    """A file that cannot be replayed; the message names file and line."""
 
 
 @dataclass(slots=True)
 class ReplayResult:
-    """How far a tape went: its news, its asks, and the first place where they differ, if any."""
+    """How many events and actions were replayed, and the first difference, empty where there is none."""
 
     events: int = 0
     actions: int = 0
     differs: str = ""
 
 
-class _Hearing:
-    """An outbox that notes what is asked, in the tape's own words."""
+class ActionRecorder:
+    """Takes the scheduler driver's actions and keeps them in their stored form, `[word, *values]`.
+
+    It stands in for a front (`runspool.runtime.scheduler_driver.ActionHandler`) and carries nothing out.
+    """
 
     def __init__(self) -> None:
-        self.asked: list[list[Any]] = []
+        self.actions: deque[list[Any]] = deque()
+
+    def _keep(self, action: RecordedAction, *values: object) -> None:
+        self.actions.append([action.value, *values])
 
-    def start_attempt(self, query: int, engine: int, cap: int) -> None:
-        self.asked.append(["send", query, engine, cap])
+    def start_attempt(self, request: int, engine: int, timeout: int) -> None:
+        """Keep an attempt's start."""
+        self._keep(RecordedAction.START_ATTEMPT, request, engine, timeout)
 
-    def reject(self, query: int, hold_off: int) -> None:
-        self.asked.append(["dismiss", query, hold_off])
+    def reject(self, request: int, retry_after: int) -> None:
+        """Keep a rejection."""
+        self._keep(RecordedAction.REJECT, request, retry_after)
 
-    def fail_indeterminate(self, query: int) -> None:
-        self.asked.append(["scrap", query])
+    def fail_indeterminate(self, request: int) -> None:
+        """Keep an indeterminate failure."""
+        self._keep(RecordedAction.FAIL_INDETERMINATE, request)
 
-    def release_state(self, query: int) -> None:
-        self.asked.append(["release", query])
+    def release_state(self, request: int) -> None:
+        """Keep a release of prefill state."""
+        self._keep(RecordedAction.RELEASE_STATE, request)
 
-    def migrate_stream(self, query: int) -> None:
-        self.asked.append(["move", query])
+    def migrate_stream(self, request: int) -> None:
+        """Keep a stream's migration."""
+        self._keep(RecordedAction.MIGRATE_STREAM, request)
 
     def subscribe_to_endpoints(self) -> None:
-        self.asked.append(["subscribe"])
+        """Keep a subscription."""
+        self._keep(RecordedAction.SUBSCRIBE)
 
     def set_timer(self, token: str, at: int) -> None:
-        self.asked.append(["wake", token, at])
+        """Keep a timer."""
+        self._keep(RecordedAction.SET_TIMER, token, at)
 
     def log_message(self, text: str) -> None:
-        self.asked.append(["note", text])
+        """Keep a message."""
+        self._keep(RecordedAction.LOG_MESSAGE, text)
 
-    def forget_request(self, query: int) -> None:
-        self.asked.append(["forget", query])
+    def forget_request(self, request: int) -> None:
+        """Keep that a request is over."""
+        self._keep(RecordedAction.FORGET_REQUEST, request)
 
 
-def replay(tape: Path) -> ReplayResult:
-    """Plays a tape; raises Unplayable where it is no tape. A last line cut by a kill is passed over."""
-    found, hearing = ReplayResult(), _Hearing()
-    desk: SchedulerDriver | None = None
-    lines = tape.read_bytes().split(b"\n")
+def replay(recording: Path) -> ReplayResult:
+    """Replay a recording up to its end or the first difference.
+
+    Raises UnreadableEventsError for a file that is no recording of events. A last line that was cut off when
+    its front was killed is ignored.
+    """
+    replayer = _Replayer()
+    lines = recording.read_bytes().split(b"\n")
     for number, raw in enumerate(lines, 1):
         if not raw:
             continue
+        place = f"{recording}:{number}"
         try:
-            at, word, *said = msgspec.json.decode(raw)
-        except (msgspec.DecodeError, ValueError, TypeError) as fault:
+            at, word, *values = msgspec.json.decode(raw)
+        except (msgspec.DecodeError, ValueError, TypeError) as error:
             if number >= len(lines) - 1:
                 break
-            raise UnreadableEventsError(f"{tape}:{number}: {fault}") from None
-        if word not in EVENTS:
-            if not hearing.asked:
-                found.differs = f"{tape}:{number}: {word} {said} was asked then and is not now"
-                return found
-            now = hearing.asked.pop(0)
-            if now != [word, *said]:
-                found.differs = f"{tape}:{number}: {[word, *said]} then, {now} now"
-                return found
-            found.actions += 1
-            continue
-        if hearing.asked:
-            found.differs = f"{tape}:{number}: {hearing.asked[0]} is asked now and was not then"
-            return found
-        found.events += 1
+            raise UnreadableEventsError(f"{place}: {error}") from None
+        if word in EVENTS:
+            replayer.replay_event(place, at, word, values)
+        else:
+            replayer.compare_action(place, [word, *values])
+        if replayer.result.differs:
+            break
+    return replayer.result
+
+
+class _Replayer:
+    """The state of one replay. `place` names the recording's file and line."""
+
+    def __init__(self) -> None:
+        self.result = ReplayResult()
+        self.recorder = ActionRecorder()
+        self.driver: SchedulerDriver | None = None
+
+    def compare_action(self, place: str, recorded: list[Any]) -> None:
+        """Compare a recorded action with the next one that the driver has asked for."""
+        if not self.recorder.actions:
+            word, *values = recorded
+            self.result.differs = f"{place}: {word} {values} was asked then and is not now"
+            return
+        replayed = self.recorder.actions.popleft()
+        if replayed != recorded:
+            self.result.differs = f"{place}: {recorded} then, {replayed} now"
+            return
+        self.result.actions += 1
+
+    def replay_event(self, place: str, at: int, word: str, values: list[Any]) -> None:
+        """Pass an event to the driver, once every action of the event before has been compared."""
+        if self.recorder.actions:
+            self.result.differs = f"{place}: {self.recorder.actions[0]} is asked now and was not then"
+            return
+        self.result.events += 1
         try:
-            if word == "start":
-                desk = SchedulerDriver(from_stored(said[1], RoutingSettings), said[0], hearing, at)
-            elif desk is None:
-                raise UnreadableEventsError(f"{tape}:{number}: {word} before start")
+            if word == Event.STARTED:
+                settings = from_stored(values[1], RoutingSettings)
+                self.driver = SchedulerDriver(settings, values[0], self.recorder, at)
+            elif self.driver is None:
+                raise UnreadableEventsError(f"{place}: {word} before start")
             else:
-                _tell(desk, at, word, said)
-        except (msgspec.ValidationError, IndexError) as fault:
-            raise UnreadableEventsError(f"{tape}:{number}: {fault}") from None
-    return found
+                _pass_event(self.driver, at, word, values)
+        except (msgspec.ValidationError, IndexError) as error:
+            raise UnreadableEventsError(f"{place}: {error}") from None
 
 
-def _tell(desk: SchedulerDriver, at: int, word: str, said: list[Any]) -> None:
+def _pass_event(driver: SchedulerDriver, at: int, word: str, values: list[Any]) -> None:
     match word:
-        case "arrive":
-            desk.submit(at, from_stored(said[0], Request))
-        case "begun":
-            desk.stream_started(at, said[0], said[1], said[2])
-        case "closed":
-            desk.attempt_ended(at, said[0], said[1], from_stored(said[2], AttemptOutcome), said[3])
-        case "left":
-            desk.client_disconnected(at, said[0])
-        case "drop":
-            desk.abandon(at, said[0])
-        case "rang":
-            desk.timer_fired(at, said[0])
-        case "roster":
-            desk.update_endpoints(
-                at, EndpointUpdate(said[0], [from_stored(one, EngineRecord) for one in said[1]])
-            )
-        case "leave":
-            desk.begin_shutdown(at, said[0])
-        case "list_failed":
-            desk.subscription_lost(at)
+        case Event.SUBMITTED:
+            driver.submit(at, from_stored(values[0], Request))
+        case Event.STREAM_STARTED:
+            driver.stream_started(at, values[0], values[1], values[2])
+        case Event.ATTEMPT_ENDED:
+            driver.attempt_ended(at, values[0], values[1], from_stored(values[2], AttemptOutcome), values[3])
+        case Event.CLIENT_DISCONNECTED:
+            driver.client_disconnected(at, values[0])
+        case Event.ABANDONED:
+            driver.abandon(at, values[0])
+        case Event.TIMER_FIRED:
+            driver.timer_fired(at, values[0])
+        case Event.ENDPOINTS_UPDATED:
+            records = [from_stored(record, EngineRecord) for record in values[1]]
+            driver.update_endpoints(at, EndpointUpdate(values[0], records))
+        case Event.SHUTDOWN_BEGUN:
+            driver.begin_shutdown(at, values[0])
+        case Event.SUBSCRIPTION_LOST:
+            driver.subscription_lost(at)
