--- a/runspool/service/cell_map_watcher.py
+++ b/runspool/service/cell_map_watcher.py
@@ -51,7 +51,9 @@
                 continue
             adopted_at = unix_ms()
             try:
-                await anyio.to_thread.run_sync(cell_store.save_adopted_map, self.snapshot_file, cell_map, adopted_at)
+                await anyio.to_thread.run_sync(
+                    cell_store.save_adopted_map, self.snapshot_file, cell_map, adopted_at
+                )
             except OSError as error:
                 # Adopted without being stored, a restart would not know when its tenants moved.
                 self._log_error("cell_map_not_kept", error)
--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -76,7 +76,9 @@
 
     async def _complete(self, request: HttpRequest, received_at: int) -> None:
         try:
-            completion = wire.parse_completion_request(request.headers, bytes(request.body), self.front.config)
+            completion = wire.parse_completion_request(
+                request.headers, bytes(request.body), self.front.config
+            )
             if completion.stream and request.version == "1.0":
                 raise InvalidRequestError("stream", "an answer in parts needs HTTP/1.1", 505)
         except InvalidRequestError as invalid:
