--- a/runspool/cells/cell_router.py
+++ b/runspool/cells/cell_router.py
@@ -147,10 +147,9 @@
         decision = self.request_budget.check(home)
         if decision is BudgetDecision.ADMITTED:
             decision = self.byte_budget.check(home, request.size_bytes)
-        if decision is BudgetDecision.CELL_FULL:
-            return AdmissionRefusal.CELL_FULL
-        if decision is BudgetDecision.FRONT_FULL:
-            return AdmissionRefusal.FRONT_FULL
+        if decision is not BudgetDecision.ADMITTED:
+            cell_full = decision is BudgetDecision.CELL_FULL
+            return AdmissionRefusal.CELL_FULL if cell_full else AdmissionRefusal.FRONT_FULL
         reserve = self.cell_map.reserve
         cell = home if reserve is None else self._home_or_reserve(now, home, reserve, request)
         self.request_budget.acquire(home)
