--- a/runspool/node/client_connections.py
+++ b/runspool/node/client_connections.py
@@ -31,7 +31,7 @@
         self.handlers: set[RequestHandler] = set()
         self.busy_handlers = 0
         self._rejections = 0  # connections that are being rejected now
-        self._log = structlog.get_logger()
+        self.log = structlog.get_logger()
 
     async def serve(self, connection: TcpConnection) -> None:
         """Serves a connection to its end and closes it, also when cancelled.
@@ -45,8 +45,8 @@
         self.handlers.add(handler)
         try:
             await handler.run()
-        except Exception as fault:  # noqa: BLE001 - a fault in serving one client must not end the node
-            self._log.exception("client_failed", fault=repr(fault))
+        except Exception as fault:  # a fault in serving one client must not end the node
+            self.log.exception("client_failed", fault=repr(fault))
         finally:
             self.handlers.discard(handler)
             connection.close()
@@ -60,10 +60,10 @@
         """
         idle = sorted(
             (handler for handler in self.handlers if handler.idle_since),
-            key=lambda handler: (handler.served, handler.idle_since),
+            key=lambda handler: (handler.has_served, handler.idle_since),
         )
         return any(handler.close_if_waiting() for handler in idle) or any(
-            handler.close_if_waiting(True) for handler in idle
+            handler.close_if_waiting(even_if_begun=True) for handler in idle
         )
 
     async def _reject(self, connection: TcpConnection) -> None:
--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -34,7 +34,7 @@
         self.config = config
         self.executor = executor
         self.connections = connections
-        self._log = structlog.get_logger()
+        self.log = structlog.get_logger()
 
     async def run(self) -> None:
         """Returns once nothing is in progress, or after MAX_SHUTDOWN_SECONDS without new requests.
@@ -43,7 +43,7 @@
         clients count them as accepted. Cancelled, it leaves the requests in progress to the caller.
         """
         executor = self.executor
-        self._log.info("node_stopping", node=self.config.name, requests=len(executor.requests))
+        self.log.info("node_stopping", node=self.config.name, requests=len(executor.requests))
         started = now()
         deadline = started + self._time_to_answer()
         executor.begin_shutdown(deadline)
@@ -98,7 +98,7 @@
         )
 
     def _log_timeout(self) -> None:
-        self._log.warning(
+        self.log.warning(
             "node_stop_timed_out",
             answers=self.connections.busy_handlers,
             releases=self.executor.releases_in_progress,
--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -1,4 +1,4 @@
-"""One client's connection to a node: requests in, one final answer out for each query taken from it."""
+"""One client's connection to a node: reads requests and sends one final response for each one accepted."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 import structlog
 
-from runspool.node.executor import NodeExecutor, PendingNodeRequest
+from runspool.node.executor import NodeExecutor
 from runspool.node.request_parser import parse_client_request
 from runspool.scheduling.request_lifecycle import InvariantViolation
 from runspool.service.clock import now
@@ -18,16 +18,20 @@
 from runspool.wire.fields import InvalidRequestError
 from runspool.wire.http_requests import CHUNKS_END, HttpRequest, InvalidHttpRequestError, chunk, head
 
-READY, SERVED = "/_health", "/v1/chat/completions"
-DISMISSED, SCRAPPED = 503, 500  # 429 and 503 promise that trying again is harmless, any other nothing
+HEALTH_PATH = "/_health"
+COMPLETIONS_PATH = "/v1/chat/completions"
+# The protocol takes 429 and 503 as a promise that a retry is harmless, and any other status as none.
+REJECTED_STATUS = 503
+INDETERMINATE_STATUS = 500
+UNITS_PER_SECOND = 10_000  # tenths of a millisecond
 
 
 @dataclass(frozen=True, slots=True)
 class NodeConnectionLimits:
-    """What a client's connection bears; times in milliseconds.
+    """The limits on a client's connection; times in milliseconds.
 
-    Who sends what cannot be read is owed an error or a close within 3 s of connecting, and the protocol lets
-    a connection with no open request be closed after 2 s.
+    The protocol demands that a client which sends something unreadable gets an error or a close within 3 s of
+    connecting, and allows that a connection without an open request is closed after 2 s.
     """
 
     head_bytes: int = 32_768
@@ -38,123 +42,149 @@
     answer_write_ms: float = 5_000
 
 
-BOUNDS = NodeConnectionLimits()
-FIRST_MS = 2_400.0  # from the connection to its first whole request
-KEPT_MS = 20_000.0  # that a connection which has served may stand idle
+LIMITS = NodeConnectionLimits()
+FIRST_REQUEST_MS = 2_400.0  # from the connection to its first whole request
+KEPT_IDLE_MS = 20_000.0  # that a connection which has served a request may be idle
 
 
 class RequestHandler(HttpConnection):
-    ONCE_ONLY = ("req-", "host", "content-length", "transfer-encoding")
+    """Serves one client's connection to a node.
 
-    def __init__(self, node: NodeExecutor, line: TcpConnection, working: Callable[[int], None]) -> None:
-        super().__init__(BOUNDS, line, working)
-        self.node = node
-        self.served = False
-        self.first = True  # no whole request has come yet
-        self.first_by = super()._time_limit(FIRST_MS)
-        self.idle_since = 0  # 0 while a request is open
+    `has_served` is set once a request has been accepted from it, and `first` until a whole request has come.
+    `idle_since`, in tenths of a millisecond, is when the wait for the next request began, and 0 while a
+    request is open.
+    """
+
+    UNREPEATABLE_HEADERS = ("req-", "host", "content-length", "transfer-encoding")
+
+    def __init__(
+        self, executor: NodeExecutor, connection: TcpConnection, count_busy: Callable[[int], None]
+    ) -> None:
+        """`count_busy` is called with +1 when a request begins and with -1 when it ends."""
+        super().__init__(LIMITS, connection, count_busy)
+        self.executor = executor
+        self.has_served = False
+        self.first = True
+        self.first_request_deadline = super()._deadline_after(FIRST_REQUEST_MS)
+        self.idle_since = 0
 
     @property
     def closing(self) -> bool:
-        # Not from SIGTERM on: clients go on using what they have open, and where every other node is down too
-        # it is all they have. Closed early, 11% of an incident's requests found nobody.
-        return self.node.closing and not self.first
+        """True once the node has ended accepting; a new connection may still send its first request.
 
-    def head_wait(self) -> float:
-        return KEPT_MS if self.served else self.limits.idle_ms
+        Not from SIGTERM on: clients go on using the connections they have, and where every other node is down
+        too they have no others. Closing them early left 11% of an incident's requests without a node.
+        """
+        return self.executor.closing and not self.first
 
-    def _time_limit(self, wait_ms: float) -> float:
-        by = super()._time_limit(wait_ms)
-        return min(by, self.first_by) if self.first else by
+    def head_wait_ms(self) -> float:
+        """Milliseconds that the next request may take to begin."""
+        return KEPT_IDLE_MS if self.has_served else self.limits.idle_ms
+
+    def _deadline_after(self, wait_ms: float) -> float:
+        deadline = super()._deadline_after(wait_ms)
+        return min(deadline, self.first_request_deadline) if self.first else deadline
 
     async def _read_head(self) -> HttpRequest | None:
         self.idle_since = now()
-        found = await super()._read_head()
+        request = await super()._read_head()
         self.idle_since = 0
-        return found
+        return request
 
-    def error(self, code: str, message: str) -> bytes:
+    def error_body(self, code: str, message: str) -> bytes:
+        """The body of an error response: an object with the code and the message."""
         return msgspec.json.encode({"error": {"code": code, "message": message}})
 
-    async def route(self, request: HttpRequest, came: int) -> None:
-        self.answering = False
+    async def route(self, request: HttpRequest, received_at: int) -> None:
+        """Responds to a request; raises as HttpConnection.route() does.
+
+        A fault in the program is answered too, unless a response has been started.
+        """
+        self.response_started = False
         try:
-            await self._route(request, came)
+            await self._route(request, received_at)
         except (ConnectionClosedError, TimeoutError, InvalidHttpRequestError):
             raise
-        except Exception as fault:
-            # What has been read is owed an answer, also by a program with a fault in it.
-            structlog.get_logger().exception("client_failed", fault=repr(fault))
-            if self.answering:
-                self.node.invariants.record(InvariantViolation.CLOSED_UNANSWERED, reason=repr(fault))
-                raise ConnectionClosedError("a fault in the middle of an answer") from None
-            self.keeps_alive = False
-            await self.send_response(
-                SCRAPPED, self.error("fault", "nothing is promised: it may or may not have run")
-            )
-
-    async def _route(self, request: HttpRequest, came: int) -> None:
+        except Exception as fault:  # a request that has been read must be answered
+            logger = structlog.get_logger()
+            logger.exception("client_failed", fault=repr(fault))
+            await self._respond_to_fault(fault)
+
+    async def _respond_to_fault(self, fault: Exception) -> None:
+        if self.response_started:
+            self.executor.invariants.record(InvariantViolation.CLOSED_UNANSWERED, reason=repr(fault))
+            raise ConnectionClosedError("a fault in the middle of an answer") from None
+        self.keeps_alive = False
+        await self.send_response(
+            INDETERMINATE_STATUS, self.error_body("fault", "nothing is promised: it may or may not have run")
+        )
+
+    async def _route(self, request: HttpRequest, received_at: int) -> None:
         self.first = False
-        if request.path == READY and request.method == "GET":
-            await self.send_response(503 if self.node.shutdown_deadline else 200, b"{}")
-        elif request.path != SERVED:
-            await self.send_response(404, self.error("path", "no such path"))
+        if request.path == HEALTH_PATH and request.method == "GET":
+            await self.send_response(503 if self.executor.shutdown_deadline else 200, b"{}")
+        elif request.path != COMPLETIONS_PATH:
+            await self.send_response(404, self.error_body("path", "no such path"))
         elif request.method != "POST":
-            await self.send_response(405, self.error("method", "POST it"), [("Allow", "POST")])
+            await self.send_response(405, self.error_body("method", "POST it"), [("Allow", "POST")])
         else:
-            await self._query(request, came)
+            await self._complete(request, received_at)
 
-    async def _query(self, request: HttpRequest, came: int) -> None:
+    async def _complete(self, request: HttpRequest, received_at: int) -> None:
         try:
-            ask = parse_client_request(
-                request.target, request.headers, bytes(request.body), self.node.platform_settings
+            client_request = parse_client_request(
+                request.target, request.headers, bytes(request.body), self.executor.platform_settings
             )
             if request.version == "1.0":
                 raise InvalidRequestError("version", "an answer in parts needs HTTP/1.1", 505)
-            reply = EventStreamResponse(self)
-            taken = self.node.submit(ask, reply, came)
-        except InvalidRequestError as bad:
-            # Whoever sends this once may send it without end: each costs a connection.
-            raise InvalidHttpRequestError(bad.status, "misworded", str(bad)) from None
-        except RequestNotAcceptedError as refused:
-            await self.send_response(DISMISSED, self.error(refused.code, refused.message))
+            streaming = EventStreamResponse(self)
+            pending = self.executor.submit(client_request, streaming, received_at)
+        except InvalidRequestError as error:
+            # The connection ends with it: a client that sends this may do so endlessly, and a connection for
+            # each slows it down.
+            raise InvalidHttpRequestError(error.status, "misworded", str(error)) from None
+        except RequestNotAcceptedError as refusal:
+            await self.send_response(REJECTED_STATUS, self.error_body(refusal.code, refusal.message))
             return
-        self.served = True
-        await self._answer(taken, reply, await self.final_response(self.node, taken, reply))
+        self.has_served = True
+        final = await self.final_response(self.executor, pending, streaming)
+        await self._send_final(streaming, final)
 
-    async def _answer(
-        self, taken: PendingNodeRequest, reply: EventStreamResponse, final: FinalResponse
-    ) -> None:
+    async def _send_final(self, streaming: EventStreamResponse, final: FinalResponse) -> None:
         if final.kind is ResponseKind.CLIENT_DISCONNECTED:
             self.tcp.close()
             raise ConnectionClosedError("the client left")
-        if reply.opened:
-            if final.kind is not ResponseKind.SUCCEEDED or reply.torn:
-                # No last chunk: the client sees that its stream is not whole, and may ask for the rest.
+        if streaming.opened:
+            if final.kind is not ResponseKind.SUCCEEDED or streaming.write_interrupted:
+                # Without a last chunk the client sees that its stream is incomplete, and may ask for more.
                 self.tcp.close()
                 raise ConnectionClosedError("the stream broke off")
-            await reply.forward(CHUNKS_END)
+            await streaming.forward(CHUNKS_END)
         elif final.kind is ResponseKind.REJECTED:
-            hold = [("Retry-After", f"{final.retry_after / 10_000:.3f}")] if final.retry_after else []
-            await self.send_response(DISMISSED, self.error(final.code, final.message), hold)
+            seconds = final.retry_after / UNITS_PER_SECOND
+            headers = [("Retry-After", f"{seconds:.3f}")] if final.retry_after else []
+            await self.send_response(REJECTED_STATUS, self.error_body(final.code, final.message), headers)
         else:
-            await self.send_response(SCRAPPED, self.error(final.code, final.message))
+            await self.send_response(INDETERMINATE_STATUS, self.error_body(final.code, final.message))
 
 
 class EventStreamResponse(StreamingResponse):
-    """An engine's events sent on unchanged."""
+    """An engine's event stream, sent on unchanged as a chunked response."""
 
-    def __init__(self, intake: RequestHandler) -> None:
-        super().__init__(intake, intake.node.engine_client.watchdog)
+    def __init__(self, handler: RequestHandler) -> None:
+        super().__init__(handler, handler.executor.engine_client.watchdog)
+        self._unsent_head = b""
 
     async def stream_started(self) -> None:
+        """Prepares the head, which is sent with the first events."""
         self.opened = True
         fields = [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")]
-        if self.connection.last:
+        if self.connection.closes_after_response:
             fields.append(("Connection", "close"))
-        self.head = head(200, fields)
+        self._unsent_head = head(200, fields)
 
     async def data_received(self, data: bytes) -> None:
-        # Head and first events in one piece: a head alone would promise what may never come.
-        first, self.head = self.head, b""
-        await self.forward(first + chunk(data))
+        """Sends events on; raises as forward() does."""
+        # The head goes out together with the first events: alone it would promise events that may never come.
+        unsent_head, self._unsent_head = self._unsent_head, b""
+        await self.forward(unsent_head + chunk(data))
--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -32,10 +32,10 @@
     def closing(self) -> bool:
         return self.front.closing
 
-    def error(self, code: str, message: str) -> bytes:
+    def error_body(self, code: str, message: str) -> bytes:
         return wire.error_body("invalid_request_error", code, message)
 
-    async def route(self, request: HttpRequest, came: int) -> None:
+    async def route(self, request: HttpRequest, received_at: int) -> None:
         path, method = request.path, request.method
         if path == "/v1/completions":
             if method != "POST":
@@ -43,7 +43,7 @@
                     405, wire.error_body("invalid_request_error", "method", "POST it"), [("Allow", "POST")]
                 )
                 return
-            await self._query(request, came)
+            await self._query(request, received_at)
         elif path == "/healthz" and method == "GET":
             await self.send_response(503 if self.front.closing else 200, b"{}")
         elif path == "/cells" and method == "GET":
@@ -192,7 +192,7 @@
         await self.forward(self.chunks.text(text))
 
     async def finish(self, final: FinalResponse) -> None:
-        if self.torn:
+        if self.write_interrupted:
             self.conversation.tcp.close()
             raise ConnectionClosedError("a send was cut short")
         if not self.opened:
@@ -202,5 +202,5 @@
             last = wire.chunk(self.query, self.model, self.made_at, "", finish) + wire.DONE
         else:
             last = wire.broken_event(final.code, final.message)
-        with anyio.fail_after(self.conversation.write_time):
+        with anyio.fail_after(self.conversation.write_timeout_seconds):
             await self.forward(chunk(last) + CHUNKS_END)
--- a/runspool/service/http_connection.py
+++ b/runspool/service/http_connection.py
@@ -1,4 +1,7 @@
-"""One client's HTTP/1.1 connection: requests off it, answers onto it, its clocks. Knows no paths."""
+"""One client's HTTP/1.1 connection: reads requests, writes responses and keeps the time limits.
+
+Free of the paths and bodies of any one protocol, which its subclasses add.
+"""
 
 from __future__ import annotations
 
@@ -23,41 +26,63 @@
     head,
 )
 
-LINGER = 1.0  # seconds that a refused client's unread bytes are still swallowed, so that it sees the answer
+# A refused client's unread bytes are read and dropped within these bounds: closing with bytes unread resets
+# the connection, and the client would not see the response.
+LINGER_SECONDS = 1.0
 LINGER_BYTES = 8 << 20
 
 
 class ConnectionLimits(Protocol):
-    """What a connection bears; times in milliseconds."""
+    """The limits on one connection."""
 
     @property
-    def head_bytes(self) -> int: ...
+    def head_bytes(self) -> int:
+        """The size of a request's head."""
+
     @property
-    def query_bytes(self) -> int: ...
+    def query_bytes(self) -> int:
+        """The size of a request's body."""
+
     @property
-    def head_ms(self) -> float: ...
+    def head_ms(self) -> float:
+        """From the first byte of a head to its end."""
+
     @property
-    def body_ms(self) -> float: ...
+    def body_ms(self) -> float:
+        """From the end of the head to that of the body."""
+
     @property
-    def idle_ms(self) -> float: ...
+    def idle_ms(self) -> float:
+        """From the opening, or from a response, to the first byte of the next request."""
+
     @property
-    def answer_write_ms(self) -> float: ...
+    def answer_write_ms(self) -> float:
+        """That a client may leave a response unread."""
 
 
 class HttpConnection(ABC):
-    ONCE_ONLY: tuple[str, ...] = ("runspool-",)  # headers that may not be said twice, by how they begin
-
-    def __init__(self, bounds: ConnectionLimits, line: TcpConnection, working: Callable[[int], None]) -> None:
-        """`working` is told +1 when a request is at hand and -1 when its answer is out."""
-        self.working = working
-        self.limits = bounds
-        self.tcp = line
-        self.requests = HttpRequestParser(bounds.head_bytes, bounds.query_bytes, self.ONCE_ONLY)
-        self.write_time = bounds.answer_write_ms / 1000
+    """Serves the requests of one connection, one after another.
+
+    A subclass answers them in route(). Every request read whole is passed to it, also where the connection is
+    to be closed.
+    """
+
+    # Beginnings of the lower-case names of headers that a request may have only once.
+    UNREPEATABLE_HEADERS: tuple[str, ...] = ("runspool-",)
+
+    def __init__(
+        self, limits: ConnectionLimits, connection: TcpConnection, count_busy: Callable[[int], None]
+    ) -> None:
+        """`count_busy` is called with +1 when a request's head is there and with -1 after its response."""
+        self.limits = limits
+        self.tcp = connection
+        self.requests = HttpRequestParser(limits.head_bytes, limits.query_bytes, self.UNREPEATABLE_HEADERS)
+        self.write_timeout_seconds = limits.answer_write_ms / 1000
         self.keeps_alive = True
-        self.answering = False  # something of the answer under way has been written
-        self._wait: anyio.CancelScope | None = None  # for the next request's head
-        self._begun = False  # some of that head has come
+        self.response_started = False  # something of the response under way has been written
+        self._count_busy = count_busy
+        self._head_wait: anyio.CancelScope | None = None  # set while the next request's head is waited for
+        self._head_begun = False  # something of that head has been read
 
     @property
     @abstractmethod
@@ -65,33 +90,40 @@
         """True once no further request is to be waited for."""
 
     @property
-    def last(self) -> bool:
-        """True where the answer under way says that the connection ends with it."""
+    def closes_after_response(self) -> bool:
+        """True where the connection ends with the response under way, which says so."""
         return self.closing or not self.keeps_alive or self.tcp.shed > 0
 
     @abstractmethod
-    async def route(self, request: HttpRequest, came: int) -> None:
-        """Answers a whole request; `came` is when its head was there."""
+    async def route(self, request: HttpRequest, received_at: int) -> None:
+        """Responds to a request that has been read whole.
+
+        `received_at` is when its head was there, in tenths of a millisecond. Raising ConnectionClosedError or
+        TimeoutError ends the connection, InvalidHttpRequestError after an error response.
+        """
 
-    def error(self, code: str, message: str) -> bytes:
-        """The body of a refusal."""
+    def error_body(self, code: str, message: str) -> bytes:
+        """The body of an error response."""
         return b"{}"
 
-    def head_wait(self) -> float:
+    def head_wait_ms(self) -> float:
         """Milliseconds that the next request may take to begin."""
         return self.limits.idle_ms
 
-    def close_if_waiting(self, begun: bool = False) -> bool:
-        """Ends the wait for a next request; False where none is waited for, or something of it has come, to
-        this process or to its kernel. With `begun` one whose head has begun is refused too.
+    def close_if_waiting(self, even_if_begun: bool = False) -> bool:
+        """Ends the wait for the next request, and with it the connection.
 
-        Not by cancelling the client's task: a request that came just then was read and lost with it.
+        Returns False, and does nothing, where no request is waited for, or something of it has come, be it to
+        this process or to its kernel. With `even_if_begun` a request is refused of whose head a part has been
+        read.
+
+        The client's task is not cancelled: a request read at that moment would be lost with it.
         """
-        wait = self._wait
+        wait = self._head_wait
         if (
             wait is None
             or wait.cancel_called
-            or (self._begun and not begun)
+            or (self._head_begun and not even_if_begun)
             or self.tcp.has_unsolicited_data()
         ):
             return False
@@ -99,7 +131,10 @@
         return True
 
     async def run(self) -> None:
-        """Serves until the client goes, asks to close, sends what cannot be taken, or the front stops."""
+        """Serves until the client disconnects, asks to close or sends an invalid request, or until `closing`.
+
+        The caller closes the socket. Cancelled, it reports a request in progress as left by its client.
+        """
         try:
             while self.keeps_alive and not self.closing:
                 await self._serve_one()
@@ -114,49 +149,49 @@
             if request is None:
                 self.keeps_alive = False
                 return
-            came = now()
-            self.working(1)
+            received_at = now()
+            self._count_busy(1)
             try:
                 await self._read_body(request)
                 self.requests.ready.popleft()
                 self.keeps_alive = request.keeps_alive
-                await self.route(request, came)
+                await self.route(request, received_at)
             finally:
-                self.working(-1)
-        except InvalidHttpRequestError as bad:
-            await self._refuse(bad.status, bad.code, bad.message)
+                self._count_busy(-1)
+        except InvalidHttpRequestError as error:
+            await self._refuse(error.status, error.code, error.message)
 
     async def _read_head(self) -> HttpRequest | None:
-        """The next request, as soon as its head is there; None where no further one comes."""
+        """The next request, as soon as its head is there; None where the connection ends without one."""
         ready = self.requests.ready
         if ready and ready[0].head_done:
             return ready[0]
         self.requests.put_off()
-        self._begun = bool(ready)
-        wait = self.limits.head_ms if self._begun else self.head_wait()
-        with anyio.CancelScope(deadline=self._time_limit(wait)) as scope:
-            self._wait = scope
+        self._head_begun = bool(ready)
+        wait = self.limits.head_ms if self._head_begun else self.head_wait_ms()
+        with anyio.CancelScope(deadline=self._deadline_after(wait)) as scope:
+            self._head_wait = scope
             try:
                 while not (ready and ready[0].head_done):
                     try:
                         self.requests.feed(await self.tcp.receive())
                     except ConnectionClosedError:
-                        if self._begun:
+                        if self._head_begun:
                             raise InvalidHttpRequestError(400, "malformed", "the head ends early") from None
                         return None
-                    if not self._begun:
-                        self._begun, scope.deadline = True, self._time_limit(self.limits.head_ms)
+                    if not self._head_begun:
+                        self._head_begun, scope.deadline = True, self._deadline_after(self.limits.head_ms)
             finally:
-                self._wait = None
+                self._head_wait = None
         if scope.cancelled_caught:
-            if self._begun:
+            if self._head_begun:
                 raise InvalidHttpRequestError(408, "head_time", "the request's head took too long")
-            # Against a request that came in the moment the wait ended: it has been received, so it is taken.
+            # A request may have come just as the wait ended. It has been received, so it must be answered.
             return await self._read_head() if self.tcp.waiting else None
         return ready[0]
 
-    def _time_limit(self, wait_ms: float) -> float:
-        """When a wait that begins now ends."""
+    def _deadline_after(self, wait_ms: float) -> float:
+        """The end, on the event loop's clock, of a wait that begins now."""
         return anyio.current_time() + wait_ms / 1000
 
     async def _read_body(self, request: HttpRequest) -> None:
@@ -164,7 +199,7 @@
             return
         if request.waits_to_be_told:
             await self.send(CONTINUE)
-        with anyio.CancelScope(deadline=self._time_limit(self.limits.body_ms)):
+        with anyio.CancelScope(deadline=self._deadline_after(self.limits.body_ms)):
             while not request.complete:
                 try:
                     self.requests.feed(await self.tcp.receive())
@@ -176,78 +211,101 @@
     async def send_response(
         self, status: int, body: bytes, headers: list[tuple[str, str]] | None = None
     ) -> None:
+        """Sends a whole response with a JSON body; raises as send() does."""
         fields = [("Content-Type", "application/json"), ("Content-Length", str(len(body))), *(headers or [])]
-        if self.last:
+        if self.closes_after_response:
             fields.append(("Connection", "close"))
         await self.send(head(status, fields) + body)
 
     async def _refuse(self, status: int, code: str, message: str) -> None:
-        """A refusal before intake, after which the connection ends."""
+        """Responds to a request that was not accepted; the connection ends with it."""
         structlog.get_logger().debug("request_refused", status=status, code=code)
         self.keeps_alive = False
-        await self.send_response(status, self.error(code, message))
-        with anyio.move_on_after(LINGER):
+        await self.send_response(status, self.error_body(code, message))
+        with anyio.move_on_after(LINGER_SECONDS):
             self.tcp.send_eof()
-            left = LINGER_BYTES
-            while left > 0:
-                left -= len(await self.tcp.receive())
+            remaining = LINGER_BYTES
+            while remaining > 0:
+                remaining -= len(await self.tcp.receive())
 
     async def send(self, data: bytes) -> None:
-        self.answering = True
+        """Writes a part of the response, and waits for the client to read enough of it.
+
+        Raises TimeoutError after `write_timeout_seconds`, and ConnectionClosedError.
+        """
+        self.response_started = True
         if not self.tcp.write(data):
-            with anyio.fail_after(self.write_time):
+            with anyio.fail_after(self.write_timeout_seconds):
                 await self.tcp.drained()
 
     async def final_response(
-        self, front: RequestExecutor[T], taken: T, sending: StreamingResponse | None
+        self, executor: RequestExecutor[T], pending: T, streaming: StreamingResponse | None
     ) -> FinalResponse:
-        """Waits for a taken query's final answer; whoever goes before counts as having left."""
-        if sending is not None:
-            sending.watch(lambda: front.client_disconnected(taken))
-        # What it sends ahead stays on the line for the next cycle, up to what a line keeps.
-        self.tcp.on_lost(lambda: front.client_disconnected(taken))
+        """Waits for the final response to an accepted request, and watches for its client to disconnect.
+
+        A client that does not read a streaming response in time counts as disconnected, and so does one whose
+        connection's task is cancelled.
+        """
+        if streaming is not None:
+            streaming.watch(lambda: executor.client_disconnected(pending))
+        # What the client sends ahead stays with the connection for its next request, within bounds.
+        self.tcp.on_lost(lambda: executor.client_disconnected(pending))
         try:
             if self.tcp.closed:
-                front.client_disconnected(taken)
-            await taken.done.wait()
+                executor.client_disconnected(pending)
+            await pending.done.wait()
         except BaseException:
-            front.client_disconnected(taken)  # this connection is being ended: nobody is there to answer
+            executor.client_disconnected(pending)  # this task is being cancelled: nobody will send a response
             raise
         finally:
             self.tcp.lost = None
-            if sending is not None:
-                sending.unwatch()
-        assert taken.final_response is not None
-        return taken.final_response
+            if streaming is not None:
+                streaming.unwatch()
+        assert pending.final_response is not None
+        return pending.final_response
 
 
 class StreamingResponse:
-    """An answer sent on as it comes, to a client that must keep reading."""
+    """A response sent on as it is produced, to a client that must keep reading.
+
+    `opened` is set once its head has been handed over for sending. While `write_interrupted` is set, a write
+    has not been finished, and it is not known what the client has received.
+    """
 
-    def __init__(self, talk: HttpConnection, vigil: IdleWatchdog) -> None:
-        self.connection, self.vigil = talk, vigil
+    def __init__(self, connection: HttpConnection, watchdog: IdleWatchdog) -> None:
+        self.connection = connection
+        self.watchdog = watchdog
         self.opened = False
-        self.torn = False  # a send was cut short: what the client has is no longer known
-        self.watched: WatchedWait | None = None
+        self.write_interrupted = False
+        self.watched_wait: WatchedWait | None = None
 
-    def watch(self, out: Callable[[], None]) -> None:
-        """A client that does not read its answer in time counts as one that left."""
-        self.watched = self.vigil.watch(tenths(self.connection.limits.answer_write_ms), out)
+    def watch(self, on_timeout: Callable[[], None]) -> None:
+        """Has `on_timeout` called once a write waits for the client longer than the limit."""
+        timeout = tenths(self.connection.limits.answer_write_ms)
+        self.watched_wait = self.watchdog.watch(timeout, on_timeout)
 
     def unwatch(self) -> None:
-        """Lets go of the query, which holds this: knots are left to the collector, and stop the front."""
-        if self.watched is not None:
-            self.vigil.unwatch(self.watched)
-            self.watched = None
+        """Ends watch().
+
+        It also drops the reference to the request, which refers to this: a reference cycle would be left to
+        the garbage collector, which stops the process while it runs.
+        """
+        if self.watched_wait is not None:
+            self.watchdog.unwatch(self.watched_wait)
+            self.watched_wait = None
 
     async def forward(self, data: bytes) -> None:
-        self.connection.answering = True
+        """Writes a part of the response, and waits for the client to read enough of it.
+
+        Raises ConnectionClosedError. Raising or cancelled, it leaves `write_interrupted` set.
+        """
+        self.connection.response_started = True
         if self.connection.tcp.write(data):
             return
-        self.torn = True
-        if self.watched is not None:
-            self.watched.waiting_since = now()
+        self.write_interrupted = True
+        if self.watched_wait is not None:
+            self.watched_wait.waiting_since = now()
         await self.connection.tcp.drained()
-        self.torn = False
-        if self.watched is not None:
-            self.watched.waiting_since = 0
+        self.write_interrupted = False
+        if self.watched_wait is not None:
+            self.watched_wait.waiting_since = 0
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -362,7 +362,7 @@
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
         platform.engines["r"].scripts = [silent]
-        monkeypatch.setattr(RequestHandler, "_answer", fails)
+        monkeypatch.setattr(RequestHandler, "_send_final", fails)
         answer = await platform.ask(post("q1", req_deadline="300m"))
         assert (answer.status, answer.headers["connection"], answer.whole) == (500, "close", True)
         monkeypatch.undo()
