--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -40,7 +40,7 @@
         """True once the front is stopping: no further request is read."""
         return self.front.closing
 
-    def error(self, code: str, message: str) -> bytes:
+    def error_body(self, code: str, message: str) -> bytes:
         """The body of a refusal before a request is accepted."""
         return wire.error_body("invalid_request_error", code, message)
 
@@ -55,7 +55,7 @@
             if method == "POST":
                 await self._complete(request, received_at)
             else:
-                await self.send_response(405, self.error("method", "POST it"), [("Allow", "POST")])
+                await self.send_response(405, self.error_body("method", "POST it"), [("Allow", "POST")])
         elif path == "/healthz" and method == "GET":
             await self.send_response(503 if self.front.closing else 200, b"{}")
         elif path == "/cells" and method == "GET":
@@ -63,7 +63,7 @@
         elif path == "/v1/models" and method == "GET":
             await self.send_response(200, msgspec.json.encode(self._models()))
         else:
-            await self.send_response(404, self.error("path", "no such path"))
+            await self.send_response(404, self.error_body("path", "no such path"))
 
     def _models(self) -> dict[str, object]:
         model = {
@@ -82,7 +82,7 @@
             if completion.stream and request.version == "1.0":
                 raise InvalidRequestError("stream", "an answer in parts needs HTTP/1.1", 505)
         except InvalidRequestError as invalid:
-            await self.send_response(invalid.status, self.error(invalid.field_name, str(invalid)))
+            await self.send_response(invalid.status, self.error_body(invalid.field_name, str(invalid)))
             return
         response = _EventStreamResponse(self) if completion.stream else _CollectedResponse()
         try:
@@ -208,7 +208,7 @@
 
     async def finish(self, final: FinalResponse) -> None:
         """Sends the last event; raises ConnectionClosedError where an earlier one was cut short."""
-        if self.torn:
+        if self.write_interrupted:
             self.handler.tcp.close()
             raise ConnectionClosedError("a send was cut short")
         if not self.opened:
@@ -218,5 +218,5 @@
             last = wire.chunk(self.request_id, self.model, self.created_at, "", reason) + wire.DONE
         else:
             last = wire.error_event(final.code, final.message)
-        with anyio.fail_after(self.handler.write_time):
+        with anyio.fail_after(self.handler.write_timeout_seconds):
             await self.forward(chunk(last) + CHUNKS_END)
