--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -1,4 +1,4 @@
-"""The front node: what it takes from clients, its one desk, its shots. Decides nothing itself."""
+"""The front node's requests: accepts them, and carries out what its one scheduler decides."""
 
 from __future__ import annotations
 
@@ -22,100 +22,121 @@
 from runspool.units import tenths
 from runspool.wire.fields import InvalidRequestError
 
-NAMES_KNOWN = 20_000  # texts' names remembered before the one unseen for longest is forgotten
-STREAM_SILENCE_MS = 4_000  # after a stream's last event; its client is to be told before 5 s
-REST_MS = 25  # after an answer, in which another may come: the platform says some milliseconds late
-EVENT_BYTES = 65_536  # of one event, and of a read's answer
-RELEASE_FIRST = 0.05  # seconds that a read waits for a call that lets go of what one before it left
-RELEASE_MS = 1_000  # for letting go of a state, where the settings grant no time
-DESK = "node"
+MAX_INTERNED_NAMES = 20_000  # of sessions and prefixes, before the one unseen for longest is forgotten
+STREAM_SILENCE_MS = 4_000  # after a stream's last event; the platform has its client told within 5 s
+QUIET_TIME_MS = 25  # after a response, in which the platform says that a second one may come
+MAX_EVENT_BYTES = 65_536  # of one event, and of a prefill's response
+RELEASE_WAIT_SECONDS = 0.05  # that a prefill waits for the release of what an earlier one left
+DEFAULT_RELEASE_TIMEOUT_MS = 1_000  # where the settings set no timeout
+CELL_NAME = "node"
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSettings:
-    """How a node speaks to engines or to the list; times in milliseconds."""
+    """How a node connects to engines or to discovery; times in milliseconds, sizes in bytes."""
 
     connect_ms: float
     idle_ms: float
     connections_each: int
     idle_each: int
-    read_answer_bytes: int = EVENT_BYTES
-    line_bytes: int = EVENT_BYTES
+    read_answer_bytes: int = MAX_EVENT_BYTES
+    line_bytes: int = MAX_EVENT_BYTES
     source_address: str | None = None
 
 
 @dataclass(slots=True, kw_only=True)
 class PendingNodeRequest(PendingRequest):
+    """A client's request that this node owes a final response.
+
+    `possible_prefill_endpoint`: where an attempt that was lost or given up may have left a state.
+    """
+
     client_request: ClientRequest
-    possible_prefill_endpoint: Endpoint | None = (
-        None  # where an attempt that was lost or given up may have left a state
-    )
+    possible_prefill_endpoint: Endpoint | None = None
 
 
 class NodeExecutor(RequestExecutor[PendingNodeRequest]):
-    def __init__(self, posting: NodeConfig, connections: int) -> None:
-        """`connections` bounds those to all engines together."""
-        granted = posting.settings
-        super().__init__(granted.routing, granted.engine_types, granted.zones, NAMES_KNOWN)
-        self.platform_settings = granted
-        # An engine closes what has been idle for its time: a request that crosses that may count as run.
-        idle_ms = granted.idle_timeout / 10 * 0.75 or 10_000.0
+    """Accepts a node's requests, runs their attempts and releases what engines reserve for them."""
+
+    def __init__(self, config: NodeConfig, max_connections: int) -> None:
+        """`max_connections` bounds those to all engines together."""
+        settings = config.settings
+        super().__init__(settings.routing, settings.engine_types, settings.zones, MAX_INTERNED_NAMES)
+        self.platform_settings = settings
+        # An engine closes idle connections: a request that crosses the close may count as executed.
+        idle_ms = settings.idle_timeout / 10 * 0.75 or 10_000.0
         self.engine_client = EngineClient(
-            ConnectionSettings(granted.connect_timeout / 10 or 250.0, idle_ms, connections, connections),
+            ConnectionSettings(
+                settings.connect_timeout / 10 or 250.0, idle_ms, max_connections, max_connections
+            ),
             now,
             STREAM_SILENCE_MS,
-            connections,
-            REST_MS,
+            max_connections,
+            QUIET_TIME_MS,
         )
         self.state_releaser = StateReleaser(
             self.engine_client,
-            self.settings.state_release_timeout or tenths(RELEASE_MS),
-            self._likeliest,
+            self.settings.state_release_timeout or tenths(DEFAULT_RELEASE_TIMEOUT_MS),
+            self._most_recently_heard,
             self._count_release,
         )
-        self.open_request_ids: set[str] = set()  # ids of the queries held
+        self.open_request_ids: set[str] = set()  # by the ids that clients gave them
         self.shutdown_deadline = 0  # 0 while nobody has asked this node to stop
-        self.scheduler = CellScheduler(DESK, granted.routing, posting.seed, self, EventRecorder(None))
+        self.scheduler = CellScheduler(CELL_NAME, settings.routing, config.seed, self, EventRecorder(None))
 
     # What comes in.
 
-    def submit(self, ask: ClientRequest, reply: ResponseListener[bytes], came: int) -> PendingNodeRequest:
-        """Takes a query: from here on it is owed one final answer. Raises Refused or Misworded."""
+    def submit(
+        self, client_request: ClientRequest, listener: ResponseListener[bytes], received_at: int
+    ) -> PendingNodeRequest:
+        """Accepts a request: from here on it is owed one final response.
+
+        Raises RequestNotAcceptedError, or InvalidRequestError where its id is open here already.
+        """
         if self.closing:
             raise RequestNotAcceptedError("closing", "this node is stopping; ask another")
-        if ask.id in self.open_request_ids:
+        if client_request.id in self.open_request_ids:
             raise InvalidRequestError("Req-Id", "a request with this id is open here", 409)
-        at, index = now(), self.accepted_count
+        accepted_at, index = now(), self.accepted_count
         self.accepted_count += 1
-        limit = min(came + ask.time_limit, self.shutdown_deadline or came + ask.time_limit)
-        pending = PendingNodeRequest(index, ask.id, came, limit, reply, client_request=ask)
-        # The answer still has to reach the client within its time.
-        budget = max(0, pending.deadline - self.settings.response_slack - at)
-        self.counts["continuations"] += ask.is_continuation
-        self.counts["client_retries"] += ask.is_client_retry
+        deadline = min(
+            received_at + client_request.time_limit,
+            self.shutdown_deadline or received_at + client_request.time_limit,
+        )
+        pending = PendingNodeRequest(
+            index, client_request.id, received_at, deadline, listener, client_request=client_request
+        )
+        # The response still has to reach the client within its time.
+        time_budget = max(0, pending.deadline - self.settings.response_slack - accepted_at)
+        self.counts["continuations"] += client_request.is_continuation
+        self.counts["client_retries"] += client_request.is_client_retry
         self.log.debug(
             "request_accepted",
-            request=ask.id,
-            request_class=ask.request_class,
-            prompt_tokens=ask.prompt_tokens,
-            time_limit=ask.time_limit,
-            is_continuation=ask.is_continuation,
-            is_client_retry=ask.is_client_retry,
+            request=client_request.id,
+            request_class=client_request.request_class,
+            prompt_tokens=client_request.prompt_tokens,
+            time_limit=client_request.time_limit,
+            is_continuation=client_request.is_continuation,
+            is_client_retry=client_request.is_client_retry,
         )
-        self.open_request_ids.add(ask.id)
+        self.open_request_ids.add(client_request.id)
         self.accept(pending)
-        query = ask.to_request(
-            index, self.intern_text("s", ask.session, at), self.intern_text("b", ask.prefix, at), budget
+        request = client_request.to_request(
+            index,
+            self.intern_text("s", client_request.session, accepted_at),
+            self.intern_text("b", client_request.prefix, accepted_at),
+            time_budget,
         )
-        self.notify_scheduler(self.scheduler, index, CellScheduler.submit, query)
+        self.notify_scheduler(self.scheduler, index, CellScheduler.submit, request)
         return pending
 
-    def begin_shutdown(self, by: int) -> None:
-        """This node may be killed after `by`: what is taken from now on must be answered sooner."""
-        self.shutdown_deadline = by
-        self.notify_scheduler(self.scheduler, SHUTDOWN_TASK, CellScheduler.begin_shutdown, by)
+    def begin_shutdown(self, deadline: int) -> None:
+        """This node may be killed after `deadline`: what it accepts from now on must be answered sooner."""
+        self.shutdown_deadline = deadline
+        self.notify_scheduler(self.scheduler, SHUTDOWN_TASK, CellScheduler.begin_shutdown, deadline)
 
     def publish_engines(self) -> None:
+        """Gives the scheduler the engines that are on the list."""
         self.scheduler.update_engines(
             {line.engine: line for line in self.engine_records.values() if line.state != EngineState.REMOVED}
         )
@@ -123,12 +144,15 @@
     # How it is carried out.
 
     def scheduler_named(self, name: str) -> CellScheduler | None:
+        """The one scheduler of this node."""
         return self.scheduler
 
     def scheduler_for(self, pending: PendingNodeRequest) -> CellScheduler | None:
+        """The one scheduler of this node."""
         return self.scheduler
 
     def request_class_of(self, pending: PendingNodeRequest) -> int:
+        """The index of the request's class in the settings."""
         return pending.client_request.request_class
 
     async def run_exchange(
@@ -140,18 +164,19 @@
         limit: int,
         permit: SendPermit,
     ) -> AttemptResult:
+        """Runs one attempt; cancelled, its connection is closed and nothing is reported."""
         if endpoint.role is Role.PREFILL:
             return await self.engine_client.prefill(endpoint.address, pending.client_request, limit, permit)
-        hearing = ResponseRelay(self, pending, attempt, sent_at)
-        return await self.engine_client.decode(
-            endpoint.address, pending.client_request, limit, permit, hearing
-        )
+        relay = ResponseRelay(self, pending, attempt, sent_at)
+        return await self.engine_client.decode(endpoint.address, pending.client_request, limit, permit, relay)
 
     def release_prefill_state(self, pending: PendingNodeRequest) -> None:
+        """Starts the release of all that engines reserve, or may reserve, for the request."""
         self.release_unclaimed_state(pending)
         pending.prefill_endpoint = pending.possible_prefill_endpoint = None
 
     def release_unclaimed_state(self, pending: PendingNodeRequest) -> bool:
+        """Starts the release of what no attempt at an engine waits for; False where nothing is reserved."""
         endpoint = pending.prefill_endpoint or pending.possible_prefill_endpoint
         if endpoint is None:
             return False
@@ -159,33 +184,36 @@
         release = PendingRelease(
             pending.id,
             endpoint,
-            on_confirmed=lambda: self._let_go_confirmed(pending, since),
-            remote_end_unknown=lambda: self._may_still_read(pending),
+            on_confirmed=lambda: self._release_confirmed(pending, since),
+            remote_end_unknown=lambda: self._remote_end_unknown(pending),
         )
         self._spawn(self.state_releaser.release, release)
         return True
 
     async def before_attempt(self, pending: PendingNodeRequest, endpoint: Endpoint) -> None:
-        """Against a call that lets go taking what the next read leaves: one that is under way goes first.
+        """Waits a moment for a release in progress, which would otherwise take the next prefill's state too.
 
-        None is begun for a read that was given up, as its engine may still be at it: made then, the call
-        took the next read's state three times in four. It is made when its time comes, unless the next read
-        is known to have arrived.
+        No release is started here for a prefill that was given up, as its engine may still be at it: that
+        release took the next prefill's state three times in four. It is started when it is due, unless the
+        next prefill is known to have been received.
         """
         if endpoint.role is Role.PREFILL:
-            await self.state_releaser.wait_settled(pending.id, RELEASE_FIRST)
+            await self.state_releaser.wait_settled(pending.id, RELEASE_WAIT_SECONDS)
 
     def after_attempt(
         self, pending: PendingNodeRequest, endpoint: Endpoint, attempt: int, result: AttemptResult
     ) -> None:
-        """A read lost or given up may have ended well: what it left counts as held from its end on."""
+        """Counts what a lost or given up prefill may have left as reserved, and releases what nothing
+        waits for.
+        """
         if endpoint.role is Role.PREFILL and result.status in PREFILL_MAY_HAVE_RUN:
             pending.possible_prefill_endpoint = endpoint
         elif pending.lifecycle.remote_end_unknown and not pending.stream_started:
-            # An earlier attempt ended here alone: what it left may have been taken up by this.
+            # An earlier attempt ended only here: this one may have taken up what it left.
             pending.possible_prefill_endpoint = pending.possible_prefill_endpoint or endpoint
-        # A state that still waits goes with its own release: one call lets go of everything. What is behind
-        # another attempt goes when its time comes, unless that attempt has arrived.
+        # One release covers all that is reserved, so a state that still waits goes with its own.
+        # What was left
+        # behind another attempt is released when it is due, unless that attempt has been received.
         if (
             pending.possible_prefill_endpoint is not None
             and pending.attempt_count == attempt
@@ -196,26 +224,28 @@
     def set_prefill_endpoint(
         self, pending: PendingNodeRequest, endpoint: Endpoint | None, state: object
     ) -> None:
+        """Notes where a prefill's state waits now, None where none does."""
         super().set_prefill_endpoint(pending, endpoint, state)
-        # Against a call for what an earlier read left taking this state too. What it was for is owed still.
+        # A release of what an earlier prefill left would take this state too. It stays owed.
         if endpoint is not None and self.state_releaser.withdraw(pending.id):
             pending.possible_prefill_endpoint = pending.possible_prefill_endpoint or endpoint
 
     def after_request(self, pending: PendingNodeRequest) -> None:
+        """Forgets the request, and starts the release of what is still reserved for it."""
         self.open_request_ids.discard(pending.id)
         self.release_prefill_state(pending)
 
-    def _let_go_confirmed(self, pending: PendingNodeRequest, since: int | None) -> None:
+    def _release_confirmed(self, pending: PendingNodeRequest, since: int | None) -> None:
         if not pending.lifecycle.release_confirmed(now(), since):
             self.invariants.record(
                 InvariantViolation.STATE_RELEASED_LATE,
                 request=pending.id,
-                reason="the call to let go was confirmed late",
+                reason="the release was confirmed late",
                 held_for=now() - (since or 0),
             )
 
-    def _may_still_read(self, pending: PendingNodeRequest) -> bool:
-        """Whether an attempt that has ended here may leave something that nothing else would let go of."""
+    def _remote_end_unknown(self, pending: PendingNodeRequest) -> bool:
+        """Whether an attempt that has ended here may leave a state that nothing else would release."""
         attempt = pending.lifecycle.last_attempt
         return (
             pending.lifecycle.remote_end_unknown
@@ -226,8 +256,8 @@
     def _count_release(self, change: int) -> None:
         self.releases_in_progress += change
 
-    def _likeliest(self) -> list[Endpoint]:
-        """Engines on the list, those first that this node has heard from last."""
+    def _most_recently_heard(self) -> list[Endpoint]:
+        """Ready engines, those first from which this node has had a response last."""
         idle = self.engine_client.pool.idle
 
         def heard(endpoint: Endpoint) -> int:
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -34,14 +34,14 @@
 from runspool.units import tenths
 from runspool.wire.completions import CompletionRequest
 
-NAMES_KNOWN = 200_000  # texts' names remembered before the one unseen for longest is forgotten
-RELEASE_LIMIT = 5_000  # tenths of a millisecond for one call, or the house's time to let go if that is less
-RELEASE_RESTS = (0.002, 0.004, 0.05, 0.25)  # seconds before such a call is made again
-LOOK_LIMIT = 0.1  # seconds for the look whether an engine is down
-TAKEN_BYTES = 256 << 20  # of queries held at once, shared out to cells
+MAX_INTERNED_NAMES = 200_000  # texts' names remembered before the one unseen for longest is forgotten
+RELEASE_TIMEOUT = 5_000  # tenths of a millisecond for one call, or the house's time to let go if that is less
+RELEASE_RETRY_DELAYS = (0.002, 0.004, 0.05, 0.25)  # seconds before such a call is made again
+ENGINE_CHECK_SECONDS = 0.1  # seconds for the look whether an engine is down
+MAX_REQUEST_BYTES = 256 << 20  # of queries held at once, shared out to cells
 
 
-TURNED = {
+REFUSALS = {
     AdmissionRefusal.CELL_FULL: (
         "cell_full",
         "this cell has all the queries here it may; come later",
@@ -64,238 +64,260 @@
     ),
 }
 # A connection that broke with the query out: the engine may have gone down, and may have by this query.
-BROKE = {
+CONNECTION_BROKEN = {
     FailureCause.CLOSED_BEFORE_RESPONSE,
     FailureCause.CLOSED_DURING_RESPONSE,
     FailureCause.STREAM_INTERRUPTED,
 }
 
 # An engine's word that it does not know the call: it frees states by its own time-out; to ask again is vain.
-WONT = {FailureCause.UNSUPPORTED_ENDPOINT, FailureCause.REQUEST_REJECTED}
+RELEASE_UNSUPPORTED = {FailureCause.UNSUPPORTED_ENDPOINT, FailureCause.REQUEST_REJECTED}
 
 
 class Front(RequestExecutor[PendingCompletion]):
-    """The house's own way in and out, and its cells' desks."""
+    """A front's requests by cell: admits and accepts them, carries out what the cells' schedulers decide."""
 
     def __init__(
         self,
-        terms: FrontConfig,
-        tape: Path | None = None,
+        config: FrontConfig,
+        recording_path: Path | None = None,
         seed: int | None = None,
         cell_map: CellMap | None = None,
         adopted_unix_ms: int = 0,
     ) -> None:
-        self.config = terms
+        self.config = config
         super().__init__(
-            terms.routing_settings(),
-            {name: at for at, name in enumerate(terms.house.kinds)},
-            {name: at for at, name in enumerate(terms.house.zones)},
-            NAMES_KNOWN,
+            config.routing_settings(),
+            {name: at for at, name in enumerate(config.house.kinds)},
+            {name: at for at, name in enumerate(config.house.zones)},
+            MAX_INTERNED_NAMES,
         )
-        self.tape_file = tape
-        self.tariffs = {name: at for at, name in enumerate(terms.house.tariffs)}
-        self.tenants = {name: at for at, name in enumerate(terms.house.tenants)}
+        self.recording_path = recording_path
+        self.request_class_indices = {name: at for at, name in enumerate(config.house.tariffs)}
+        self.tenant_indices = {name: at for at, name in enumerate(config.house.tenants)}
         self.engine_client = CompletionsEngineClient(
-            terms.front.engines, now, terms.front.bounds.stream_silence_ms
+            config.front.engines, now, config.front.bounds.stream_silence_ms
         )
-        self.life = now()
-        self.seed = terms.front.seed if seed is None else seed
+        self.started_at = now()
+        self.seed = config.front.seed if seed is None else seed
         self.cell_router = CellRouter(
             cell_map or CellMap(version=0, way="fixed"),
-            terms.front.bounds.queries,
-            TAKEN_BYTES,
+            config.front.bounds.queries,
+            MAX_REQUEST_BYTES,
             Random(self.seed ^ 0x5EED).random,
             adopted_unix_ms,
         )
-        self.quarters: dict[str, CellScheduler] = {}
-        self.quarter(self.cell_router.cell_map.names()[0])
+        self.cell_schedulers: dict[str, CellScheduler] = {}
+        self.cell_scheduler(self.cell_router.cell_map.names()[0])
 
     # What comes in.
 
-    def submit(self, wish: CompletionRequest, reply: ResponseListener[str], came: int) -> PendingCompletion:
-        """Takes a query: from here on it is owed one final answer. Raises Refused where it is not taken."""
+    def submit(
+        self, completion: CompletionRequest, listener: ResponseListener[str], received_at: int
+    ) -> PendingCompletion:
+        """Accepts a request: from here on it is owed one final response. Raises RequestNotAcceptedError."""
         if self.closing:
             raise RequestNotAcceptedError("closing", "this front is stopping; ask another")
-        stay = self._let_in(wish)
+        admission = self._admit(completion)
         index = self.accepted_count
         self.accepted_count += 1
-        at = now()
-        limit = came + wish.time_limit
-        name = f"{self.config.front.name}-{self.life:x}-{index}"
+        accepted_at = now()
+        deadline = received_at + completion.time_limit
+        name = f"{self.config.front.name}-{self.started_at:x}-{index}"
         pending = PendingCompletion(
-            index, name, came, limit, reply, completion=wish, headers=self._passed_on(wish), admission=stay
+            index,
+            name,
+            received_at,
+            deadline,
+            listener,
+            completion=completion,
+            headers=self._forwarded_headers(completion),
+            admission=admission,
         )
-        query = Request(
+        request = Request(
             index=index,
-            request_class=self.tariffs[wish.request_class],
-            tenant=None if wish.tenant is None else self.tenants[wish.tenant],
-            session=self.intern_text("s", wish.session, at),
-            prefix=self.intern_text("b", wish.prefix, at),
-            prompt_tokens=wish.prompt_tokens,
-            prefix_tokens=wish.prefix_tokens,
-            max_output_tokens=wish.max_output_tokens,
-            expected_output_tokens=wish.expected_output_tokens,
-            # The answer still has to reach the client within its time.
+            request_class=self.request_class_indices[completion.request_class],
+            tenant=None if completion.tenant is None else self.tenant_indices[completion.tenant],
+            session=self.intern_text("s", completion.session, accepted_at),
+            prefix=self.intern_text("b", completion.prefix, accepted_at),
+            prompt_tokens=completion.prompt_tokens,
+            prefix_tokens=completion.prefix_tokens,
+            max_output_tokens=completion.max_output_tokens,
+            expected_output_tokens=completion.expected_output_tokens,
+            # The response still has to reach the client within its time.
             time_budget=first_token_budget(
-                limit - self.settings.response_slack - at,
-                not wish.stream,
-                wish.expected_output_tokens,
-                self.settings.request_classes[self.tariffs[wish.request_class]],
+                deadline - self.settings.response_slack - accepted_at,
+                not completion.stream,
+                completion.expected_output_tokens,
+                self.settings.request_classes[self.request_class_indices[completion.request_class]],
             ),
-            is_client_retry=wish.is_client_retry,
-            is_continuation=wish.is_continuation,
-            session_hash=stable_hash(wish.session or ""),
-            prefix_hash=stable_hash(wish.prefix or ""),
+            is_client_retry=completion.is_client_retry,
+            is_continuation=completion.is_continuation,
+            session_hash=stable_hash(completion.session or ""),
+            prefix_hash=stable_hash(completion.prefix or ""),
         )
         self.log.debug(
             "request_accepted",
             request=name,
-            request_class=wish.request_class,
-            tenant=wish.tenant,
-            prompt_tokens=wish.prompt_tokens,
-            time_limit=wish.time_limit,
-            client_attempt=wish.client_attempt,
+            request_class=completion.request_class,
+            tenant=completion.tenant,
+            prompt_tokens=completion.prompt_tokens,
+            time_limit=completion.time_limit,
+            client_attempt=completion.client_attempt,
         )
         self.accept(pending)
-        self.quarter(stay.cell)
-        self.notify_scheduler(self.scheduler_for(pending), index, CellScheduler.submit, query)
+        self.cell_scheduler(admission.cell)
+        self.notify_scheduler(self.scheduler_for(pending), index, CellScheduler.submit, request)
         return pending
 
-    def _let_in(self, wish: CompletionRequest) -> CellAdmission:
-        row = self.config.house.tariffs[wish.request_class]
-        # A ticket that all engines know binds no cell.
-        bound = row.effect == "ticketed" and row.group != "all"
-        print_ = xxhash.xxh64_hexdigest(f"{wish.tenant}\0".encode() + bytes(wish.body["prompt"]))
-        asked = AdmissionRequest(
-            wish.tenant,
-            wish.session,
-            wish.idempotency_key if bound else None,
-            wish.is_client_retry or wish.is_continuation,
-            tenths(row.window_ms + self.config.front.bounds.longest_limit_ms) if bound else 0,
-            wish.body_bytes,
-            print_,
+    def _admit(self, completion: CompletionRequest) -> CellAdmission:
+        class_config = self.config.house.tariffs[completion.request_class]
+        # An idempotency key that all engines know binds the request to no cell.
+        is_bound = class_config.effect == "ticketed" and class_config.group != "all"
+        fingerprint = xxhash.xxh64_hexdigest(
+            f"{completion.tenant}\0".encode() + bytes(completion.body["prompt"])
         )
-        stay = self.cell_router.admit(now(), unix_ms(), asked)
-        if isinstance(stay, AdmissionRefusal):
-            code, message, kind = TURNED[stay]
+        admission_request = AdmissionRequest(
+            completion.tenant,
+            completion.session,
+            completion.idempotency_key if is_bound else None,
+            completion.is_client_retry or completion.is_continuation,
+            tenths(class_config.window_ms + self.config.front.bounds.longest_limit_ms) if is_bound else 0,
+            completion.body_bytes,
+            fingerprint,
+        )
+        admission = self.cell_router.admit(now(), unix_ms(), admission_request)
+        if isinstance(admission, AdmissionRefusal):
+            code, message, kind = REFUSALS[admission]
             self.counts[f"turned_{code}"] += 1
             raise RequestNotAcceptedError(code, message, kind)
-        return stay
+        return admission
 
-    def cell_map_changed(self, chart: CellMap, since: int) -> None:
-        """A newer cell map. What has been taken stays where it is."""
-        if not self.cell_router.adopt(chart, since):
+    def cell_map_changed(self, cell_map: CellMap, adopted_unix_ms: int) -> None:
+        """Adopts a newer cell map. Requests that were accepted stay in their cells."""
+        if not self.cell_router.adopt(cell_map, adopted_unix_ms):
             return
-        self.log.info("cell_map_adopted", version=chart.version, cells=len(chart.names()))
+        self.log.info("cell_map_adopted", version=cell_map.version, cells=len(cell_map.names()))
         self.publish_engines()
-        for name, quarter in list(self.quarters.items()):
-            self._close_if_left(name, quarter)
+        for name, scheduler in list(self.cell_schedulers.items()):
+            self._close_if_unused(name, scheduler)
 
     def cells(self) -> dict[str, Any]:
         """Where this front stands with its cells and moves, for operators."""
-        keeping, at, wall = self.cell_router, now(), unix_ms()
+        router, at, wall = self.cell_router, now(), unix_ms()
         return {
             "front": self.config.front.name,
-            "version": keeping.cell_map.version,
-            "adopted_unix_ms": keeping.adopted_unix_ms,
-            "lacks": keeping.placement.shortages,
-            "panicking": sorted(keeping.panicking_cells),
+            "version": router.cell_map.version,
+            "adopted_unix_ms": router.adopted_unix_ms,
+            "lacks": router.placement.shortages,
+            "panicking": sorted(router.panicking_cells),
             "moves": [
                 {
                     "id": move.id,
                     "tenant": move.tenant,
                     "source": move.source,
                     "target": move.target,
-                    "stage": keeping.migrations.stage(at, wall, move).name.lower(),
-                    "out": keeping.migrations.in_flight[move.tenant, move.source],
+                    "stage": router.migrations.stage(at, wall, move).name.lower(),
+                    "out": router.migrations.in_flight[move.tenant, move.source],
                 }
-                for move in keeping.cell_map.moves
+                for move in router.cell_map.moves
             ],
             "cells": {
                 name: {
                     "engines": sorted(there),
-                    "queries": keeping.request_budget.used.get(name, 0),
-                    "overflow": round(keeping.overflow_policy.state(name).overflow_share, 3),
-                    "lent": keeping.overflow_policy.state(name).requests_at_reserve,
+                    "queries": router.request_budget.used.get(name, 0),
+                    "overflow": round(router.overflow_policy.state(name).overflow_share, 3),
+                    "lent": router.overflow_policy.state(name).requests_at_reserve,
                 }
-                for name, there in keeping.placement.cells.items()
+                for name, there in router.placement.cells.items()
             },
         }
 
     def publish_engines(self) -> None:
-        """Tells each cell's desk what engines it has. One that the map has no more keeps those it had."""
+        """Gives each cell's scheduler its engines. A cell that is no longer on the map keeps those it had."""
         zones = self.config.house.zones
         places = [
             EnginePlace(
-                name, self.endpoints[line.engine].role, zones[line.zone] if line.zone >= 0 else "", line.rack
+                name,
+                self.endpoints[record.engine].role,
+                zones[record.zone] if record.zone >= 0 else "",
+                record.rack,
             )
-            for name, line in self.engine_records.items()
+            for name, record in self.engine_records.items()
         ]
         before = self.cell_router.placement.shortages
-        off = {name for name, line in self.engine_records.items() if line.state != EngineState.READY}
-        placed = self.cell_router.update_engines(places, off)
-        if placed.shortages != before and self.cell_router.cell_map.version:
+        not_ready = {
+            name for name, record in self.engine_records.items() if record.state != EngineState.READY
+        }
+        placement = self.cell_router.update_engines(places, not_ready)
+        if placement.shortages != before and self.cell_router.cell_map.version:
             self.log.warning(
-                "cells_incomplete", what=placed.shortages[:20], more=max(0, len(placed.shortages) - 20)
+                "cells_incomplete", what=placement.shortages[:20], more=max(0, len(placement.shortages) - 20)
             )
-        for name, quarter in self.quarters.items():
-            quarter.update_engines(self._engines_of(name, quarter))
+        for name, scheduler in self.cell_schedulers.items():
+            scheduler.update_engines(self._engines_in_cell(name, scheduler))
 
-    def _engines_of(self, name: str, quarter: CellScheduler) -> dict[int, EngineRecord]:
-        there = self.cell_router.placement.cells.get(name)
-        if there is None:
+    def _engines_in_cell(self, name: str, scheduler: CellScheduler) -> dict[int, EngineRecord]:
+        names = self.cell_router.placement.cells.get(name)
+        if names is None:
             return {
-                line.engine: line
-                for line in self.engine_records.values()
-                if line.engine in quarter.engines and line.state == EngineState.READY
+                record.engine: record
+                for record in self.engine_records.values()
+                if record.engine in scheduler.engines and record.state == EngineState.READY
             }
-        # In one order everywhere: a set's changes from life to life, and with it what is drawn for whom.
-        return {self.engine_records[engine].engine: self.engine_records[engine] for engine in sorted(there)}
-
-    def quarter(self, name: str) -> CellScheduler:
-        """A cell's desk, made when its first query comes."""
-        found = self.quarters.get(name)
-        if found is None:
-            # One cell of several that share engines is to the others like another front.
-            terms = replace(
+        # In one order in every process: that of a set changes, and with it which request gets which draw.
+        return {self.engine_records[engine].engine: self.engine_records[engine] for engine in sorted(names)}
+
+    def cell_scheduler(self, name: str) -> CellScheduler:
+        """A cell's scheduler, made when its first request comes."""
+        scheduler = self.cell_schedulers.get(name)
+        if scheduler is None:
+            # To the other cells that share its engines, a cell is like another front.
+            settings = replace(
                 self.settings,
                 front_count=round(self.settings.front_count * self.cell_router.cells_per_engine()),
             )
-            first = not self.quarters and name == self.cell_router.cell_map.names()[0]
-            file = self.tape_file and (
-                self.tape_file if first else self.tape_file.with_name(f"{self.tape_file.name}.{name}")
+            is_first = not self.cell_schedulers and name == self.cell_router.cell_map.names()[0]
+            path = self.recording_path and (
+                self.recording_path
+                if is_first
+                else self.recording_path.with_name(f"{self.recording_path.name}.{name}")
             )
-            found = CellScheduler(
-                name, terms, self.seed if first else self.seed ^ stable_hash(name), self, EventRecorder(file)
+            scheduler = CellScheduler(
+                name,
+                settings,
+                self.seed if is_first else self.seed ^ stable_hash(name),
+                self,
+                EventRecorder(path),
             )
-            self.quarters[name] = found
-            found.update_engines(self._engines_of(name, found))
-        return found
+            self.cell_schedulers[name] = scheduler
+            scheduler.update_engines(self._engines_in_cell(name, scheduler))
+        return scheduler
 
-    def _close_if_left(self, name: str, quarter: CellScheduler) -> None:
-        if not quarter.open_requests and name not in self.cell_router.cell_map.names():
-            quarter.recorder.close()
-            del self.quarters[name]
+    def _close_if_unused(self, name: str, scheduler: CellScheduler) -> None:
+        if not scheduler.open_requests and name not in self.cell_router.cell_map.names():
+            scheduler.recorder.close()
+            del self.cell_schedulers[name]
 
     @property
-    def desk(self) -> SchedulerDriver:
-        """That of the only cell, or of the first."""
-        return next(iter(self.quarters.values())).driver
+    def first_driver(self) -> SchedulerDriver:
+        """The scheduler driver of the only cell, or of the first."""
+        return next(iter(self.cell_schedulers.values())).driver
 
-    def list_lost(self) -> None:
-        for quarter in self.quarters.values():
-            quarter.subscription_lost()
+    def subscription_lost(self) -> None:
+        for scheduler in self.cell_schedulers.values():
+            scheduler.subscription_lost()
 
     # How it is carried out.
 
     def scheduler_named(self, name: str) -> CellScheduler | None:
-        return self.quarters.get(name)
+        return self.cell_schedulers.get(name)
 
     def scheduler_for(self, pending: PendingCompletion) -> CellScheduler | None:
-        return self.quarters.get(pending.admission.cell)
+        return self.cell_schedulers.get(pending.admission.cell)
 
     def request_class_of(self, pending: PendingCompletion) -> int:
-        return self.tariffs[pending.completion.request_class]
+        return self.request_class_indices[pending.completion.request_class]
 
     async def run_exchange(
         self,
@@ -321,8 +343,8 @@
                 pending.completion.max_output_tokens,
                 ResponseRelay(self, pending, attempt, sent_at),
             )
-        if result.failure_cause in BROKE:
-            await self._look_for_poison(pending, endpoint)
+        if result.failure_cause in CONNECTION_BROKEN:
+            await self._check_for_poison(pending, endpoint)
         return result
 
     def set_prefill_endpoint(
@@ -334,12 +356,13 @@
         self, pending: PendingCompletion, endpoint: Endpoint, attempt: int, result: AttemptResult
     ) -> None:
         if endpoint.role is Role.PREFILL and result.status in ENDED_LOCALLY:
-            # The read may have ended while its answer was given up; named by its request, its state goes.
-            self.spawn_release(self._let_go, endpoint, None, f"{pending.id}.{attempt}")
+            # The prefill may have ended while its response was given up: its state is released
+            # by the request's id.
+            self.spawn_release(self._release, endpoint, None, f"{pending.id}.{attempt}")
 
     def release_prefill_state(self, pending: PendingCompletion) -> None:
         if pending.state is not None and pending.prefill_endpoint is not None:
-            self.spawn_release(self._let_go, pending.prefill_endpoint, pending.state, pending.id)
+            self.spawn_release(self._release, pending.prefill_endpoint, pending.state, pending.id)
         pending.state = pending.prefill_endpoint = None
 
     def is_guarded(self, pending: PendingCompletion) -> bool:
@@ -354,20 +377,21 @@
         self.cell_router.finish(
             now(), pending.admission, {ResponseKind.SUCCEEDED: False, ResponseKind.REJECTED: True}.get(kind)
         )
-        quarter = self.quarters.get(pending.admission.cell)
-        if quarter is not None:
-            self._close_if_left(quarter.name, quarter)
+        scheduler = self.cell_schedulers.get(pending.admission.cell)
+        if scheduler is not None:
+            self._close_if_unused(scheduler.name, scheduler)
 
-    async def _look_for_poison(self, pending: PendingCompletion, endpoint: Endpoint) -> None:
-        """An engine that is down since the query was there counts against the query; it may be its doing.
+    async def _check_for_poison(self, pending: PendingCompletion, endpoint: Endpoint) -> None:
+        """Counts an engine that went down with the request in progress against it: it may be the cause.
 
-        The query waits for it, and its state does: no longer than LOOK_LIMIT, nor once its client has left.
+        The request waits for the check, and so does its state: at most ENGINE_CHECK_SECONDS, and not once its
+        client has disconnected.
         """
-        up = False
-        with anyio.move_on_after(LOOK_LIMIT):
-            up = await self.engine_client.accepts_connections(endpoint.address)
+        is_up = False
+        with anyio.move_on_after(ENGINE_CHECK_SECONDS):
+            is_up = await self.engine_client.accepts_connections(endpoint.address)
         if (
-            up
+            is_up
             or pending.final_response is not None
             or not self.cell_router.record_engine_loss(now(), pending.admission, endpoint.index)
         ):
@@ -378,25 +402,25 @@
         self.counts["poisonous"] += 1
         self.finish(
             pending,
-            FinalResponse(ResponseKind.INDETERMINATE, "poisonous", TURNED[AdmissionRefusal.POISONOUS][1]),
+            FinalResponse(ResponseKind.INDETERMINATE, "poisonous", REFUSALS[AdmissionRefusal.POISONOUS][1]),
         )
 
-    async def _let_go(self, endpoint: Endpoint, state: PrefillState | None, request: str) -> None:
-        """Against a call lost on its way pinning the state: it is repeated, soon at first."""
-        for rest in (*RELEASE_RESTS, 0.0):
-            limit = min(RELEASE_LIMIT, self.settings.state_release_timeout)
-            mishap = await self.engine_client.release_state(endpoint.address, state, request, limit)
-            if mishap is None or mishap in WONT:
+    async def _release(self, endpoint: Endpoint, state: PrefillState | None, request: str) -> None:
+        """Releases a state; repeated, soon at first, as a call lost on its way would leave it reserved."""
+        for delay in (*RELEASE_RETRY_DELAYS, 0.0):
+            timeout = min(RELEASE_TIMEOUT, self.settings.state_release_timeout)
+            failure = await self.engine_client.release_state(endpoint.address, state, request, timeout)
+            if failure is None or failure in RELEASE_UNSUPPORTED:
                 return
-            await anyio.sleep(rest)
+            await anyio.sleep(delay)
         self.log.warning("release_failed", request=request, engine=endpoint.name)
 
-    def _passed_on(self, wish: CompletionRequest) -> dict[str, str]:
-        said = {
-            "Runspool-Mark": wish.client_attempt,
-            "Runspool-Tariff": wish.request_class,
-            "Runspool-Tenant": wish.tenant,
-            "Runspool-Ticket": wish.idempotency_key,
+    def _forwarded_headers(self, completion: CompletionRequest) -> dict[str, str]:
+        headers = {
+            "Runspool-Mark": completion.client_attempt,
+            "Runspool-Tariff": completion.request_class,
+            "Runspool-Tenant": completion.tenant,
+            "Runspool-Ticket": completion.idempotency_key,
             "Runspool-Front": self.config.front.name,
         }
-        return {name: value for name, value in said.items() if value}
+        return {name: value for name, value in headers.items() if value}
--- a/runspool/service/front_server.py
+++ b/runspool/service/front_server.py
@@ -76,7 +76,7 @@
             await self._run(task_status)
         finally:
             self.front.engine_client.pool.close()
-            for scheduler in self.front.quarters.values():
+            for scheduler in self.front.cell_schedulers.values():
                 scheduler.recorder.close()
         self.log.info("front_stopped", front=self.config.front.name, counts=dict(self.front.counts))
 
@@ -124,7 +124,7 @@
             front.endpoint_tracker,
             now,
             self._endpoints_changed,
-            front.list_lost,
+            front.subscription_lost,
             settings.engines.source_address,
         )
         tasks.start_soon(watch_client.follow)
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -773,7 +773,7 @@
 def leftovers(front: Front) -> list[str]:
     """What a front still has in its books; nothing once every query has ended."""
     found = [f"query {index}" for index in front.requests]
-    for quarter in front.quarters.values():
+    for quarter in front.cell_schedulers.values():
         rules = quarter.driver.scheduler
         found += [f"errand {index}" for index in quarter.driver.tasks if index != BACKGROUND_TASK]
         found += [f"{quarter.name} counts {quarter.open_requests} queries"] if quarter.open_requests else []
--- a/tests/test_cells_at_work.py
+++ b/tests/test_cells_at_work.py
@@ -177,7 +177,7 @@
         assert engines_of(town, "now") == {"e2", "e3"}
         await until(town, "ran", "held")
         with anyio.fail_after(10):
-            while "a" in town.running.front.quarters:
+            while "a" in town.running.front.cell_schedulers:
                 await anyio.sleep(0.005)
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -155,7 +155,7 @@
 
         wish = parse_completion_request({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
         taken = PendingCompletion(
-            0, "q", 0, 10, completion=wish, listener=Ear(), headers={}, admission=front._let_in(wish)
+            0, "q", 0, 10, completion=wish, listener=Ear(), headers={}, admission=front._admit(wish)
         )
         hearing = ResponseRelay(front, taken, 1, 0)
         await hearing.data_received("before")
@@ -169,20 +169,20 @@
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
         front = town.running.front
         wish = parse_completion_request({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
-        stay = replace(front._let_in(wish), cell="closed")
+        stay = replace(front._admit(wish), cell="closed")
         front._disconnect(
             PendingCompletion(
                 0, "q", 0, 10, completion=wish, listener=cast(Any, None), headers={}, admission=stay
             )
         )
-        assert front.quarters.keys() == {"whole"}
+        assert front.cell_schedulers.keys() == {"whole"}
 
 
 async def test_no_engine_at_all_is_a_dismissal_in_time(tmp_path: Path) -> None:
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
         town.tell(0, "gone")
         town.tell(1, "gone")
-        while any(engine.ready for engine in town.running.front.desk.scheduler.engines.values()):
+        while any(engine.ready for engine in town.running.front.first_driver.scheduler.engines.values()):
             await anyio.sleep(0.005)
         answer = await town.ask(runspool_limit_ms="500")
         assert (answer.status, answer.error["type"]) == (503, "dismissed")
@@ -322,7 +322,7 @@
 
 async def test_a_fault_in_the_decisions_scraps_one_query_and_spares_the_rest(tmp_path: Path) -> None:
     async with Town(tmp_path, ["prefill", "decode"]).open() as town:
-        rules = town.running.front.desk.scheduler
+        rules = town.running.front.first_driver.scheduler
         sound = rules.select_engine
         rules.select_engine = lambda *_: 1 // 0  # type: ignore[method-assign, assignment]
         answer = await town.ask()
@@ -371,7 +371,7 @@
             with anyio.fail_after(10):
                 await dialled.wait()
                 town.tell(to[0], "draining")
-                while town.running.front.desk.scheduler.engines[to[0]].ready:
+                while town.running.front.first_driver.scheduler.engines[to[0]].ready:
                     await anyio.sleep(0.005)
             go.set()
         assert answers[0].status == 200
@@ -384,7 +384,7 @@
         town.plan.engines[1].kind = "prefill"
         town.tell(1, "on")
         with anyio.fail_after(10):
-            while front.desk.scheduler.engines[1].role is not Role.PREFILL:
+            while front.first_driver.scheduler.engines[1].role is not Role.PREFILL:
                 await anyio.sleep(0.005)
         async with anyio.create_task_group() as tasks:
             for _ in range(8):
@@ -395,7 +395,7 @@
         town.plan.engines[1].kind = "novel"
         town.tell(1, "draining")
         with anyio.fail_after(10):
-            while front.desk.scheduler.engines[1].ready:
+            while front.first_driver.scheduler.engines[1].ready:
                 await anyio.sleep(0.005)
         assert (await town.ask()).status == 200
 
@@ -412,7 +412,7 @@
             return True
 
         monkeypatch.setattr(front.engine_client, "accepts_connections", answers)
-        monkeypatch.setattr("runspool.service.front.LOOK_LIMIT", 60.0)
+        monkeypatch.setattr("runspool.service.front.ENGINE_CHECK_SECONDS", 60.0)
         town.engines[1].fault("row", row="reset_after", share=1.0)
         with anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
@@ -433,7 +433,7 @@
         front, hour = town.running.front, 3_600_000
         town.started[1] = unix_ms() - 30_000
         town.tell(1, "on")
-        rules = front.desk.scheduler
+        rules = front.first_driver.scheduler
         with anyio.fail_after(10):
             while not rules.engines[1].started_at:
                 await anyio.sleep(0.005)
@@ -498,7 +498,7 @@
                         ["ask", "book"][at % 2], out=5, runspool_mark=f"m{at}", runspool_session=f"s{at % 7}"
                     )
                 )
-        town.running.front.quarter("whole").recorder.close()
+        town.running.front.cell_scheduler("whole").recorder.close()
     found = replay(tape)
     assert found.differs == ""
     assert found.events > 100
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -121,7 +121,7 @@
     async def let_go(front: Front, *said: Any) -> None:
         return
 
-    patch.setattr(Front, "_let_go", let_go)
+    patch.setattr(Front, "_release", let_go)
 
 
 REFUSED: dict[str, tuple[Callable[[pytest.MonkeyPatch], None], Days]] = {
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -69,7 +69,7 @@
 
 
 async def in_the_line(town: Town, query: Query, patch: Any) -> None:
-    while not town.running.front.desk.scheduler.prefill_queue:
+    while not town.running.front.first_driver.scheduler.prefill_queue:
         await anyio.sleep(0.005)
 
 
@@ -80,7 +80,7 @@
 async def state_held(town: Town, query: Query, patch: Any) -> None:
     await town.until("arrived", stage="read")
     town.tell(1, "draining")
-    while town.running.front.desk.scheduler.engines[1].ready:
+    while town.running.front.first_driver.scheduler.engines[1].ready:
         await anyio.sleep(0.005)
     town.engines[0].fault("hang", on=False)
     await town.until("held")
