--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -203,9 +203,7 @@
     def after_attempt(
         self, pending: PendingNodeRequest, endpoint: Endpoint, attempt: int, result: AttemptResult
     ) -> None:
-        """Counts what a lost or given up prefill may have left as reserved, and releases what nothing
-        waits for.
-        """
+        """Counts what a lost or given up prefill may have left; releases what nothing waits for."""
         if endpoint.role is Role.PREFILL and result.status in PREFILL_MAY_HAVE_RUN:
             pending.possible_prefill_endpoint = endpoint
         elif pending.lifecycle.remote_end_unknown and not pending.stream_started:
--- a/runspool/runtime/scheduler_driver.py
+++ b/runspool/runtime/scheduler_driver.py
@@ -122,7 +122,7 @@
         # from another thread or from within, would decide by half of it.
         if self.is_stepping or get_ident() != self.thread:
             raise ReentrantCallError(
-                "another step is under way" if self.is_stepping else "not the desk's own thread"
+                "another step is under way" if self.is_stepping else "not the driver's own thread"
             )
         self.is_stepping = True
         self.scheduler.now = now
--- a/runspool/scheduling/request_lifecycle.py
+++ b/runspool/scheduling/request_lifecycle.py
@@ -80,15 +80,15 @@
     state_release_timeout: int = 0  # 0: no timeout is set
 
     @classmethod
-    def for_class(cls, terms: RoutingSettings, tariff: int) -> AttemptPolicy:
+    def for_class(cls, settings: RoutingSettings, request_class: int) -> AttemptPolicy:
         """The policy of a class of requests, by its index in the settings."""
-        row = terms.request_classes[tariff]
+        row = settings.request_classes[request_class]
         return cls(
             row.idempotency,
             row.deduplication_scope,
             row.deduplication_window,
-            terms.max_attempts,
-            terms.state_release_timeout,
+            settings.max_attempts,
+            settings.state_release_timeout,
         )
 
 
--- a/runspool/scheduling/types.py
+++ b/runspool/scheduling/types.py
@@ -29,9 +29,7 @@
 
 
 class DeduplicationScope(Enum):
-    """The engines among which repeats of a keyed request are recognized: those of the first attempt's
-    part.
-    """
+    """The engines among which repeats of a keyed request are recognized."""
 
     ALL = 1
     ZONE = 2
--- a/runspool/service/__init__.py
+++ b/runspool/service/__init__.py
@@ -1,1 +1,1 @@
-"""A running front: its listener, its queries, its shots, its start and stop."""
+"""A running front: its listener, its requests, its attempts, its start and stop."""
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -305,18 +305,22 @@
         return next(iter(self.cell_schedulers.values())).driver
 
     def subscription_lost(self) -> None:
+        """The connection to discovery was lost; schedulers that subscribe do so anew."""
         for scheduler in self.cell_schedulers.values():
             scheduler.subscription_lost()
 
     # How it is carried out.
 
     def scheduler_named(self, name: str) -> CellScheduler | None:
+        """The scheduler of a cell, None where it is closed."""
         return self.cell_schedulers.get(name)
 
     def scheduler_for(self, pending: PendingCompletion) -> CellScheduler | None:
+        """The scheduler of the request's cell, None where it is closed."""
         return self.cell_schedulers.get(pending.admission.cell)
 
     def request_class_of(self, pending: PendingCompletion) -> int:
+        """The index of the request's class in the settings."""
         return self.request_class_indices[pending.completion.request_class]
 
     async def run_exchange(
@@ -328,6 +332,7 @@
         limit: int,
         permit: SendPermit,
     ) -> AttemptResult:
+        """Runs one attempt; cancelled, its connection is closed and nothing is reported."""
         headers = pending.headers | {"X-Request-Id": f"{pending.id}.{attempt}"}
         body = pending.completion.body
         if endpoint.role is Role.PREFILL:
@@ -350,25 +355,30 @@
     def set_prefill_endpoint(
         self, pending: PendingCompletion, endpoint: Endpoint | None, state: PrefillState | None
     ) -> None:
+        """Notes where a prefill's state waits now, None where none does."""
         pending.prefill_endpoint, pending.state = endpoint, state
 
     def after_attempt(
         self, pending: PendingCompletion, endpoint: Endpoint, attempt: int, result: AttemptResult
     ) -> None:
+        """Starts the release of what a prefill that was given up may have left."""
         if endpoint.role is Role.PREFILL and result.status in ENDED_LOCALLY:
             # The prefill may have ended while its response was given up: its state is released
             # by the request's id.
             self.spawn_release(self._release, endpoint, None, f"{pending.id}.{attempt}")
 
     def release_prefill_state(self, pending: PendingCompletion) -> None:
+        """Starts the release of the state that waits for the request."""
         if pending.state is not None and pending.prefill_endpoint is not None:
             self.spawn_release(self._release, pending.prefill_endpoint, pending.state, pending.id)
         pending.state = pending.prefill_endpoint = None
 
     def is_guarded(self, pending: PendingCompletion) -> bool:
+        """Whether the deadline guard still applies: not to a stream that has started."""
         return not (pending.stream_started and pending.completion.stream)
 
     def after_request(self, pending: PendingCompletion) -> None:
+        """Tells the cell router how the request ended, and closes a cell that is no longer used."""
         kind = (
             pending.final_response.kind
             if pending.final_response is not None
