--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -11,7 +11,7 @@
 from runspool.scheduling.engine_eligibility import engines_in_view
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.fleet_statistics import EVIDENCE_STREAMS, decode_cost, refresh_fleet_statistics
-from runspool.scheduling.front_state import FrontState
+from runspool.scheduling.front_state import FrontState, QueuePosition, TenantArrivals
 from runspool.scheduling.latency_estimator import (
     decay,
     decode_wait,
@@ -63,7 +63,7 @@
         patience=patience,
         latest_queueing=front.now + int((due - front.now) * patience),
         queue_limit=int(front.shortest_objective() * queue_limit),
-        queue_position=(is_over_share, priority_time, request.index),
+        queue_position=QueuePosition(is_over_share, priority_time, request.index),
         # Where the platform grants no time of its own, as long as the request has.
         reservation_duration=reservation_time(front.settings.state_release_timeout, request.time_budget),
     )
@@ -94,7 +94,7 @@
         return False
     count, updated_at = front.tenant_arrivals[request.tenant]
     count = count * decay(front, updated_at, SHARE_HALF_LIFE_SECONDS * SECOND) + 1
-    front.tenant_arrivals[request.tenant] = count, front.now
+    front.tenant_arrivals[request.tenant] = TenantArrivals(count, front.now)
     rate = front.settings.tenants[request.tenant].requests_per_second
     # What a decayed count of arrivals at that rate comes to in the long run.
     usual = rate / front.settings.front_count * SHARE_HALF_LIFE_SECONDS / LN_2
--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from runspool.scheduling.engine_state import Engine
+from runspool.scheduling.engine_state import NO_PREFILL, Engine, QueuedPrefill
 from runspool.scheduling.fleet_statistics import memory_weight, tokens_of_other_fronts
 from runspool.scheduling.front_state import FrontState
 from runspool.scheduling.latency_estimator import record_prefill_rate, update, value_at
@@ -26,7 +26,7 @@
     if prefill_engine is None:
         tokens = tokens_to_prefill(front, engine, request)
         engine.prefill_tokens += tokens
-        engine.prefills[request.index] = front.now, tokens, engine.prefill_tokens
+        engine.prefills[request.index] = QueuedPrefill(front.now, tokens, engine.prefill_tokens)
     if engine.role is not Role.PREFILL:
         engine.waiting_decodes[request.index] = front.now
         engine.streams[request.index] = memory_weight(front, request)
@@ -46,13 +46,14 @@
     if prefill_engine and prefill_engine.rack != engine.rack:
         _learn_transfer_delay(front, engine, outcome, prefill_engine)
     engine.waiting_decodes.pop(request.index, None)
-    _, tokens, queued_tokens = engine.prefills.pop(request.index, (0, 0, 0))
+    prefill = engine.prefills.pop(request.index, NO_PREFILL)
+    tokens = prefill.tokens
     engine.prefill_tokens -= tokens
     is_local_decode = prefill_engine is not None and prefill_engine.rack == engine.rack
     if status in SUCCESSFUL:
         engine.consecutive_failures = engine.ejected_until = 0
         if tokens:
-            _learn_from_prefill(front, request, engine, outcome, (tokens, queued_tokens))
+            _learn_from_prefill(front, request, engine, outcome, prefill)
         elif is_local_decode:
             _learn_decode_wait(front, engine, outcome)
     elif status is AttemptStatus.OVERLOADED:
@@ -89,17 +90,17 @@
     request: Request,
     engine: Engine,
     outcome: AttemptOutcome,
-    entered: tuple[int, int],
+    prefill: QueuedPrefill,
 ) -> None:
-    """Learn from a finished prefill; `entered` are its tokens as foreseen, and with those ahead of it."""
-    tokens, queued_tokens = entered
+    """Learn from a finished prefill, entered in the engine's queue as `prefill`."""
+    queued_tokens = prefill.cumulative_tokens
     if outcome.status is AttemptStatus.PREFILL_COMPLETE:
         cached = reported_cached_tokens(request, outcome)
         if request.affinity_candidates and engine.id == request.affinity_candidates[0]:
             class_state = front.class_state(request)
             fraction = cached / max(1, request.prompt_tokens)
             class_state.cached_fraction += (fraction - class_state.cached_fraction) / RUNNING_MEAN
-        queued_tokens += max(1, request.prompt_tokens - cached) - tokens
+        queued_tokens += max(1, request.prompt_tokens - cached) - prefill.tokens
     if outcome.status is not AttemptStatus.STREAM_STARTED:
         record_prefill_rate(front, engine, queued_tokens, outcome.duration)
     delay = max(0.0, outcome.duration - queued_tokens / front.prefill_rates[engine.role])
@@ -177,7 +178,7 @@
     """
     for engine in list(front.active_engines.values()):
         engine.waiting_decodes.pop(request.index, None)
-        engine.prefill_tokens -= engine.prefills.pop(request.index, (0, 0, 0))[1]
+        engine.prefill_tokens -= engine.prefills.pop(request.index, NO_PREFILL).tokens
         engine.stream_tokens -= engine.streams.pop(request.index, 0)
         _forget_if_idle(front, engine)
 
--- a/runspool/scheduling/engine_state.py
+++ b/runspool/scheduling/engine_state.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from runspool.scheduling.settings import RequestClassSettings
 from runspool.scheduling.types import LoadReport, Role
@@ -16,6 +17,19 @@
     updated_at: int = 0
 
 
+class QueuedPrefill(NamedTuple):
+    """A prefill of this front at an engine."""
+
+    sent_at: int
+    tokens: int
+    """Prompt tokens that it is expected to compute."""
+    cumulative_tokens: int
+    """Its tokens and those of all earlier prefills of this front in the engine's queue."""
+
+
+NO_PREFILL = QueuedPrefill(0, 0, 0)
+
+
 @dataclass(slots=True, eq=False)
 class Engine:
     """One engine: its record on the endpoint list, this front's work there, and what was learned of it.
@@ -31,8 +45,8 @@
     memory_tokens: int  # 0 where it is not known
     started_at: int  # 0 where it is not known
     ready: bool = True
-    prefills: dict[int, tuple[int, int, int]] = field(default_factory=dict)
-    """Request index: time sent, its tokens, its and all earlier tokens of this front in the queue."""
+    prefills: dict[int, QueuedPrefill] = field(default_factory=dict)
+    """By request index."""
     prefill_tokens: int = 0  # the sum over `prefills`
     waiting_decodes: dict[int, int] = field(default_factory=dict)
     """Request index: time sent, for requests to be answered here whose first token has not come."""
--- a/runspool/scheduling/front_state.py
+++ b/runspool/scheduling/front_state.py
@@ -8,6 +8,7 @@
 
 from collections import defaultdict
 from random import Random
+from typing import NamedTuple
 
 from runspool.scheduling.engine_index import EngineIndex
 from runspool.scheduling.engine_state import DecayingEstimate, Engine, RequestClassState
@@ -20,6 +21,23 @@
 RACK_BALANCE_INTERVAL = SECOND  # in a large fleet, between two counts of the racks' decode capacity
 
 
+class QueuePosition(NamedTuple):
+    """A request's place in the prefill queue; the least goes first."""
+
+    is_over_share: bool
+    """Whether its tenant sends more than its share."""
+    priority_time: int
+    """The sooner its first token is due, and the higher its priority, the earlier."""
+    request_index: int
+
+
+class TenantArrivals(NamedTuple):
+    """How many requests of a tenant have come of late."""
+
+    decayed_count: float = 0.0
+    updated_at: int = 0
+
+
 class FrontState:
     """The state that all decisions of one front share."""
 
@@ -38,9 +56,9 @@
         self.is_subscribed = False
 
         self.request_classes = [RequestClassState(row) for row in settings.request_classes]
-        self.tenant_arrivals = [(0.0, 0)] * len(settings.tenants)  # decayed count, and when it was updated
+        self.tenant_arrivals = [TenantArrivals()] * len(settings.tenants)
         self.recent_prefixes: list[int] = []  # of the last requests that have one
-        self.prefill_queue: list[tuple[bool, int, int]] = []  # queue positions, the most pressing first
+        self.prefill_queue: list[QueuePosition] = []  # the most pressing first
         self.retry_budget = INITIAL_RETRY_BUDGET  # repeated prefills that are allowed now
 
         self.prefill_rates = dict.fromkeys(Role, INITIAL_PREFILL_RATE)  # tokens a tenth of a millisecond
--- a/runspool/scheduling/latency_estimator.py
+++ b/runspool/scheduling/latency_estimator.py
@@ -98,7 +98,7 @@
         read_since = prefill_rate(front, engine) * (front.now - engine.load_reported_at)
         reported = (report.queued_prompt_tokens or 0) - read_since
     ahead = engine.prefill_tokens + max(0.0, reported)
-    oldest = next(iter(engine.prefills.values()))[0] if engine.prefills else front.now
+    oldest = next(iter(engine.prefills.values())).sent_at if engine.prefills else front.now
     return max(int(ahead / prefill_rate(front, engine)), front.now - oldest)
 
 
--- a/runspool/scheduling/request_progress.py
+++ b/runspool/scheduling/request_progress.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 
 from runspool.scheduling.engine_state import Engine, RequestClassState
+from runspool.scheduling.front_state import QueuePosition
 from runspool.scheduling.types import Request
 
 
@@ -26,8 +27,7 @@
     """Until then it waits behind the requests ahead of it without looking at the engines."""
     queue_limit: int
     """A prefill engine with a longer queue is not used yet."""
-    queue_position: tuple[bool, int, int]
-    """Over its tenant's share, priority time, request index: the least goes first."""
+    queue_position: QueuePosition
     reservation_duration: int
     """For how long an engine keeps a prefill's state."""
     prefill_engine: Engine | None = None
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -38,7 +38,7 @@
     record_stream_end,
 )
 from runspool.scheduling.decode_selection import select_decode
-from runspool.scheduling.endpoint_registry import apply_endpoint_update
+from runspool.scheduling.endpoint_updates import apply_endpoint_update
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.front_state import FrontState
 from runspool.scheduling.prefill_selection import select_prefill
@@ -72,7 +72,9 @@
             forget_request(self, request)
             raise
         finally:
-            self.prefill_queue = [place for place in self.prefill_queue if place[2] != request.index]
+            self.prefill_queue = [
+                position for position in self.prefill_queue if position.request_index != request.index
+            ]
 
     def _serve(self, progress: RequestProgress) -> Generator[Action, Any, None]:
         """Take a request through prefill and decode, with repeats, to its final response."""
--- a/tests/soak/crowd.py
+++ b/tests/soak/crowd.py
@@ -12,14 +12,18 @@
 from tests.soak.world import World, stream_of
 
 CLASSES = ("ask", "ask", "book", "pay")
+LEAVING_SHARE = 0.07  # of clients, that disconnect before they are answered
 GRACE = 2.0  # seconds beyond a deadline that a client still listens, so that a late answer is seen as one
 
 
 class Crowd:
     """Sends requests to nodes that are up, at a mean rate a node, until stopped."""
 
-    def __init__(self, world: World, nodes: list[SoakNode], rate: float) -> None:
+    def __init__(
+        self, world: World, nodes: list[SoakNode], rate: float, leaving_share: float = LEAVING_SHARE
+    ) -> None:
         self.world, self.nodes, self.rate = world, nodes, rate
+        self.leaving_share = leaving_share
         self.random = Random(f"{world.seed}.crowd")
         self.kept: dict[str, list[Client]] = {node.name: [] for node in nodes}
         self.count = 0
@@ -48,7 +52,7 @@
             if luck < 0.04:
                 await self._bad(node, name)
             else:
-                await self._usual(node, name, leaves=luck > 0.93)
+                await self._usual(node, name, leaves=luck > 1.0 - self.leaving_share)
 
     async def _connection(self, node: SoakNode) -> tuple[Client, bool]:
         """A connection that rests, or a new one; whether it is new."""
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -14,12 +14,12 @@
 from tempfile import TemporaryDirectory
 
 from runspool.lab.audit import Judged
-from tests.soak.crowd import Crowd
+from tests.soak.crowd import LEAVING_SHARE, Crowd
 from tests.soak.edges import Edge
 from tests.soak.faults import Fault, Trouble, schedule
 from tests.soak.judge import judge
 from tests.soak.nodes import SoakNode
-from tests.soak.world import Event, World
+from tests.soak.world import MIXED_ENGINES, Event, World
 
 STARTED_AT_ONCE = 6
 LAG_TOLD = 0.05  # seconds by which this process may come late before that is an event
@@ -51,8 +51,17 @@
         return [rule for rule, judged in self.verdict.items() if judged.broken]
 
 
-def at_stake(rule: str, nodes: int) -> list[Fault]:
-    """Faults by which a rule comes to be at stake, so that a node which does not keep it is seen to."""
+@dataclass(frozen=True, slots=True)
+class Stake:
+    """Conditions that put one rule at stake, so that a node which does not keep it is seen to break it."""
+
+    fault: Fault
+    mixed_engines: int = MIXED_ENGINES
+    leaving_share: float = LEAVING_SHARE
+
+
+def at_stake(rule: str, nodes: int) -> Stake:
+    """The conditions for one rule, in a soak of so many nodes."""
     everybody = tuple(range(nodes))
     readers = tuple(f"prefill-{at}" for at in range(8))
     writers = tuple(f"decode-{at}" for at in range(5))
@@ -62,19 +71,21 @@
         "drain": ("drain", readers[:2]),
         "twice": ("failing", writers),
     }.get(rule, ("silence", writers[:2]))
-    return [Fault(0.5, kind, 4.0, engines, everybody)]
+    fault = Fault(0.5, kind, 4.0, engines, everybody)
+    if rule == "gone":
+        # An attempt after a disconnect shows only behind a prefill; a mixed engine needs no further attempt.
+        return Stake(fault, mixed_engines=0, leaving_share=0.5)
+    return Stake(fault)
 
 
 async def play(soak: Soak, folder: Path) -> Result:
     """Starts everything, brings the faults about under load, ends everything, judges."""
-    world = World(soak.seed)
+    stake = at_stake(soak.sabotage, soak.nodes) if soak.sabotage else None
+    world = World(soak.seed, mixed=stake.mixed_engines if stake else MIXED_ENGINES)
     await world.start()
     nodes = [SoakNode(world, f"n{at}", folder, soak.sabotage, soak.preload) for at in range(soak.nodes)]
-    faults = (
-        at_stake(soak.sabotage, soak.nodes)
-        if soak.sabotage
-        else schedule(soak.seed, soak.seconds, world, soak.nodes, soak.each)
-    )
+    faults = [stake.fault] if stake else schedule(soak.seed, soak.seconds, world, soak.nodes, soak.each)
+    leaving_share = stake.leaving_share if stake else LEAVING_SHARE
     lag = asyncio.ensure_future(_lag(world))
     try:
         for node in nodes:
@@ -82,7 +93,7 @@
         for at in range(0, len(nodes), STARTED_AT_ONCE):
             await asyncio.gather(*(node.start() for node in nodes[at : at + STARTED_AT_ONCE]))
         trouble = asyncio.ensure_future(Trouble(world, nodes).run(faults))
-        await Crowd(world, nodes, soak.rate).run(soak.seconds)
+        await Crowd(world, nodes, soak.rate, leaving_share).run(soak.seconds)
         await trouble
         await asyncio.sleep(2.5)  # what is held may still be let go of
         for node in nodes:
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -21,6 +21,7 @@
 Event = dict[str, Any]
 DECLINED = b"Srv-Declined: 1"
 KINDS = ("prefill", "decode", "mixed")
+MIXED_ENGINES = 3
 
 
 @dataclass
@@ -200,7 +201,7 @@
 class World:
     """All far ends of a soak."""
 
-    def __init__(self, seed: int, readers: int = 8, writers: int = 7, mixed: int = 3) -> None:
+    def __init__(self, seed: int, readers: int = 8, writers: int = 7, mixed: int = MIXED_ENGINES) -> None:
         self.seed = seed
         self.recording = Recording()
         self.say = self.recording.say
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -25,6 +25,11 @@
     "cut": "CONNECTION_LOST",
     "reset": "CONNECTION_LOST",
 }
+BATCH = 60  # requests at a time
+ENOUGH_PREFILLS = 21  # completed ones, for the comparison to say something
+# On a slow machine prefill engines that failed by chance stay ejected for most of a batch, and mixed engines
+# prefill in place; then more requests are made, so that the comparison always rests on as many prefills.
+MAX_REQUESTS = 600
 
 
 async def test_each_shot_ends_as_its_engine_saw_it_end_and_took_as_long(tmp_path: Path) -> None:
@@ -61,7 +66,10 @@
     async with Platform(tmp_path, KINDS).open() as platform:
         for engine in platform.engines.values():
             engine.scripts = [answers] * 1_000
-        await asyncio.gather(*(_one(platform, f"q{at}", at) for at in range(60)))
+        asked = 0
+        while asked < BATCH or (asked < MAX_REQUESTS and _prefills(seen) < ENOUGH_PREFILLS):
+            await asyncio.gather(*(_one(platform, f"q{asked + at}", at) for at in range(BATCH)))
+            asked += BATCH
         await platform.until(lambda: platform.log.count(b'"event":"attempt_finished"') >= len(seen))
         told = [
             json.loads(line) for line in platform.log.splitlines() if b'"event":"attempt_finished"' in line
@@ -69,7 +77,7 @@
     for query in {name for name, *_ in seen}:
         here = [(one["engine"], one["status"]) for one in told if one["request"] == query]
         assert here == [(engine, ENDINGS[how]) for name, engine, how, _ in seen if name == query]
-    assert Counter(one["status"] for one in told)["PREFILL_COMPLETE"] > 20
+    assert Counter(one["status"] for one in told)["PREFILL_COMPLETE"] >= ENOUGH_PREFILLS
     # The time a shot took, as the decisions learn it, is never shorter than it was at the engine.
     for one in told:
         there = [
@@ -80,6 +88,11 @@
         assert one["duration"] / 10_000 >= min(there) - 0.002
 
 
+def _prefills(seen: list[tuple[str, str, str, float]]) -> int:
+    """How many prefills the engines have completed."""
+    return sum(how == "read" for _, _, how, _ in seen)
+
+
 async def _one(platform: Platform, name: str, at: int) -> None:
     await asyncio.sleep(at * 0.01)
     await platform.ask(post(name, "ask" if at % 3 else "book"))
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -12,7 +12,7 @@
 
 from runspool.runtime.scheduler_driver import BACKGROUND_TASK, ReentrantCallError
 from runspool.scheduling import attempt_accounting
-from runspool.scheduling.endpoint_registry import DEPARTED_ENGINES_KEPT
+from runspool.scheduling.endpoint_updates import DEPARTED_ENGINES_KEPT
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.latency_estimator import queueing_delay, update
 from runspool.scheduling.slow_start import warmup_fraction
