--- a/runspool/service/attempt_runner.py
+++ b/runspool/service/attempt_runner.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Generic, TypeVar
+from typing import TYPE_CHECKING, Generic
 
 import anyio
 
@@ -11,24 +11,23 @@
 from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
 from runspool.scheduling.request_lifecycle import AttemptTarget, DenialReason, InvariantViolation
 from runspool.scheduling.types import AttemptOutcome, AttemptStatus
+from runspool.service import final_responses
 from runspool.service.attempt_permit import AttemptPermit
 from runspool.service.cell_scheduler import CellScheduler
 from runspool.service.clock import now
-from runspool.service.pending_request import Endpoint, FinalResponse, PendingRequest, ResponseKind
+from runspool.service.pending_request import Endpoint, FinalResponse, RequestT, ResponseKind
 
 if TYPE_CHECKING:
     from runspool.service.request_executor import RequestExecutor
 
-T = TypeVar("T", bound=PendingRequest)
 
-
-class AttemptRunner(Generic[T]):
+class AttemptRunner(Generic[RequestT]):
     """Runs attempts for an executor, whose subclasses know the protocol spoken with engines."""
 
-    def __init__(self, executor: RequestExecutor[T]) -> None:
+    def __init__(self, executor: RequestExecutor[RequestT]) -> None:
         self.executor = executor
 
-    async def run(self, pending: T, endpoint: Endpoint, first_token_limit: int) -> None:
+    async def run(self, pending: RequestT, endpoint: Endpoint, first_token_limit: int) -> None:
         """Runs an attempt and reports its end to the scheduler.
 
         `first_token_limit` is the scheduler's own, in tenths of a millisecond, 0 for none. A
@@ -56,7 +55,7 @@
             executor.handle_scheduler_failure(executor.scheduler_for(pending), pending.index, fault)
 
     def _report_denied(
-        self, pending: T, endpoint: Endpoint, attempt: int, denial: DenialReason
+        self, pending: RequestT, endpoint: Endpoint, attempt: int, denial: DenialReason
     ) -> AttemptResult:
         self.executor.invariants.record(
             InvariantViolation.ATTEMPT_NOT_ALLOWED,
@@ -68,7 +67,7 @@
         return _result_of(FailureCause.NOT_PERMITTED, denial.value)
 
     async def _exchange(
-        self, pending: T, endpoint: Endpoint, attempt: int, sent_at: int, limit: int
+        self, pending: RequestT, endpoint: Endpoint, attempt: int, sent_at: int, limit: int
     ) -> AttemptResult:
         """Has the exchange run in a scope by which the request can cancel it."""
         executor = self.executor
@@ -85,7 +84,7 @@
         return result
 
     def _attempt_ended(
-        self, pending: T, endpoint: Endpoint, attempt: int, sent_at: int, result: AttemptResult
+        self, pending: RequestT, endpoint: Endpoint, attempt: int, sent_at: int, result: AttemptResult
     ) -> None:
         executor = self.executor
         ended_at = now()
@@ -105,7 +104,7 @@
             result.reached_engine,
             state_released,
         )
-        executor.schedule_release_check(pending)
+        executor.release_check.schedule(pending)
         if pending.index in executor.requests:
             executor.notify_scheduler(
                 executor.scheduler_for(pending),
@@ -120,21 +119,18 @@
             # The scheduler failed on this request during the attempt, so it will not have the state released.
             executor.release_prefill_state(pending)
 
-    def _finish_if_final(self, pending: T, result: AttemptResult) -> bool:
+    def _finish_if_final(self, pending: RequestT, result: AttemptResult) -> bool:
         """Answers the request if this attempt decides its answer; whether the request has been answered."""
         if result.status is AttemptStatus.SUCCEEDED:
             self.executor.finish(pending, FinalResponse(ResponseKind.SUCCEEDED, result=result))
             return True
         if pending.stream_started:
-            broken_off = FinalResponse(
-                ResponseKind.INDETERMINATE, "stream_cut", "the answer broke off; nothing is promised"
-            )
-            self.executor.finish(pending, broken_off)
+            self.executor.finish(pending, final_responses.stream_interrupted())
             return True
         return pending.final_response is not None
 
     def _log_result(
-        self, pending: T, endpoint: Endpoint, attempt: int, duration: int, result: AttemptResult
+        self, pending: RequestT, endpoint: Endpoint, attempt: int, duration: int, result: AttemptResult
     ) -> None:
         executor = self.executor
         executor.counts[f"attempt_{result.status.name.lower()}"] += 1
--- /dev/null
+++ b/runspool/service/completion_admission.py
@@ -0,0 +1,60 @@
+"""What a front tells its cell router of a completion request, and what it tells clients it turns away."""
+
+from __future__ import annotations
+
+import xxhash
+
+from runspool.cells.cell_router import AdmissionRefusal, AdmissionRequest
+from runspool.config import FrontConfig
+from runspool.service.pending_request import RequestNotAcceptedError, ResponseKind
+from runspool.units import tenths
+from runspool.wire.completions import CompletionRequest
+
+POISONOUS_MESSAGE = "engines were lost with this query; it is sent nowhere"
+
+# The code, the message and the kind of each refusal.
+REFUSALS = {
+    AdmissionRefusal.CELL_FULL: (
+        "cell_full",
+        "this cell has all the queries here it may; come later",
+        ResponseKind.REJECTED,
+    ),
+    AdmissionRefusal.FRONT_FULL: (
+        "front_full",
+        "this front holds all the queries it may; come later or ask another",
+        ResponseKind.REJECTED,
+    ),
+    AdmissionRefusal.POISONOUS: ("poisonous", POISONOUS_MESSAGE, ResponseKind.INDETERMINATE),
+    AdmissionRefusal.EARLIER_CELL_UNKNOWN: (
+        "unsure",
+        "its tenant moves, and an earlier try may have run elsewhere",
+        ResponseKind.INDETERMINATE,
+    ),
+}
+
+
+def admission_request(completion: CompletionRequest, config: FrontConfig) -> AdmissionRequest:
+    """What decides to which cell the request goes, and whether it is admitted there."""
+    class_config = config.house.tariffs[completion.request_class]
+    # An idempotency key that all engines know binds the request to no cell.
+    is_bound = class_config.effect == "ticketed" and class_config.group != "all"
+    return AdmissionRequest(
+        completion.tenant,
+        completion.session,
+        completion.idempotency_key if is_bound else None,
+        completion.is_client_retry or completion.is_continuation,
+        tenths(class_config.window_ms + config.front.bounds.longest_limit_ms) if is_bound else 0,
+        completion.body_bytes,
+        _fingerprint(completion),
+    )
+
+
+def not_accepted_error(refusal: AdmissionRefusal) -> RequestNotAcceptedError:
+    """The error for a request that the cell router refuses."""
+    code, message, kind = REFUSALS[refusal]
+    return RequestNotAcceptedError(code, message, kind)
+
+
+def _fingerprint(completion: CompletionRequest) -> str:
+    """A hash of the tenant and the prompt, by which a poisonous request is known again."""
+    return xxhash.xxh64_hexdigest(f"{completion.tenant}\0".encode() + bytes(completion.body["prompt"]))
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -1,77 +1,47 @@
-"""The house's front: what it takes from clients and says to engines, and its cells. Decides nothing."""
+"""The house's front: what it takes from clients and says to engines, and its cells. Decides nothing.
+
+`completion_admission` has what a request is admitted by, `cell_scheduler_registry` the cells' schedulers,
+`cell_status` the status page, `prefill_state_release` the release of states and `engine_check` the look
+whether an engine is down.
+"""
 
 from __future__ import annotations
 
-from dataclasses import replace
 from pathlib import Path
 from random import Random
 from typing import Any
 
-import anyio
-import anyio.lowlevel
-import xxhash
-
 from runspool.cells.cell_map import CellMap
-from runspool.cells.cell_router import AdmissionRefusal, AdmissionRequest, CellAdmission, CellRouter
-from runspool.cells.engine_placement import EnginePlace
+from runspool.cells.cell_router import AdmissionRefusal, CellAdmission, CellRouter
 from runspool.config import FrontConfig
 from runspool.engines.attempt_result import AttemptResult, ResponseListener
 from runspool.engines.completions_client import CompletionsEngineClient, PrefillState
-from runspool.engines.failure_classification import FailureCause
 from runspool.engines.send_permit import SendPermit
 from runspool.runtime.interning import stable_hash
 from runspool.runtime.scheduler_driver import SchedulerDriver
 from runspool.scheduling.request_lifecycle import ENDED_LOCALLY
-from runspool.scheduling.types import EngineRecord, EngineState, Request, Role
+from runspool.scheduling.types import Request, Role
 from runspool.service.cell_scheduler import CellScheduler
+from runspool.service.cell_scheduler_registry import CellSchedulerRegistry
+from runspool.service.cell_status import cell_status
 from runspool.service.clock import now, unix_ms
+from runspool.service.completion_admission import (
+    POISONOUS_MESSAGE,
+    admission_request,
+    not_accepted_error,
+)
 from runspool.service.deadlines import first_token_budget
-from runspool.service.event_recorder import EventRecorder
-from runspool.service.pending_completion import PendingCompletion
+from runspool.service.engine_check import CONNECTION_BROKEN, is_engine_up
+from runspool.service.pending_completion import PendingCompletion, forwarded_headers
 from runspool.service.pending_request import Endpoint, FinalResponse, RequestNotAcceptedError, ResponseKind
+from runspool.service.prefill_state_release import release_with_retries
 from runspool.service.request_executor import RequestExecutor
 from runspool.service.response_relay import ResponseRelay
-from runspool.units import tenths
 from runspool.wire.completions import CompletionRequest
 
 MAX_INTERNED_NAMES = 200_000  # texts' names remembered before the one unseen for longest is forgotten
-RELEASE_TIMEOUT = 5_000  # tenths of a millisecond for one call, or the house's time to let go if that is less
-RELEASE_RETRY_DELAYS = (0.002, 0.004, 0.05, 0.25)  # seconds before such a call is made again
-ENGINE_CHECK_SECONDS = 0.1  # seconds for the look whether an engine is down
 MAX_REQUEST_BYTES = 256 << 20  # of queries held at once, shared out to cells
-
-
-REFUSALS = {
-    AdmissionRefusal.CELL_FULL: (
-        "cell_full",
-        "this cell has all the queries here it may; come later",
-        ResponseKind.REJECTED,
-    ),
-    AdmissionRefusal.FRONT_FULL: (
-        "front_full",
-        "this front holds all the queries it may; come later or ask another",
-        ResponseKind.REJECTED,
-    ),
-    AdmissionRefusal.POISONOUS: (
-        "poisonous",
-        "engines were lost with this query; it is sent nowhere",
-        ResponseKind.INDETERMINATE,
-    ),
-    AdmissionRefusal.EARLIER_CELL_UNKNOWN: (
-        "unsure",
-        "its tenant moves, and an earlier try may have run elsewhere",
-        ResponseKind.INDETERMINATE,
-    ),
-}
-# A connection that broke with the query out: the engine may have gone down, and may have by this query.
-CONNECTION_BROKEN = {
-    FailureCause.CLOSED_BEFORE_RESPONSE,
-    FailureCause.CLOSED_DURING_RESPONSE,
-    FailureCause.STREAM_INTERRUPTED,
-}
-
-# An engine's word that it does not know the call: it frees states by its own time-out; to ask again is vain.
-RELEASE_UNSUPPORTED = {FailureCause.UNSUPPORTED_ENDPOINT, FailureCause.REQUEST_REJECTED}
+MAX_LOGGED_SHORTAGES = 20  # in one line; of the others only the number is logged
 
 
 class Front(RequestExecutor[PendingCompletion]):
@@ -92,7 +62,6 @@
             {name: at for at, name in enumerate(config.house.zones)},
             MAX_INTERNED_NAMES,
         )
-        self.recording_path = recording_path
         self.request_class_indices = {name: at for at, name in enumerate(config.house.tariffs)}
         self.tenant_indices = {name: at for at, name in enumerate(config.house.tenants)}
         self.engine_client = CompletionsEngineClient(
@@ -107,8 +76,10 @@
             Random(self.seed ^ 0x5EED).random,
             adopted_unix_ms,
         )
-        self.cell_schedulers: dict[str, CellScheduler] = {}
-        self.cell_scheduler(self.cell_router.cell_map.names()[0])
+        self.cell_registry = CellSchedulerRegistry(
+            self.cell_router, self.registry, config.house.zones, self, self.seed, recording_path
+        )
+        self.cell_schedulers = self.cell_registry.schedulers
 
     # What comes in.
 
@@ -122,21 +93,38 @@
         index = self.accepted_count
         self.accepted_count += 1
         accepted_at = now()
-        deadline = received_at + completion.time_limit
-        name = f"{self.config.front.name}-{self.started_at:x}-{index}"
         pending = PendingCompletion(
             index,
-            name,
+            f"{self.config.front.name}-{self.started_at:x}-{index}",
             received_at,
-            deadline,
+            received_at + completion.time_limit,
             listener,
             completion=completion,
-            headers=self._forwarded_headers(completion),
+            headers=forwarded_headers(completion, self.config.front.name),
             admission=admission,
         )
-        request = Request(
-            index=index,
-            request_class=self.request_class_indices[completion.request_class],
+        request = self._scheduler_request(pending, accepted_at)
+        self.log.debug(
+            "request_accepted",
+            request=pending.id,
+            request_class=completion.request_class,
+            tenant=completion.tenant,
+            prompt_tokens=completion.prompt_tokens,
+            time_limit=completion.time_limit,
+            client_attempt=completion.client_attempt,
+        )
+        self.accept(pending)
+        self.cell_scheduler(admission.cell)
+        self.notify_scheduler(self.scheduler_for(pending), index, CellScheduler.submit, request)
+        return pending
+
+    def _scheduler_request(self, pending: PendingCompletion, accepted_at: int) -> Request:
+        """The request as its cell's scheduler sees it."""
+        completion = pending.completion
+        request_class = self.request_class_of(pending)
+        return Request(
+            index=pending.index,
+            request_class=request_class,
             tenant=None if completion.tenant is None else self.tenant_indices[completion.tenant],
             session=self.intern_text("s", completion.session, accepted_at),
             prefix=self.intern_text("b", completion.prefix, accepted_at),
@@ -146,51 +134,24 @@
             expected_output_tokens=completion.expected_output_tokens,
             # The response still has to reach the client within its time.
             time_budget=first_token_budget(
-                deadline - self.settings.response_slack - accepted_at,
+                pending.deadline - self.settings.response_slack - accepted_at,
                 not completion.stream,
                 completion.expected_output_tokens,
-                self.settings.request_classes[self.request_class_indices[completion.request_class]],
+                self.settings.request_classes[request_class],
             ),
             is_client_retry=completion.is_client_retry,
             is_continuation=completion.is_continuation,
             session_hash=stable_hash(completion.session or ""),
             prefix_hash=stable_hash(completion.prefix or ""),
         )
-        self.log.debug(
-            "request_accepted",
-            request=name,
-            request_class=completion.request_class,
-            tenant=completion.tenant,
-            prompt_tokens=completion.prompt_tokens,
-            time_limit=completion.time_limit,
-            client_attempt=completion.client_attempt,
-        )
-        self.accept(pending)
-        self.cell_scheduler(admission.cell)
-        self.notify_scheduler(self.scheduler_for(pending), index, CellScheduler.submit, request)
-        return pending
 
     def _admit(self, completion: CompletionRequest) -> CellAdmission:
-        class_config = self.config.house.tariffs[completion.request_class]
-        # An idempotency key that all engines know binds the request to no cell.
-        is_bound = class_config.effect == "ticketed" and class_config.group != "all"
-        fingerprint = xxhash.xxh64_hexdigest(
-            f"{completion.tenant}\0".encode() + bytes(completion.body["prompt"])
-        )
-        admission_request = AdmissionRequest(
-            completion.tenant,
-            completion.session,
-            completion.idempotency_key if is_bound else None,
-            completion.is_client_retry or completion.is_continuation,
-            tenths(class_config.window_ms + self.config.front.bounds.longest_limit_ms) if is_bound else 0,
-            completion.body_bytes,
-            fingerprint,
-        )
-        admission = self.cell_router.admit(now(), unix_ms(), admission_request)
+        request = admission_request(completion, self.config)
+        admission = self.cell_router.admit(now(), unix_ms(), request)
         if isinstance(admission, AdmissionRefusal):
-            code, message, kind = REFUSALS[admission]
-            self.counts[f"turned_{code}"] += 1
-            raise RequestNotAcceptedError(code, message, kind)
+            refused = not_accepted_error(admission)
+            self.counts[f"turned_{refused.code}"] += 1
+            raise refused
         return admission
 
     def cell_map_changed(self, cell_map: CellMap, adopted_unix_ms: int) -> None:
@@ -199,105 +160,27 @@
             return
         self.log.info("cell_map_adopted", version=cell_map.version, cells=len(cell_map.names()))
         self.publish_engines()
-        for name, scheduler in list(self.cell_schedulers.items()):
-            self._close_if_unused(name, scheduler)
+        self.cell_registry.close_unused()
 
     def cells(self) -> dict[str, Any]:
         """Where this front stands with its cells and moves, for operators."""
-        router, at, wall = self.cell_router, now(), unix_ms()
-        return {
-            "front": self.config.front.name,
-            "version": router.cell_map.version,
-            "adopted_unix_ms": router.adopted_unix_ms,
-            "lacks": router.placement.shortages,
-            "panicking": sorted(router.panicking_cells),
-            "moves": [
-                {
-                    "id": move.id,
-                    "tenant": move.tenant,
-                    "source": move.source,
-                    "target": move.target,
-                    "stage": router.migrations.stage(at, wall, move).name.lower(),
-                    "out": router.migrations.in_flight[move.tenant, move.source],
-                }
-                for move in router.cell_map.moves
-            ],
-            "cells": {
-                name: {
-                    "engines": sorted(there),
-                    "queries": router.request_budget.used.get(name, 0),
-                    "overflow": round(router.overflow_policy.state(name).overflow_share, 3),
-                    "lent": router.overflow_policy.state(name).requests_at_reserve,
-                }
-                for name, there in router.placement.cells.items()
-            },
-        }
+        return cell_status(self.config.front.name, self.cell_router, now(), unix_ms())
 
     def publish_engines(self) -> None:
         """Gives each cell's scheduler its engines. A cell that is no longer on the map keeps those it had."""
-        zones = self.config.house.zones
-        places = [
-            EnginePlace(
-                name,
-                self.endpoints[record.engine].role,
-                zones[record.zone] if record.zone >= 0 else "",
-                record.rack,
-            )
-            for name, record in self.engine_records.items()
-        ]
         before = self.cell_router.placement.shortages
-        not_ready = {
-            name for name, record in self.engine_records.items() if record.state != EngineState.READY
-        }
-        placement = self.cell_router.update_engines(places, not_ready)
-        if placement.shortages != before and self.cell_router.cell_map.version:
+        shortages = self.cell_registry.place_engines().shortages
+        if shortages != before and self.cell_router.cell_map.version:
             self.log.warning(
-                "cells_incomplete", what=placement.shortages[:20], more=max(0, len(placement.shortages) - 20)
+                "cells_incomplete",
+                what=shortages[:MAX_LOGGED_SHORTAGES],
+                more=max(0, len(shortages) - MAX_LOGGED_SHORTAGES),
             )
-        for name, scheduler in self.cell_schedulers.items():
-            scheduler.update_engines(self._engines_in_cell(name, scheduler))
-
-    def _engines_in_cell(self, name: str, scheduler: CellScheduler) -> dict[int, EngineRecord]:
-        names = self.cell_router.placement.cells.get(name)
-        if names is None:
-            return {
-                record.engine: record
-                for record in self.engine_records.values()
-                if record.engine in scheduler.engines and record.state == EngineState.READY
-            }
-        # In one order in every process: that of a set changes, and with it which request gets which draw.
-        return {self.engine_records[engine].engine: self.engine_records[engine] for engine in sorted(names)}
+        self.cell_registry.update_schedulers()
 
     def cell_scheduler(self, name: str) -> CellScheduler:
         """A cell's scheduler, made when its first request comes."""
-        scheduler = self.cell_schedulers.get(name)
-        if scheduler is None:
-            # To the other cells that share its engines, a cell is like another front.
-            settings = replace(
-                self.settings,
-                front_count=round(self.settings.front_count * self.cell_router.cells_per_engine()),
-            )
-            is_first = not self.cell_schedulers and name == self.cell_router.cell_map.names()[0]
-            path = self.recording_path and (
-                self.recording_path
-                if is_first
-                else self.recording_path.with_name(f"{self.recording_path.name}.{name}")
-            )
-            scheduler = CellScheduler(
-                name,
-                settings,
-                self.seed if is_first else self.seed ^ stable_hash(name),
-                self,
-                EventRecorder(path),
-            )
-            self.cell_schedulers[name] = scheduler
-            scheduler.update_engines(self._engines_in_cell(name, scheduler))
-        return scheduler
-
-    def _close_if_unused(self, name: str, scheduler: CellScheduler) -> None:
-        if not scheduler.open_requests and name not in self.cell_router.cell_map.names():
-            scheduler.recorder.close()
-            del self.cell_schedulers[name]
+        return self.cell_registry.scheduler(name)
 
     @property
     def first_driver(self) -> SchedulerDriver:
@@ -387,9 +270,8 @@
         self.cell_router.finish(
             now(), pending.admission, {ResponseKind.SUCCEEDED: False, ResponseKind.REJECTED: True}.get(kind)
         )
-        scheduler = self.cell_schedulers.get(pending.admission.cell)
-        if scheduler is not None:
-            self._close_if_unused(scheduler.name, scheduler)
+        if pending.admission.cell in self.cell_schedulers:
+            self.cell_registry.close_if_unused(pending.admission.cell)
 
     async def _check_for_poison(self, pending: PendingCompletion, endpoint: Endpoint) -> None:
         """Counts an engine that went down with the request in progress against it: it may be the cause.
@@ -397,9 +279,7 @@
         The request waits for the check, and so does its state: at most ENGINE_CHECK_SECONDS, and not once its
         client has disconnected.
         """
-        is_up = False
-        with anyio.move_on_after(ENGINE_CHECK_SECONDS):
-            is_up = await self.engine_client.accepts_connections(endpoint.address)
+        is_up = await is_engine_up(self.engine_client, endpoint.address)
         if (
             is_up
             or pending.final_response is not None
@@ -410,27 +290,9 @@
             "request_poisonous", request=pending.id, tenant=pending.completion.tenant, engine=endpoint.name
         )
         self.counts["poisonous"] += 1
-        self.finish(
-            pending,
-            FinalResponse(ResponseKind.INDETERMINATE, "poisonous", REFUSALS[AdmissionRefusal.POISONOUS][1]),
-        )
+        self.finish(pending, FinalResponse(ResponseKind.INDETERMINATE, "poisonous", POISONOUS_MESSAGE))
 
     async def _release(self, endpoint: Endpoint, state: PrefillState | None, request: str) -> None:
-        """Releases a state; repeated, soon at first, as a call lost on its way would leave it reserved."""
-        for delay in (*RELEASE_RETRY_DELAYS, 0.0):
-            timeout = min(RELEASE_TIMEOUT, self.settings.state_release_timeout)
-            failure = await self.engine_client.release_state(endpoint.address, state, request, timeout)
-            if failure is None or failure in RELEASE_UNSUPPORTED:
-                return
-            await anyio.sleep(delay)
-        self.log.warning("release_failed", request=request, engine=endpoint.name)
-
-    def _forwarded_headers(self, completion: CompletionRequest) -> dict[str, str]:
-        headers = {
-            "Runspool-Mark": completion.client_attempt,
-            "Runspool-Tariff": completion.request_class,
-            "Runspool-Tenant": completion.tenant,
-            "Runspool-Ticket": completion.idempotency_key,
-            "Runspool-Front": self.config.front.name,
-        }
-        return {name: value for name, value in headers.items() if value}
+        await release_with_retries(
+            self.engine_client, endpoint, state, request, self.settings.state_release_timeout, self.log
+        )
--- a/runspool/service/http_connection.py
+++ b/runspool/service/http_connection.py
@@ -14,8 +14,8 @@
 
 from runspool.engines.idle_watchdog import IdleWatchdog, WatchedWait
 from runspool.service.clock import now
-from runspool.service.pending_request import FinalResponse
-from runspool.service.request_executor import RequestExecutor, T
+from runspool.service.pending_request import FinalResponse, RequestT
+from runspool.service.request_executor import RequestExecutor
 from runspool.transport.tcp import ConnectionClosedError, TcpConnection
 from runspool.units import tenths
 from runspool.wire.http_requests import (
@@ -239,7 +239,7 @@
                 await self.tcp.drained()
 
     async def final_response(
-        self, executor: RequestExecutor[T], pending: T, streaming: StreamingResponse | None
+        self, executor: RequestExecutor[RequestT], pending: RequestT, streaming: StreamingResponse | None
     ) -> FinalResponse:
         """Waits for the final response to an accepted request, and watches for its client to disconnect.
 
--- a/runspool/service/pending_completion.py
+++ b/runspool/service/pending_completion.py
@@ -1,4 +1,4 @@
-"""A completion request that this front has accepted."""
+"""A completion request that this front has accepted, and what engines are told of it."""
 
 from __future__ import annotations
 
@@ -18,3 +18,15 @@
     headers: dict[str, str]  # of the client, passed on to engines
     admission: CellAdmission
     state: PrefillState | None = None  # of the finished prefill, while an engine keeps it
+
+
+def forwarded_headers(completion: CompletionRequest, front: str) -> dict[str, str]:
+    """The headers that engines get with the request from the front with this name, without empty ones."""
+    headers = {
+        "Runspool-Mark": completion.client_attempt,
+        "Runspool-Tariff": completion.request_class,
+        "Runspool-Tenant": completion.tenant,
+        "Runspool-Ticket": completion.idempotency_key,
+        "Runspool-Front": front,
+    }
+    return {name: value for name, value in headers.items() if value}
--- a/runspool/service/pending_request.py
+++ b/runspool/service/pending_request.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 from enum import Enum
-from typing import Any
+from typing import Any, TypeVar
 
 import anyio
 
@@ -102,3 +102,6 @@
         self.final_response = final
         self.done.set()
         return True
+
+
+RequestT = TypeVar("RequestT", bound=PendingRequest)
--- a/runspool/service/response_relay.py
+++ b/runspool/service/response_relay.py
@@ -6,10 +6,11 @@
 
 import anyio.lowlevel
 
-from runspool.service.request_executor import RequestExecutor, T
+from runspool.service.pending_request import RequestT
+from runspool.service.request_executor import RequestExecutor
 
 
-class ResponseRelay(Generic[T]):
+class ResponseRelay(Generic[RequestT]):
     """Forwards one attempt's response, reporting its first token to the scheduler before the client sees it.
 
     Once the request has its final response, nothing more is forwarded.
@@ -17,7 +18,9 @@
 
     __slots__ = ("attempt", "executor", "pending", "sent_at")
 
-    def __init__(self, executor: RequestExecutor[T], pending: T, attempt: int, sent_at: int) -> None:
+    def __init__(
+        self, executor: RequestExecutor[RequestT], pending: RequestT, attempt: int, sent_at: int
+    ) -> None:
         """`sent_at` is when the attempt began, in tenths of a millisecond on the front's clock."""
         self.executor = executor
         self.pending = pending
--- a/tests/clockwork.py
+++ b/tests/clockwork.py
@@ -61,6 +61,7 @@
         "attempt_permit",
         "deadline_guard",
         "endpoint_registry",
+        "release_check",
         "cell_scheduler",
         "timer_queue",
     )
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -412,7 +412,7 @@
             return True
 
         monkeypatch.setattr(front.engine_client, "accepts_connections", answers)
-        monkeypatch.setattr("runspool.service.front.ENGINE_CHECK_SECONDS", 60.0)
+        monkeypatch.setattr("runspool.service.engine_check.ENGINE_CHECK_SECONDS", 60.0)
         town.engines[1].fault("row", row="reset_after", share=1.0)
         with anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
