--- a/runspool/engines/completions_client.py
+++ b/runspool/engines/completions_client.py
@@ -116,12 +116,8 @@
                 head = await self._read_head(exchange)
                 result.load_report = wire.load_report(head.headers.get(wire.LOAD_REPORT_HEADER))
                 text = await stream.read_first(exchange)
-                timer.remove_limit(FailureCause.STREAM_INTERRUPTED)
-                wait = self.watchdog.watch(self.idle_timeout, timer.cancel)
-                try:
+                with self._watched_stream(timer) as wait:
                     await self._forward_text(exchange, stream, text, wait, listener)
-                finally:
-                    self.watchdog.unwatch(wait)
                 stream.check_finished()
                 await self._read_trailing_bytes(exchange)
         except ExchangeAbortedError as error:
--- a/runspool/engines/http_exchange.py
+++ b/runspool/engines/http_exchange.py
@@ -19,7 +19,7 @@
 )
 from runspool.engines.exchange_timer import UNITS_PER_SECOND, ExchangeTimer
 from runspool.engines.failure_classification import ExchangeAbortedError, FailureCause
-from runspool.engines.idle_watchdog import IdleWatchdog
+from runspool.engines.idle_watchdog import IdleWatchdog, WatchedWait
 from runspool.engines.response_parser import MalformedHttpResponseError, ResponseParser
 from runspool.engines.send_permit import UNRESTRICTED, SendPermit
 from runspool.transport.tcp import ConnectionClosedError
@@ -107,6 +107,20 @@
             elif connection is not None:
                 self.pool.discard(connection)
 
+    @contextmanager
+    def _watched_stream(self, timer: ExchangeTimer) -> Iterator[WatchedWait]:
+        """Replace the exchange's time limit by the idle timeout, while a stream that has started is read.
+
+        The body sets `waiting_since` of the wait that it is given at the start of each read, and sets it to 0
+        afterwards. A read past the timeout ends the exchange with the cause STREAM_INTERRUPTED.
+        """
+        timer.remove_limit(FailureCause.STREAM_INTERRUPTED)
+        wait = self.watchdog.watch(self.idle_timeout, timer.cancel)
+        try:
+            yield wait
+        finally:
+            self.watchdog.unwatch(wait)
+
     async def _send_request(
         self, exchange: Exchange, timer: ExchangeTimer, address: Address, encode: RequestEncoder
     ) -> None:
--- a/runspool/node/engine_client.py
+++ b/runspool/node/engine_client.py
@@ -103,15 +103,11 @@
                 await self._send_request(exchange, timer, address, partial(_encode_request, request))
                 await self._read_head(exchange, STREAM_STATUS)
                 first_events = await self._read_first_events(exchange, events)
-                timer.remove_limit(FailureCause.STREAM_INTERRUPTED)
-                wait = self.watchdog.watch(self.idle_timeout, timer.cancel)
-                stream_started = True
-                try:
+                with self._watched_stream(timer) as wait:
+                    stream_started = True
                     await listener.stream_started()
                     await listener.data_received(first_events)
                     await self._forward_events(exchange, events, wait, listener)
-                finally:
-                    self.watchdog.unwatch(wait)
         except ExchangeAbortedError as error:
             result.fail(error.cause, error.detail, stream_started)
         except MalformedEventStreamError as error:
