--- a/runspool/engines/exchange_timer.py
+++ b/runspool/engines/exchange_timer.py
@@ -8,9 +8,7 @@
 import anyio
 
 from runspool.engines.failure_classification import ExchangeAbortedError, FailureCause
-from runspool.units import TENTHS
-
-UNITS_PER_SECOND = 1000 * TENTHS
+from runspool.units import TENTHS, UNITS_PER_SECOND
 
 
 class ExchangeTimer:
--- a/runspool/engines/http_exchange.py
+++ b/runspool/engines/http_exchange.py
@@ -17,13 +17,13 @@
     ConnectionPool,
     PooledConnection,
 )
-from runspool.engines.exchange_timer import UNITS_PER_SECOND, ExchangeTimer
+from runspool.engines.exchange_timer import ExchangeTimer
 from runspool.engines.failure_classification import ExchangeAbortedError, FailureCause
 from runspool.engines.idle_watchdog import IdleWatchdog, WatchedWait
 from runspool.engines.response_parser import MalformedHttpResponseError, ResponseParser
 from runspool.engines.send_permit import UNRESTRICTED, SendPermit
 from runspool.transport.tcp import ConnectionClosedError
-from runspool.units import tenths
+from runspool.units import UNITS_PER_SECOND, tenths
 
 # An idle connection is observed for its round trip before the last byte is sent, but for no longer than this,
 # in tenths of a millisecond: connecting may have been slow for other reasons.
--- a/runspool/node/discovery_client.py
+++ b/runspool/node/discovery_client.py
@@ -15,7 +15,7 @@
 from runspool.engines.http_exchange import Exchange, HttpExchangeClient, encode_request
 from runspool.engines.response_parser import ResponseParser
 from runspool.node.endpoint_list import InvalidEndpointListError, decode_endpoint_list, request_target
-from runspool.units import TENTHS, tenths
+from runspool.units import UNITS_PER_SECOND, tenths
 from runspool.wire.endpoint_list import EndpointEntry
 
 # What a silent watch misses counts as announced 6 s after the silence began, or later; what an agent sends
@@ -88,7 +88,7 @@
                 self.pool.close()
                 self.listener.on_lost()
                 # No pause after a watch that lasted: a drain may be announced, and its grace pass, meanwhile.
-                elapsed = (self.now() - self.round_started_at) / (MS_PER_SECOND * TENTHS)
+                elapsed = (self.now() - self.round_started_at) / UNITS_PER_SECOND
                 await anyio.sleep(max(0.0, RETRY_INTERVAL_S - elapsed))
 
     async def _watch(self, address: Address) -> None:
--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -12,8 +12,8 @@
 from runspool.node.config import NodeConfig
 from runspool.node.executor import NodeExecutor
 from runspool.service.clock import now
+from runspool.units import UNITS_PER_SECOND
 
-UNITS_PER_SECOND = 10_000
 # The platform kills a node no sooner after SIGTERM than its longest deadline, counted up to a bound, and then
 # KILL_DELAY.
 MAX_COUNTED_DEADLINE = 30_000
--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -15,6 +15,7 @@
 from runspool.service.http_connection import HttpConnection, StreamingResponse
 from runspool.service.pending_request import FinalResponse, RequestNotAcceptedError, ResponseKind
 from runspool.transport.tcp import ConnectionClosedError, TcpConnection
+from runspool.units import UNITS_PER_SECOND
 from runspool.wire.fields import InvalidRequestError
 from runspool.wire.http_requests import CHUNKS_END, HttpRequest, InvalidHttpRequestError, chunk, head
 
@@ -23,7 +24,6 @@
 # The protocol takes 429 and 503 as a promise that a retry is harmless, and any other status as none.
 REJECTED_STATUS = 503
 INDETERMINATE_STATUS = 500
-UNITS_PER_SECOND = 10_000  # tenths of a millisecond
 
 
 @dataclass(frozen=True, slots=True)
--- a/runspool/node/state_releaser.py
+++ b/runspool/node/state_releaser.py
@@ -18,7 +18,7 @@
 from runspool.engines.connection_pool import Address
 from runspool.engines.failure_classification import FailureCause
 from runspool.service.pending_request import Endpoint
-from runspool.units import TENTHS
+from runspool.units import UNITS_PER_SECOND
 
 ENGINES_IN_HALF_TIMEOUT = 6  # engines asked one after another within half of the release timeout
 MAX_ENGINES_FIRST_ROUND = 64
@@ -167,7 +167,7 @@
 
     async def _run_round(self, release: PendingRelease, engines: Iterable[Endpoint]) -> bool:
         """Ask the engines, each a while after the one before; return whether any confirmed."""
-        interval = self.timeout // (2 * ENGINES_IN_HALF_TIMEOUT) / (1000 * TENTHS)  # seconds
+        interval = self.timeout // (2 * ENGINES_IN_HALF_TIMEOUT) / UNITS_PER_SECOND  # seconds
         confirmed = False
         async with anyio.create_task_group() as tasks:
 
--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -15,6 +15,7 @@
 from runspool.service.pending_completion import PendingCompletion
 from runspool.service.pending_request import FinalResponse, RequestNotAcceptedError, ResponseKind
 from runspool.transport.tcp import ConnectionClosedError, TcpConnection
+from runspool.units import TENTHS
 from runspool.wire import completions as wire
 from runspool.wire.fields import InvalidRequestError
 from runspool.wire.http_requests import CHUNKS_END, HttpRequest, chunk, head
@@ -24,8 +25,6 @@
 REJECTED_STATUS = 503
 INDETERMINATE_STATUS = 424
 
-TENTHS_PER_MS = 10
-
 
 class CompletionsHandler(HttpConnection):
     """Serves the front's paths on one client connection."""
@@ -157,7 +156,7 @@
 
 def _retry_after_headers(retry_after: int) -> list[tuple[str, str]]:
     """Headers for a wait in tenths of a millisecond; none for 0."""
-    wait_ms = retry_after / TENTHS_PER_MS
+    wait_ms = retry_after / TENTHS
     if not wait_ms:
         return []
     return [
--- a/runspool/service/timer_queue.py
+++ b/runspool/service/timer_queue.py
@@ -11,11 +11,11 @@
 import structlog
 
 from runspool.service.clock import now
+from runspool.units import UNITS_PER_SECOND
 
 LATE_WARNING_THRESHOLD = (
     300  # tenths of a millisecond: past this a front is short of CPU and answers may be late
 )
-TICKS_PER_SECOND = 10_000  # the front's clock counts tenths of a millisecond
 
 Timer = TypeVar("Timer")
 
@@ -97,7 +97,7 @@
             if not self.heap:
                 await self.earlier_scheduled.wait()
                 continue
-            with anyio.move_on_after(max(0.0, (self.heap[0][0] - now()) / TICKS_PER_SECOND)):
+            with anyio.move_on_after(max(0.0, (self.heap[0][0] - now()) / UNITS_PER_SECOND)):
                 await self.earlier_scheduled.wait()
 
     def _fire(self, timer: Timer) -> None:
--- a/runspool/units.py
+++ b/runspool/units.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 TENTHS = 10  # tenths of a millisecond in a millisecond
+UNITS_PER_SECOND = 1000 * TENTHS  # tenths of a millisecond in a second
 
 
 def tenths(millis: float) -> int:
