--- /dev/null
+++ b/runspool/cli/cell_output.py
@@ -0,0 +1,102 @@
+"""What the commands for cells print: a map with its engines, what a change changes, where fronts stand."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import Any
+
+from rich.console import Console
+from rich.table import Table
+
+from runspool.cells.cell_map import CellMap
+from runspool.cells.engine_placement import EnginePlace, home_cell, place_engines
+from runspool.cells.tenant_migration import TenantMigrations
+from runspool.scheduling.types import Role
+
+MAX_TENANTS_SHOWN = 4  # of each cell; of the others only the number is shown
+AFTER_ALL_MOVES = 1 << 60  # Unix milliseconds after every moment that a map states
+
+out = Console(highlight=False, soft_wrap=True)
+
+
+def print_map(cell_map: CellMap, engines: list[EnginePlace]) -> None:
+    """Prints the cells with their engines and tenants, what they lack, and the moves."""
+    placed = place_engines(cell_map, engines)
+    table = Table(
+        "cell",
+        "readers",
+        "writers",
+        "mixed",
+        "zones",
+        "tenants",
+        title=f"version {cell_map.version}, {cell_map.way}, {len(engines)} engines",
+    )
+    places = {one.name: one for one in engines}
+    for name, members in placed.cells.items():
+        table.add_row(*_cell_row(cell_map, name, [places[engine] for engine in members]))
+    out.print(table)
+    for shortage in placed.shortages:
+        out.print(f"lacks: {shortage}")
+    for move in cell_map.moves:
+        out.print(f"move {move.id}: {move.tenant} from {move.source} to {move.target}, {move.step}")
+
+
+def print_differences(before: CellMap | None, after: CellMap, engines: list[EnginePlace]) -> None:
+    """Prints the engines and the tenants that change their cells; `before` is None where there was no map."""
+    _print_engine_differences(before, after, engines)
+    _print_tenant_differences(before, after)
+
+
+def print_replies(replies: dict[str, dict[str, Any] | str]) -> None:
+    """Prints, for each front, its status page in one line, or why there is none."""
+    for front, reply in replies.items():
+        if isinstance(reply, str):
+            out.print(f"{front}: {reply}")
+            continue
+        moves = ", ".join(f"{move['id']} {move['stage']} ({move['out']} out)" for move in reply["moves"])
+        out.print(f"{front}: version {reply['version']}; {moves or 'no moves'}")
+
+
+def _cell_row(cell_map: CellMap, name: str, members: list[EnginePlace]) -> list[str]:
+    counts = [sum(engine.role is role for engine in members) for role in Role]
+    tenants = [tenant for tenant in cell_map.tenants if home_cell(cell_map, tenant, None) == name]
+    hidden = len(tenants) - MAX_TENANTS_SHOWN
+    more = f" and {hidden} more" if hidden > 0 else ""
+    return [
+        name + (" (reserve)" if name == cell_map.reserve else ""),
+        *map(str, counts),
+        " ".join(sorted({engine.zone for engine in members})),
+        " ".join(tenants[:MAX_TENANTS_SHOWN]) + more,
+    ]
+
+
+def _print_engine_differences(before: CellMap | None, after: CellMap, engines: list[EnginePlace]) -> None:
+    old = place_engines(before, engines).cells if before is not None else {}
+    changed = 0
+    for name, members in place_engines(after, engines).cells.items():
+        old_members = old.get(name, frozenset())
+        changed += _print_engines(members - old_members, f"now in {name}")
+        changed += _print_engines(old_members - members, f"no longer in {name}")
+    out.print(f"{changed} changes of engines in {len(engines)}")
+
+
+def _print_engines(names: Iterable[str], change: str) -> int:
+    """Prints a line for each engine in the order of their names; returns how many there are."""
+    ordered = sorted(names)
+    for engine in ordered:
+        out.print(f"engine {engine}: {change}")
+    return len(ordered)
+
+
+def _print_tenant_differences(before: CellMap | None, after: CellMap) -> None:
+    tenants = {*after.tenants, *(move.tenant for move in after.moves), *(before.tenants if before else ())}
+    for tenant in sorted(tenants):
+        was = _final_cell(before, tenant) if before else "nowhere"
+        will = _final_cell(after, tenant)
+        if was != will:
+            out.print(f"tenant {tenant}: from {was} to {will}")
+
+
+def _final_cell(cell_map: CellMap, tenant: str) -> str:
+    """The tenant's cell once all moves of the map have begun."""
+    return TenantMigrations(cell_map).home_cell(AFTER_ALL_MOVES, tenant, None)
