--- a/runspool/lab/model.py
+++ b/runspool/lab/model.py
@@ -1,7 +1,8 @@
-"""How a stand-in engine works: steps, slots, queue, memory, kept texts, coldness. No I/O, no clock.
+"""How a stand-in engine works: steps, slots, queue, memory, prefix cache, cold start. No I/O, no clock.
 
-A model of the shape that serving engines publish (continuous batching, prefix blocks, read state moved from
-reader to writer), not a measurement of any. Times are tenths of a millisecond, rates tokens a tenth.
+A model of the shape that serving engines publish (continuous batching, prefix blocks, state moved from the
+prefill engine to the decode engine), not a measurement of any. Times are tenths of a millisecond, rates are
+tokens per tenth of a millisecond.
 """
 
 from __future__ import annotations
@@ -13,273 +14,312 @@
 from random import Random
 from typing import Literal
 
-BLOCK = 64  # tokens whose text is kept or forgotten together
-SLACK_WORK = 3.0  # mean works over the budget of a cold engine that chance may bring
-CHUNK = 2048  # prompt tokens read in one step beside streams
+import msgspec
 
+BLOCK_TOKENS = 64  # tokens that are cached or evicted together
+PREFILL_CHUNK_TOKENS = 2048  # prompt tokens that one step prefills beside the streams
+COLD_OVERLOAD_TOLERANCE = 3.0  # mean works above a cold engine's budget that chance may bring
 
-@dataclass(frozen=True, slots=True)
-class Make:
-    """What an engine is. `work` is the mean work of each tariff here, in tenths at full strength."""
+
+class EngineSpec(msgspec.Struct, frozen=True):
+    """What an engine is; the names in stored plans are those given to `field`.
+
+    `role` and `memory` (tokens of key-value cache) are as in the endpoint list. `mean_work` has the mean work
+    of a request of each class at this engine, in tenths of a millisecond at full capacity.
+    """
 
     name: str
     role: Literal["reader", "writer", "mixed"]
     zone: str
     rack: int
     slots: int
-    queue: int
+    queue_capacity: int = msgspec.field(name="queue")
     memory: int
-    read_rate: float
-    step: float
-    per_stream: float
-    near_rate: float
-    far_rate: float
-    zone_slower: float
-    cold_from: float
-    cold_time: int
-    fall_multiple: float
-    fall_time: int
-    state_kept: int
-    work: dict[str, float]
-    kept_blocks: int = 4000
+    prefill_rate: float = msgspec.field(name="read_rate")
+    step_time: float = msgspec.field(name="step")
+    step_time_per_stream: float = msgspec.field(name="per_stream")
+    same_rack_rate: float = msgspec.field(name="near_rate")
+    cross_rack_rate: float = msgspec.field(name="far_rate")
+    cross_zone_slowdown: float = msgspec.field(name="zone_slower")
+    slow_start_initial_fraction: float = msgspec.field(name="cold_from")
+    slow_start_duration: int = msgspec.field(name="cold_time")
+    slow_start_overload_multiple: float = msgspec.field(name="fall_multiple")
+    slow_start_overload_window: int = msgspec.field(name="fall_time")
+    state_ttl: int = msgspec.field(name="state_kept")
+    mean_work: dict[str, float] = msgspec.field(name="work")
+    cache_capacity_blocks: int = msgspec.field(default=4000, name="kept_blocks")
 
 
 class Phase(Enum):
+    """How far a job has come."""
+
     WAITING = auto()
     FETCHING = auto()
-    READING = auto()
-    STREAMING = auto()
-    OVER = auto()
+    PREFILLING = auto()
+    DECODING = auto()
+    FINISHED = auto()
 
 
-class Verdict(Enum):
-    TAKEN = auto()
-    FULL = auto()
-    FELL = auto()
+class AdmissionResult(Enum):
+    """What comes of a job's arrival at an engine."""
+
+    ACCEPTED = auto()
+    REJECTED = auto()
+    OVERLOADED_COLD = auto()
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One request at an engine. `fetches`: it brings a state; `answers`: it streams, else it is only read."""
-
-    request: str
-    tariff: str
-    prompt: int
-    blocks: Sequence[int]
-    out: int
-    answers: bool
-    fetches: bool = False
+    """One request at an engine.
+
+    A job that `decodes` generates a stream of tokens; any other only prefills its prompt and leaves a state.
+    One that `fetches_state` decodes from a state that another engine has prefilled. Lengths are tokens.
+    """
+
+    request_id: str
+    request_class: str
+    prompt_tokens: int
+    block_hashes: Sequence[int]
+    output_tokens: int
+    decodes: bool
+    fetches_state: bool = False
     phase: Phase = Phase.WAITING
-    to_read: int = 0
-    kept: int = 0
-    made: int = 0
-    held: int = 0  # tokens of memory
+    prefill_remaining: int = 0
+    cached_tokens: int = 0
+    generated_tokens: int = 0
+    allocated_tokens: int = 0  # of the engine's memory
 
 
 @dataclass(slots=True)
 class Step:
-    """What one step will have done when it ends."""
+    """What one step will have done when it ends: tokens prefilled by job, and the jobs that decode one."""
 
-    length: int
-    read: list[tuple[Job, int]]
-    stream: list[Job]
+    duration: int
+    prefills: list[tuple[Job, int]]
+    decodes: list[Job]
 
 
 @dataclass(slots=True)
-class Done:
-    """A step's results: reads that ended, streams that made a token, those of them that are finished."""
+class StepResult:
+    """Prefills that ended without a stream, streams that generated a token, and those of them that ended."""
 
-    read: list[Job] = field(default_factory=list)
-    tokens: list[Job] = field(default_factory=list)
+    prefilled: list[Job] = field(default_factory=list)
+    decoded: list[Job] = field(default_factory=list)
     finished: list[Job] = field(default_factory=list)
 
 
-class Model:
-    def __init__(self, make: Make, now: int, cold: bool, seed: int) -> None:
-        self.make = make
-        self.started = now if cold else now - make.cold_time - 1
+class EngineModel:
+    """The state of one engine: its queue, running jobs, prefix cache, held states and slow start.
+
+    `slowdown` divides its speed, `network_slowdown` the rate of transfers out of its rack; both are 1 in an
+    engine without faults.
+    """
+
+    def __init__(self, spec: EngineSpec, now: int, cold: bool, seed: int) -> None:
+        self.spec = spec
+        self.started_at = now if cold else now - spec.slow_start_duration - 1
         self.draw = Random(seed).random
         self.waiting: deque[Job] = deque()
         self.active: list[Job] = []
-        self.kept: OrderedDict[int, None] = OrderedDict()
-        self.states: dict[str, int] = {}  # states that wait here: tokens
-        self.used = 0
-        self.fallen = False
-        self.slowed = 1.0
-        self.links_slowed = 1.0
-        self.fetches_out = 0  # states being fetched from here
-        self.offered: deque[tuple[int, float]] = deque()
-        self.in_window = 0.0
-
-    def warmth(self, now: int) -> float:
-        grown = (now - self.started) / max(1, self.make.cold_time)
-        return min(1.0, self.make.cold_from + (1 - self.make.cold_from) * max(0.0, grown))
+        self.cached_blocks: OrderedDict[int, None] = OrderedDict()  # least recently used first
+        self.held_states: dict[str, int] = {}  # tokens of each state that awaits its transfer, by its name
+        self.used_memory = 0
+        self.overloaded = False
+        self.slowdown = 1.0
+        self.network_slowdown = 1.0
+        self.outgoing_transfers = 0
+        self._cold_arrivals: deque[tuple[int, float]] = deque()  # time, mean work
+        self._cold_work = 0.0  # sum over the arrivals above
+
+    def capacity_fraction(self, now: int) -> float:
+        """Return the part of its capacity that the engine has; it grows during slow start."""
+        elapsed = (now - self.started_at) / max(1, self.spec.slow_start_duration)
+        initial = self.spec.slow_start_initial_fraction
+        return min(1.0, initial + (1 - initial) * max(0.0, elapsed))
 
     def speed(self, now: int) -> float:
-        return self.warmth(now) / self.slowed
-
-    def offer(self, now: int, job: Job) -> Verdict:
-        """A request arrives. All that arrives weighs on a cold engine, also what it turns away."""
-        if self._pushed(now, self.make.work.get(job.tariff, 0.0)):
-            self.fallen = True
-            return Verdict.FELL
-        if len(self.waiting) >= self.make.queue or job.prompt + job.out > self.make.memory:
-            return Verdict.FULL
+        """Return the engine's speed as a multiple of its usual one."""
+        return self.capacity_fraction(now) / self.slowdown
+
+    def submit(self, now: int, job: Job) -> AdmissionResult:
+        """Queue an arriving job. Rejected arrivals add to the load of a cold engine too."""
+        if self._overloads_slow_start(now, self.spec.mean_work.get(job.request_class, 0.0)):
+            self.overloaded = True
+            return AdmissionResult.OVERLOADED_COLD
+        queue_is_full = len(self.waiting) >= self.spec.queue_capacity
+        if queue_is_full or job.prompt_tokens + job.output_tokens > self.spec.memory:
+            return AdmissionResult.REJECTED
         self.waiting.append(job)
-        return Verdict.TAKEN
+        return AdmissionResult.ACCEPTED
 
-    def admit(self) -> list[Job]:
-        """Moves the head of the line to where there is room; those returned must now fetch their state."""
+    def start_waiting(self) -> list[Job]:
+        """Start queued jobs, in order, while slots and memory last; return those that must fetch a state."""
         fetching = []
-        while self.waiting and len(self.active) < self.make.slots:
+        while self.waiting and len(self.active) < self.spec.slots:
             job = self.waiting[0]
-            if self.used + job.prompt > self.make.memory:
+            if self.used_memory + job.prompt_tokens > self.spec.memory:
                 break
             self.waiting.popleft()
-            job.held = job.prompt
-            self.used += job.prompt
+            job.allocated_tokens = job.prompt_tokens
+            self.used_memory += job.prompt_tokens
             self.active.append(job)
-            if job.fetches:
+            if job.fetches_state:
                 job.phase = Phase.FETCHING
                 fetching.append(job)
             else:
-                self._start_reading(job)
+                self._start_prefill(job)
         return fetching
 
-    def fetched(self, job: Job) -> None:
+    def state_fetched(self, job: Job) -> None:
+        """Let a job decode, now that its state is here; one that has ended meanwhile is ignored."""
         if job.phase is Phase.FETCHING:
-            job.phase = Phase.STREAMING
+            job.phase = Phase.DECODING
 
-    def step(self, now: int) -> Step | None:
-        """The next step, None where there is nothing to do."""
-        stream = [job for job in self.active if job.phase is Phase.STREAMING]
-        room, read = CHUNK, []
+    def next_step(self, now: int) -> Step | None:
+        """Return the next step, None where there is nothing to do."""
+        decodes = [job for job in self.active if job.phase is Phase.DECODING]
+        budget = PREFILL_CHUNK_TOKENS
+        prefills = []
         for job in self.active:
-            if job.phase is Phase.READING and job.to_read > 0 and room > 0:
-                part = min(room, job.to_read)
-                read.append((job, part))
-                room -= part
-        if not stream and not read:
+            if job.phase is Phase.PREFILLING and job.prefill_remaining > 0 and budget > 0:
+                part = min(budget, job.prefill_remaining)
+                prefills.append((job, part))
+                budget -= part
+        if not decodes and not prefills:
             return None
-        tokens = sum(part for _, part in read)
-        length = tokens / self.make.read_rate
-        if stream:
-            length += self.make.step + self.make.per_stream * len(stream)
-        return Step(max(1, round(length / self.speed(now))), read, stream)
-
-    def end(self, step: Step) -> Done:
-        """Books what a step has done; requests that left meanwhile are passed over."""
-        done = Done()
-        for job, part in step.read:
-            if job.phase is not Phase.READING:
-                continue
-            job.to_read -= part
-            if job.to_read <= 0:
-                self._keep(job.blocks)
-                if job.answers:
-                    job.phase = Phase.STREAMING
-                else:
-                    done.read.append(job)
-        for job in step.stream:
-            if job.phase is not Phase.STREAMING:
-                continue
-            job.made += 1
-            job.held += 1
-            self.used += 1
-            done.tokens.append(job)
-            if job.made >= job.out:
-                done.finished.append(job)
-                self.drop(job)
-        while self.used > self.make.memory and (victim := self._newest()) is not None:
-            # Its memory is wanted: the newest answer goes back to the line and is read anew.
-            self.active.remove(victim)
-            self.used -= victim.held
-            victim.held, victim.fetches, victim.phase = 0, False, Phase.WAITING
-            self.waiting.appendleft(victim)
-        return done
-
-    def hold(self, job: Job, state: str) -> None:
-        """A finished read's state stays in memory under a name."""
+        tokens = sum(part for _, part in prefills)
+        duration = tokens / self.spec.prefill_rate
+        if decodes:
+            duration += self.spec.step_time + self.spec.step_time_per_stream * len(decodes)
+        return Step(max(1, round(duration / self.speed(now))), prefills, decodes)
+
+    def finish_step(self, step: Step) -> StepResult:
+        """Apply what a step has done; jobs that ended while it ran are ignored."""
+        result = StepResult()
+        for job, part in step.prefills:
+            if job.phase is Phase.PREFILLING:
+                self._prefill(job, part, result)
+        for job in step.decodes:
+            if job.phase is Phase.DECODING:
+                self._decode(job, result)
+        while self.used_memory > self.spec.memory and (victim := self._newest_stream()) is not None:
+            self._preempt(victim)
+        return result
+
+    def hold_state(self, job: Job, state: str) -> None:
+        """End a prefill and hold its state in memory under a name."""
         self.active.remove(job)
-        job.phase = Phase.OVER
-        self.states[state] = job.held
+        job.phase = Phase.FINISHED
+        self.held_states[state] = job.allocated_tokens
 
-    def let_go(self, state: str) -> bool:
-        """False where no such state waits."""
-        tokens = self.states.pop(state, None)
+    def release_state(self, state: str) -> bool:
+        """Free a held state; return False where there is none of that name."""
+        tokens = self.held_states.pop(state, None)
         if tokens is None:
             return False
-        self.used -= tokens
+        self.used_memory -= tokens
         return True
 
-    def drop(self, job: Job) -> None:
-        """The request is over, finished or given up."""
-        if job.phase is Phase.OVER:
+    def remove(self, job: Job) -> None:
+        """Free what a job uses, whether it is complete or cancelled; may be called again."""
+        if job.phase is Phase.FINISHED:
             return
         if job.phase is Phase.WAITING:
             self.waiting.remove(job)
         else:
             self.active.remove(job)
-            self.used -= job.held
-        job.phase = Phase.OVER
-
-    def transfer(self, tokens: int, zone: str, rack: int) -> int:
-        """How long a state takes to a server there, with those that leave beside it."""
-        rate = self.make.near_rate
-        if rack != self.make.rack:
-            rate = self.make.far_rate / self.links_slowed
-            if zone != self.make.zone:
-                rate /= self.make.zone_slower
-        return max(1, round(tokens / rate * (1 + self.fetches_out)))
-
-    def forget(self, share: float) -> None:
-        """Loses kept texts."""
-        for block in [block for block in self.kept if self.draw() < share]:
-            del self.kept[block]
-
-    def report(self) -> dict[str, float]:
-        unread = sum(job.to_read for job in self.active) + sum(
-            job.prompt for job in self.waiting if not job.fetches
+            self.used_memory -= job.allocated_tokens
+        job.phase = Phase.FINISHED
+
+    def transfer_time(self, tokens: int, zone: str, rack: int) -> int:
+        """Return how long a state takes to an engine there, beside the transfers already under way."""
+        rate = self.spec.same_rack_rate
+        if rack != self.spec.rack:
+            rate = self.spec.cross_rack_rate / self.network_slowdown
+            if zone != self.spec.zone:
+                rate /= self.spec.cross_zone_slowdown
+        return max(1, round(tokens / rate * (1 + self.outgoing_transfers)))
+
+    def evict(self, fraction: float) -> None:
+        """Evict each cached block with the probability `fraction`."""
+        for block in [block for block in self.cached_blocks if self.draw() < fraction]:
+            del self.cached_blocks[block]
+
+    def load_report(self) -> dict[str, float]:
+        """Return the metrics of the engine's load report by their names on the wire."""
+        waiting_prompt_tokens = sum(job.prefill_remaining for job in self.active) + sum(
+            job.prompt_tokens for job in self.waiting if not job.fetches_state
         )
         return {
             "num_requests_running": len(self.active) + len(self.waiting),
-            "kv_cache_usage_perc": round(self.used / self.make.memory, 4),
-            "slots_usage_perc": round(len(self.active) / self.make.slots, 4),
-            "prompt_tokens_waiting": unread,
+            "kv_cache_usage_perc": round(self.used_memory / self.spec.memory, 4),
+            "slots_usage_perc": round(len(self.active) / self.spec.slots, 4),
+            "prompt_tokens_waiting": waiting_prompt_tokens,
         }
 
-    def _start_reading(self, job: Job) -> None:
+    def _start_prefill(self, job: Job) -> None:
         found = 0
-        for block in job.blocks:
-            if block not in self.kept:
+        for block in job.block_hashes:
+            if block not in self.cached_blocks:
                 break
-            self.kept.move_to_end(block)
-            found += BLOCK
-        job.kept = min(found, job.prompt - 1)
-        job.to_read = job.prompt - job.kept + job.made
-        job.phase = Phase.READING
-
-    def _keep(self, blocks: Sequence[int]) -> None:
+            self.cached_blocks.move_to_end(block)
+            found += BLOCK_TOKENS
+        job.cached_tokens = min(found, job.prompt_tokens - 1)
+        job.prefill_remaining = job.prompt_tokens - job.cached_tokens + job.generated_tokens
+        job.phase = Phase.PREFILLING
+
+    def _prefill(self, job: Job, tokens: int, result: StepResult) -> None:
+        job.prefill_remaining -= tokens
+        if job.prefill_remaining > 0:
+            return
+        self._cache(job.block_hashes)
+        if job.decodes:
+            job.phase = Phase.DECODING
+        else:
+            result.prefilled.append(job)
+
+    def _decode(self, job: Job, result: StepResult) -> None:
+        job.generated_tokens += 1
+        job.allocated_tokens += 1
+        self.used_memory += 1
+        result.decoded.append(job)
+        if job.generated_tokens >= job.output_tokens:
+            result.finished.append(job)
+            self.remove(job)
+
+    def _cache(self, blocks: Sequence[int]) -> None:
         for block in blocks:
-            self.kept[block] = None
-            self.kept.move_to_end(block)
-        while len(self.kept) > self.make.kept_blocks:
-            self.kept.popitem(last=False)
+            self.cached_blocks[block] = None
+            self.cached_blocks.move_to_end(block)
+        while len(self.cached_blocks) > self.spec.cache_capacity_blocks:
+            self.cached_blocks.popitem(last=False)
 
-    def _newest(self) -> Job | None:
-        streams = [job for job in self.active if job.phase is Phase.STREAMING]
+    def _newest_stream(self) -> Job | None:
+        streams = [job for job in self.active if job.phase is Phase.DECODING]
         return streams[-1] if len(streams) > 1 else None
 
-    def _pushed(self, now: int, work: float) -> bool:
-        """Whether all fronts together have sent a cold engine more than it bears."""
-        make = self.make
-        if self.warmth(now) >= 1.0:
-            self.offered.clear()
-            self.in_window = 0.0
+    def _preempt(self, job: Job) -> None:
+        """Free a stream's memory; it goes back to the head of the queue and is prefilled anew."""
+        self.active.remove(job)
+        self.used_memory -= job.allocated_tokens
+        job.allocated_tokens = 0
+        job.fetches_state = False
+        job.phase = Phase.WAITING
+        self.waiting.appendleft(job)
+
+    def _overloads_slow_start(self, now: int, work: float) -> bool:
+        """Return whether all fronts together have sent a cold engine more than it can take."""
+        spec = self.spec
+        capacity = self.capacity_fraction(now)
+        if capacity >= 1.0:
+            self._cold_arrivals.clear()
+            self._cold_work = 0.0
             return False
-        self.offered.append((now, work))
-        self.in_window += work
-        while self.offered and self.offered[0][0] < now - make.fall_time:
-            self.in_window -= self.offered.popleft()[1]
-        mean = max(make.work.values(), default=0.0)
-        return self.in_window > make.fall_multiple * self.warmth(now) * make.fall_time + SLACK_WORK * mean
+        self._cold_arrivals.append((now, work))
+        self._cold_work += work
+        window = spec.slow_start_overload_window
+        while self._cold_arrivals and self._cold_arrivals[0][0] < now - window:
+            self._cold_work -= self._cold_arrivals.popleft()[1]
+        mean_work = max(spec.mean_work.values(), default=0.0)
+        budget = spec.slow_start_overload_multiple * capacity * window
+        return self._cold_work > budget + COLD_OVERLOAD_TOLERANCE * mean_work
--- /dev/null
+++ b/runspool/lab/scripted_scenarios.py
@@ -0,0 +1,273 @@
+"""The scripted scenarios `bad-night` and `quiet`, and the request classes and engines that all scenarios use.
+
+Everything is drawn from the scenario's seed; the order of the draws is part of a scenario.
+"""
+
+from __future__ import annotations
+
+from random import Random
+from typing import Literal, NamedTuple
+
+from runspool.lab.model import EngineSpec
+from runspool.lab.plan import (
+    SECOND,
+    ClientsPlan,
+    EnginePlan,
+    FaultPlan,
+    FrontPlan,
+    RequestClassPlan,
+    ScenarioPlan,
+    TenantPlan,
+)
+
+STEP_TIME = 120
+STEP_TIME_PER_STREAM = 1.5
+SLOWEST, FASTEST = 0.9, 1.1  # bounds of an engine's own speed, as a multiple of its type's
+MIN_SLOTS = 2
+MIXED_PREFILL_DIVISOR = 4  # a mixed engine prefills beside its streams: a prefill costs it a quarter
+
+BAD_NIGHT_DURATION = 50 * SECOND
+BAD_NIGHT_ZONES = ("waw-1", "waw-2", "lodz-1")
+BAD_NIGHT_ZONE_ENGINES = ("prefill", "prefill", "decode", "mixed")
+BAD_NIGHT_FRONTS = 3
+BAD_NIGHT_RATE = 40
+FIRST_FAULT = 12 * SECOND  # by then streams run on every engine
+FAULT_FREE_END = 10 * SECOND
+LONGEST_OVERLAP = 6 * SECOND  # of the time for faults, what is left after the start of the overlap
+OVERLAP_SECONDS = 5  # the faults that are to overlap start within these
+
+QUIET_DURATION = 20 * SECOND
+
+
+class _EngineType(NamedTuple):
+    role: Literal["reader", "writer", "mixed"]
+    slots: int
+    queue_capacity: int
+    memory: int
+    prefill_rate: float
+
+
+_ENGINE_TYPES = {
+    "prefill": _EngineType("reader", 8, 40, 220_000, 1.9),
+    "decode": _EngineType("writer", 64, 32, 160_000, 0.7),
+    "mixed": _EngineType("mixed", 48, 24, 220_000, 1.2),
+}
+
+
+def source_address(front: int) -> str:
+    """Return the loopback address that the front of this index calls from."""
+    return f"127.0.0.{11 + front}"
+
+
+def default_request_classes() -> list[RequestClassPlan]:
+    """Return the three request classes of the scripted scenarios, one for each idempotency."""
+    return [
+        RequestClassPlan(
+            name="staff-ask",
+            share=0.5,
+            idempotency="rerunnable",
+            priority_weight=1,
+            first_token_objective=15_000,
+            first_token_objective_per_1000_tokens=400,
+            time_limit=60_000,
+            time_per_output_token=600,
+            new_prompt_tokens=250,
+            output_tokens=60,
+            turns=2.5,
+            prefix_share=0.8,
+            prefix_tokens=1600,
+            late_value=0.2,
+        ),
+        RequestClassPlan(
+            name="manager-check",
+            share=0.3,
+            idempotency="ticketed",
+            priority_weight=3,
+            first_token_objective=20_000,
+            first_token_objective_per_1000_tokens=400,
+            time_limit=80_000,
+            time_per_output_token=700,
+            new_prompt_tokens=320,
+            output_tokens=80,
+            turns=2.0,
+            prefix_share=0.7,
+            prefix_tokens=1200,
+            late_value=0.1,
+            deduplication_scope="zone",
+        ),
+        RequestClassPlan(
+            name="payout-close",
+            share=0.2,
+            idempotency="exclusive",
+            priority_weight=3,
+            first_token_objective=30_000,
+            first_token_objective_per_1000_tokens=1200,
+            time_limit=150_000,
+            time_per_output_token=800,
+            new_prompt_tokens=1500,
+            output_tokens=40,
+            turns=1.2,
+            prefix_share=0.2,
+            prefix_tokens=700,
+            late_value=0.2,
+        ),
+    ]
+
+
+def plan_engine(
+    name: str,
+    engine_type: str,
+    zone: str,
+    rack: int,
+    request_classes: list[RequestClassPlan],
+    rng: Random,
+    capacity_multiple: float = 1.0,
+) -> EnginePlan:
+    """Draw an engine of a type (prefill, decode, mixed) with a speed of its own.
+
+    `capacity_multiple` scales its slots and its prefill rate.
+    """
+    usual = _ENGINE_TYPES[engine_type]
+    prefill_rate = usual.prefill_rate * rng.uniform(SLOWEST, FASTEST) * capacity_multiple
+    step_time = STEP_TIME * rng.uniform(SLOWEST, FASTEST)
+    slots = max(MIN_SLOTS, usual.slots * capacity_multiple)
+    full_step_time = step_time + STEP_TIME_PER_STREAM * slots
+    mean_work = {}
+    for request_class in request_classes:
+        prompt = request_class.new_prompt_tokens + request_class.prefix_share * request_class.prefix_tokens
+        prefill = prompt / prefill_rate
+        decode = request_class.output_tokens * full_step_time / slots
+        mean_work[request_class.name] = {
+            "reader": prefill,
+            "writer": decode,
+            "mixed": decode + prefill / MIXED_PREFILL_DIVISOR,
+        }[usual.role]
+    spec = EngineSpec(
+        name=name,
+        role=usual.role,
+        zone=zone,
+        rack=rack,
+        slots=int(slots),
+        queue_capacity=usual.queue_capacity,
+        memory=usual.memory,
+        prefill_rate=prefill_rate,
+        step_time=step_time,
+        step_time_per_stream=STEP_TIME_PER_STREAM,
+        same_rack_rate=30.0,
+        cross_rack_rate=10.0,
+        cross_zone_slowdown=2.0,
+        slow_start_initial_fraction=0.3,
+        slow_start_duration=12 * SECOND,
+        slow_start_overload_multiple=2.5,
+        slow_start_overload_window=15_000,
+        state_ttl=10 * SECOND,
+        mean_work=mean_work,
+    )
+    return EnginePlan(spec, engine_type)
+
+
+def bad_night(seed: int, duration: int = BAD_NIGHT_DURATION) -> ScenarioPlan:
+    """Return a night on which at least eight kinds of fault overlap, killed fronts and engines among them."""
+    rng = Random(seed)
+    request_classes = default_request_classes()
+    engines = [
+        plan_engine(f"{zone}-{engine_type}-{index}", engine_type, zone, rack, request_classes, rng)
+        for rack, zone in enumerate(BAD_NIGHT_ZONES)
+        for index, engine_type in enumerate(BAD_NIGHT_ZONE_ENGINES)
+    ]
+    fronts = [
+        FrontPlan(f"front-{index}", BAD_NIGHT_ZONES[index], source_address(index))
+        for index in range(BAD_NIGHT_FRONTS)
+    ]
+    return ScenarioPlan(
+        name="bad-night",
+        seed=seed,
+        duration=duration,
+        requests_per_second=BAD_NIGHT_RATE,
+        zones=list(BAD_NIGHT_ZONES),
+        request_classes=request_classes,
+        tenants=[
+            TenantPlan("stol-razem", 0.42, 20),
+            TenantPlan("pod-lipami", 0.37, 18),
+            TenantPlan("mala-kuchnia", 0.21, 11),
+        ],
+        fronts=fronts,
+        engines=engines,
+        clients=ClientsPlan(),
+        faults=_bad_night_faults(engines, duration, rng),
+    )
+
+
+def quiet(seed: int, duration: int = QUIET_DURATION) -> ScenarioPlan:
+    """Return the bad night's fleet and workload without any fault."""
+    plan = bad_night(seed)
+    plan.name = "quiet"
+    plan.duration = duration
+    plan.faults = []
+    return plan
+
+
+def _bad_night_faults(engines: list[EnginePlan], duration: int, rng: Random) -> list[FaultPlan]:
+    prefills = _shuffled(engines, "prefill", rng)
+    decodes = _shuffled(engines, "decode", rng)
+    mixed = _shuffled(engines, "mixed", rng)
+    span = duration - FIRST_FAULT - FAULT_FREE_END
+    overlap_starts_at = FIRST_FAULT + int(rng.random() * (span - LONGEST_OVERLAP))
+
+    def any_time() -> int:
+        return FIRST_FAULT + int(rng.random() * span)
+
+    def overlapping() -> int:
+        """Within the seconds after which all that last eight seconds are active together."""
+        return overlap_starts_at + int(rng.random() * OVERLAP_SECONDS * SECOND)
+
+    # The arguments are drawn in the order in which they stand here.
+    faults = [
+        FaultPlan("crash", any_time(), 8 * SECOND, targets=[decodes[0]]),
+        FaultPlan("front_kill", any_time(), 2 * SECOND, targets=[rng.randrange(3)]),
+        FaultPlan("front_kill", overlapping(), 3 * SECOND, targets=[rng.randrange(3)]),
+        FaultPlan("hang", any_time(), 4 * SECOND, targets=[prefills[0]]),
+        FaultPlan("pause", any_time(), SECOND, targets=[mixed[0]]),
+        FaultPlan("slow", overlapping(), 10 * SECOND, magnitude=rng.uniform(2, 5), targets=[prefills[1]]),
+        FaultPlan("drain", any_time(), 5 * SECOND, targets=[mixed[1]]),
+        FaultPlan("drain", any_time(), 5 * SECOND, targets=[prefills[2]]),
+        FaultPlan("restart", any_time(), SECOND, targets=[prefills[3]]),
+        FaultPlan("errors", overlapping(), 8 * SECOND, magnitude=0.2, targets=[decodes[1], mixed[2]]),
+        FaultPlan("resets", overlapping(), 8 * SECOND, magnitude=0.1, targets=[decodes[2], prefills[1]]),
+        FaultPlan("list_noise", overlapping(), 10 * SECOND),
+        FaultPlan("discovery_stale", any_time(), 8 * SECOND, magnitude=3 * SECOND),
+        FaultPlan("origin_slow", overlapping(), 8 * SECOND, magnitude=rng.uniform(2, 6)),
+        FaultPlan("flush", any_time(), 0, magnitude=0.8),
+        FaultPlan("burst", any_time(), 4 * SECOND, magnitude=1.5),
+        FaultPlan("heavy_tail", any_time(), 8 * SECOND, magnitude=10, secondary_magnitude=0.03),
+        FaultPlan("hot_key", overlapping(), 8 * SECOND, magnitude=0.15),
+        FaultPlan(
+            "retry_abuse",
+            overlapping(),
+            8 * SECOND,
+            magnitude=4,
+            secondary_magnitude=0.4,
+            subject_index=rng.randrange(3),
+        ),
+        FaultPlan(
+            "throttle",
+            overlapping(),
+            8 * SECOND,
+            magnitude=0.2,
+            secondary_magnitude=0.2,
+            targets=[decodes[1], prefills[4]],
+            mode="tenant",
+            subject_index=rng.randrange(3),
+        ),
+        FaultPlan("class_fail", any_time(), 8 * SECOND, magnitude=1.0, targets=[mixed[2]], mode="silence"),
+        FaultPlan("leaving", any_time(), 8 * SECOND, magnitude=0.1),
+    ]
+    faults.sort(key=lambda fault: fault.starts_at)
+    return faults
+
+
+def _shuffled(engines: list[EnginePlan], engine_type: str, rng: Random) -> list[int]:
+    """Return the indices of a type's engines in an order that is drawn."""
+    indices = [index for index, engine in enumerate(engines) if engine.engine_type == engine_type]
+    rng.shuffle(indices)
+    return indices
