--- a/runspool/lab/http_server.py
+++ b/runspool/lab/http_server.py
@@ -1,4 +1,4 @@
-"""The stand-ins' HTTP/1.1 server side: requests in, answers out, and the mishaps they are told to play."""
+"""The HTTP/1.1 server side of the stand-ins: requests in, responses out, and what breaks a connection."""
 
 from __future__ import annotations
 
@@ -13,111 +13,133 @@
 import msgspec
 from anyio.abc import SocketAttribute, SocketListener, SocketStream, TaskGroup
 
+from runspool.errors import RunspoolError
 from runspool.transport.tcp import next_connection
 
-RECEIVED = 65536
-GONE = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
+RECEIVE_BYTES = 65_536
+MAX_HEAD_BYTES = 65_536
+PEER_GONE_ERRORS = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
 
 
-class PeerClosedError(Exception):
-    """The peer has gone."""
+class PeerClosedError(RunspoolError):
+    """The peer has closed the connection, or it was lost."""
 
 
 @dataclass(slots=True)
-class Asked:
-    """One request on a connection, with the means to answer it."""
+class ReceivedRequest:
+    """One request on a connection, with the means to respond to it.
+
+    Attributes:
+        method: the request's method.
+        target: path and query.
+        headers: by their names in lower case.
+        stream: the connection.
+        protocol: its HTTP state.
+        peer: the address that it was called from.
+        disconnected: set once the peer is gone, while watch() runs.
+    """
 
     method: str
     target: str
     headers: dict[str, str]
     stream: SocketStream
-    state: h11.Connection
+    protocol: h11.Connection
     peer: str
-    body: bytes = b""
-    left: anyio.Event = field(default_factory=anyio.Event)
+    disconnected: anyio.Event = field(default_factory=anyio.Event)
 
     async def read_body(self) -> bytes:
+        """Receive the whole body; raise PeerClosedError where the peer closes before its end."""
         body = bytearray()
-        while not isinstance(event := await _next(self.stream, self.state), h11.EndOfMessage):
+        while not isinstance(event := await _next_event(self.stream, self.protocol), h11.EndOfMessage):
             if isinstance(event, h11.ConnectionClosed):
                 raise PeerClosedError
             if isinstance(event, h11.Data):
                 body += event.data
-        self.body = bytes(body)
-        return self.body
+        return bytes(body)
 
-    async def answer(self, status: int, said: object, headers: dict[str, str] | None = None) -> None:
-        raw = said if isinstance(said, bytes) else msgspec.json.encode(said)
-        fields = {"Content-Type": "application/json", "Content-Length": str(len(raw)), **(headers or {})}
+    async def respond(self, status: int, content: object, headers: dict[str, str] | None = None) -> None:
+        """Send a whole response; `content` other than bytes is encoded as JSON."""
+        body = content if isinstance(content, bytes) else msgspec.json.encode(content)
+        fields = {"Content-Type": "application/json", "Content-Length": str(len(body)), **(headers or {})}
         await self._send(
             h11.Response(status_code=status, headers=list(fields.items())),
-            h11.Data(data=raw),
+            h11.Data(data=body),
             h11.EndOfMessage(),
         )
 
     async def open_stream(self, headers: dict[str, str] | None = None) -> None:
+        """Send the head of a response in chunks, by default one of server-sent events."""
         fields = {"Content-Type": "text/event-stream", "Transfer-Encoding": "chunked", **(headers or {})}
         await self._send(h11.Response(status_code=200, headers=list(fields.items())))
 
-    async def chunk(self, raw: bytes) -> None:
-        await self._send(h11.Data(data=raw))
+    async def send_chunk(self, content: bytes) -> None:
+        """Send one chunk of an open stream."""
+        await self._send(h11.Data(data=content))
 
     async def end_stream(self) -> None:
+        """Send the end of an open stream."""
         await self._send(h11.EndOfMessage())
 
     async def reset(self) -> None:
-        """Ends the connection by RST, so that the peer sees a reset and no orderly close."""
-        raw = self.stream.extra(SocketAttribute.raw_socket)
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        """End the connection by RST, so that the peer sees a reset and no orderly close."""
+        raw_socket = self.stream.extra(SocketAttribute.raw_socket)
+        raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+        await self.close()
+
+    async def close(self) -> None:
+        """Close the connection without ending the response."""
         await anyio.aclose_forcefully(self.stream)
 
     async def watch(self) -> None:
-        """Sets `left` once the peer is gone."""
+        """Receive until the peer is gone, then set `disconnected`."""
         try:
             while True:
-                self.state.receive_data(await self.stream.receive(RECEIVED))
-        except GONE:
-            self.left.set()
+                self.protocol.receive_data(await self.stream.receive(RECEIVE_BYTES))
+        except PEER_GONE_ERRORS:
+            self.disconnected.set()
 
     async def _send(self, *events: h11.Event) -> None:
-        raw = b"".join(self.state.send(event) or b"" for event in events)
+        data = b"".join(self.protocol.send(event) or b"" for event in events)
         try:
-            await self.stream.send(raw)
-        except GONE:
+            await self.stream.send(data)
+        except PEER_GONE_ERRORS:
             raise PeerClosedError from None
 
 
-async def serve_all(
-    listener: SocketListener, client: Callable[[SocketStream], Coroutine[Any, Any, None]], tasks: TaskGroup
+async def serve_connections(
+    listener: SocketListener,
+    serve: Callable[[SocketStream], Coroutine[Any, Any, None]],
+    tasks: TaskGroup,
 ) -> None:
-    """Begins `client` for each connection, until cancelled."""
-    raw = listener.extra(SocketAttribute.raw_socket)
+    """Start `serve` for each connection, until cancelled."""
+    raw_socket = listener.extra(SocketAttribute.raw_socket)
     while True:
-        tasks.start_soon(client, await SocketStream.from_socket(await next_connection(raw)))
+        tasks.start_soon(serve, await SocketStream.from_socket(await next_connection(raw_socket)))
 
 
-async def serve(stream: SocketStream, handle: Callable[[Asked], Awaitable[None]]) -> None:
-    """Serves one connection until it ends; `handle` reads the body itself."""
-    state = h11.Connection(h11.SERVER, max_incomplete_event_size=65536)
+async def serve_requests(stream: SocketStream, handle: Callable[[ReceivedRequest], Awaitable[None]]) -> None:
+    """Serve one connection until it ends; `handle` must read each request's body."""
+    protocol = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
     peer = str(stream.extra(SocketAttribute.remote_address)[0])
     async with stream:
         try:
-            while isinstance(request := await _next(stream, state), h11.Request):
-                headers = {key.decode("latin-1"): value.decode("latin-1") for key, value in request.headers}
+            while isinstance(request := await _next_event(stream, protocol), h11.Request):
+                headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in request.headers}
                 method, target = request.method.decode(), request.target.decode()
-                await handle(Asked(method, target, headers, stream, state, peer))
-                if state.our_state is not h11.DONE or state.their_state is not h11.DONE:
+                await handle(ReceivedRequest(method, target, headers, stream, protocol, peer))
+                if protocol.our_state is not h11.DONE or protocol.their_state is not h11.DONE:
                     return
-                state.start_next_cycle()
-        except (*GONE, PeerClosedError, h11.RemoteProtocolError, h11.LocalProtocolError):
+                protocol.start_next_cycle()
+        except (*PEER_GONE_ERRORS, PeerClosedError, h11.RemoteProtocolError, h11.LocalProtocolError):
             return
 
 
-async def _next(stream: SocketStream, state: h11.Connection) -> object:
-    while (event := state.next_event()) is h11.NEED_DATA:
+async def _next_event(stream: SocketStream, protocol: h11.Connection) -> object:
+    while (event := protocol.next_event()) is h11.NEED_DATA:
         try:
-            data = await stream.receive(RECEIVED)
+            data = await stream.receive(RECEIVE_BYTES)
         except anyio.EndOfStream:
             data = b""
-        state.receive_data(data)
+        protocol.receive_data(data)
     return event
--- /dev/null
+++ b/runspool/lab/injected_faults.py
@@ -0,0 +1,104 @@
+"""The faults that are switched on at a stand-in engine, and the commands that switch them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import cast
+
+import anyio
+
+from runspool.lab.model import EngineModel
+from runspool.lab.response_faults import FAILED_500, RESPONSE_FAULTS, SILENT
+from runspool.lab.throttling import RateLimit, Throttle
+
+FaultSetting = str | float | None  # a value of a command, as JSON has it
+NO_CONNECTION_LIMIT = 100_000
+
+
+class InjectedFaults:
+    """The faults of one engine.
+
+    Attributes:
+        max_connections: connections past this are closed at once.
+        throttle: the limits of rate.
+    """
+
+    def __init__(self, model: EngineModel) -> None:
+        self.max_connections = NO_CONNECTION_LIMIT
+        self.throttle = Throttle()
+        self._model = model
+        self._resumed = anyio.Event()
+        self._resumed.set()
+        self._response_fault_shares: dict[str, float] = {}
+        self._failing_classes: dict[str, tuple[str, float]] = {}  # "silence" or "error", share
+        self._switches: dict[str, Callable[[dict[str, FaultSetting]], None]] = {
+            "hang": self._switch_hang,
+            "slow": self._set_slowdown,
+            "links": self._set_network_slowdown,
+            "forget": self._evict,
+            "row": self._set_response_fault,
+            "tariff": self._set_failing_class,
+            "throttle": self._set_rate_limit,
+            "connections": self._limit_connections,
+        }
+
+    def switch(self, name: str, settings: dict[str, FaultSetting]) -> None:
+        """Switch a fault on or off; raise ValueError for one that is not known."""
+        switch = self._switches.get(name)
+        if switch is None:
+            raise ValueError(f"no fault {name}")
+        switch(settings)
+
+    async def wait_until_resumed(self) -> None:
+        """Return at once, or when the engine hangs no more."""
+        await self._resumed.wait()
+
+    def draw_response_fault(self, request_class: str, draw: Callable[[], float]) -> str:
+        """Return the response fault that befalls a request, empty for none; `draw` returns from 0 to 1."""
+        for fault, share in self._response_fault_shares.items():
+            if draw() < share:
+                return fault
+        mode, share = self._failing_classes.get(request_class, ("", 0.0))
+        if share and draw() < share:
+            return SILENT if mode == "silence" else FAILED_500
+        return ""
+
+    def _switch_hang(self, settings: dict[str, FaultSetting]) -> None:
+        if settings["on"]:
+            self._resumed = anyio.Event()
+        else:
+            self._resumed.set()
+
+    def _set_slowdown(self, settings: dict[str, FaultSetting]) -> None:
+        self._model.slowdown = _number(settings["times"])
+
+    def _set_network_slowdown(self, settings: dict[str, FaultSetting]) -> None:
+        self._model.network_slowdown = _number(settings["times"])
+
+    def _evict(self, settings: dict[str, FaultSetting]) -> None:
+        self._model.evict(_number(settings["share"]))
+
+    def _set_response_fault(self, settings: dict[str, FaultSetting]) -> None:
+        fault = cast(str, settings["row"])
+        if fault not in RESPONSE_FAULTS:
+            raise ValueError(f"no row {fault}")
+        self._response_fault_shares[fault] = _number(settings["share"])
+
+    def _set_failing_class(self, settings: dict[str, FaultSetting]) -> None:
+        mode = cast(str, settings["how"])
+        share = _number(settings["share"])
+        self._failing_classes[cast(str, settings["tariff"])] = (mode, share)
+
+    def _set_rate_limit(self, settings: dict[str, FaultSetting]) -> None:
+        if settings["per_second"] is None:
+            self.throttle.limits.pop(cast(str, settings["whose"]), None)
+            return
+        limit = RateLimit(_number(settings["per_second"]), int(cast(float, settings["say_after"])))
+        self.throttle.limits[cast(str, settings["whose"])] = limit
+
+    def _limit_connections(self, settings: dict[str, FaultSetting]) -> None:
+        self.max_connections = int(cast(float, settings["most"]))
+
+
+def _number(setting: FaultSetting) -> float:
+    return float(cast(float, setting))
--- /dev/null
+++ b/runspool/lab/response_faults.py
@@ -0,0 +1,145 @@
+"""Response faults: what a stand-in engine can be told to do wrong on a share of the requests.
+
+Together they are the rows of the table of failures that an engine can cause.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+
+from runspool.lab.http_server import ReceivedRequest
+from runspool.wire.completions import error_body
+
+RESET_BEFORE_BODY = "reset_before_body"
+SILENT = "silent"
+FAILED_500 = "failed_500"
+NO_FINISH = "no_finish"
+ERROR_EVENT = "error_event"
+CUT_STREAM = "cut_stream"
+RESET_STREAM = "reset_stream"
+SILENT_STREAM = "silent_stream"
+
+RESPONSE_FAULTS = (
+    RESET_BEFORE_BODY,
+    "reset_after",
+    "close_after",
+    SILENT,
+    "full_429",
+    "full_503",
+    "bad_400",
+    "missing_404",
+    FAILED_500,
+    "failed_500_after_run",
+    "garbled",
+    "garbled_status",
+    "endless",
+    "cut_answer",
+    CUT_STREAM,
+    RESET_STREAM,
+    SILENT_STREAM,
+    NO_FINISH,
+    ERROR_EVENT,
+    "head_garbled",
+    "huge_event",
+)
+STREAM_FAULTS = (CUT_STREAM, RESET_STREAM, SILENT_STREAM)
+TOKENS_BEFORE_STREAM_FAULT = 2
+
+REJECTION_STATUSES = {"full_429": 429, "full_503": 503, "bad_400": 400, "missing_404": 404}
+AFTER_EXECUTION = ("reset_after", "close_after", "failed_500_after_run")
+
+ENDLESS_PART = b"data: " + b"x" * 8192
+HUGE_EVENT_BYTES = 1_000_000
+
+
+async def play_response_fault(
+    received: ReceivedRequest, fault: str, record_execution: Callable[[], None]
+) -> str:
+    """Play a fault that takes the place of the engine's work.
+
+    Returns how the request has ended: "full" for a rejection, "mishap" for any other fault; empty where the
+    fault concerns the work's own response, or there is none, and the request is to be served.
+
+    Args:
+        received: the request; its body has been read.
+        fault: one of RESPONSE_FAULTS, or empty.
+        record_execution: called first for a fault after which the request counts as executed.
+    """
+    if fault in REJECTION_STATUSES:
+        await received.respond(REJECTION_STATUSES[fault], error_body("engine", fault, "turned away"))
+        return "full"
+    play = _PLAYS.get(fault)
+    if play is None:
+        return ""
+    if fault in AFTER_EXECUTION:
+        record_execution()
+    await play(received)
+    return "mishap"
+
+
+async def break_stream(received: ReceivedRequest, fault: str) -> None:
+    """Break off an open stream by one of STREAM_FAULTS."""
+    if fault == SILENT_STREAM:
+        await received.disconnected.wait()
+    elif fault == RESET_STREAM:
+        await received.reset()
+    else:
+        await received.close()
+
+
+async def end_stream_wrongly(received: ReceivedRequest, fault: str) -> None:
+    """End a stream without its finish, for NO_FINISH, or after an error, for ERROR_EVENT."""
+    if fault == ERROR_EVENT:
+        await received.send_chunk(b"data: " + error_body("engine", "broke", "the engine broke") + b"\n\n")
+    await received.end_stream()
+
+
+async def _fail(received: ReceivedRequest) -> None:
+    await received.respond(500, error_body("engine", FAILED_500, "failed before it ran"))
+
+
+async def _fail_after_execution(received: ReceivedRequest) -> None:
+    await received.respond(500, error_body("engine", "failed_500_after_run", "failed after it ran"))
+
+
+async def _garble_body(received: ReceivedRequest) -> None:
+    await received.respond(200, b'{"choices": [')
+
+
+async def _garble_status(received: ReceivedRequest) -> None:
+    await received.stream.send(b"HTTP/1.1 302 Found\r\nContent-Length: 0\r\n\r\n")
+
+
+async def _garble_head(received: ReceivedRequest) -> None:
+    await received.stream.send(b"\x00\x01\x02 nonsense\r\n\r\n")
+
+
+async def _respond_endlessly(received: ReceivedRequest) -> None:
+    await received.stream.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+    while True:
+        await received.stream.send(b"%x\r\n%b\r\n" % (len(ENDLESS_PART), ENDLESS_PART))
+
+
+async def _send_huge_event(received: ReceivedRequest) -> None:
+    await received.open_stream()
+    await received.send_chunk(b"data: " + b"y" * HUGE_EVENT_BYTES + b"\n\n")
+    await received.end_stream()
+
+
+async def _cut_response(received: ReceivedRequest) -> None:
+    await received.stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{")
+    await received.close()
+
+
+_PLAYS: dict[str, Callable[[ReceivedRequest], Awaitable[None]]] = {
+    "reset_after": ReceivedRequest.reset,
+    "close_after": ReceivedRequest.close,
+    FAILED_500: _fail,
+    "failed_500_after_run": _fail_after_execution,
+    "garbled": _garble_body,
+    "garbled_status": _garble_status,
+    "head_garbled": _garble_head,
+    "endless": _respond_endlessly,
+    "huge_event": _send_huge_event,
+    "cut_answer": _cut_response,
+}
--- /dev/null
+++ b/runspool/lab/state_transfer.py
@@ -0,0 +1,142 @@
+"""Prefill states between stand-in engines: held, fetched by another engine, released, or expired."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import anyio
+import msgspec
+
+from runspool.lab.http_server import ReceivedRequest
+from runspool.lab.injected_faults import InjectedFaults
+from runspool.lab.model import EngineModel, EngineSpec, Job
+from runspool.lab.plan import SECOND
+from runspool.lab.recording import Recorder
+from runspool.lab.standin_messages import StateTransferParams
+from runspool.service.clock import now
+
+FETCH_PATH = "/lab/fetch"
+FETCH_TIMEOUT = 10.0  # seconds
+
+
+class HeldStates:
+    """The states that an engine has prefilled and holds until they are fetched, released or too old.
+
+    `on_release` is called when a state's memory is free again.
+    """
+
+    def __init__(
+        self,
+        model: EngineModel,
+        faults: InjectedFaults,
+        recorder: Recorder,
+        on_release: Callable[[], None],
+    ) -> None:
+        self._model = model
+        self._faults = faults
+        self._recorder = recorder
+        self._engine = model.spec.name
+        self._on_release = on_release
+
+    def hold(self, job: Job, attempt: str) -> None:
+        """End a prefill and hold its state under the job's request id, for a client's attempt."""
+        self._model.hold_state(job, job.request_id)
+        self._recorder.line(
+            "held",
+            engine=self._engine,
+            state=job.request_id,
+            tokens=job.prompt_tokens,
+            **{"try": attempt},
+        )
+
+    def drop(self, state: str) -> None:
+        """Free a state whose front will never know of it, as it has gone before the response."""
+        if self._model.release_state(state):
+            self._recorder.line("dropped", engine=self._engine, state=state)
+
+    async def expire(self, state: str) -> None:
+        """Free a state after its time to live, if it is still held then."""
+        await anyio.sleep(self._model.spec.state_ttl / SECOND)
+        if self._model.release_state(state):
+            self._recorder.line("expired", engine=self._engine, state=state)
+            self._on_release()
+
+    async def handle_release(self, received: ReceivedRequest) -> None:
+        """Serve a front's call to release a state; a hung engine does so when it is resumed."""
+        content = msgspec.json.decode(await received.read_body())
+        params = content.get("kv_transfer_params") or {}
+        state = params.get("remote_request_id") or content.get("request_id")
+        received_at = now()
+        await self._faults.wait_until_resumed()
+        if self._model.release_state(state):
+            self._recorder.line("released", engine=self._engine, state=state, told=received_at)
+            self._on_release()
+        await received.respond(200, {})
+
+    async def handle_fetch(self, received: ReceivedRequest) -> None:
+        """Serve another engine's call to fetch a state; respond when all of it is transferred."""
+        content = msgspec.json.decode(await received.read_body())
+        state = content["state"]
+        await self._faults.wait_until_resumed()
+        tokens = self._model.held_states.get(state)
+        if tokens is None:
+            await received.respond(404, {})
+            return
+        await self._transfer(received, self._model.transfer_time(tokens, content["zone"], content["rack"]))
+        if received.disconnected.is_set():
+            return
+        if not self._model.release_state(state):
+            await received.respond(404, {})
+            return
+        self._recorder.line("taken", engine=self._engine, state=state, by=content["engine"])
+        self._on_release()
+        await received.respond(200, {})
+
+    async def _transfer(self, received: ReceivedRequest, duration: int) -> None:
+        """Take the transfer's time, or until the fetching engine is gone."""
+        self._model.outgoing_transfers += 1
+        try:
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(received.watch)
+                with anyio.move_on_after(duration / SECOND):
+                    await received.disconnected.wait()
+                tasks.cancel_scope.cancel()
+        finally:
+            self._model.outgoing_transfers -= 1
+
+
+async def fetch_state(spec: EngineSpec, params: StateTransferParams, disconnected: anyio.Event) -> bool:
+    """Fetch a state from the engine that holds it; return whether it has come.
+
+    Args:
+        spec: the engine that fetches.
+        params: where the state is held, and its name there.
+        disconnected: the fetch is given up when this is set.
+    """
+    content = msgspec.json.encode(
+        {
+            "state": params.remote_request_id,
+            "zone": spec.zone,
+            "rack": spec.rack,
+            "engine": spec.name,
+        }
+    )
+    head = f"POST {FETCH_PATH} HTTP/1.1\r\nHost: lab\r\nContent-Length: {len(content)}\r\n\r\n"
+    fetched = False
+    try:
+        with anyio.fail_after(FETCH_TIMEOUT):
+            stream = await anyio.connect_tcp(str(params.remote_host), int(params.remote_port or 0))
+            async with stream:
+                await stream.send(head.encode() + content)
+                async with anyio.create_task_group() as tasks:
+                    tasks.start_soon(_cancel_when, disconnected, tasks.cancel_scope)
+                    fetched = (await stream.receive()).startswith(b"HTTP/1.1 200")
+                    tasks.cancel_scope.cancel()
+    except (OSError, TimeoutError, anyio.EndOfStream, anyio.BrokenResourceError, BaseExceptionGroup):
+        return False
+    return fetched
+
+
+async def _cancel_when(event: anyio.Event, scope: anyio.CancelScope) -> None:
+    await event.wait()
+    scope.cancel()
