--- a/runspool/lab/listing.py
+++ b/runspool/lab/listing.py
@@ -1,4 +1,4 @@
-"""A stand-in list service: numbered changes streamed to every front, as late and as mangled as it is told."""
+"""A stand-in endpoint list service: numbered updates streamed to every front, late or garbled if told so."""
 
 from __future__ import annotations
 
@@ -7,160 +7,184 @@
 from urllib.parse import parse_qs, urlsplit
 
 import anyio
-from anyio.abc import SocketListener, SocketStream, TaskStatus
+from anyio.abc import SocketAttribute, SocketListener, SocketStream, TaskStatus
 
-from runspool.lab.http_server import Asked, PeerClosedError, serve, serve_all
+from runspool.lab.http_server import PeerClosedError, ReceivedRequest, serve_connections, serve_requests
+from runspool.lab.plan import SECOND
 from runspool.lab.recording import Recorder
 from runspool.service.clock import now
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, encode_message
 
-BEAT = 1.0
-HISTORY = 64
-QUEUE = 1024  # lines waiting for a slow front before its watch is ended
-
-
-class Listing:
-    """Knows the true state of the engines and tells it `delay` later."""
+WATCH_PATH = "/v1/engines/watch"
+HEARTBEAT_INTERVAL = 1.0  # seconds
+HISTORY_MESSAGES = 64  # to which a front that subscribes again can go back
+MAX_QUEUED_MESSAGES = 1024  # for a slow front before its subscription is ended
+IDLE_WAIT = 3600.0  # seconds
+MIN_WAIT = 0.001  # seconds
+NOISES = ["", "repeat", "reorder", "tear"]
+
+
+class EndpointListService:
+    """Knows the true state of the engines and publishes it `delay` later.
+
+    Attributes:
+        record: where every update that a front is told is recorded.
+        delay: tenths of a millisecond between an update and its publication.
+        noisy: whether some lines are torn, repeated or reordered.
+        rng: draws which.
+        epoch: of the list's versions.
+        version: of the list as published.
+        known: the published entries by engine.
+        watchers: the fronts' subscriptions.
+        port: 0 until it serves.
+    """
 
     def __init__(self, record: Recorder, delay: int, seed: int = 0) -> None:
         self.record = record
         self.delay = delay
-        self.noisy = False  # torn, repeated and reordered lines
+        self.noisy = False
         self.rng = Random(seed)
         self.epoch = f"{now():x}"
         self.version = 0
         self.known: dict[str, EndpointEntry] = {}
-        self.history: deque[EndpointListMessage] = deque(maxlen=HISTORY)
-        self.watchers: list[_Watcher] = []
-        self.pending: deque[tuple[int, EndpointEntry]] = deque()
-        self.more = anyio.Event()
+        self.watchers: list[_Subscription] = []
         self.port = 0
+        self._history: deque[EndpointListMessage] = deque(maxlen=HISTORY_MESSAGES)
+        self._pending: deque[tuple[int, EndpointEntry]] = deque()  # when it is published, in that order
+        self._changed = anyio.Event()
 
     def set(self, entry: EndpointEntry, at_once: bool = False) -> None:
-        """News of an engine, told after the delay that holds now."""
-        due = now() + (0 if at_once else self.delay)
-        # Late news never overtakes earlier news: the service is late as a whole.
-        due = max(due, self.pending[-1][0] if self.pending else 0)
-        self.pending.append((due, entry))
-        self.more.set()
+        """Update an engine's entry; it is published after the delay that holds now."""
+        publish_at = now() + (0 if at_once else self.delay)
+        # A late update is never overtaken by the next: the service is late as a whole.
+        publish_at = max(publish_at, self._pending[-1][0] if self._pending else 0)
+        self._pending.append((publish_at, entry))
+        self._changed.set()
 
     async def run(
         self, host: str, port: int, *, task_status: TaskStatus[int] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serves until cancelled; reports its port as started."""
+        """Serve until cancelled; report the port as started."""
         async with anyio.create_task_group() as tasks:
-            listener = await anyio.create_tcp_listener(local_host=host, local_port=port)
-            async with listener:
-                one = listener.listeners[0]
-                assert isinstance(one, SocketListener)
-                self.port = int(one.extra(anyio.abc.SocketAttribute.local_port))
-                tasks.start_soon(self._publish)
+            listeners = await anyio.create_tcp_listener(local_host=host, local_port=port)
+            async with listeners:
+                listener = listeners.listeners[0]
+                assert isinstance(listener, SocketListener)
+                self.port = int(listener.extra(SocketAttribute.local_port))
+                tasks.start_soon(self._publish_pending)
                 task_status.started(self.port)
-                await serve_all(one, self._client, tasks)
+                await serve_connections(listener, self._serve_connection, tasks)
 
-    async def _publish(self) -> None:
+    async def _publish_pending(self) -> None:
         while True:
-            self.more = anyio.Event()
-            while self.pending and self.pending[0][0] <= now():
-                self._tell(self.pending.popleft()[1])
-            wait = (self.pending[0][0] - now()) / 10_000 if self.pending else 3600
-            with anyio.move_on_after(max(0.001, wait)):
-                await self.more.wait()
-
-    def _tell(self, entry: EndpointEntry) -> None:
+            self._changed = anyio.Event()
+            while self._pending and self._pending[0][0] <= now():
+                self._publish(self._pending.popleft()[1])
+            wait = (self._pending[0][0] - now()) / SECOND if self._pending else IDLE_WAIT
+            with anyio.move_on_after(max(MIN_WAIT, wait)):
+                await self._changed.wait()
+
+    def _publish(self, entry: EndpointEntry) -> None:
         self.version += 1
         if entry.state == "gone":
             self.known.pop(entry.engine, None)
         else:
             self.known[entry.engine] = entry
-        news = EndpointListMessage(self.version, self.epoch, engines=[entry])
-        self.history.append(news)
+        message = EndpointListMessage(self.version, self.epoch, engines=[entry])
+        self._history.append(message)
         for watcher in list(self.watchers):
-            watcher.put(news)
+            watcher.put(message)
 
-    async def _client(self, stream: SocketStream) -> None:
-        await serve(stream, self._request)
+    async def _serve_connection(self, stream: SocketStream) -> None:
+        await serve_requests(stream, self._handle)
 
-    async def _request(self, asked: Asked) -> None:
-        await asked.read_body()
-        target = urlsplit(asked.target)
-        if target.path != "/v1/engines/watch":
-            await asked.answer(404, {})
+    async def _handle(self, received: ReceivedRequest) -> None:
+        await received.read_body()
+        target = urlsplit(received.target)
+        if target.path != WATCH_PATH:
+            await received.respond(404, {})
             return
-        said = parse_qs(target.query)
-        front, after = said.get("front", ["?"])[0], int(said.get("after", ["-1"])[0])
-        await asked.open_stream({"Content-Type": "application/x-ndjson"})
-        watcher = _Watcher(self, asked, front)
-        missed = [news for news in self.history if news.version > after]
-        if after < 0 or after > self.version or len(missed) != self.version - after:
-            missed = [
-                EndpointListMessage(
-                    self.version, self.epoch, is_snapshot=True, engines=list(self.known.values())
-                )
-            ]
-        for news in missed:
-            watcher.put(news, plain=True)
-        self.watchers.append(watcher)
+        parameters = parse_qs(target.query)
+        front, after = parameters.get("front", ["?"])[0], int(parameters.get("after", ["-1"])[0])
+        await received.open_stream({"Content-Type": "application/x-ndjson"})
+        subscription = _Subscription(self, received, front)
+        for message in self._messages_since(after):
+            subscription.put(message, intact=True)
+        self.watchers.append(subscription)
         try:
             async with anyio.create_task_group() as tasks:
-
-                async def until_left() -> None:
-                    await asked.watch()
-                    tasks.cancel_scope.cancel()
-
-                tasks.start_soon(until_left)
-                await watcher.run()
+                tasks.start_soon(_cancel_when_gone, received, tasks.cancel_scope)
+                await subscription.run()
                 tasks.cancel_scope.cancel()
         except BaseExceptionGroup as group:
             if group.split(PeerClosedError)[1] is not None:
                 raise
         finally:
-            self.watchers.remove(watcher)
-
-
-class _Watcher:
-    def __init__(self, listing: Listing, asked: Asked, front: str) -> None:
-        self.listing = listing
-        self.asked = asked
-        self.front = front
-        self.lines: deque[tuple[EndpointListMessage, bytes]] = deque()
-        self.more = anyio.Event()
-        self.over = False
-
-    def put(self, news: EndpointListMessage, plain: bool = False) -> None:
-        if len(self.lines) >= QUEUE:
-            self.over = True  # it reads too slowly; it comes again and gets the whole list
-        raw, rng = encode_message(news), self.listing.rng
-        if self.listing.noisy and not plain:
-            mangle = rng.choice(["", "repeat", "reorder", "tear"])
-            if mangle == "tear":
-                raw = raw[: len(raw) // 2] + b"\n"
-            if mangle == "reorder" and self.lines:
-                self.lines.insert(len(self.lines) - 1, (news, raw))
-            else:
-                self.lines.append((news, raw))
-            if mangle == "repeat":
-                self.lines.append((news, raw))
+            self.watchers.remove(subscription)
+
+    def _messages_since(self, version: int) -> list[EndpointListMessage]:
+        """Return what is new after a version: the updates if all are still there, else a snapshot."""
+        missed = [message for message in self._history if message.version > version]
+        if 0 <= version <= self.version and len(missed) == self.version - version:
+            return missed
+        entries = list(self.known.values())
+        return [EndpointListMessage(self.version, self.epoch, is_snapshot=True, engines=entries)]
+
+
+async def _cancel_when_gone(received: ReceivedRequest, scope: anyio.CancelScope) -> None:
+    await received.watch()
+    scope.cancel()
+
+
+class _Subscription:
+    """A front's stream of messages. Each waits with its line, which noise may have torn."""
+
+    def __init__(self, service: EndpointListService, received: ReceivedRequest, front: str) -> None:
+        self._service = service
+        self._received = received
+        self._front = front
+        self._queue: deque[tuple[EndpointListMessage, bytes]] = deque()
+        self._queued = anyio.Event()
+        self._too_slow = False
+
+    def put(self, message: EndpointListMessage, intact: bool = False) -> None:
+        """Queue a message, with noise unless it must be `intact`."""
+        if len(self._queue) >= MAX_QUEUED_MESSAGES:
+            self._too_slow = True  # the front subscribes again and gets a snapshot
+        noisy = self._service.noisy and not intact
+        noise = self._service.rng.choice(NOISES) if noisy else ""
+        line = encode_message(message)
+        if noise == "tear":
+            line = line[: len(line) // 2] + b"\n"
+        if noise == "reorder" and self._queue:
+            self._queue.insert(len(self._queue) - 1, (message, line))
         else:
-            self.lines.append((news, raw))
-        self.more.set()
+            self._queue.append((message, line))
+        if noise == "repeat":
+            self._queue.append((message, line))
+        self._queued.set()
 
     async def run(self) -> None:
-        while not self.over:
-            self.more = anyio.Event()
-            while self.lines:
-                news, raw = self.lines.popleft()
-                await self.asked.chunk(raw)
-                if raw == encode_message(news):  # a torn line has told nothing
-                    said = [[one.engine, one.state, one.started_unix_ms] for one in news.engines]
-                    self.listing.record.line(
-                        "told", front=self.front, version=news.version, whole=news.is_snapshot, engines=said
-                    )
-            with anyio.move_on_after(BEAT):
-                await self.more.wait()
+        """Send messages, and heartbeats between them, until the front is too slow."""
+        while not self._too_slow:
+            self._queued = anyio.Event()
+            while self._queue:
+                message, line = self._queue.popleft()
+                await self._received.send_chunk(line)
+                if line == encode_message(message):  # a torn line has told the front nothing
+                    self._record_told(message)
+            with anyio.move_on_after(HEARTBEAT_INTERVAL):
+                await self._queued.wait()
                 continue
-            await self.asked.chunk(
-                encode_message(
-                    EndpointListMessage(self.listing.version, self.listing.epoch, is_heartbeat=True)
-                )
-            )
+            heartbeat = EndpointListMessage(self._service.version, self._service.epoch, is_heartbeat=True)
+            await self._received.send_chunk(encode_message(heartbeat))
+
+    def _record_told(self, message: EndpointListMessage) -> None:
+        engines = [[entry.engine, entry.state, entry.started_unix_ms] for entry in message.engines]
+        self._service.record.line(
+            "told",
+            front=self._front,
+            version=message.version,
+            whole=message.is_snapshot,
+            engines=engines,
+        )
--- a/runspool/lab/replay.py
+++ b/runspool/lab/replay.py
@@ -35,7 +35,7 @@
 
 
 class ActionRecorder:
-    """Takes the scheduler driver's actions and keeps them in their stored form, `[word, *values]`.
+    """Takes the scheduler driver's actions and lists them in their stored form, `[word, *values]`.
 
     It stands in for a front (`runspool.runtime.scheduler_driver.ActionHandler`) and carries nothing out.
     """
@@ -43,44 +43,44 @@
     def __init__(self) -> None:
         self.actions: deque[list[Any]] = deque()
 
-    def _keep(self, action: RecordedAction, *values: object) -> None:
+    def _record(self, action: RecordedAction, *values: object) -> None:
         self.actions.append([action.value, *values])
 
     def start_attempt(self, request: int, engine: int, timeout: int) -> None:
-        """Keep an attempt's start."""
-        self._keep(RecordedAction.START_ATTEMPT, request, engine, timeout)
+        """Record an attempt's start."""
+        self._record(RecordedAction.START_ATTEMPT, request, engine, timeout)
 
     def reject(self, request: int, retry_after: int) -> None:
-        """Keep a rejection."""
-        self._keep(RecordedAction.REJECT, request, retry_after)
+        """Record a rejection."""
+        self._record(RecordedAction.REJECT, request, retry_after)
 
     def fail_indeterminate(self, request: int) -> None:
-        """Keep an indeterminate failure."""
-        self._keep(RecordedAction.FAIL_INDETERMINATE, request)
+        """Record an indeterminate failure."""
+        self._record(RecordedAction.FAIL_INDETERMINATE, request)
 
     def release_state(self, request: int) -> None:
-        """Keep a release of prefill state."""
-        self._keep(RecordedAction.RELEASE_STATE, request)
+        """Record a release of prefill state."""
+        self._record(RecordedAction.RELEASE_STATE, request)
 
     def migrate_stream(self, request: int) -> None:
-        """Keep a stream's migration."""
-        self._keep(RecordedAction.MIGRATE_STREAM, request)
+        """Record a stream's migration."""
+        self._record(RecordedAction.MIGRATE_STREAM, request)
 
     def subscribe_to_endpoints(self) -> None:
-        """Keep a subscription."""
-        self._keep(RecordedAction.SUBSCRIBE)
+        """Record a subscription."""
+        self._record(RecordedAction.SUBSCRIBE)
 
     def set_timer(self, token: str, at: int) -> None:
-        """Keep a timer."""
-        self._keep(RecordedAction.SET_TIMER, token, at)
+        """Record a timer."""
+        self._record(RecordedAction.SET_TIMER, token, at)
 
     def log_message(self, text: str) -> None:
-        """Keep a message."""
-        self._keep(RecordedAction.LOG_MESSAGE, text)
+        """Record a message."""
+        self._record(RecordedAction.LOG_MESSAGE, text)
 
     def forget_request(self, request: int) -> None:
-        """Keep that a request is over."""
-        self._keep(RecordedAction.FORGET_REQUEST, request)
+        """Record that a request is over."""
+        self._record(RecordedAction.FORGET_REQUEST, request)
 
 
 def replay(recording: Path) -> ReplayResult:
