--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -74,6 +74,7 @@
         active_requests: the completions in work, by the identity of their jobs.
         token_text: the text of each token, before its number.
         port: 0 until it serves.
+        tasks: what it runs, while it does.
     """
 
     def __init__(self, spec: EngineSpec, recorder: Recorder, cold: bool, seed: int) -> None:
@@ -89,7 +90,7 @@
         self._work_available = anyio.Event()
         self._open_connections = 0
         self._host = "127.0.0.1"
-        self._tasks: TaskGroup | None = None
+        self.tasks: TaskGroup | None = None
 
     async def run(
         self, host: str, port: int, *, task_status: TaskStatus[int] = anyio.TASK_STATUS_IGNORED
@@ -97,7 +98,7 @@
         """Serve until cancelled; report the port as started."""
         self._host = host
         async with anyio.create_task_group() as tasks:
-            self._tasks = tasks
+            self.tasks = tasks
             listeners = await anyio.create_tcp_listener(local_host=host, local_port=port)
             async with listeners:
                 listener = listeners.listeners[0]
@@ -270,8 +271,8 @@
         while job.prefill_remaining > 0 or job.phase in (Phase.WAITING, Phase.FETCHING):
             await self._wait_for_progress(request)
         self._states.hold(job, request.call.options.attempt)
-        assert self._tasks is not None
-        self._tasks.start_soon(self._states.expire, job.request_id)
+        assert self.tasks is not None
+        self.tasks.start_soon(self._states.expire, job.request_id)
         response = prefill_response(job, self.spec.name, self._host, self.port)
         try:
             await received.respond(200, response, self._load_report())
--- a/tests/histories.py
+++ b/tests/histories.py
@@ -9,7 +9,7 @@
 import math
 from collections import Counter
 from collections.abc import Callable, Coroutine
-from dataclasses import dataclass, field, replace
+from dataclasses import dataclass, field
 from functools import partial
 from pathlib import Path
 from random import Random
@@ -20,6 +20,7 @@
 import anyio.lowlevel
 import msgspec
 from anyio.abc import TaskGroup
+from msgspec.structs import replace
 
 from runspool.config import parse_config
 from runspool.engines.attempt_result import AttemptResult, ResponseListener
@@ -27,9 +28,10 @@
 from runspool.engines.connection_pool import Address
 from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
 from runspool.engines.send_permit import SendPermit
-from runspool.lab.plan import ClientsPlan, FrontPlan, Plan, RequestClassPlan, TenantPlan, engine
+from runspool.lab.front_configuration import front_configuration
+from runspool.lab.plan import ClientsPlan, FrontPlan, RequestClassPlan, ScenarioPlan, TenantPlan
 from runspool.lab.recording import Event
-from runspool.lab.scenario_runner import front_terms
+from runspool.lab.scripted_scenarios import plan_engine
 from runspool.runtime.scheduler_driver import BACKGROUND_TASK
 from runspool.scheduling.types import AttemptStatus
 from runspool.service.front import Front
@@ -83,7 +85,7 @@
     def __init__(self, world: World, at: int) -> None:
         self.world = world
         self.plan = world.plan.engines[at]
-        self.make = self.plan.make
+        self.make = self.plan.spec
         self.up = True
         self.slow = 1.0
         self.started = 0  # 0: long ago
@@ -97,8 +99,8 @@
     def warmth(self) -> float:
         if not self.started:
             return 1.0
-        part = min(1.0, (now() - self.started) / self.make.cold_time)
-        return self.make.cold_from + (1 - self.make.cold_from) * part
+        part = min(1.0, (now() - self.started) / self.make.slow_start_duration)
+        return self.make.slow_start_initial_fraction + (1 - self.make.slow_start_initial_fraction) * part
 
     def say(self, what: str, **said: Any) -> None:
         self.world.say(what, engine=self.make.name, **said)
@@ -112,11 +114,11 @@
             zone=make.zone,
             rack=make.rack,
             cold=cold,
-            cold_from=make.cold_from,
-            cold_time=make.cold_time,
-            multiple=make.fall_multiple,
-            fall_time=make.fall_time,
-            work=make.work,
+            cold_from=make.slow_start_initial_fraction,
+            cold_time=make.slow_start_duration,
+            multiple=make.slow_start_overload_multiple,
+            fall_time=make.slow_start_overload_window,
+            work=make.mean_work,
         )
 
     def crash(self) -> None:
@@ -143,7 +145,7 @@
         self.world.spawn(self.expire, request)
 
     async def expire(self, request: str) -> None:
-        await anyio.sleep(self.make.state_kept / 10_000)
+        await anyio.sleep(self.make.state_ttl / 10_000)
         self.let_go(request, "expired")
 
     def let_go(self, request: str, how: str, **said: Any) -> bool:
@@ -227,7 +229,7 @@
         ) -> str:
             row = self._mishap({"full": 0.3, "failed": 0.3, "cut": 0.2, "silent": 0.2})
             tokens = self.world.asked[try_][0]
-            usual = tokens / one.make.read_rate * one.slow / one.warmth
+            usual = tokens / one.make.prefill_rate * one.slow / one.warmth
             await one.work(3 if row in ("full", "failed") else usual * self.spread(1, 1.5))
             if row == "silent":
                 await anyio.sleep_forever()
@@ -298,7 +300,7 @@
                 if row == "cut_stream" and told.output_tokens > 2:
                     told.failure_cause = FailureCause.STREAM_INTERRUPTED
                     return "broken"
-                await one.work(one.make.step * one.slow / one.warmth)
+                await one.work(one.make.step_time * one.slow / one.warmth)
             told.failure_cause, told.status, told.finish_reason = None, AttemptStatus.SUCCEEDED, "stop"
             return "done"
 
@@ -308,7 +310,7 @@
         """A state brought from its reader, or a prompt read by a mixed engine itself."""
         if state is None:
             if one.make.role == "mixed":
-                await one.work(tokens / one.make.read_rate / one.warmth)
+                await one.work(tokens / one.make.prefill_rate / one.warmth)
             return one.make.role == "mixed"
         if state["request"] not in state["engine"].states:
             return False
@@ -409,9 +411,9 @@
     def __init__(self, world: World, at: int, number: int, told: bool = True) -> None:
         self.world, self.at, self.told = world, at, told
         plan = world.plan.fronts[at]
-        terms = parse_config(front_terms(world.plan, at, 1, Path(".")))
+        terms = parse_config(front_configuration(world.plan, at, 1, Path(".")))
         self.front = Front(terms, seed=world.seed * 100 + number)
-        self.front.engine_client = cast(Any, Calls(world, plan.source))
+        self.front.engine_client = cast(Any, Calls(world, plan.source_address))
         self.front.log = self.front.registry.log = self.front.timers.log = cast(Any, _Quiet(world))
         self.scope = anyio.CancelScope()
         self.killed = anyio.Event()
@@ -467,7 +469,7 @@
 class World:
     """Everything around the fronts, from one seed."""
 
-    def __init__(self, seed: int, days: Days, plan: Plan | None = None) -> None:
+    def __init__(self, seed: int, days: Days, plan: ScenarioPlan | None = None) -> None:
         self.seed, self.days, self.rng = seed, days, Random(seed)
         self.events: list[Event] = []
         self.asked: dict[str, tuple[int, int]] = {}  # try: prompt and answer, in tokens
@@ -480,29 +482,29 @@
         self.tasks: TaskGroup
         self.left_over: list[str] = []
 
-    def _planned(self) -> Plan:
+    def _planned(self) -> ScenarioPlan:
         days, zones = self.days, ["a", "b"]
         engines = [
-            engine(f"e{at}", kind, zones[at % 2], at % 2, TARIFFS, self.rng)
+            plan_engine(f"e{at}", kind, zones[at % 2], at % 2, TARIFFS, self.rng)
             for at, kind in enumerate(days.kinds)
         ]
         for one in engines:
-            one.make = replace(one.make, fall_multiple=days.fall_multiple)
-        return Plan(
+            one.spec = replace(one.spec, slow_start_overload_multiple=days.fall_multiple)
+        return ScenarioPlan(
             name="history",
             seed=self.seed,
-            length=days.length,
-            rate=days.rate,
+            duration=days.length,
+            requests_per_second=days.rate,
             zones=zones,
-            tariffs=TARIFFS,
+            request_classes=TARIFFS,
             tenants=[TenantPlan("one", 0.5, days.rate), TenantPlan("two", 0.5, days.rate)],
             fronts=[
                 FrontPlan(f"front-{at}", zones[at % 2], f"127.0.0.{11 + at}") for at in range(days.fronts)
             ],
             engines=engines,
             clients=ClientsPlan(),
-            troubles=[],
-            fall_multiple=days.fall_multiple,
+            faults=[],
+            slow_start_overload_multiple=days.fall_multiple,
         )
 
     def say(self, what: str, **said: Any) -> None:
@@ -522,7 +524,7 @@
         return EndpointEntry(
             one.make.name,
             one.plan.address,
-            one.plan.kind,
+            one.plan.engine_type,
             one.make.zone,
             one.make.rack,
             cast(Any, self.states[at]),
@@ -601,7 +603,7 @@
     # Who asks.
 
     async def _client(self, item: str, row: RequestClassPlan) -> None:
-        first, limit = now(), row.limit
+        first, limit = now(), row.time_limit
         for number in range(1, 3):
             life = self.rng.choice(self.lives)
             left = limit - (now() - first)
@@ -611,7 +613,7 @@
             await anyio.sleep(self.rng.uniform(0, 0.2))
 
     def _shape(self, row: RequestClassPlan, limit: int) -> Shape:
-        prompt, out = int(self.rng.uniform(50, 900)), self.rng.randint(1, 2 * row.out_tokens)
+        prompt, out = int(self.rng.uniform(50, 900)), self.rng.randint(1, 2 * row.output_tokens)
         stream, tenant, leaves = self.rng.random() < 0.7, self.rng.choice(["one", "two"]), 0.0
         if self.rng.random() < self.days.leaving:
             leaves = self.rng.choice([limit, self.rng.uniform(0, limit), self.rng.uniform(0, 3_000)])
@@ -630,7 +632,7 @@
             tariff=row.name,
             tenant=tenant,
             limit=limit,
-            due=row.due,
+            due=row.first_token_objective,
             prompt=prompt,
             out=out,
             number=1,
@@ -717,11 +719,11 @@
     which engines and fronts went and came, at their times. Engines' mishaps and paces come from the seed."""
 
     def __init__(self, seed: int, recording: list[Event]) -> None:
-        plan: Plan = msgspec.convert(next(one["plan"] for one in recording if one["what"] == "day"), Plan)
+        plan: ScenarioPlan = msgspec.convert(next(one["plan"] for one in recording if one["what"] == "day"), ScenarioPlan)
         super().__init__(seed, Days(), plan)
         self.recording = recording
-        self.rows = {row.name: row for row in plan.tariffs}
-        self.numbers = {one.make.name: at for at, one in enumerate(plan.engines)}
+        self.rows = {row.name: row for row in plan.request_classes}
+        self.numbers = {one.spec.name: at for at, one in enumerate(plan.engines)}
         self.front_numbers = {one.name: at for at, one in enumerate(plan.fronts)}
         self.left = {
             one["try"]: one["at"] for one in recording if one["what"] == "answer" and one["kind"] == "left"
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -10,7 +10,7 @@
 
 from runspool.lab.audit import RULES, audit
 from runspool.lab.recording import Event, UnreadableRecordingError
-from tests.town import plan
+from tests.small_fleet import small_plan
 
 LOST, TWICE, DRAINS, PUSHED, PINNED = RULES
 
@@ -78,7 +78,7 @@
 def clean(tariff: str = "book") -> list[Event]:
     """One query: read at e0, its state fetched by e2, answered; e1 drains; e3 starts cold."""
     return [
-        say(0, "day", plan=msgspec.to_builtins(plan(["prefill", "prefill", "decode", "decode"]))),
+        say(0, "day", plan=msgspec.to_builtins(small_plan(["prefill", "prefill", "decode", "decode"]))),
         say(
             1,
             "told",
--- a/tests/test_cells_at_work.py
+++ b/tests/test_cells_at_work.py
@@ -15,9 +15,9 @@
 from runspool.cells.cell_map import CellMap, Move
 from runspool.cli.main import app
 from runspool.discovery.snapshot import save_snapshot
-from runspool.lab.engine import Engine
+from runspool.lab.engine import StandInEngine
 from runspool.service.front_server import FrontServer
-from tests.town import Town
+from tests.small_fleet import SmallFleet
 
 KINDS = ["prefill", "decode", "prefill", "decode", "prefill", "decode"]
 CHART = CellMap.model_validate(
@@ -41,25 +41,25 @@
     return CHART.model_copy(update={"version": 2, "moves": [move]})
 
 
-async def adopted(town: Town, chart: CellMap) -> None:
+async def adopted(town: SmallFleet, chart: CellMap) -> None:
     book.write_checked(town.map_file, book.encode_map(chart))
     with anyio.fail_after(10):
         while town.running.front.cell_router.cell_map.version < chart.version:
             await anyio.sleep(0.005)
 
 
-async def until(town: Town, what: str, mark: str) -> None:
+async def until(town: SmallFleet, what: str, mark: str) -> None:
     said: dict[str, Any] = {"try": mark}
     await town.until(what, **said)
 
 
-def engines_of(town: Town, mark: str) -> set[str]:
+def engines_of(town: SmallFleet, mark: str) -> set[str]:
     return {str(event["engine"]) for event in town.seen("arrived", **{"try": mark})}
 
 
 @pytest.mark.anyio
 async def test_each_tenant_is_served_in_its_cell_alone(tmp_path: Path) -> None:
-    async with Town(tmp_path, KINDS, CHART).open() as town:
+    async with SmallFleet(tmp_path, KINDS, CHART).open() as town:
         for number in range(6):
             for tenant, there in (("one", {"e0", "e1"}), ("two", {"e2", "e3"})):
                 mark = f"{tenant}{number}"
@@ -70,7 +70,10 @@
 @pytest.mark.anyio
 async def test_a_flooded_cell_sheds_its_own(tmp_path: Path) -> None:
     chart = CHART.model_copy(update={"reserve": None, "tenants": {"one": "a", "two": "b"}})
-    async with Town(tmp_path, KINDS, chart, queries=20).open() as town, anyio.create_task_group() as tasks:
+    async with (
+        SmallFleet(tmp_path, KINDS, chart, queries=20).open() as town,
+        anyio.create_task_group() as tasks,
+    ):
         said: list[str] = []
 
         async def flood(number: int) -> None:
@@ -90,7 +93,7 @@
 
 @pytest.mark.anyio
 async def test_a_move_sends_new_queries_to_the_new_cell_and_leaves_the_old_ones(tmp_path: Path) -> None:
-    async with Town(tmp_path, KINDS, CHART).open() as town, anyio.create_task_group() as tasks:
+    async with SmallFleet(tmp_path, KINDS, CHART).open() as town, anyio.create_task_group() as tasks:
 
         async def long_one() -> None:
             answer = await town.ask("book", out=60, runspool_tenant="one", runspool_mark="old")
@@ -117,7 +120,7 @@
 
 @pytest.mark.anyio
 async def test_a_later_try_of_a_ticket_goes_where_it_was_seen_or_nowhere(tmp_path: Path) -> None:
-    async with Town(tmp_path, KINDS, CHART).open() as town:
+    async with SmallFleet(tmp_path, KINDS, CHART).open() as town:
         ask: dict[str, Any] = {"runspool_tenant": "one", "runspool_ticket": "t1"}
         other = ask | {"runspool_ticket": "t2"}
         assert (await town.ask("mark", runspool_mark="first", **ask)).status == 200
@@ -131,7 +134,7 @@
 
 @pytest.mark.anyio
 async def test_a_restarted_front_knows_since_when_its_tenants_moved(tmp_path: Path) -> None:
-    town = Town(tmp_path, KINDS, CHART)
+    town = SmallFleet(tmp_path, KINDS, CHART)
     async with town.open():
         await adopted(town, moved())
         at = town.running.front.cell_router.adopted_unix_ms
@@ -147,7 +150,7 @@
 
 @pytest.mark.anyio
 async def test_a_torn_or_older_map_changes_nothing(tmp_path: Path) -> None:
-    async with Town(tmp_path, KINDS, CHART).open() as town:
+    async with SmallFleet(tmp_path, KINDS, CHART).open() as town:
         await adopted(town, moved())
         maps = town.running.cell_map_watcher
         assert maps is not None
@@ -164,7 +167,7 @@
 
 @pytest.mark.anyio
 async def test_a_cell_that_vanishes_ends_what_it_holds(tmp_path: Path) -> None:
-    async with Town(tmp_path, KINDS, CHART).open() as town, anyio.create_task_group() as tasks:
+    async with SmallFleet(tmp_path, KINDS, CHART).open() as town, anyio.create_task_group() as tasks:
 
         async def held() -> None:
             assert (await town.ask(out=60, runspool_tenant="one", runspool_mark="held")).status == 200
@@ -183,7 +186,7 @@
 
 @pytest.mark.anyio
 async def test_a_cell_that_turns_all_away_overflows_into_the_reserve_and_comes_back(tmp_path: Path) -> None:
-    async with Town(tmp_path, KINDS, CHART).open() as town:
+    async with SmallFleet(tmp_path, KINDS, CHART).open() as town:
         town.engines[0].fault("row", row="full_503", share=1.0)
         standing = town.running.front.cell_router.overflow_policy.state("a")
         number = 0
@@ -202,13 +205,13 @@
 async def test_a_query_that_brings_engines_down_is_stopped_and_not_taken_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def fall(engine: Engine) -> None:
+    def fall(engine: StandInEngine) -> None:
         assert engine.tasks is not None
         engine.tasks.cancel_scope.cancel()
 
-    monkeypatch.setattr(Engine, "fall", fall)
+    monkeypatch.setattr(StandInEngine, "crash", fall)
     chart = CHART.model_copy(update={"cells": {}, "reserve": None, "tenants": {}, "poison_after": 2})
-    async with Town(tmp_path, ["prefill", *["decode"] * 4], chart).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", *["decode"] * 4], chart).open() as town:
         answer = await town.ask(poison=True, runspool_tenant="one", runspool_mark="bad")
         assert (answer.status, answer.error["code"]) == (424, "poisonous")
         assert len(town.seen("fell")) == 2  # of four
@@ -220,7 +223,7 @@
 
 @pytest.mark.anyio
 async def test_a_reset_by_an_engine_that_lives_is_not_held_against_the_query(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode", "decode"]).open() as town:
         for one in town.engines[1:]:
             one.fault("row", row="reset_after", share=0.7)
         for number in range(10):
--- a/tests/test_doctored.py
+++ b/tests/test_doctored.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Coroutine
-from dataclasses import replace
 from pathlib import Path
 from time import time
 from typing import Any
@@ -11,13 +10,14 @@
 import anyio
 import msgspec
 import pytest
+from msgspec.structs import replace
 
 from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
 from runspool.engines.send_permit import UNRESTRICTED
 from runspool.lab import recording
 from runspool.lab.audit import RULES, Slack, audit
 from runspool.lab.clients import Clients, Entry
-from runspool.lab.engine import Engine
+from runspool.lab.engine import StandInEngine
 from runspool.lab.workload import Item
 from runspool.scheduling import engine_eligibility
 from runspool.scheduling.types import AttemptStatus, EngineRecord
@@ -29,13 +29,13 @@
 from runspool.transport.tcp import ConnectionClosedError
 from runspool.wire import completions as wire
 from runspool.wire.endpoint_list import EndpointEntry as Line
-from tests.town import Town
+from tests.small_fleet import SmallFleet
 
 pytestmark = pytest.mark.anyio
 LOST, TWICE, DRAINS, COLD, PINNED = RULES
 ASK, BOOK, MARK = range(3)
 Doctor = Callable[[pytest.MonkeyPatch], None]
-Trouble = Callable[[Town], Coroutine[Any, Any, None]]
+Trouble = Callable[[SmallFleet], Coroutine[Any, Any, None]]
 
 
 def items(count: int, tariff: int = ASK, gap: int = 50, limit: int = 20_000, out: int = 6) -> list[Item]:
@@ -62,26 +62,26 @@
     ]
 
 
-async def nothing(town: Town) -> None:
+async def nothing(town: SmallFleet) -> None:
     return
 
 
 # What goes wrong around the front.
 
 
-async def resets(town: Town) -> None:
+async def resets(town: SmallFleet) -> None:
     for one in town.engines:
-        if one.make.role == "writer":
+        if one.spec.role == "writer":
             one.fault("row", row="reset_after", share=0.7)
 
 
-async def full_writers(town: Town) -> None:
+async def full_writers(town: SmallFleet) -> None:
     for one in town.engines:
-        if one.make.role == "writer":
+        if one.spec.role == "writer":
             one.fault("row", row="full_503", share=1.0)
 
 
-async def drained(town: Town) -> None:
+async def drained(town: SmallFleet) -> None:
     await town.until("ran", 5)
     town.tell(0, "draining")
     with anyio.fail_after(10):
@@ -216,14 +216,14 @@
         PINNED,
         full_writers,
         items(6, limit=30_000),
-        {"release_within": 4_000, "held_on": 1.5},
+        {"state_release_timeout": 4_000, "held_on": 1.5},
     ),
     "floods a cold engine": (
         takes_cold_for_warm,
         COLD,
         nothing,
         items(60, gap=100),
-        {"cold": 0, "fall_multiple": 0.3},
+        {"cold": 0, "slow_start_overload_multiple": 0.3},
     ),
 }
 
@@ -236,15 +236,14 @@
     doctor, rule, trouble, asked, said = CASES[case]
     if doctored:
         doctor(monkeypatch)
-    monkeypatch.setattr(Engine, "fall", lambda engine: None)  # one that falls goes on, noted
+    monkeypatch.setattr(StandInEngine, "crash", lambda engine: None)  # one that falls goes on, noted
     # All runs in one process here: what a busy machine delays is no breach, and the doctored overdo it.
     slack = Slack(late=4_000, seen=4_000)
-    town = Town(tmp_path, KINDS)
+    town = SmallFleet(tmp_path, KINDS)
     for at, one in enumerate(town.plan.engines):
-        one.make = replace(
-            one.make, zone="ab"[at % 2], fall_multiple=said.get("fall_multiple", one.make.fall_multiple)
-        )
-        town.engines[at] = Engine(one.make, town.record, at == said.get("cold"), at)
+        multiple = said.get("slow_start_overload_multiple", one.spec.slow_start_overload_multiple)
+        one.spec = replace(one.spec, zone="ab"[at % 2], slow_start_overload_multiple=multiple)
+        town.engines[at] = StandInEngine(one.spec, town.record, at == said.get("cold"), at)
         town.started[at] = int(time() * 1000) if at == said.get("cold") else 0
     for name in said.keys() - {"cold", "held_on"}:
         setattr(town.plan, name, said[name])
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -16,11 +16,12 @@
 from runspool.engines.connection_pool import Address
 from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause, may_have_executed
 from runspool.engines.send_permit import UNRESTRICTED
-from runspool.lab.engine import ROWS, Engine
+from runspool.lab.engine import StandInEngine
 from runspool.lab.recording import Recorder
+from runspool.lab.response_faults import RESPONSE_FAULTS
 from runspool.scheduling.types import NOT_EXECUTED, AttemptStatus
 from runspool.service.clock import now
-from tests.town import make
+from tests.small_fleet import engine_spec
 
 SECOND = 10_000
 TERMS = EngineClientConfig(
@@ -116,13 +117,13 @@
 
 
 def test_no_row_that_an_engine_can_play_is_left_out() -> None:
-    assert set(BY_ENGINE) == set(ROWS)
+    assert set(BY_ENGINE) == set(RESPONSE_FAULTS)
 
 
-@pytest.mark.parametrize("row", ROWS)
+@pytest.mark.parametrize("row", RESPONSE_FAULTS)
 @pytest.mark.anyio
 async def test_a_row_played_by_an_engine(row: str) -> None:
-    engine = Engine(make("mixed"), Recorder(None), False, 1)
+    engine = StandInEngine(engine_spec("mixed"), Recorder(None), False, 1)
     caller = CompletionsEngineClient(TERMS, now, 500)
     async with anyio.create_task_group() as tasks:
         port = await tasks.start(engine.run, "127.0.0.1", 0)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -25,7 +25,7 @@
 from runspool.wire.completions import parse_completion_request
 from runspool.wire.endpoint_list import EndpointEntry
 from tests.histories import leftovers
-from tests.town import Town, answered
+from tests.small_fleet import SmallFleet, receive_response
 
 pytestmark = pytest.mark.anyio
 
@@ -33,7 +33,7 @@
 
 
 async def test_an_answer_streams_and_comes_whole(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         streamed = await town.ask(out=7)
         assert (streamed.status, streamed.text.split()) == (200, [f"t{at}" for at in range(1, 8)])
         assert streamed.body.endswith(b"data: [DONE]\n\n")
@@ -46,7 +46,7 @@
 
 
 async def test_what_cannot_be_taken_is_refused_before_intake(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"], query_bytes=2000).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"], query_bytes=2000).open() as town:
         wrong = [
             (await town.ask("none"), 400, "runspool-tariff"),
             (await town.ask(body=b"{"), 400, "body"),
@@ -104,7 +104,7 @@
 
 
 async def test_half_a_body_and_a_slow_head_end_in_a_refusal(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"], body_ms=100, head_ms=100).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"], body_ms=100, head_ms=100).open() as town:
         half = await town.say(ASK + b"Content-Length: 500\r\n\r\n{")
         assert (half.status, half.error["code"]) == (408, "body_time")
         slow = await town.say(ASK)
@@ -112,7 +112,7 @@
 
 
 async def test_requests_that_come_together_are_answered_one_after_the_other(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         asked = b"GET %b HTTP/1.1\r\nHost: x\r\n%b\r\n"
         async with await anyio.connect_tcp("127.0.0.1", town.port) as stream:
             await stream.send(
@@ -129,7 +129,7 @@
 
 
 async def test_a_client_that_ends_its_sending_too_early_is_told(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         for raw in (
             b"POST /v1/completions HT",
             b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{",
@@ -137,13 +137,13 @@
             async with await anyio.connect_tcp("127.0.0.1", town.port) as stream:
                 await stream.send(raw)
                 await stream.send_eof()
-                told = await answered(stream)
+                told = await receive_response(stream)
             assert (told.status, told.error["code"]) == (400, "malformed")
         assert town.running.front.counts["accepted"] == 0
 
 
 async def test_what_an_engine_says_after_the_final_answer_goes_nowhere(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         front, passed = town.running.front, []
 
         class Ear:
@@ -166,7 +166,7 @@
 
 
 async def test_late_news_for_a_closed_cell_opens_no_desk(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         front = town.running.front
         wish = parse_completion_request({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
         stay = replace(front._admit(wish), cell="closed")
@@ -179,7 +179,7 @@
 
 
 async def test_no_engine_at_all_is_a_dismissal_in_time(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         town.tell(0, "gone")
         town.tell(1, "gone")
         while any(engine.ready for engine in town.running.front.first_driver.scheduler.engines.values()):
@@ -190,7 +190,7 @@
 
 
 async def test_an_exclusive_query_that_may_have_run_is_scrapped_and_not_repeated(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode", "decode"]).open() as town:
         for writer in town.engines[1:]:
             writer.fault("row", row="reset_after", share=1.0)
         answer = await town.ask("book")
@@ -201,7 +201,7 @@
 
 
 async def test_an_exclusive_query_that_cannot_have_run_is_tried_again(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode", "decode"]).open() as town:
         for writer in town.engines[1:]:
             writer.fault("row", row="full_503", share=0.6)
         answer = await town.ask("book")
@@ -210,7 +210,7 @@
 
 
 async def test_a_stream_cut_in_the_middle_ends_in_one_clear_scrapping(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         town.engines[1].fault("row", row="reset_stream", share=1.0)
         answer = await town.ask(out=50)
         assert answer.status == 200
@@ -219,7 +219,7 @@
 
 
 async def test_a_client_that_leaves_ends_its_shot_and_its_state(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         town.engines[1].fault("hang", on=True)
         raw = msgspec.json.encode({"prompt": "abcd" * 40, "stream": True, "standin": {"try": "t", "out": 5}})
         async with await anyio.connect_tcp("127.0.0.1", town.port) as stream:
@@ -233,9 +233,9 @@
 
 
 async def test_a_client_that_does_not_read_its_answer_counts_as_one_that_left(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"], answer_write_ms=300).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"], answer_write_ms=300).open() as town:
         # Tokens of a size that fills every buffer on the way soon.
-        town.engines[1].token = "t" * 60_000
+        town.engines[1].token_text = "t" * 60_000
         raw = msgspec.json.encode(
             {"prompt": "abcd" * 40, "max_tokens": 900, "stream": True, "standin": {"try": "t", "out": 800}}
         )
@@ -246,7 +246,7 @@
 
 
 async def test_a_whole_answer_that_cannot_be_complete_in_time_is_scrapped_in_time(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         started = anyio.current_time()
         answer = await town.ask(out=400, stream=False, runspool_limit_ms="700")
         assert (answer.status, answer.error["code"]) == (424, "out_of_time")
@@ -255,7 +255,7 @@
 
 
 async def test_past_its_bounds_a_front_refuses_cleanly(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"], queries=1, connections=3).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"], queries=1, connections=3).open() as town:
         town.engines[0].fault("hang", on=True)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(town.ask)
@@ -267,7 +267,7 @@
             while town.running.open_connections < 3:
                 await anyio.sleep(0.005)
             async with await anyio.connect_tcp("127.0.0.1", town.port) as stream:
-                over = await answered(stream)
+                over = await receive_response(stream)
             assert (over.status, over.error["code"]) == (503, "connections_full")
             for stream in idle:
                 await stream.aclose()
@@ -275,7 +275,7 @@
 
 
 async def test_a_stop_takes_nothing_new_and_ends_what_it_holds(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         answers = []
 
         async def ask() -> None:
@@ -291,7 +291,7 @@
 
 
 async def test_a_stop_that_cannot_wait_scraps_what_is_left(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"], drain_ms=200).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"], drain_ms=200).open() as town:
         town.engines[1].fault("hang", on=True)
         answers = []
 
@@ -306,7 +306,7 @@
 
 
 async def test_a_front_comes_back_with_its_last_list_and_shrugs_at_a_torn_one(tmp_path: Path) -> None:
-    town = Town(tmp_path, ["prefill", "decode"])
+    town = SmallFleet(tmp_path, ["prefill", "decode"])
     save_snapshot(
         tmp_path / "front-0.list", 7, [EndpointEntry("e9", "127.0.0.1:9", "prefill", "a", 0, "draining")]
     )
@@ -316,12 +316,12 @@
         while b"e9" in (tmp_path / "front-0.list").read_bytes():
             await anyio.sleep(0.01)
     (tmp_path / "front-0.list").write_bytes(b"00000000\n{}")
-    async with Town(tmp_path, ["prefill", "decode"]).open() as opened:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as opened:
         assert (await opened.ask()).status == 200
 
 
 async def test_a_fault_in_the_decisions_scraps_one_query_and_spares_the_rest(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         rules = town.running.front.first_driver.scheduler
         sound = rules.select_engine
         rules.select_engine = lambda *_: 1 // 0  # type: ignore[method-assign, assignment]
@@ -335,13 +335,13 @@
 async def test_a_fault_while_an_answer_streams_calls_its_shot_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         front = town.running.front
         monkeypatch.setattr("runspool.scheduling.attempt_accounting.update", lambda *_: 1 // 0)
         answer = await town.ask(out=200)
         assert answer.error["type"] == "scrapped" if answer.status != 200 else b"scrapped" in answer.body
         with anyio.fail_after(10):
-            while front.requests or leftovers(front) or any(one.live for one in town.engines):
+            while front.requests or leftovers(front) or any(one.active_requests for one in town.engines):
                 await anyio.sleep(0.01)
         assert front.counts["accepted"] == front.counts["indeterminate"] == 1
 
@@ -349,7 +349,7 @@
 async def test_a_shot_still_connecting_as_its_engine_drains_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with Town(tmp_path, ["prefill", "decode", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode", "decode"]).open() as town:
         dialled, go, sound = anyio.Event(), anyio.Event(), lines.connect
         to: list[int] = []
 
@@ -379,9 +379,9 @@
 
 
 async def test_an_engine_back_as_another_kind_is_spoken_to_as_that(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode", "decode"]).open() as town:
         front = town.running.front
-        town.plan.engines[1].kind = "prefill"
+        town.plan.engines[1].engine_type = "prefill"
         town.tell(1, "on")
         with anyio.fail_after(10):
             while front.first_driver.scheduler.engines[1].role is not Role.PREFILL:
@@ -392,7 +392,7 @@
         assert {event["stage"] for event in town.seen("arrived", engine="e1")} <= {"read"}
         assert len(town.seen("ran", engine="e2")) == 8
         # A kind that this front does not know: nothing is known of what it can do, or whether it drains.
-        town.plan.engines[1].kind = "novel"
+        town.plan.engines[1].engine_type = "novel"
         town.tell(1, "draining")
         with anyio.fail_after(10):
             while front.first_driver.scheduler.engines[1].ready:
@@ -403,7 +403,7 @@
 async def test_the_look_for_poison_holds_nobody_who_leaves(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         front, looks = town.running.front, anyio.Event()
 
         async def answers(address: tuple[str, int]) -> bool:
@@ -429,7 +429,7 @@
 async def test_an_engine_is_cold_to_a_front_whose_wall_clock_was_set_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with Town(tmp_path, ["prefill", "decode", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode", "decode"]).open() as town:
         front, hour = town.running.front, 3_600_000
         town.started[1] = unix_ms() - 30_000
         town.tell(1, "on")
@@ -452,7 +452,7 @@
 
 
 async def test_what_is_known_of_engines_that_left_is_bounded(tmp_path: Path) -> None:
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         front = town.running.front
         for number in range(MAX_GONE_ENGINES + 200):
             for state in ("on", "gone"):
@@ -474,7 +474,7 @@
     monkeypatch.setattr(
         "runspool.service.front_server.save_snapshot", lambda path, version, engines: given.append(engines)
     )
-    async with Town(tmp_path, ["prefill", "decode"]).open() as town:
+    async with SmallFleet(tmp_path, ["prefill", "decode"]).open() as town:
         with anyio.fail_after(10):
             while not given or len(given[-1]) < 2:
                 await anyio.sleep(0.005)
@@ -488,7 +488,7 @@
 
 async def test_the_same_news_brings_the_same_asks(tmp_path: Path) -> None:
     tape = tmp_path / "front.tape"
-    async with Town(tmp_path, ["prefill", "prefill", "decode", "mixed"]).open(tape) as town:
+    async with SmallFleet(tmp_path, ["prefill", "prefill", "decode", "mixed"]).open(tape) as town:
         town.engines[0].fault("row", row="failed_500", share=0.3)
         town.engines[2].fault("row", row="reset_after", share=0.2)
         async with anyio.create_task_group() as tasks:
@@ -509,7 +509,7 @@
 
 
 async def test_a_town_at_work_keeps_every_rule(tmp_path: Path) -> None:
-    town = Town(tmp_path, ["prefill", "prefill", "decode", "mixed"])
+    town = SmallFleet(tmp_path, ["prefill", "prefill", "decode", "mixed"])
     town.record.line("day", plan=msgspec.to_builtins(town.plan))
     async with town.open():
         async with anyio.create_task_group() as tasks:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory itself: what its engines do, what its days hold, and a small day with real processes."""
+"""The laboratory: its engine model, its plans, and small scenarios with real processes."""
 
 from __future__ import annotations
 
@@ -11,114 +11,114 @@
 import pytest
 
 from runspool.lab import recording
-from runspool.lab import report as verdict
 from runspool.lab.cell_plans import flood
-from runspool.lab.model import Job, Model, Phase, Verdict
-from runspool.lab.plan import (
-    BENCH_KINDS,
-    OWN_KINDS,
-    SECOND,
-    Trouble,
-    UnplayableDayError,
-    bad_night,
-    from_bench,
-)
+from runspool.lab.engine_faults import engine_faults
+from runspool.lab.model import AdmissionResult, EngineModel, Job, Phase
+from runspool.lab.plan import LABORATORY_FAULT_KINDS, SECOND, SIMULATOR_FAULT_KINDS, FaultPlan
+from runspool.lab.report import scenario_verdict, write_report
 from runspool.lab.scenario_runner import ScenarioRunner
-from runspool.lab.workload import Item, crowd
-from tests.town import make
+from runspool.lab.scripted_scenarios import bad_night
+from runspool.lab.simulator_days import UnplayableDayError, from_simulator_day
+from runspool.lab.workload import PlannedRequest, draw_workload
+from tests.small_fleet import engine_spec
 
 
-def job(prompt: int = 200, out: int = 5, answers: bool = True, blocks: list[int] | None = None) -> Job:
-    return Job("r", "ask", prompt, blocks or [], out, answers)
+def make_job(
+    prompt_tokens: int = 200, output_tokens: int = 5, decodes: bool = True, blocks: list[int] | None = None
+) -> Job:
+    return Job("r", "ask", prompt_tokens, blocks or [], output_tokens, decodes)
 
 
-def run(model: Model, now: int = 0, steps: int = 1000) -> int:
-    """Works until nothing is left to do; returns the time that took."""
-    for _ in range(steps):
-        model.admit()
-        step = model.step(now)
+def run(model: EngineModel, now: int = 0, max_steps: int = 1000) -> int:
+    """Run an engine until nothing is left to do; return the time then."""
+    for _ in range(max_steps):
+        model.start_waiting()
+        step = model.next_step(now)
         if step is None:
             return now
-        now += step.length
-        model.end(step)
+        now += step.duration
+        model.finish_step(step)
     raise AssertionError("it does not end")
 
 
-def test_a_cold_engine_is_slow_and_falls_when_pushed() -> None:
-    warm, cold = (Model(make("reader"), 0, cold, 1) for cold in (False, True))
+def test_a_cold_engine_is_slow_and_crashes_when_overloaded() -> None:
+    warm, cold = (EngineModel(engine_spec("reader"), 0, cold, 1) for cold in (False, True))
     times = []
     for model in (warm, cold):
-        one = job(4_000, answers=False)
-        model.offer(0, one)
+        model.submit(0, make_job(4_000, decodes=False))
         times.append(run(model))
     assert times[1] > 2 * times[0]
-    pushed = [cold.offer(10, job()) for _ in range(200)]
-    assert Verdict.FELL in pushed
-    assert Verdict.FELL not in [warm.offer(10, job()) for _ in range(200)]
+    results = [cold.submit(10, make_job()) for _ in range(200)]
+    assert AdmissionResult.OVERLOADED_COLD in results
+    assert AdmissionResult.OVERLOADED_COLD not in [warm.submit(10, make_job()) for _ in range(200)]
 
 
-def test_kept_texts_are_not_read_again_until_forgotten() -> None:
-    model = Model(make("reader"), 0, False, 1)
-    text = list(range(40))
-    first, again, later = (job(2_600, answers=False, blocks=text) for _ in range(3))
-    model.offer(0, first)
+def test_cached_blocks_are_not_prefilled_again_until_evicted() -> None:
+    model = EngineModel(engine_spec("reader"), 0, False, 1)
+    blocks = list(range(40))
+    first, again, later = (make_job(2_600, decodes=False, blocks=blocks) for _ in range(3))
+    model.submit(0, first)
     run(model)
-    model.hold(first, "s")
-    model.offer(0, again)
+    model.hold_state(first, "s")
+    model.submit(0, again)
     run(model)
-    assert (first.kept, again.kept) == (0, 40 * 64)
-    model.forget(1.0)
-    model.offer(0, later)
+    assert (first.cached_tokens, again.cached_tokens) == (0, 40 * 64)
+    model.evict(1.0)
+    model.submit(0, later)
     run(model)
-    assert later.kept == 0
+    assert later.cached_tokens == 0
 
 
-def test_memory_is_given_back_whichever_way_a_job_ends() -> None:
-    model = Model(make("mixed"), 0, False, 1)
-    read, dropped, answered, waiting = job(answers=False), job(), job(), job()
-    for one in (read, dropped, answered, waiting):
-        model.offer(0, one)
-    model.admit()
-    model.drop(dropped)
-    model.drop(waiting)
+def test_memory_is_freed_whichever_way_a_job_ends() -> None:
+    model = EngineModel(engine_spec("mixed"), 0, False, 1)
+    prefilled, removed, decoded, waiting = make_job(decodes=False), make_job(), make_job(), make_job()
+    for job in (prefilled, removed, decoded, waiting):
+        model.submit(0, job)
+    model.start_waiting()
+    model.remove(removed)
+    model.remove(waiting)
     run(model)
-    model.hold(read, "s")
-    assert (model.used, model.states) == (read.prompt, {"s": read.prompt})
-    assert model.let_go("s") and not model.let_go("s")
-    assert (model.used, model.active) == (0, [])
-    assert answered.phase is Phase.OVER
-
-
-def test_when_memory_runs_out_the_newest_answer_goes_back_and_still_ends() -> None:
-    model = Model(make("mixed"), 0, False, 1)
-    jobs = [job(prompt=model.make.memory // 2 - 20, out=100) for _ in range(2)]
-    for one in jobs:
-        model.offer(0, one)
-    run(model, steps=5000)
-    assert [one.made for one in jobs] == [100, 100]
-    assert model.used == 0
-
-
-def test_the_same_seed_draws_the_same_crowd() -> None:
-    one, two, other = (crowd(bad_night(seed)) for seed in (3, 3, 4))
+    model.hold_state(prefilled, "s")
+    assert model.used_memory == prefilled.prompt_tokens
+    assert model.held_states == {"s": prefilled.prompt_tokens}
+    assert model.release_state("s") and not model.release_state("s")
+    assert (model.used_memory, model.active) == (0, [])
+    assert decoded.phase is Phase.FINISHED
+
+
+def test_when_memory_runs_out_the_newest_stream_is_preempted_and_still_ends() -> None:
+    model = EngineModel(engine_spec("mixed"), 0, False, 1)
+    jobs = [make_job(model.spec.memory // 2 - 20, output_tokens=100) for _ in range(2)]
+    for job in jobs:
+        model.submit(0, job)
+    run(model, max_steps=5000)
+    assert [job.generated_tokens for job in jobs] == [100, 100]
+    assert model.used_memory == 0
+
+
+def test_the_same_seed_draws_the_same_workload() -> None:
+    one, two, other = (draw_workload(bad_night(seed)) for seed in (3, 3, 4))
     assert one == two != other
-    assert {item.tariff for item in one} == {0, 1, 2}
+    assert {request.request_class_index for request in one} == {0, 1, 2}
     assert all(before.at <= after.at for before, after in pairwise(one))
 
 
-def test_a_bad_night_holds_at_least_eight_troubles_at_one_time_for_any_seed() -> None:
+def test_a_bad_night_has_at_least_eight_faults_at_one_time_for_any_seed() -> None:
     for seed in range(30):
         plan = bad_night(seed)
-        assert {one.kind for one in plan.troubles} <= {*BENCH_KINDS, *OWN_KINDS}
+        assert {fault.kind for fault in plan.faults} <= {*SIMULATOR_FAULT_KINDS, *LABORATORY_FAULT_KINDS}
         most = max(
-            sum(one.at <= at < one.at + max(one.length, SECOND) for one in plan.troubles)
-            for at in range(0, plan.length, SECOND // 2)
+            sum(
+                fault.starts_at <= time < fault.starts_at + max(fault.duration, SECOND)
+                for fault in plan.faults
+            )
+            for time in range(0, plan.duration, SECOND // 2)
         )
         assert most >= 8, seed
 
 
-def bench_day(*kinds: str) -> dict[str, Any]:
-    """A day in the shape that the bench draws; times in microseconds."""
+def simulator_day(*kinds: str) -> dict[str, Any]:
+    """A day in the form that the simulator prints; times in microseconds."""
     rows = [
         {
             "name": "ask",
@@ -146,7 +146,7 @@
         },
     ]
     return {
-        "site": "town",
+        "site": "small",
         "noise": 7,
         "length": 8_000_000,
         "zones": ["a", "b"],
@@ -180,78 +180,77 @@
     }
 
 
-def test_every_kind_that_the_bench_draws_is_playable_and_another_is_named(tmp_path: Path) -> None:
-    plan = from_bench(bench_day(*BENCH_KINDS), 3, 12)
-    assert [one.kind for one in plan.troubles] == list(BENCH_KINDS)
-    assert {one.kind for one in plan.engines} == {"prefill", "decode", "mixed"}
-    assert all(0 <= at < 12 for one in plan.troubles for at in one.on)
-    director = ScenarioRunner(plan, tmp_path)
+def test_every_kind_that_the_simulator_draws_is_playable_and_another_is_named() -> None:
+    plan = from_simulator_day(simulator_day(*SIMULATOR_FAULT_KINDS), 3, 12)
+    assert [fault.kind for fault in plan.faults] == list(SIMULATOR_FAULT_KINDS)
+    assert {engine.engine_type for engine in plan.engines} == {"prefill", "decode", "mixed"}
+    assert all(0 <= target < 12 for fault in plan.faults for target in fault.targets)
     by_clients = {"burst", "tenant_burst", "hot_key", "heavy_tail", "retry_abuse"}
-    by_director = {"ageing", "balancer_roll", "neighbour", "discovery_stale", "flush"}
-    for one in plan.troubles:
-        assert one.kind in by_clients | by_director or director._spans(one), one.kind
+    by_runner = {"ageing", "balancer_roll", "neighbour", "discovery_stale", "flush"}
+    for fault in plan.faults:
+        assert fault.kind in by_clients | by_runner or engine_faults(plan, fault), fault.kind
     with pytest.raises(UnplayableDayError, match="moonshine"):
-        from_bench(bench_day("burst", "moonshine"), 3, 12)
+        from_simulator_day(simulator_day("burst", "moonshine"), 3, 12)
     with pytest.raises(UnplayableDayError, match="troubles"):
-        from_bench({}, 3, 12)
+        from_simulator_day({}, 3, 12)
 
 
-def test_troubles_of_the_crowd_change_the_crowd() -> None:
-    quiet = crowd(from_bench(bench_day(), 3, 12))
-    burst = crowd(from_bench(bench_day("burst"), 3, 12))
-    longer = bench_day("heavy_tail")
+def test_faults_of_the_workload_change_the_workload() -> None:
+    quiet = draw_workload(from_simulator_day(simulator_day(), 3, 12))
+    burst = draw_workload(from_simulator_day(simulator_day("burst"), 3, 12))
+    longer = simulator_day("heavy_tail")
     longer["troubles"][0] |= {"size": 20.0, "which": 0}
-    heavy = crowd(from_bench(longer, 3, 12))
-    abuse = crowd(from_bench(bench_day("retry_abuse"), 3, 12))
+    heavy = draw_workload(from_simulator_day(longer, 3, 12))
+    abuse = draw_workload(from_simulator_day(simulator_day("retry_abuse"), 3, 12))
     assert len(burst) > len(quiet)
-    assert _mean(heavy) > 1.1 * _mean(quiet)
-    assert any(item.backoff == 0 for item in abuse)
-    assert not any(item.backoff == 0 for item in quiet)
+    assert _mean_prompt(heavy) > 1.1 * _mean_prompt(quiet)
+    assert any(request.backoff == 0 for request in abuse)
+    assert not any(request.backoff == 0 for request in quiet)
 
 
-def _mean(items: list[Item]) -> float:
-    return sum(item.prompt for item in items) / len(items)
+def _mean_prompt(requests: list[PlannedRequest]) -> float:
+    return sum(request.prompt_tokens for request in requests) / len(requests)
 
 
 def test_a_small_night_with_processes_killed_keeps_every_rule(tmp_path: Path) -> None:
     plan = bad_night(5, 26 * SECOND)
-    plan.length, plan.rate = 7 * SECOND, 15
-    writer = next(at for at, one in enumerate(plan.engines) if one.kind == "decode")
-    reader = next(at for at, one in enumerate(plan.engines) if one.kind == "prefill")
-    plan.troubles = [
-        Trouble("crash", 3 * SECOND, SECOND, on=[writer]),
-        Trouble("front_kill", 4 * SECOND, SECOND, on=[1]),
-        Trouble("drain", 2 * SECOND, SECOND, on=[reader]),
-        Trouble("list_noise", SECOND, 4 * SECOND),
-        Trouble("errors", 2 * SECOND, 3 * SECOND, size=0.3, on=[writer + 4]),
+    plan.duration, plan.requests_per_second = 7 * SECOND, 15
+    types = [engine.engine_type for engine in plan.engines]
+    decode, prefill = types.index("decode"), types.index("prefill")
+    plan.faults = [
+        FaultPlan("crash", 3 * SECOND, SECOND, targets=[decode]),
+        FaultPlan("front_kill", 4 * SECOND, SECOND, targets=[1]),
+        FaultPlan("drain", 2 * SECOND, SECOND, targets=[prefill]),
+        FaultPlan("list_noise", SECOND, 4 * SECOND),
+        FaultPlan("errors", 2 * SECOND, 3 * SECOND, magnitude=0.3, targets=[decode + 4]),
     ]
     file = anyio.run(ScenarioRunner(plan, tmp_path).play)
-    said = verdict.verdict(recording.read_recording(file))
-    verdict.write(said, tmp_path)
-    assert said["kept"], said["rules"]
-    assert said["unjudged"] == []
-    assert said["fronts_stopped"] == {"front-0": 0, "front-1": 0, "front-2": 0}
+    verdict = scenario_verdict(recording.read_recording(file))
+    write_report(verdict, tmp_path)
+    assert verdict["kept"], verdict["rules"]
+    assert verdict["unjudged"] == []
+    assert verdict["fronts_stopped"] == {"front-0": 0, "front-1": 0, "front-2": 0}
     assert json.loads((tmp_path / "verdict.json").read_text())["gain"]["whole"] > 0.5
     assert "no effect twice" in (tmp_path / "report.txt").read_text()
 
 
-def test_every_kind_of_the_bench_at_once_through_real_fronts_keeps_every_rule(tmp_path: Path) -> None:
-    day = bench_day(*BENCH_KINDS)
+def test_every_kind_of_the_simulator_at_once_through_real_fronts_keeps_every_rule(tmp_path: Path) -> None:
+    day = simulator_day(*SIMULATOR_FAULT_KINDS)
     day["troubles"] += [
         {**row, "at": row["at"] + 500_000}
         for row in day["troubles"]
         if row["kind"] in ("ageing", "balancer_roll")
     ]  # also on top of itself
-    file = anyio.run(ScenarioRunner(from_bench(day, 2, 9, 0.5), tmp_path).play)
-    said = verdict.verdict(recording.read_recording(file))
-    assert said["kept"], said["rules"]
-    assert {one["kind"] for one in said["troubles"]} >= {"ageing", "balancer_roll", "class_fail", "throttle"}
-    assert said["rules"]["no query lost"]["cases"] > 30
-
-
-def test_a_tenants_flood_leaves_what_all_others_ask_as_it_was() -> None:
-    calm, flooded = crowd(flood(3, flooded=False)), crowd(flood(3))
-    assert [item for item in flooded if item.tenant != 0] == [item for item in calm if item.tenant != 0]
-    during = [item for item in flooded if 40_000 <= item.at < 340_000 and item.tenant == 0]
-    usual = [item for item in calm if 40_000 <= item.at < 340_000 and item.tenant == 0]
+    file = anyio.run(ScenarioRunner(from_simulator_day(day, 2, 9, 0.5), tmp_path).play)
+    verdict = scenario_verdict(recording.read_recording(file))
+    assert verdict["kept"], verdict["rules"]
+    assert {fault["kind"] for fault in verdict["troubles"]} >= {"ageing", "balancer_roll", "class_fail", "throttle"}
+    assert verdict["rules"]["no query lost"]["cases"] > 30
+
+
+def test_a_tenants_flood_leaves_the_requests_of_all_others_as_they_were() -> None:
+    calm, flooded = draw_workload(flood(3, flooded=False)), draw_workload(flood(3))
+    assert [request for request in flooded if request.tenant_index != 0] == [request for request in calm if request.tenant_index != 0]
+    during = [request for request in flooded if 40_000 <= request.at < 340_000 and request.tenant_index == 0]
+    usual = [request for request in calm if 40_000 <= request.at < 340_000 and request.tenant_index == 0]
     assert 4.5 < len(during) / len(usual) < 7.5
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -17,7 +17,7 @@
 from runspool.wire.completions import parse_completion_request
 from tests import clockwork
 from tests.histories import Days, Life, World, leftovers
-from tests.town import Answered, Town, answered
+from tests.small_fleet import ReceivedResponse, SmallFleet, receive_response
 
 KINDS = ["prefill", "decode"]
 LIMIT_MS = 900
@@ -27,10 +27,10 @@
 class Query:
     """One exclusive query on a connection of its own, and what its client got."""
 
-    def __init__(self, town: Town, limit_ms: int) -> None:
+    def __init__(self, town: SmallFleet, limit_ms: int) -> None:
         self.town, self.limit_ms = town, limit_ms
         self.scope = anyio.CancelScope()
-        self.got: Answered | None = None
+        self.got: ReceivedResponse | None = None
         self.part = b""
         self.cut: Exception | None = None
         self.over = anyio.Event()
@@ -52,7 +52,7 @@
             async with await anyio.connect_tcp("127.0.0.1", self.town.port) as stream:
                 await stream.send(head + (body[:20] if half else body))
                 try:
-                    self.got = await answered(stream)
+                    self.got = await receive_response(stream)
                 except Exception as fault:
                     self.cut = fault
         self.over.set()
@@ -60,24 +60,24 @@
 
 # How a query comes to a stage; returns once it is there.
 
-Stage = Callable[[Town, Query, Any], Awaitable[None]]
+Stage = Callable[[SmallFleet, Query, Any], Awaitable[None]]
 
 
-async def half_read(town: Town, query: Query, patch: Any) -> None:
+async def half_read(town: SmallFleet, query: Query, patch: Any) -> None:
     while not town.running.active_requests:
         await anyio.sleep(0.005)
 
 
-async def in_the_line(town: Town, query: Query, patch: Any) -> None:
+async def in_the_line(town: SmallFleet, query: Query, patch: Any) -> None:
     while not town.running.front.first_driver.scheduler.prefill_queue:
         await anyio.sleep(0.005)
 
 
-async def read_out(town: Town, query: Query, patch: Any) -> None:
+async def read_out(town: SmallFleet, query: Query, patch: Any) -> None:
     await town.until("arrived", stage="read")
 
 
-async def state_held(town: Town, query: Query, patch: Any) -> None:
+async def state_held(town: SmallFleet, query: Query, patch: Any) -> None:
     await town.until("arrived", stage="read")
     town.tell(1, "draining")
     while town.running.front.first_driver.scheduler.engines[1].ready:
@@ -88,7 +88,7 @@
         await anyio.sleep(0.005)
 
 
-async def being_placed(town: Town, query: Query, patch: Any) -> None:
+async def being_placed(town: SmallFleet, query: Query, patch: Any) -> None:
     dialled, sound = anyio.Event(), lines.connect
 
     async def dial(address: tuple[str, int], source: str | None) -> lines.TcpConnection:
@@ -103,11 +103,11 @@
     await dialled.wait()
 
 
-async def write_out(town: Town, query: Query, patch: Any) -> None:
+async def write_out(town: SmallFleet, query: Query, patch: Any) -> None:
     await town.until("arrived", stage="write")
 
 
-async def streaming(town: Town, query: Query, patch: Any) -> None:
+async def streaming(town: SmallFleet, query: Query, patch: Any) -> None:
     await town.until("ran")
     while not any(taken.stream_started for taken in town.running.front.requests.values()):
         await anyio.sleep(0.005)
@@ -169,10 +169,12 @@
     return str(got.error["type"]) if got.status in (503, 424) else str(got.status)
 
 
-def pinned(town: Town, way: str) -> list[str]:
+def pinned(town: SmallFleet, way: str) -> list[str]:
     """What is still held anywhere; after a stop by engines and the front's books alone."""
     front = town.running.front
-    states = [f"{one.make.name} holds {one.model.states}" for one in town.engines if one.model.states]
+    states = [
+        f"{one.spec.name} holds {one.model.held_states}" for one in town.engines if one.model.held_states
+    ]
     if way == "stop":
         return leftovers(front) + states
     idle = {address: len(links) for address, links in front.engine_client.pool.idle.items()}
@@ -194,7 +196,7 @@
     stage: str, way: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     come, hung, out, lost, kinds = STAGES[stage]
-    town = Town(tmp_path, KINDS, drain_ms=100, body_ms=LIMIT_MS if way != "cancel" else LONG_MS)
+    town = SmallFleet(tmp_path, KINDS, drain_ms=100, body_ms=LIMIT_MS if way != "cancel" else LONG_MS)
     town.plan.release_within = 20_000  # a state held stays so until something ends it
     limit = LIMIT_MS if stage != "in the line" else 4_000
     query = Query(town, limit if way == "limit" else LONG_MS if way != "loss" else 3_000)
@@ -237,7 +239,7 @@
 @pytest.mark.anyio
 async def test_a_stop_waits_for_states_to_be_let_go(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Three calls are lost: the fourth comes when the answer has long been written."""
-    town = Town(tmp_path, KINDS, drain_ms=100)
+    town = SmallFleet(tmp_path, KINDS, drain_ms=100)
     town.plan.release_within = 20_000
     query = Query(town, LONG_MS)
     async with town.open(), anyio.create_task_group() as tasks:
