--- /dev/null
+++ b/runspool/lab/audit/retained_state.py
@@ -0,0 +1,90 @@
+"""Rule "nothing pinned": prefill state that nobody is about to use is released within its timeout."""
+
+from __future__ import annotations
+
+from runspool.lab.audit.history import ClientAttemptRecord, History
+from runspool.lab.audit.verdict import RuleVerdict
+from runspool.lab.recording import Event
+from runspool.units import TENTHS
+
+RELEASES = frozenset({"taken", "released", "dropped", "expired"})  # the kinds of events that end a holding
+NEVER_RELEASED = "never let go"
+
+# An engine that went down is taken to be down for so many times the observation delay.
+DOWNTIME_DELAYS = 20
+
+
+def judge_retained_state(history: History) -> RuleVerdict:
+    """Judge the rule on every prefill state that an engine held for a known attempt."""
+    rule = _RetainedStateRule(history)
+    held: dict[str, Event] = {}
+    for event in history.events:
+        if event["what"] == "held":
+            held[event["state"]] = event
+        elif event["what"] in RELEASES:
+            holding = held.pop(event["state"], None)
+            if holding is not None:
+                # A hung engine releases late what it was told in time.
+                released_at: int = event["told"] if "told" in event else event["t"]
+                rule.judge(holding, released_at, event["what"])
+    for holding in held.values():
+        rule.judge(holding, history.last_time, NEVER_RELEASED)
+    return rule.verdict
+
+
+class _RetainedStateRule:
+    """Judges one held state after the other; `holding` is always its recorded line `held`."""
+
+    def __init__(self, history: History) -> None:
+        self.history = history
+        self.verdict = RuleVerdict()
+
+    def judge(self, holding: Event, released_at: int, how: str) -> None:
+        """Judge one state that was held from its line `held` until `released_at`."""
+        prefill = self.history.engine_attempts.get(holding["state"])
+        client_attempt = self.history.client_attempts.get(holding["try"])
+        if prefill is None or client_attempt is None:
+            return
+        self.verdict.cases += 1
+        end = self._end_of_duty(holding, prefill.front, released_at)
+        longest = _longest_idle_time(client_attempt, holding["t"], end)
+        if longest > self._allowed(holding["t"], end):
+            self.verdict.add_violation(
+                f"{holding['state']}: held at {holding['engine']} for {longest / TENTHS:.0f} ms "
+                f"with no shot out ({how})"
+            )
+
+    def _end_of_duty(self, holding: Event, front: str, released_at: int) -> int:
+        """Once its front or its engine is killed, nobody is left to release the state."""
+        kills = [*self.history.engine_kills[holding["engine"]], *self.history.front_kills[front]]
+        earliest = holding["t"] - self.history.tolerance.observation_delay
+        return min([released_at, *(killed_at for killed_at in kills if killed_at >= earliest)])
+
+    def _allowed(self, start: int, end: int) -> int:
+        tolerance = self.history.tolerance
+        # An attempt at an engine that was down leaves no trace there, yet its outcome restarts the timeout.
+        periods = tolerance.release_periods if self._an_engine_was_down(start, end) else 1
+        return self.history.plan.state_release_timeout * periods + tolerance.observation_delay
+
+    def _an_engine_was_down(self, start: int, end: int) -> bool:
+        delay = self.history.tolerance.observation_delay
+        return any(
+            start - delay <= killed_at + DOWNTIME_DELAYS * delay and killed_at <= end
+            for kills in self.history.engine_kills.values()
+            for killed_at in kills
+        )
+
+
+def _longest_idle_time(attempt: ClientAttemptRecord, start: int, end: int) -> int:
+    """Return the longest time between `start` and `end` without an attempt underway."""
+    busy = sorted(
+        (engine_attempt.arrived_at, engine_attempt.ended_at or end)
+        for engine_attempt in attempt.engine_attempts
+        if engine_attempt.arrived_at >= start
+    )
+    idle_since = start
+    longest = 0
+    for began_at, ended_at in busy:
+        longest = max(longest, began_at - idle_since)
+        idle_since = max(idle_since, ended_at)
+    return max(longest, end - idle_since)
--- a/runspool/lab/report.py
+++ b/runspool/lab/report.py
@@ -1,63 +1,115 @@
-"""What a day came to: the rules, the gain served in time, first tokens, outcomes; as data and as a page."""
+"""The verdict on a scenario, as data and as a page of text.
+
+It holds the rules, the value served in time, the times to the first token and how requests ended. The keys of
+the verdict are stored in verdict.json and used by the template of the report.
+"""
 
 from __future__ import annotations
 
 import json
 from collections import Counter, defaultdict
 from pathlib import Path
-from typing import Any
+from typing import TypedDict
 
 from hdrh.histogram import HdrHistogram
 from jinja2 import Environment, PackageLoader, StrictUndefined
 
-from runspool.lab.audit import History, Judged, TrySeen, history, judge
-from runspool.lab.plan import Plan
+from runspool.lab.audit import ClientAttemptRecord, History, RuleVerdict, judge, read_history
+from runspool.lab.plan import SECOND, ScenarioPlan
 from runspool.lab.recording import Event
+from runspool.units import TENTHS
 
-LONGEST = 10_000_000  # tenths of a millisecond that the histogram of first tokens can hold
+MAX_FIRST_TOKEN_TIME = 10_000_000  # tenths of a millisecond that the histogram can hold
+HISTOGRAM_DIGITS = 3
+QUANTILES = (50, 99, 99.9)
+SLOW_STREAM_MULTIPLE = 2  # a stream slower than this times its class's time per token is worth nothing
+TEMPLATE = "report.txt"
 
 
-def verdict(events: list[Event]) -> dict[str, Any]:
-    """Judges a recording. Times in milliseconds; gains as shares of what was asked. Raises Unreadable."""
-    found = history(events)
-    rules = judge(found)
-    gain = _gain(found)
-    troubles = [
-        {"kind": event["kind"], "at_ms": event["t"] / 10} for event in events if event["what"] == "trouble"
-    ]
-    begin = next((event["at"] for event in events if event["what"] == "begin"), 0)
-    for trouble in troubles:
-        trouble["at_ms"] = round(trouble["at_ms"] - begin / 10)
+class RuleSummary(TypedDict):
+    """One rule: the cases judged, the violations found and examples of them."""
+
+    cases: int
+    broken: int
+    examples: list[str]
+
+
+class ValueServed(TypedDict):
+    """The value served in time as a share of the value asked: in all, by request class and by tenant."""
+
+    whole: float
+    tariffs: dict[str, float]
+    tenants: dict[str, float]
+
+
+class FaultSummary(TypedDict):
+    """A fault that was injected, with its start in milliseconds from the scenario's start."""
+
+    kind: str
+    at_ms: int
+
+
+class ScenarioSize(TypedDict):
+    """How large the scenario was."""
+
+    fronts: int
+    engines: int
+    queries_a_second: float
+    seconds: float
+
+
+class ScenarioVerdict(TypedDict):
+    """The verdict on one scenario; times in milliseconds."""
+
+    day: str
+    seed: int
+    kept: bool
+    rules: dict[str, RuleSummary]
+    unjudged: list[str]
+    gain: ValueServed
+    first_token_ms: dict[str, float]
+    outcomes: dict[str, int]
+    shots: dict[str, int]
+    tries: int
+    shots_a_try: float
+    troubles: list[FaultSummary]
+    size: ScenarioSize
+    fronts_stopped: dict[str, int | None]
+
+
+def scenario_verdict(events: list[Event]) -> ScenarioVerdict:
+    """Judge a recording.
+
+    Raises:
+        UnreadableRecordingError: the recording cannot be judged.
+    """
+    history = read_history(events)
+    rules = judge(history)
+    attempts = history.client_attempts.values()
+    engine_attempts = history.engine_attempts.values()
     return {
-        "day": found.plan.name,
-        "seed": found.plan.seed,
+        "day": history.plan.name,
+        "seed": history.plan.seed,
         "kept": all(rule.broken == 0 for rule in rules.values()),
-        "rules": {name: _rule(rule) for name, rule in rules.items()},
+        "rules": {name: _summarize_rule(rule) for name, rule in rules.items()},
         "unjudged": [name for name, rule in rules.items() if rule.cases == 0],
-        "gain": gain,
-        "first_token_ms": _first_tokens(found),
-        "outcomes": dict(
-            Counter(seen.answer["kind"] if seen.answer else "none" for seen in found.tries.values())
-        ),
-        "shots": dict(Counter(shot.how for shot in found.shots.values())),
-        "tries": len(found.tries),
-        "shots_a_try": round(len(found.shots) / max(1, len(found.tries)), 2),
-        "troubles": troubles,
-        "size": {
-            "fronts": len(found.plan.fronts),
-            "engines": len(found.plan.engines),
-            "queries_a_second": found.plan.rate,
-            "seconds": found.plan.length / 10_000,
-        },
+        "gain": _value_served(history),
+        "first_token_ms": _first_token_quantiles(history),
+        "outcomes": dict(Counter(attempt.answer_kind for attempt in attempts)),
+        "shots": dict(Counter(attempt.end_status for attempt in engine_attempts)),
+        "tries": len(attempts),
+        "shots_a_try": round(len(engine_attempts) / max(1, len(attempts)), 2),
+        "troubles": _summarize_faults(events),
+        "size": _summarize_size(history.plan),
         "fronts_stopped": {
             event["front"]: event["code"] for event in events if event["what"] == "front_stopped"
         },
     }
 
 
-def page(said: dict[str, Any]) -> str:
-    """The verdict as one page of text."""
-    rooms = Environment(
+def render_report(verdict: ScenarioVerdict) -> str:
+    """Return the verdict as one page of text."""
+    environment = Environment(
         loader=PackageLoader("runspool.lab"),
         undefined=StrictUndefined,
         trim_blocks=True,
@@ -65,61 +117,91 @@
         keep_trailing_newline=True,
         autoescape=False,
     )
-    return rooms.get_template("day.txt").render(said)
+    return environment.get_template(TEMPLATE).render(verdict)
 
 
-def _rule(rule: Judged) -> dict[str, Any]:
-    return {"cases": rule.cases, "broken": rule.broken, "examples": rule.examples}
+def write_report(verdict: ScenarioVerdict, folder: Path) -> None:
+    """Write verdict.json and report.txt into the folder."""
+    (folder / "verdict.json").write_text(json.dumps(verdict, indent=1))
+    (folder / "report.txt").write_text(render_report(verdict))
 
 
-def _served(plan: Plan, first: TrySeen, last: TrySeen) -> float:
-    """Which part of its gain a query earned; its due time runs from its first try."""
-    if last.answer is None or last.answer["kind"] != "succeeded" or last.first is None:
+def share_of_value(
+    plan: ScenarioPlan, first_attempt: ClientAttemptRecord, attempt: ClientAttemptRecord
+) -> float:
+    """Return which share of its value a request earned by one of its attempts, from 0 to 1.
+
+    The objective for the first token counts from the request's first attempt.
+    """
+    answer = attempt.answer
+    if answer is None or answer["kind"] != "succeeded" or attempt.first_token_at is None:
         return 0.0
-    row = next(row for row in plan.tariffs if row.name == first.asked["tariff"])
-    out = first.asked["out"]
-    due = first.asked["t"] + first.asked["due"]
-    if last.end is None:  # a whole answer: its first token is not seen, its end is
-        return 1.0 if last.first <= due + out * row.pace else row.late_share
-    streamed = last.end["t"] - last.first
-    slow = streamed / max(1, last.end["tokens"])
-    if last.first <= due and slow <= row.pace:
+    asked = first_attempt.asked
+    request_class = next(row for row in plan.request_classes if row.name == asked["tariff"])
+    time_per_token = request_class.time_per_output_token
+    objective_at = asked["t"] + asked["due"]
+    if attempt.stream_end is None:  # an answer in one piece: its end is seen, its first token is not
+        in_time = attempt.first_token_at <= objective_at + asked["out"] * time_per_token
+        return 1.0 if in_time else request_class.late_value
+    stream_time = attempt.stream_end["t"] - attempt.first_token_at
+    measured_time_per_token = stream_time / max(1, attempt.stream_end["tokens"])
+    if attempt.first_token_at <= objective_at and measured_time_per_token <= time_per_token:
         return 1.0
-    return row.late_share if slow <= 2 * row.pace else 0.0
+    if measured_time_per_token <= SLOW_STREAM_MULTIPLE * time_per_token:
+        return request_class.late_value
+    return 0.0
 
 
-def _gain(found: History) -> dict[str, Any]:
-    gains = {row.name: row.gain for row in found.plan.tariffs}
-    asked: dict[tuple[str, str], float] = defaultdict(float)
-    got: dict[tuple[str, str], float] = defaultdict(float)
-    items: dict[str, list[TrySeen]] = defaultdict(list)
-    for seen in found.tries.values():
-        items[seen.asked["item"]].append(seen)
-    for tries in items.values():
-        if any(seen.answer and seen.answer["kind"] == "left" for seen in tries):
-            continue  # whoever leaves asks for nothing any more
-        name, tenant = tries[0].asked["tariff"], tries[0].asked["tenant"]
-        part = max(_served(found.plan, tries[0], seen) for seen in tries)
-        for key in (("all", "all"), ("tariff", name), ("tenant", tenant)):
-            asked[key] += gains[name]
-            got[key] += gains[name] * part
-    share = {key: round(got[key] / asked[key], 4) for key in asked}
+def _summarize_rule(rule: RuleVerdict) -> RuleSummary:
+    return {"cases": rule.cases, "broken": rule.broken, "examples": rule.examples}
+
+
+def _summarize_faults(events: list[Event]) -> list[FaultSummary]:
+    begin = next((event["at"] for event in events if event["what"] == "begin"), 0)
+    return [
+        {"kind": event["kind"], "at_ms": round(event["t"] / TENTHS - begin / TENTHS)}
+        for event in events
+        if event["what"] == "trouble"
+    ]
+
+
+def _summarize_size(plan: ScenarioPlan) -> ScenarioSize:
     return {
-        "whole": share.get(("all", "all"), 0.0),
-        "tariffs": {name: part for (of, name), part in share.items() if of == "tariff"},
-        "tenants": {name: part for (of, name), part in share.items() if of == "tenant"},
+        "fronts": len(plan.fronts),
+        "engines": len(plan.engines),
+        "queries_a_second": plan.requests_per_second,
+        "seconds": plan.duration / SECOND,
     }
 
 
-def _first_tokens(found: History) -> dict[str, float]:
-    seen = HdrHistogram(1, LONGEST, 3)
-    for one in found.tries.values():
-        if one.first is not None and one.asked["stream"]:
-            seen.record_value(max(1, min(LONGEST, one.first - one.asked["t"])))
-    return {f"p{quantile:g}": seen.get_value_at_percentile(quantile) / 10 for quantile in (50, 99, 99.9)}
+def _value_served(history: History) -> ValueServed:
+    weights = {row.name: row.priority_weight for row in history.plan.request_classes}
+    asked: dict[tuple[str, str], float] = defaultdict(float)
+    earned: dict[tuple[str, str], float] = defaultdict(float)
+    for attempts in history.requests().values():
+        if any(attempt.answer_kind == "left" for attempt in attempts):
+            continue  # a client that disconnected by itself no longer wants an answer
+        first = attempts[0]
+        request_class, tenant = first.asked["tariff"], first.asked["tenant"]
+        share = max(share_of_value(history.plan, first, attempt) for attempt in attempts)
+        for key in (("all", "all"), ("tariff", request_class), ("tenant", tenant)):
+            asked[key] += weights[request_class]
+            earned[key] += weights[request_class] * share
+    shares = {key: round(earned[key] / asked[key], 4) for key in asked}
+    return {
+        "whole": shares.get(("all", "all"), 0.0),
+        "tariffs": {name: share for (scope, name), share in shares.items() if scope == "tariff"},
+        "tenants": {name: share for (scope, name), share in shares.items() if scope == "tenant"},
+    }
 
 
-def write(said: dict[str, Any], folder: Path) -> None:
-    """Leaves verdict.json and report.txt."""
-    (folder / "verdict.json").write_text(json.dumps(said, indent=1))
-    (folder / "report.txt").write_text(page(said))
+def _first_token_quantiles(history: History) -> dict[str, float]:
+    """Return quantiles of the time to the first token of streamed answers, in milliseconds."""
+    histogram = HdrHistogram(1, MAX_FIRST_TOKEN_TIME, HISTOGRAM_DIGITS)
+    for attempt in history.client_attempts.values():
+        if attempt.first_token_at is not None and attempt.asked["stream"]:
+            elapsed = attempt.first_token_at - attempt.asked["t"]
+            histogram.record_value(max(1, min(MAX_FIRST_TOKEN_TIME, elapsed)))
+    return {
+        f"p{quantile:g}": histogram.get_value_at_percentile(quantile) / TENTHS for quantile in QUANTILES
+    }
--- a/runspool/lab/workload.py
+++ b/runspool/lab/workload.py
@@ -1,211 +1,341 @@
-"""Who asks what and when: every query of a day, drawn beforehand from the plan's seed. No I/O, no clock."""
+"""Draws every request of a scenario from the plan's seed, before it starts. No I/O, no clock."""
 
 from __future__ import annotations
 
 import base64
+from dataclasses import dataclass, field
 from itertools import pairwise
 from random import Random
 
 import msgspec
 
-from runspool.lab.plan import SECOND, Plan, RequestClassPlan, Trouble
+from runspool.lab.plan import SECOND, FaultPlan, RequestClassPlan, ScenarioPlan
 from runspool.wire.fields import BYTES_PER_TOKEN
 
-MOST_PROMPT = 60_000
+MAX_PROMPT_TOKENS = 60_000
 
+# The seed of a generator is the plan's times this, plus an offset for what it draws.
+SEED_MULTIPLIER = 7919
+WORKLOAD_SEED_OFFSET = 1
+TENANT_BURST_SEED_OFFSET = 2
 
-class Item(msgspec.Struct):
-    """One query, with the tries it may take. Times in tenths of a millisecond from the day's start."""
+PEAK_MULTIPLE = 8  # sessions are drawn at this multiple of the mean rate and then thinned
+
+STREAMED_SHARE = 0.8
+HOT_PREFIX_TOKENS = 3_000
+MAX_PREFIX_NUMBER = 12
+MIN_TURN_PAUSE, MAX_TURN_PAUSE = 1.0, 4.0  # seconds between the turns of a session
+
+# Tenths of a millisecond after which a client that disconnects does so.
+MIN_DISCONNECT_DELAY, MAX_DISCONNECT_DELAY = 500, 3 * SECOND
+
+MIN_ABUSED_TIME_LIMIT = 2_000  # tenths of a millisecond
+
+# Lengths are drawn lognormally; the divisor makes their mean the mean asked for.
+LENGTH_SIGMA = 0.5
+LENGTH_MEAN_CORRECTION = 1.13
+MIN_LENGTH = 4  # tokens
+MAX_LENGTH_MULTIPLE = 8  # of the mean
+
+# The kinds of fault that clients bring about.
+WORKLOAD_FAULT_KINDS = (
+    "burst",
+    "tenant_burst",
+    "hot_key",
+    "heavy_tail",
+    "retry_abuse",
+    "leaving",
+    "poison",
+)
+
+FaultsByKind = dict[str, list[FaultPlan]]
+PromptParts = list[tuple[str, int]]
+
+
+class PlannedRequest(msgspec.Struct):
+    """One request and how its client behaves. Times in tenths of a millisecond, lengths in tokens.
+
+    Attributes:
+        id: unique in the scenario.
+        at: when it is asked, from the scenario's start.
+        zone_index: the client's zone in the plan.
+        request_class_index: its request class in the plan.
+        tenant_index: its tenant in the plan.
+        session: the id of the session that it belongs to.
+        parts: names and lengths of the texts that make up its prompt.
+        prefix: the name of the text that its prompt shares with other sessions; empty for none.
+        prefix_tokens: the length of that text.
+        prompt_tokens: the length of the whole prompt.
+        output_tokens: the length of the answer that an engine gives.
+        stream: whether its answer is streamed.
+        time_limit: how long its client waits.
+        first_token_objective: the time within which the first token earns the full value.
+        retries: how often its client asks again at most.
+        backoff: how long its client waits before it asks again; 0 means at once, and each time anew.
+        disconnects_after: when its client disconnects by itself; 0 for never.
+        reads_slowly: whether its client reads the stream slowly.
+        poison: whether it brings down the engine that writes its answer.
+    """
 
     id: str
     at: int
-    zone: int
-    tariff: int
-    tenant: int
+    zone_index: int
+    request_class_index: int
+    tenant_index: int
     session: str
-    parts: list[tuple[str, int]]  # names and lengths of the texts that make up the prompt
-    beginning: str
-    beginning_length: int
-    prompt: int
-    out: int
+    parts: PromptParts
+    prefix: str
+    prefix_tokens: int
+    prompt_tokens: int
+    output_tokens: int
     stream: bool
-    limit: int
-    due: int
+    time_limit: int
+    first_token_objective: int
     retries: int
     backoff: int
-    leaves_after: int = 0
+    disconnects_after: int = 0
     reads_slowly: bool = False
-    poison: bool = False  # fells the engine that writes it
+    poison: bool = False
 
 
-def text_of(name: str, tokens: int) -> str:
-    """A text that is the same wherever its name is."""
+def prompt_text(name: str, tokens: int) -> str:
+    """Return a text of so many tokens that depends on its name alone."""
     raw = Random(name).randbytes(tokens * 3)
     return base64.b64encode(raw).decode()[: tokens * BYTES_PER_TOKEN]
 
 
-def crowd(plan: Plan) -> list[Item]:
-    """All queries of the day in order of time."""
-    rng = Random(plan.seed * 7919 + 1)
-    by = {
-        kind: [one for one in plan.troubles if one.kind == kind]
-        for kind in ("burst", "tenant_burst", "hot_key", "heavy_tail", "retry_abuse", "leaving", "poison")
+def draw_workload(plan: ScenarioPlan) -> list[PlannedRequest]:
+    """Draw all requests of a scenario, in order of time."""
+    faults = {
+        kind: [fault for fault in plan.faults if fault.kind == kind] for kind in WORKLOAD_FAULT_KINDS
     }
-    turns = sum(row.share * row.turns for row in plan.tariffs)
-    peak = plan.rate * 8
-    items: list[Item] = []
-    at, number = 0.0, 0
-    weights = [row.share for row in plan.tenants]
+    requests = _draw_usual_sessions(plan, faults)
+    for number, burst in enumerate(faults["tenant_burst"]):
+        requests += _draw_tenant_burst(plan, number, burst, faults)
+    requests.sort(key=lambda request: request.at)
+    return requests
+
+
+def _session_rate(plan: ScenarioPlan) -> float:
+    """Sessions per second, from requests per second."""
+    turns_per_session = sum(row.share * row.turns for row in plan.request_classes)
+    return plan.requests_per_second / turns_per_session
+
+
+def _draw_usual_sessions(plan: ScenarioPlan, faults: FaultsByKind) -> list[PlannedRequest]:
+    rng = Random(plan.seed * SEED_MULTIPLIER + WORKLOAD_SEED_OFFSET)
+    sessions = _SessionDrawer(plan, rng, faults, [row.share for row in plan.tenants])
+    peak = plan.requests_per_second * PEAK_MULTIPLE
+    mean_rate = _session_rate(plan)
+    requests: list[PlannedRequest] = []
+    at = 0.0
+    number = 0
     while True:
         at += rng.expovariate(peak) * SECOND
-        if at >= plan.length:
-            break
-        rate = plan.rate / turns * _shape(plan, at) * _times(by["burst"], at)
+        if at >= plan.duration:
+            return requests
+        rate = mean_rate * _load_shape_at(plan, at) * _load_multiple(faults["burst"], at)
         if rng.random() * peak > rate:
             continue
         number += 1
-        items += _session(plan, rng, str(number), round(at), weights, by)
-    for nth, one in enumerate(by["tenant_burst"]):
-        items += _burst(plan, nth, one, plan.rate / turns, by)
-    items.sort(key=lambda item: item.at)
-    return items
-
-
-def _burst(plan: Plan, nth: int, one: Trouble, rate: float, by: dict[str, list[Trouble]]) -> list[Item]:
-    """What a tenant sends beyond its share; by draws of its own: all others ask what they ask without."""
-    rng = Random(plan.seed * 7919 + 2 + nth)
-    share = plan.tenants[one.which].share / max(1e-9, sum(row.share for row in plan.tenants))
-    items: list[Item] = []
-    weights = [float(index == one.which) for index in range(len(plan.tenants))]
-    at, number = float(one.at), 0
-    while one.size > 1:
-        at += rng.expovariate(rate * share * (one.size - 1)) * SECOND
-        if at >= min(one.at + one.length, plan.length):
-            break
+        requests += sessions.draw(str(number), round(at))
+
+
+def _draw_tenant_burst(
+    plan: ScenarioPlan, burst_number: int, burst: FaultPlan, faults: FaultsByKind
+) -> list[PlannedRequest]:
+    """Draw what a tenant sends beyond its share.
+
+    It has a generator of its own: all other requests stay what they are without the burst.
+    """
+    requests: list[PlannedRequest] = []
+    if burst.magnitude <= 1:
+        return requests
+    rng = Random(plan.seed * SEED_MULTIPLIER + TENANT_BURST_SEED_OFFSET + burst_number)
+    share = plan.tenants[burst.subject_index].share / max(1e-9, sum(row.share for row in plan.tenants))
+    this_tenant_only = [float(index == burst.subject_index) for index in range(len(plan.tenants))]
+    sessions = _SessionDrawer(plan, rng, faults, this_tenant_only)
+    added_rate = _session_rate(plan) * share * (burst.magnitude - 1)
+    ends_at = min(burst.starts_at + burst.duration, plan.duration)
+    at = float(burst.starts_at)
+    number = 0
+    while True:
+        at += rng.expovariate(added_rate) * SECOND
+        if at >= ends_at:
+            return requests
         number += 1
-        items += _session(plan, rng, f"b{nth}-{number}", round(at), weights, by)
-    return items
-
-
-def _session(
-    plan: Plan, rng: Random, number: str, at: int, weights: list[float], by: dict[str, list[Trouble]]
-) -> list[Item]:
-    tariff = rng.choices(range(len(plan.tariffs)), [row.share for row in plan.tariffs])[0]
-    tenant = rng.choices(range(len(plan.tenants)), weights)[0]
-    zone, row = rng.randrange(len(plan.zones)), plan.tariffs[tariff]
-    beginning, length = "", 0
-    hot = next((one for one in by["hot_key"] if _during(one, at) and rng.random() < one.size), None)
-    if hot is not None:
-        beginning, length = f"hot-{hot.at}-{rng.randrange(max(1, int(hot.extra) or 1))}", 3000
-    elif rng.random() < row.beginning_share:
-        beginning, length = f"rules-{tariff}-{min(int(rng.paretovariate(1.0)), 12)}", row.beginning_tokens
-    parts = [(beginning, length)] if length else []
-    found = []
-    for turn in range(int(row.turns) + (rng.random() < row.turns - int(row.turns))):
-        new = _tokens(rng, row.new_tokens)
-        heavy = next(
-            (
-                one
-                for one in by["heavy_tail"]
-                if _during(one, at) and one.which == tariff and rng.random() < one.extra
-            ),
-            None,
-        )
+        requests += sessions.draw(f"b{burst_number}-{number}", round(at))
+
+
+@dataclass(slots=True)
+class _Session:
+    """What the turns of one session have in common, and the prompt that grows with each."""
+
+    name: str
+    request_class_index: int
+    tenant_index: int
+    zone_index: int
+    prefix: str = ""
+    prefix_tokens: int = 0
+    parts: PromptParts = field(default_factory=list)
+
+    @property
+    def prompt_tokens(self) -> int:
+        """The length of the prompt so far."""
+        return sum(tokens for _, tokens in self.parts)
+
+
+class _SessionDrawer:
+    """Draws sessions from one generator; the order of the draws is part of what a seed means."""
+
+    def __init__(
+        self, plan: ScenarioPlan, rng: Random, faults: FaultsByKind, tenant_weights: list[float]
+    ) -> None:
+        self.plan = plan
+        self.rng = rng
+        self.faults = faults
+        self.tenant_weights = tenant_weights
+        self.request_class_weights = [row.share for row in plan.request_classes]
+
+    def draw(self, name: str, starts_at: int) -> list[PlannedRequest]:
+        """Draw a session's requests, one a turn."""
+        session = self._draw_session(name, starts_at)
+        request_class = self.plan.request_classes[session.request_class_index]
+        requests: list[PlannedRequest] = []
+        at = starts_at
+        for turn in range(self._draw_turns(request_class)):
+            new_tokens = self._draw_new_tokens(session, request_class, at)
+            if new_tokens <= 0 or at >= self.plan.duration:
+                break
+            session.parts = [*session.parts, (f"s{name}-{turn}", new_tokens)]
+            requests.append(self._draw_request(session, f"{name}-{turn}", at))
+            at += round(self.rng.uniform(MIN_TURN_PAUSE, MAX_TURN_PAUSE) * SECOND)
+        return requests
+
+    def _draw_session(self, name: str, starts_at: int) -> _Session:
+        request_class_index = self._draw_index(self.request_class_weights)
+        tenant_index = self._draw_index(self.tenant_weights)
+        zone_index = self.rng.randrange(len(self.plan.zones))
+        session = _Session(name, request_class_index, tenant_index, zone_index)
+        self._draw_prefix(session, starts_at)
+        if session.prefix_tokens:
+            session.parts = [(session.prefix, session.prefix_tokens)]
+        return session
+
+    def _draw_index(self, weights: list[float]) -> int:
+        return self.rng.choices(range(len(weights)), weights)[0]
+
+    def _draw_prefix(self, session: _Session, at: int) -> None:
+        rng = self.rng
+        request_class = self.plan.request_classes[session.request_class_index]
+        hot = self._draw_hot_prefix_fault(at)
+        if hot is not None:
+            prefix_count = max(1, int(hot.secondary_magnitude) or 1)
+            session.prefix = f"hot-{hot.starts_at}-{rng.randrange(prefix_count)}"
+            session.prefix_tokens = HOT_PREFIX_TOKENS
+        elif rng.random() < request_class.prefix_share:
+            prefix_number = min(int(rng.paretovariate(1.0)), MAX_PREFIX_NUMBER)
+            session.prefix = f"rules-{session.request_class_index}-{prefix_number}"
+            session.prefix_tokens = request_class.prefix_tokens
+
+    def _draw_hot_prefix_fault(self, at: int) -> FaultPlan | None:
+        for fault in self.faults["hot_key"]:
+            if _is_active(fault, at) and self.rng.random() < fault.magnitude:
+                return fault
+        return None
+
+    def _draw_turns(self, request_class: RequestClassPlan) -> int:
+        whole_turns = int(request_class.turns)
+        return whole_turns + (self.rng.random() < request_class.turns - whole_turns)
+
+    def _draw_new_tokens(self, session: _Session, request_class: RequestClassPlan, at: int) -> int:
+        """Draw the tokens that a turn adds to the prompt; 0 or less where the prompt is full."""
+        tokens = _draw_length(self.rng, request_class.new_prompt_tokens)
+        heavy = self._draw_heavy_tail_fault(session.request_class_index, at)
         if heavy is not None:
-            new = int(new * heavy.size)
-        new = min(new, MOST_PROMPT - sum(size for _, size in parts))
-        if new <= 0 or at >= plan.length:
-            break
-        parts = [*parts, (f"s{number}-{turn}", new)]
-        found.append(
-            _item(
-                plan,
-                rng,
-                row,
-                f"{number}-{turn}",
-                at,
-                zone,
-                tariff,
-                tenant,
-                f"session-{number}",
-                parts,
-                beginning,
-                length,
-                by,
-            )
+            tokens = int(tokens * heavy.magnitude)
+        return min(tokens, MAX_PROMPT_TOKENS - session.prompt_tokens)
+
+    def _draw_heavy_tail_fault(self, request_class_index: int, at: int) -> FaultPlan | None:
+        for fault in self.faults["heavy_tail"]:
+            applies = _is_active(fault, at) and fault.subject_index == request_class_index
+            if applies and self.rng.random() < fault.secondary_magnitude:
+                return fault
+        return None
+
+    def _draw_request(self, session: _Session, request_id: str, at: int) -> PlannedRequest:
+        request_class = self.plan.request_classes[session.request_class_index]
+        clients = self.plan.clients
+        prompt_tokens = session.prompt_tokens
+        objective_per_1000_tokens = request_class.first_token_objective_per_1000_tokens
+        time_limit = request_class.time_limit + 2 * objective_per_1000_tokens * prompt_tokens // 1000
+        request = PlannedRequest(
+            id=request_id,
+            at=at,
+            zone_index=session.zone_index,
+            request_class_index=session.request_class_index,
+            tenant_index=session.tenant_index,
+            session=f"session-{session.name}",
+            parts=session.parts,
+            prefix=session.prefix,
+            prefix_tokens=session.prefix_tokens,
+            prompt_tokens=prompt_tokens,
+            output_tokens=_draw_length(self.rng, request_class.output_tokens),
+            stream=self.rng.random() < STREAMED_SHARE,
+            time_limit=round(time_limit * clients.attempt_time_share),
+            first_token_objective=(
+                request_class.first_token_objective + objective_per_1000_tokens * prompt_tokens // 1000
+            ),
+            retries=clients.retries,
+            backoff=clients.backoff,
         )
-        at += round(rng.uniform(1.0, 4.0) * SECOND)
-    return found
-
-
-def _item(
-    plan: Plan,
-    rng: Random,
-    row: RequestClassPlan,
-    name: str,
-    at: int,
-    zone: int,
-    tariff: int,
-    tenant: int,
-    session: str,
-    parts: list[tuple[str, int]],
-    beginning: str,
-    length: int,
-    by: dict[str, list[Trouble]],
-) -> Item:
-    prompt = sum(size for _, size in parts)
-    due = row.due + row.due_per_1000 * prompt // 1000
-    limit = round((row.limit + 2 * row.due_per_1000 * prompt // 1000) * plan.clients.limit_share)
-    item = Item(
-        name,
-        at,
-        zone,
-        tariff,
-        tenant,
-        session,
-        parts,
-        beginning,
-        length,
-        prompt,
-        _tokens(rng, row.out_tokens),
-        rng.random() < 0.8,
-        limit,
-        due,
-        plan.clients.retries,
-        plan.clients.backoff,
-    )
-    leaving = plan.clients.leaving + sum(one.size for one in by["leaving"] if _during(one, at))
-    if rng.random() < leaving:
-        item.leaves_after = rng.randrange(500, 3 * SECOND)
-    item.reads_slowly = item.stream and rng.random() < plan.clients.slow_readers
-    for one in by["poison"]:
-        if _during(one, at) and one.which == tenant:
-            item.poison = rng.random() < one.size
-    for one in by["retry_abuse"]:
-        if _during(one, at) and one.which == tenant:
-            item.limit = max(2_000, round(due * one.extra))
-            item.retries, item.backoff = int(one.size), 0
-    return item
-
-
-def _tokens(rng: Random, mean: int) -> int:
-    return max(4, min(8 * mean, round(rng.lognormvariate(0, 0.5) * mean / 1.13)))
-
-
-def _during(one: Trouble, at: float) -> bool:
-    return one.at <= at < one.at + max(one.length, 1)
-
-
-def _times(troubles: list[Trouble], at: float) -> float:
-    found = 1.0
-    for one in troubles:
-        if _during(one, at):
-            found *= one.size
-    return found
-
-
-def _shape(plan: Plan, at: float) -> float:
-    points = plan.shape
+        self._draw_behaviour(request)
+        return request
+
+    def _draw_behaviour(self, request: PlannedRequest) -> None:
+        rng = self.rng
+        clients = self.plan.clients
+        disconnect_faults = [fault for fault in self.faults["leaving"] if _is_active(fault, request.at)]
+        disconnecting_share = clients.disconnecting_share + sum(fault.magnitude for fault in disconnect_faults)
+        if rng.random() < disconnecting_share:
+            request.disconnects_after = rng.randrange(MIN_DISCONNECT_DELAY, MAX_DISCONNECT_DELAY)
+        request.reads_slowly = request.stream and rng.random() < clients.slow_reading_share
+        for fault in self._tenant_faults("poison", request):
+            request.poison = rng.random() < fault.magnitude
+        for fault in self._tenant_faults("retry_abuse", request):
+            time_limit = round(request.first_token_objective * fault.secondary_magnitude)
+            request.time_limit = max(MIN_ABUSED_TIME_LIMIT, time_limit)
+            request.retries = int(fault.magnitude)
+            request.backoff = 0
+
+    def _tenant_faults(self, kind: str, request: PlannedRequest) -> list[FaultPlan]:
+        return [
+            fault
+            for fault in self.faults[kind]
+            if _is_active(fault, request.at) and fault.subject_index == request.tenant_index
+        ]
+
+
+def _draw_length(rng: Random, mean: int) -> int:
+    length = round(rng.lognormvariate(0, LENGTH_SIGMA) * mean / LENGTH_MEAN_CORRECTION)
+    return max(MIN_LENGTH, min(MAX_LENGTH_MULTIPLE * mean, length))
+
+
+def _is_active(fault: FaultPlan, at: float) -> bool:
+    return fault.starts_at <= at < fault.starts_at + max(fault.duration, 1)
+
+
+def _load_multiple(bursts: list[FaultPlan], at: float) -> float:
+    multiple = 1.0
+    for burst in bursts:
+        if _is_active(burst, at):
+            multiple *= burst.magnitude
+    return multiple
+
+
+def _load_shape_at(plan: ScenarioPlan, at: float) -> float:
+    """Return the multiple of the mean rate at a time, interpolated between the points of the load's shape."""
+    points = plan.load_shape
     if not points:
         return 1.0
     second = at / SECOND
