--- a/runspool/lab/audit/lost_requests.py
+++ b/runspool/lab/audit/lost_requests.py
@@ -49,9 +49,7 @@
     return any(start <= killed_at <= end for killed_at in history.front_kills[attempt.asked["front"]])
 
 
-def _judge_answer(
-    verdict: RuleVerdict, history: History, name: str, attempt: ClientAttemptRecord
-) -> None:
+def _judge_answer(verdict: RuleVerdict, history: History, name: str, attempt: ClientAttemptRecord) -> None:
     kind = attempt.answer_kind
     if kind in UNANSWERED:
         code = attempt.answer["code"] if attempt.answer else ""
--- /dev/null
+++ b/runspool/lab/fleet.py
@@ -0,0 +1,262 @@
+"""The engines and fronts of a scenario as processes, with the endpoint list and load balancer before them."""
+
+from __future__ import annotations
+
+import json
+import signal
+import sys
+import time
+from collections.abc import Sequence
+from contextlib import suppress
+from pathlib import Path
+
+import anyio
+import msgspec
+
+from runspool.lab.front_configuration import front_configuration
+from runspool.lab.listing import EndpointListService
+from runspool.lab.load_balancer import LoadBalancer
+from runspool.lab.managed_process import START_TIMEOUT, ManagedProcess
+from runspool.lab.plan import SECOND, ScenarioPlan
+from runspool.lab.port_allocation import HOST
+from runspool.lab.recording import Recorder
+from runspool.wire.endpoint_list import EndpointEntry
+
+RUNSPOOL_COMMAND = (sys.executable, "-m", "runspool.cli.main")
+STOP_TIMEOUT = 30.0  # seconds
+WATCH_INTERVAL = 0.02  # seconds between two looks at how many fronts watch the endpoint list
+MS_PER_SECOND = 1000
+
+# Tenths of a millisecond for which a process that is killed beside a migration is down.
+MIGRATION_DOWNTIME = SECOND // 2
+
+# The seed of a front's process is the plan's times the first, plus its index times the second, plus its start.
+SEEDS_PER_PLAN = 1_000
+SEEDS_PER_FRONT = 100
+
+# Files that a front keeps from one run to the next, by the ends of their names.
+FRONT_FILE_SUFFIXES = (".list", ".log", ".tape", ".list.cells")
+
+
+class ScenarioFleet:
+    """Starts, kills and restarts the engines and fronts. Both are known by their index in the plan."""
+
+    def __init__(
+        self,
+        plan: ScenarioPlan,
+        folder: Path,
+        parts: Path,
+        record: Recorder,
+        record_events: bool,
+        front_command: Sequence[str],
+        engines_per_process: int,
+    ) -> None:
+        """Prepare the fleet; nothing is started.
+
+        Args:
+            plan: the scenario's plan, whose engines and fronts have their ports.
+            folder: for configurations, logs and what the fronts keep.
+            parts: for the recordings of the single processes.
+            record: records what happens to the processes.
+            record_events: whether the fronts record what their scheduler sees and does.
+            front_command: runs a front, given its configuration.
+            engines_per_process: more than one only where no engine is to be killed.
+        """
+        self.plan = plan
+        self.folder = folder
+        self.parts = parts
+        self.record = record
+        self.record_events = record_events
+        self.front_command = front_command
+        self.engines_per_process = engines_per_process
+        self.endpoint_list = EndpointListService(record, plan.endpoint_list_delay, plan.seed)
+        self.engines: list[ManagedProcess] = []
+        self.fronts: list[ManagedProcess] = []
+        self.engine_starts_unix_ms = [0] * len(plan.engines)
+        self.load_balancer = LoadBalancer([], [], [])
+
+    async def start(self) -> None:
+        """Start all engines, then all fronts, and wait until every front watches the endpoint list.
+
+        The endpoint list service must be running.
+
+        Raises:
+            ScenarioFailedError: a process does not start.
+        """
+        self.engines = self._engine_processes()
+        self.fronts = [self._front_process(index) for index in range(len(self.plan.fronts))]
+        async with anyio.create_task_group() as tasks:
+            for index in range(0, len(self.engines), self.engines_per_process):
+                tasks.start_soon(self._start_engine, index, False)
+        for index in range(len(self.plan.engines)):
+            self.publish_state(index, "on", at_once=True)
+        self.load_balancer = LoadBalancer(
+            addresses=[(HOST, front.port) for front in self.plan.fronts],
+            zones=[front.zone for front in self.plan.fronts],
+            is_up=[True] * len(self.plan.fronts),
+        )
+        async with anyio.create_task_group() as tasks:
+            for index in range(len(self.fronts)):
+                tasks.start_soon(self._start_front, index)
+        with anyio.move_on_after(START_TIMEOUT):
+            await self._wait_for_watchers()
+
+    def publish_state(self, engine_index: int, state: str, at_once: bool = False) -> None:
+        """Tell the endpoint list an engine's state: "on", "draining" or "gone"."""
+        engine = self.plan.engines[engine_index]
+        entry = msgspec.convert(
+            {
+                "engine": engine.spec.name,
+                "address": engine.address,
+                "kind": engine.engine_type,
+                "zone": engine.spec.zone,
+                "rack": engine.spec.rack,
+                "state": state,
+                "started_unix_ms": self.engine_starts_unix_ms[engine_index],
+            },
+            EndpointEntry,
+        )
+        self.endpoint_list.set(entry, at_once)
+
+    async def send_fault(self, engine_index: int, name: str, **settings: object) -> None:
+        """Switch a fault on or off at an engine; one that is down does not hear of it."""
+        child = self.engines[engine_index].running_child
+        if child is None or child.stdin is None:
+            return
+        line = msgspec.json.encode({"fault": name, "at": engine_index, **settings}) + b"\n"
+        with suppress(OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
+            await child.stdin.send(line)
+
+    async def restart_engines(self, indices: list[int], downtime: int) -> None:
+        """Kill engines and start them again, cold, after `downtime` tenths of a millisecond.
+
+        Engines that are restarting already are passed over.
+        """
+        killed = [index for index in indices if not self.engines[index].is_restarting]
+        for index in killed:
+            self.engines[index].is_restarting = True
+            await self._kill(self.engines[index], engine=self.plan.engines[index].spec.name)
+            self.publish_state(index, "gone")
+        await anyio.sleep(downtime / SECOND)
+        for index in killed:
+            await self._start_engine(index, cold=True)
+            self.publish_state(index, "on")
+            self.engines[index].is_restarting = False
+
+    async def restart_front(self, index: int, downtime: int) -> None:
+        """Kill a front and start it again after `downtime` tenths of a millisecond.
+
+        The load balancer finds out after its failover delay. A front that is restarting is passed over.
+        """
+        process = self.fronts[index]
+        if process.is_restarting:
+            return
+        process.is_restarting = True
+        await self._kill(process, front=process.name)
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(self._fail_over, index, process.starts)
+            await anyio.sleep(downtime / SECOND)
+            await self._start_front(index)
+            self.load_balancer.is_up[index] = True
+            process.is_restarting = False
+            tasks.cancel_scope.cancel()
+
+    async def restart_beside_migration(self, kind: str, index: int) -> None:
+        """Kill and restart a "front" or an "engine" while a tenant migrates."""
+        if kind == "front":
+            await self.restart_front(index, MIGRATION_DOWNTIME)
+        else:
+            await self.restart_engines([index], MIGRATION_DOWNTIME)
+
+    async def stop_fronts(self) -> None:
+        """Stop the fronts in order and record how each ended."""
+        for process in self.fronts:
+            child = process.running_child
+            if child is not None:
+                child.send_signal(signal.SIGTERM)
+        for process in self.fronts:
+            exit_code: int | None = None
+            if process.child is not None:
+                with anyio.move_on_after(STOP_TIMEOUT):
+                    exit_code = await process.child.wait()
+            self.record.line("front_stopped", front=process.name, code=exit_code)
+
+    async def close(self) -> None:
+        """Kill all that still runs."""
+        for process in [*self.fronts, *self.engines]:
+            await process.close()
+
+    def _engine_processes(self) -> list[ManagedProcess]:
+        """Return each engine's process; engines that share a process have the same."""
+        processes: list[ManagedProcess] = []
+        for index in range(len(self.plan.engines)):
+            if index % self.engines_per_process:
+                processes.append(processes[-1])
+            else:
+                processes.append(self._engine_process(index))
+        return processes
+
+    def _engine_process(self, first_index: int) -> ManagedProcess:
+        end = min(first_index + self.engines_per_process, len(self.plan.engines))
+        indices: list[str] = []
+        for index in range(first_index, end):
+            indices += ["--at", str(index)]
+        command = [
+            *RUNSPOOL_COMMAND,
+            "lab",
+            "engine",
+            str(self.folder / "plan.json"),
+            *indices,
+            "--out",
+            str(self.parts / f"engine-{first_index}.jsonl"),
+        ]
+        return ManagedProcess(self.plan.engines[first_index].spec.name, command)
+
+    def _front_process(self, index: int) -> ManagedProcess:
+        """Write a front's configuration and remove what an earlier run left."""
+        name = self.plan.fronts[index].name
+        configuration = front_configuration(self.plan, index, self.endpoint_list.port, self.folder)
+        path = self.folder / f"{name}.json"
+        path.write_text(json.dumps(configuration, indent=1))
+        for suffix in FRONT_FILE_SUFFIXES:
+            (self.folder / f"{name}{suffix}").unlink(missing_ok=True)
+        return ManagedProcess(name, [*self.front_command, str(path)])
+
+    async def _wait_for_watchers(self) -> None:
+        while True:
+            if len(self.endpoint_list.watchers) >= len(self.fronts):
+                return
+            await anyio.sleep(WATCH_INTERVAL)
+
+    async def _start_engine(self, index: int, cold: bool) -> None:
+        process = self.engines[index]
+        process.starts += 1
+        options = ["--life", str(process.starts)]
+        if cold:
+            options.append("--cold")
+        await process.open(options, self.folder / "engines.log", takes_input=True)
+        await process.wait_until_listening(self.plan.engines[index].port)
+        self.engine_starts_unix_ms[index] = round(time.time() * MS_PER_SECOND) if cold else 0
+
+    async def _start_front(self, index: int) -> None:
+        process = self.fronts[index]
+        front = self.plan.fronts[index]
+        process.starts += 1
+        seed = self.plan.seed * SEEDS_PER_PLAN + index * SEEDS_PER_FRONT + process.starts
+        options = ["--seed", str(seed)]
+        if self.record_events:
+            options += ["--tape", str(self.folder / f"{front.name}.{process.starts}.tape")]
+        await process.open(options, self.folder / f"{front.name}.log", takes_input=False)
+        await process.wait_until_listening(front.port)
+        self.record.line("front_up", front=front.name, life=process.starts)
+
+    async def _kill(self, process: ManagedProcess, **subject: str) -> None:
+        if process.running_child is not None:
+            self.record.line("killed", process=process.name, **subject)
+            await process.kill()
+
+    async def _fail_over(self, index: int, start: int) -> None:
+        """Mark a front as down after the failover delay, unless it was started again by then."""
+        await anyio.sleep(self.plan.clients.failover_delay / SECOND)
+        if self.fronts[index].starts == start:
+            self.load_balancer.is_up[index] = False
--- /dev/null
+++ b/runspool/lab/front_configuration.py
@@ -0,0 +1,141 @@
+"""The configuration of a scenario's fronts, as a configuration file would evaluate to.
+
+Its keys are those of configuration files (runspool.config.schema).
+"""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import _jsonnet
+
+from runspool.config.loader import LIBRARY_DIRECTORY
+from runspool.lab.plan import FrontPlan, RequestClassPlan, ScenarioPlan
+from runspool.units import TENTHS
+
+Section = dict[str, Any]
+
+HOST = "127.0.0.1"
+OVER_QUOTA_VALUE = 0.1
+SEEDS_PER_PLAN = 100  # seeds of fronts that one seed of a plan stands for
+LIST_IDLE_TIMEOUT_MS = 5_000
+LIST_RETRY_MS = 200
+LIST_LINE_BYTES = 4 << 20
+
+LIBRARY_DEFAULTS = """
+        local r = import 'runspool.libsonnet';
+        { rules: r.rules, limits: r.limits, prices: r.prices, bounds: r.bounds, engines: r.engines }
+    """
+
+
+def front_configuration(plan: ScenarioPlan, front_index: int, list_port: int, folder: Path) -> Section:
+    """Return the configuration of one front.
+
+    Args:
+        plan: the scenario's plan, whose fronts have their ports.
+        front_index: the front's index in the plan.
+        list_port: the port of the endpoint list service.
+        folder: where the front keeps its files.
+    """
+    defaults = _library_defaults()
+    return {
+        "house": _fleet_section(plan, defaults),
+        "front": _front_section(plan, front_index, list_port, folder, defaults),
+    }
+
+
+def _library_defaults() -> Section:
+    defaults: Section = json.loads(
+        _jsonnet.evaluate_snippet("defaults", LIBRARY_DEFAULTS, jpathdir=[str(LIBRARY_DIRECTORY)])
+    )
+    return defaults
+
+
+def _fleet_section(plan: ScenarioPlan, defaults: Section) -> Section:
+    return {
+        "fronts": len(plan.fronts),
+        "zones": plan.zones,
+        "tariffs": {row.name: _request_class_section(row) for row in plan.request_classes},
+        "tenants": {row.name: {"queries_per_second": row.requests_per_second} for row in plan.tenants},
+        "kinds": _engine_types_section(plan),
+        "rules": defaults["rules"] | _rules_section(plan),
+        "limits": defaults["limits"] | {"max_shots": plan.max_attempts},
+        "prices": defaults["prices"],
+        "over_share": OVER_QUOTA_VALUE,
+    }
+
+
+def _request_class_section(row: RequestClassPlan) -> Section:
+    return {
+        "due_ms": row.first_token_objective / TENTHS,
+        "due_per_1000_tokens_ms": row.first_token_objective_per_1000_tokens / TENTHS,
+        "limit_ms": row.time_limit / TENTHS,
+        "pace_ms_per_token": row.time_per_output_token / TENTHS,
+        "gain": row.priority_weight,
+        "late_share": row.late_value,
+        "effect": row.idempotency,
+        "group": row.deduplication_scope,
+        "window_ms": row.deduplication_window / TENTHS,
+    }
+
+
+def _engine_types_section(plan: ScenarioPlan) -> Section:
+    """The engine types that the plan has, beside the usual ones with unknown memory."""
+    roles_and_memory: dict[str, tuple[str, int]] = {
+        "prefill": ("reader", 0),
+        "decode": ("writer", 0),
+        "mixed": ("mixed", 0),
+    }
+    for engine in plan.engines:
+        roles_and_memory[engine.engine_type] = (engine.spec.role, engine.spec.memory)
+    return {
+        name: {"role": role, "memory_tokens": memory} for name, (role, memory) in roles_and_memory.items()
+    }
+
+
+def _rules_section(plan: ScenarioPlan) -> Section:
+    return {
+        "drain_grace_ms": plan.drain_grace / TENTHS,
+        "cold_from": plan.slow_start_initial_fraction,
+        "cold_ms": plan.slow_start_duration / TENTHS,
+        "fall_multiple": plan.slow_start_overload_multiple,
+        "fall_ms": plan.slow_start_overload_window / TENTHS,
+        "release_within_ms": plan.state_release_timeout / TENTHS,
+    }
+
+
+def _front_section(
+    plan: ScenarioPlan, front_index: int, list_port: int, folder: Path, defaults: Section
+) -> Section:
+    front = plan.fronts[front_index]
+    return {
+        "name": front.name,
+        "number": front_index,
+        "zone": front.zone,
+        "seed": plan.seed * SEEDS_PER_PLAN + front_index,
+        "listen": {"host": HOST, "port": front.port},
+        "default_tariff": None,
+        "model": "runspool",
+        "bounds": defaults["bounds"] | _bounds_section(plan),
+        "engines": defaults["engines"] | {"source_address": front.source_address},
+        "list": {
+            "host": HOST,
+            "port": list_port,
+            "quiet_ms": LIST_IDLE_TIMEOUT_MS,
+            "retry_ms": LIST_RETRY_MS,
+            "line_bytes": LIST_LINE_BYTES,
+        },
+        "memory_file": str(folder / f"{front.name}.list"),
+        "cells_file": _cells_file(plan, front, folder),
+        "log_level": "info",
+    }
+
+
+def _bounds_section(plan: ScenarioPlan) -> Section:
+    return {"longest_limit_ms": plan.max_time_limit / TENTHS} if plan.max_time_limit else {}
+
+
+def _cells_file(plan: ScenarioPlan, front: FrontPlan, folder: Path) -> str | None:
+    return str(folder / f"{front.name}.map") if plan.cells else None
--- a/runspool/lab/report.py
+++ b/runspool/lab/report.py
@@ -202,6 +202,4 @@
         if attempt.first_token_at is not None and attempt.asked["stream"]:
             elapsed = attempt.first_token_at - attempt.asked["t"]
             histogram.record_value(max(1, min(MAX_FIRST_TOKEN_TIME, elapsed)))
-    return {
-        f"p{quantile:g}": histogram.get_value_at_percentile(quantile) / TENTHS for quantile in QUANTILES
-    }
+    return {f"p{quantile:g}": histogram.get_value_at_percentile(quantile) / TENTHS for quantile in QUANTILES}
--- /dev/null
+++ b/runspool/lab/response_reader.py
@@ -0,0 +1,234 @@
+"""Reads a front's answer as a client does, and records what it sees of it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+import anyio
+import h11
+import msgspec
+from anyio.abc import SocketStream
+
+from runspool.lab.plan import SECOND
+from runspool.lab.recording import Recorder
+from runspool.lab.workload import PlannedRequest
+from runspool.service.clock import now
+from runspool.units import TENTHS
+from runspool.wire.engine_messages import EventSplitter
+
+IDLE_TIMEOUT = 20.0  # seconds after which a silent stream is given up
+TRAILING_DATA_TIMEOUT = 0.3  # seconds for which anything after the end is waited for
+SLOW_READ_PAUSE = 0.05  # seconds between the reads of a client that reads slowly
+READ_SIZE = 65_536  # bytes
+MAX_EVENT_BYTES = 1 << 20
+
+STREAM_DONE = b"[DONE]"
+HTTP_OK = 200
+
+# Codes of rejections before the request was admitted at all.
+REFUSAL_CODES = frozenset({"closing", "front_full", "connections_full"})
+
+CONNECTION_ERRORS = (
+    anyio.EndOfStream,
+    anyio.BrokenResourceError,
+    anyio.ClosedResourceError,
+    OSError,
+    h11.ProtocolError,
+)
+
+
+@dataclass(slots=True)
+class ClientOutcome:
+    """How one attempt of a client ended.
+
+    Attributes:
+        kind: the recorded word: that of the front's answer, or refused, malformed, unreachable, lost, none
+            (nothing came), left (the client disconnected by itself).
+        code: the answer's code, or what went wrong.
+        retry_after: the wait that the answer asks for, in tenths of a millisecond.
+        ended_at: when its last byte was there, in tenths of a millisecond; 0 where nothing came.
+    """
+
+    kind: str
+    code: str = ""
+    retry_after: int = 0
+    ended_at: int = 0
+
+
+class ResponseReader:
+    """Reads the answer to one attempt."""
+
+    def __init__(
+        self,
+        record: Recorder,
+        request: PlannedRequest,
+        attempt_id: str,
+        stream: SocketStream,
+        connection: h11.Connection,
+    ) -> None:
+        self.record = record
+        self.request = request
+        self.attempt_id = attempt_id
+        self.stream = stream
+        self.connection = connection
+
+    async def read(self, deadline: int) -> ClientOutcome:
+        """Read the answer to its end.
+
+        A stream that has begun is read beyond the deadline; what has not begun by then counts as no answer.
+        """
+        try:
+            with anyio.move_on_after((deadline - now()) / SECOND):
+                head = await self._next_event()
+                if not isinstance(head, h11.Response):
+                    return ClientOutcome("lost", "no_head")
+                if head.status_code == HTTP_OK and self.request.stream:
+                    return await self._read_stream()
+                return await self._read_whole(head)
+            return ClientOutcome("none")
+        except CONNECTION_ERRORS as error:
+            return ClientOutcome("lost", type(error).__name__)
+
+    async def _read_stream(self) -> ClientOutcome:
+        streamed = _StreamedAnswer(self.record, self.attempt_id)
+        # The time limit is for the first token; from here on only silence ends the reading.
+        with anyio.CancelScope(shield=True) as scope:
+            scope.deadline = anyio.current_time() + IDLE_TIMEOUT
+            while True:
+                event = await self._next_event()
+                scope.deadline = anyio.current_time() + IDLE_TIMEOUT
+                if isinstance(event, h11.EndOfMessage):
+                    return await self._read_trailing_data(ClientOutcome("lost", "no_end"))
+                if not isinstance(event, h11.Data):
+                    return ClientOutcome("lost", "cut")
+                outcome = streamed.feed(bytes(event.data))
+                if outcome is not None:
+                    return await self._read_trailing_data(outcome)
+                if self.request.reads_slowly:
+                    await anyio.sleep(SLOW_READ_PAUSE)
+        return ClientOutcome("none", "stalled")
+
+    async def _read_whole(self, head: h11.Response) -> ClientOutcome:
+        body = bytearray()
+        while isinstance(event := await self._next_event(), h11.Data):
+            body += event.data
+        if not isinstance(event, h11.EndOfMessage):
+            return ClientOutcome("lost", "cut")
+        ended_at = now()
+        message = _parse(bytes(body))
+        if head.status_code == HTTP_OK:
+            self.record.line("first", whole=True, **{"try": self.attempt_id})
+            return await self._read_trailing_data(ClientOutcome("succeeded", ended_at=ended_at))
+        outcome = _outcome_of_error(head, message, ended_at)
+        if outcome.kind == "malformed":
+            return outcome
+        return await self._read_trailing_data(outcome)
+
+    async def _next_event(self) -> object:
+        while (event := self.connection.next_event()) is h11.NEED_DATA:
+            try:
+                data = await self.stream.receive(READ_SIZE)
+            except anyio.EndOfStream:
+                data = b""
+            self.connection.receive_data(data)
+        return event
+
+    async def _read_trailing_data(self, outcome: ClientOutcome) -> ClientOutcome:
+        """Record anything that comes after the final answer: it would break a rule."""
+        if not await self._read_end_of_message():
+            return outcome
+        trailing = bytes(self.connection.trailing_data[0])
+        with anyio.move_on_after(TRAILING_DATA_TIMEOUT):
+            try:
+                while not trailing:
+                    trailing += await self.stream.receive(READ_SIZE)
+            except (anyio.EndOfStream, anyio.BrokenResourceError, OSError):
+                pass
+        if trailing:
+            self.record.line("extra", bytes=len(trailing), **{"try": self.attempt_id})
+        return outcome
+
+    async def _read_end_of_message(self) -> bool:
+        """Return whether the answer's message ended as it should."""
+        ended = (h11.MUST_CLOSE, h11.CLOSED)
+        while self.connection.our_state is h11.MUST_CLOSE and self.connection.their_state not in ended:
+            if not isinstance(await self._next_event(), h11.Data | h11.EndOfMessage):
+                return False
+        return True
+
+
+class _StreamedAnswer:
+    """The events of one streamed answer; the stand-in engines number its tokens t1, t2 and so on."""
+
+    def __init__(self, record: Recorder, attempt_id: str) -> None:
+        self.record = record
+        self.attempt_id = attempt_id
+        self.splitter = EventSplitter(MAX_EVENT_BYTES)
+        self.finish_reason = ""
+        self.tokens = 0
+        self.has_begun = False
+
+    def feed(self, data: bytes) -> ClientOutcome | None:
+        """Take in more bytes; return the outcome once the answer is over."""
+        for raw in self.splitter.feed(data):
+            if raw == STREAM_DONE:
+                return self._finish()
+            message = _parse(raw)
+            if message.error is not None:
+                return ClientOutcome("scrapped", str(message.error.get("code", "")), ended_at=now())
+            for choice in message.choices:
+                self._take_choice(choice)
+        return None
+
+    def _finish(self) -> ClientOutcome:
+        self.record.line("end", tokens=self.tokens, finish=self.finish_reason, **{"try": self.attempt_id})
+        kind = "succeeded" if self.finish_reason else "lost"
+        return ClientOutcome(kind, self.finish_reason, ended_at=now())
+
+    def _take_choice(self, choice: _Choice) -> None:
+        if choice.text:
+            for token in choice.text.split():
+                self._take_token(token)
+            if not self.has_begun:
+                self.has_begun = True
+                self.record.line("first", **{"try": self.attempt_id})
+        self.finish_reason = choice.finish_reason or self.finish_reason
+
+    def _take_token(self, token: str) -> None:
+        number = self.tokens + 1
+        if token != f"t{number}":
+            self.record.line("gap", said=token, wanted=number, **{"try": self.attempt_id})
+        self.tokens = number
+
+
+class _Choice(msgspec.Struct):
+    text: str = ""
+    finish_reason: str | None = None
+
+
+class _Message(msgspec.Struct):
+    choices: list[_Choice] = []
+    error: dict[str, str | None] | None = None
+
+
+_message_decoder: msgspec.json.Decoder[_Message] = msgspec.json.Decoder(_Message)
+
+
+def _parse(raw: bytes) -> _Message:
+    try:
+        return _message_decoder.decode(raw)
+    except msgspec.DecodeError as error:
+        raise h11.RemoteProtocolError(str(error)) from None
+
+
+def _outcome_of_error(head: h11.Response, message: _Message, ended_at: int) -> ClientOutcome:
+    error = message.error or {}
+    code = str(error.get("code", ""))
+    if error.get("type") == "dismissed":
+        kind = "refused" if code in REFUSAL_CODES else "dismissed"
+        headers = {key.decode(): value.decode() for key, value in head.headers}
+        retry_after = int(float(headers.get("retry-after-ms", 0)) * TENTHS)
+        return ClientOutcome(kind, code, retry_after, ended_at)
+    if error.get("type") == "scrapped":
+        return ClientOutcome("scrapped", code, ended_at=ended_at)
+    return ClientOutcome("malformed", f"{head.status_code} {code}")
--- a/runspool/lab/workload.py
+++ b/runspool/lab/workload.py
@@ -106,9 +106,7 @@
 
 def draw_workload(plan: ScenarioPlan) -> list[PlannedRequest]:
     """Draw all requests of a scenario, in order of time."""
-    faults = {
-        kind: [fault for fault in plan.faults if fault.kind == kind] for kind in WORKLOAD_FAULT_KINDS
-    }
+    faults = {kind: [fault for fault in plan.faults if fault.kind == kind] for kind in WORKLOAD_FAULT_KINDS}
     requests = _draw_usual_sessions(plan, faults)
     for number, burst in enumerate(faults["tenant_burst"]):
         requests += _draw_tenant_burst(plan, number, burst, faults)
@@ -296,7 +294,9 @@
         rng = self.rng
         clients = self.plan.clients
         disconnect_faults = [fault for fault in self.faults["leaving"] if _is_active(fault, request.at)]
-        disconnecting_share = clients.disconnecting_share + sum(fault.magnitude for fault in disconnect_faults)
+        disconnecting_share = clients.disconnecting_share + sum(
+            fault.magnitude for fault in disconnect_faults
+        )
         if rng.random() < disconnecting_share:
             request.disconnects_after = rng.randrange(MIN_DISCONNECT_DELAY, MAX_DISCONNECT_DELAY)
         request.reads_slowly = request.stream and rng.random() < clients.slow_reading_share
