--- a/runspool/cli/lab.py
+++ b/runspool/cli/lab.py
@@ -1,4 +1,4 @@
-"""`runspool lab`: stand-ins, days, audits."""
+"""`runspool lab`: plays scenarios with stand-in engines, audits recordings, replays recorded events."""
 
 from __future__ import annotations
 
@@ -15,37 +15,58 @@
 from rich.progress import Progress
 
 from runspool.lab import audit as auditing
-from runspool.lab import recording
-from runspool.lab import replay as retracing
-from runspool.lab import report as verdict
+from runspool.lab import recording, report
+from runspool.lab import replay as event_replay
 from runspool.lab.cell_plans import DAYS
-from runspool.lab.engine import Engine
-from runspool.lab.plan import Plan, UnplayableDayError, from_bench
-from runspool.lab.scenario_runner import ScenarioFailedError, ScenarioRunner
+from runspool.lab.engine import StandInEngine
+from runspool.lab.errors import ScenarioFailedError
+from runspool.lab.plan import EnginePlan, ScenarioPlan
+from runspool.lab.scenario_runner import ScenarioRunner
+from runspool.lab.simulator_days import UnplayableDayError, from_simulator_day
+
+EXIT_BROKEN = 1  # a rule is broken, was never at stake where all must be, or a replay differs
+EXIT_INVALID = 2  # an argument or a file that cannot be used
+EXIT_NOT_PLAYED = 3
+
+# The only scenario that puts every rule at stake.
+SCENARIO_WITH_ALL_RULES = "bad-night"
+
+SEEDS_PER_PLAN = 1_000  # seeds of engines that one seed of a plan stands for
+SEEDS_PER_ENGINE = 10
+
+HOST = "127.0.0.1"
 
 app = typer.Typer(no_args_is_help=True, help="The laboratory: stand-ins on loopback, scripted days, audits.")
 
-Out = Annotated[Path, typer.Option(help="Folder for recording, verdict and report.")]
-Tapes = Annotated[bool, typer.Option(help="Also record what each front's decisions heard and asked.")]
+OutputFolder = Annotated[Path, typer.Option("--out", help="Folder for recording, verdict and report.")]
+RecordEvents = Annotated[
+    bool, typer.Option("--tapes/--no-tapes", help="Also record what each front's decisions heard and asked.")
+]
+
 
-BROKEN, BAD_INPUT, NOT_PLAYED = 1, 2, 3
+def _run_scenario_epilog(command: str) -> str:
+    return (
+        f"Example: runspool lab {command} bad-night --seed 3 --out /tmp/night   "
+        "(exit 0: every rule kept and at stake, 1: not so, 2: bad input, 3: not played)"
+    )
 
 
-@app.command(
-    epilog="Example: runspool lab day bad-night --seed 3 --out /tmp/night   "
-    "(exit 0: every rule kept and at stake, 1: not so, 2: bad input, 3: not played)"
-)
-def day(
+def _replay_events_epilog(command: str) -> str:
+    return f"Example: runspool lab {command} /tmp/night/front-0.1.tape   (exit 0: the same, 1: not)"
+
+
+@app.command("run-scenario", epilog=_run_scenario_epilog("run-scenario"))
+@app.command("day", hidden=True, epilog=_run_scenario_epilog("day"))
+def run_scenario(
     name: Annotated[str, typer.Argument(help=f"One of {', '.join(DAYS)}.")],
     seed: Annotated[int, typer.Option(min=0)] = 1,
-    out: Out = Path("runspool-day"),
-    tapes: Tapes = False,
+    output_folder: OutputFolder = Path("runspool-day"),
+    record_events: RecordEvents = False,
 ) -> None:
     """Play a scripted day through real fronts and judge it from what passed on the sockets."""
     if name not in DAYS:
         _fail(f"no day {name!r}; there are {', '.join(DAYS)}")
-    # Only the bad night puts every rule at stake.
-    _play(DAYS[name](seed), out, tapes, all_rules=name == "bad-night")
+    _play(DAYS[name](seed), output_folder, record_events, all_rules=name == SCENARIO_WITH_ALL_RULES)
 
 
 @app.command(epilog="Example: runspool lab replay day.json --fronts 3 --engines 12 --out /tmp/replay")
@@ -54,17 +75,15 @@
     fronts: Annotated[int, typer.Option(min=1, max=32)] = 3,
     engines: Annotated[int, typer.Option(min=3, max=64)] = 12,
     scale: Annotated[float, typer.Option(help="Multiple of the load that fits the size.")] = 1.0,
-    out: Out = Path("runspool-replay"),
-    tapes: Tapes = False,
+    output_folder: OutputFolder = Path("runspool-replay"),
+    record_events: RecordEvents = False,
 ) -> None:
     """Play a bench day's kinds of trouble, at their times and sizes, through real fronts."""
     try:
-        plan = from_bench(json.loads(file.read_text()), fronts, engines, scale)
-    except (OSError, ValueError) as fault:
-        _fail(f"{file}: {fault}")
-    except UnplayableDayError as fault:
-        _fail(f"{file}: {fault}")
-    _play(plan, out, tapes, all_rules=False)
+        plan = from_simulator_day(json.loads(file.read_text()), fronts, engines, scale)
+    except (OSError, ValueError, UnplayableDayError) as error:
+        _fail(f"{file}: {error}")
+    _play(plan, output_folder, record_events, all_rules=False)
 
 
 @app.command(epilog="Example: runspool lab audit /tmp/night   (exit 0: kept, 1: broken, 2: unreadable)")
@@ -72,95 +91,125 @@
     """Check the five rules from a recording alone."""
     file = folder / "wire.jsonl" if folder.is_dir() else folder
     try:
-        rules = auditing.audit(recording.read_recording(file))
-    except recording.UnreadableRecordingError as fault:
-        _fail(str(fault))
-    for name, rule in rules.items():
-        typer.echo(f"{name}: {rule.cases} cases, {rule.broken} broken")
-        for example in rule.examples:
+        verdicts = auditing.audit(recording.read_recording(file))
+    except recording.UnreadableRecordingError as error:
+        _fail(str(error))
+    for name, verdict in verdicts.items():
+        typer.echo(f"{name}: {verdict.cases} cases, {verdict.broken} broken")
+        for example in verdict.examples:
             typer.echo(f"  {example}")
-    raise typer.Exit(BROKEN if any(rule.broken for rule in rules.values()) else 0)
+    is_broken = any(verdict.broken for verdict in verdicts.values())
+    raise typer.Exit(EXIT_BROKEN if is_broken else 0)
 
 
-@app.command(epilog="Example: runspool lab retrace /tmp/night/front-0.1.tape   (exit 0: the same, 1: not)")
-def retrace(tapes: Annotated[list[Path], typer.Argument(help="Tapes that fronts recorded.")]) -> None:
+@app.command("replay-events", epilog=_replay_events_epilog("replay-events"))
+@app.command("retrace", hidden=True, epilog=_replay_events_epilog("retrace"))
+def replay_events(tapes: Annotated[list[Path], typer.Argument(help="Tapes that fronts recorded.")]) -> None:
     """Play fronts' tapes through fresh decisions: same news, same asks."""
     differs = False
-    for tape in tapes:
+    for file in tapes:
         try:
-            found = retracing.replay(tape)
-        except (OSError, retracing.UnreadableEventsError) as fault:
-            _fail(str(fault))
-        same = f"{tape}: {found.events} news, {found.actions} asks, all the same"
-        typer.echo(found.differs or (same if found.events else f"{tape}: nothing on it, nothing shown"))
-        differs = differs or bool(found.differs)
-    raise typer.Exit(BROKEN if differs else 0)
+            result = event_replay.replay(file)
+        except (OSError, event_replay.UnreadableEventsError) as error:
+            _fail(str(error))
+        typer.echo(result.differs or _describe_match(file, result))
+        differs = differs or bool(result.differs)
+    raise typer.Exit(EXIT_BROKEN if differs else 0)
+
+
+def _describe_match(file: Path, result: event_replay.ReplayResult) -> str:
+    if not result.events:
+        return f"{file}: nothing on it, nothing shown"
+    return f"{file}: {result.events} news, {result.actions} asks, all the same"
 
 
 @app.command(epilog="Example: runspool lab engine plan.json --at 0 --out engine.jsonl < /dev/zero")
 def engine(
     plan: Annotated[Path, typer.Argument(help="A day's plan.json.")],
-    at: Annotated[list[int], typer.Option(min=0, help="Which of its engines; may be repeated.")],
-    out: Annotated[Path | None, typer.Option(help="Where to record.")] = None,
-    life: int = 1,
+    indices: Annotated[list[int], typer.Option("--at", min=0, help="Which of its engines; may be repeated.")],
+    recording_file: Annotated[Path | None, typer.Option("--out", help="Where to record.")] = None,
+    start_number: Annotated[int, typer.Option("--life")] = 1,
     cold: bool = False,
 ) -> None:
     """Run one stand-in engine until standard input ends; faults come there as JSON lines."""
     try:
-        whole: Plan = msgspec.json.decode(plan.read_bytes(), type=Plan)
-        ones = [whole.engines[number] for number in at]
-    except (OSError, msgspec.DecodeError, IndexError) as fault:
-        _fail(f"{plan}: {fault}")
-    record = recording.Recorder(out)
-    anyio.run(
-        _engines,
-        {
-            number: (Engine(one.make, record, cold, whole.seed * 1000 + number * 10 + life), one.port)
-            for number, one in zip(at, ones, strict=True)
-        },
-        backend_options={"use_uvloop": True},
-    )
+        scenario = msgspec.json.decode(plan.read_bytes(), type=ScenarioPlan)
+        engine_plans = {index: scenario.engines[index] for index in indices}
+    except (OSError, msgspec.DecodeError, IndexError) as error:
+        _fail(f"{plan}: {error}")
+    recorder = recording.Recorder(recording_file)
+    engines = {
+        index: StandInEngine(
+            engine_plan.spec,
+            recorder,
+            cold,
+            scenario.seed * SEEDS_PER_PLAN + index * SEEDS_PER_ENGINE + start_number,
+        )
+        for index, engine_plan in engine_plans.items()
+    }
+    anyio.run(_run_engines, engines, engine_plans, backend_options={"use_uvloop": True})
 
 
-async def _engines(ones: dict[int, tuple[Engine, int]]) -> None:
+async def _run_engines(engines: dict[int, StandInEngine], engine_plans: dict[int, EnginePlan]) -> None:
+    """Serve with the engines, by their index in the plan, and pass them faults from standard input."""
     async with anyio.create_task_group() as tasks:
-        for one, port in ones.values():
-            await tasks.start(one.run, "127.0.0.1", port)
+        for index, stand_in in engines.items():
+            await tasks.start(stand_in.run, HOST, engine_plans[index].port)
         while line := await anyio.to_thread.run_sync(sys.stdin.buffer.readline, abandon_on_cancel=True):
             try:
-                said = json.loads(line)
-                ones[said.pop("at")][0].fault(said.pop("fault"), **said)
-            except (ValueError, KeyError, TypeError) as fault:
-                typer.echo(f"fault not played: {fault!r}", err=True)
+                _switch_fault(engines, line)
+            except (ValueError, KeyError, TypeError) as error:
+                typer.echo(f"fault not played: {error!r}", err=True)
         tasks.cancel_scope.cancel()
 
 
-def _play(plan: Plan, out: Path, tapes: bool, all_rules: bool) -> None:
-    out.mkdir(parents=True, exist_ok=True)
-    console = Console(stderr=True)
-    with Progress(console=console, transient=True) as progress:
+def _switch_fault(engines: dict[int, StandInEngine], line: bytes) -> None:
+    settings = json.loads(line)
+    stand_in = engines[settings.pop("at")]
+    name = settings.pop("fault")
+    stand_in.fault(name, **settings)
+
+
+def _play(plan: ScenarioPlan, folder: Path, record_events: bool, all_rules: bool) -> NoReturn:
+    """Play a scenario, write and print its report, and exit.
+
+    The exit status is 0 where every rule is kept and, with `all_rules`, none was never at stake.
+    """
+    folder.mkdir(parents=True, exist_ok=True)
+    file = _play_with_progress(plan, folder, record_events)
+    verdict = report.scenario_verdict(recording.read_recording(file))
+    report.write_report(verdict, folder)
+    typer.echo(report.render_report(verdict))
+    is_kept = verdict["kept"] and not (all_rules and verdict["unjudged"])
+    raise typer.Exit(0 if is_kept else EXIT_BROKEN)
+
+
+def _play_with_progress(plan: ScenarioPlan, folder: Path, record_events: bool) -> Path:
+    """Play a scenario with a progress bar on standard error and return the recording's path."""
+    with Progress(console=Console(stderr=True), transient=True) as progress:
         task = progress.add_task(f"{plan.name} {plan.seed}", total=1.0)
-        director = ScenarioRunner(
-            plan, out, tapes, lambda part: progress.update(task, completed=min(1.0, part))
-        )
+
+        def show(part: float) -> None:
+            progress.update(task, completed=min(1.0, part))
+
+        runner = ScenarioRunner(plan, folder, record_events, show)
         try:
-            file = anyio.run(director.play)
-        except ScenarioFailedError as fault:
-            _fail(str(fault), NOT_PLAYED)
+            return anyio.run(runner.play)
+        except ScenarioFailedError as error:
+            _fail(str(error), EXIT_NOT_PLAYED)
         except BaseExceptionGroup as group:
-            failed = group.subgroup(ScenarioFailedError)
-            if failed is None:
+            failures = group.subgroup(ScenarioFailedError)
+            if failures is None:
                 raise
-            leaf: BaseException = failed
-            while isinstance(leaf, BaseExceptionGroup):
-                leaf = leaf.exceptions[0]
-            _fail(str(leaf), NOT_PLAYED)
-    said = verdict.verdict(recording.read_recording(file))
-    verdict.write(said, out)
-    typer.echo(verdict.page(said))
-    raise typer.Exit(0 if said["kept"] and not (all_rules and said["unjudged"]) else BROKEN)
+            _fail(str(_first_leaf(failures)), EXIT_NOT_PLAYED)
+
+
+def _first_leaf(error: BaseException) -> BaseException:
+    while isinstance(error, BaseExceptionGroup):
+        error = error.exceptions[0]
+    return error
 
 
-def _fail(text: str, code: int = BAD_INPUT) -> NoReturn:
+def _fail(text: str, exit_status: int = EXIT_INVALID) -> NoReturn:
     typer.echo(text, err=True)
-    raise typer.Exit(code)
+    raise typer.Exit(exit_status)
--- a/runspool/lab/audit/__init__.py
+++ b/runspool/lab/audit/__init__.py
@@ -1,7 +1,7 @@
 """The auditor: judges the five rules from a recording alone.
 
-`history` reads the recording; each rule has a module of its own; `auditor` runs them all. Each rule counts the
-cases that it was judged on, so that a recording in which a rule was never at stake shows as such.
+`history` reads the recording; each rule has a module of its own; `auditor` runs them all. Each rule counts
+the cases that it was judged on, so that a recording in which a rule was never at stake shows as such.
 """
 
 from __future__ import annotations
--- a/runspool/lab/clients.py
+++ b/runspool/lab/clients.py
@@ -1,4 +1,4 @@
-"""The scenario's clients: they ask at the times drawn for them, repeat what they may, and record all of it."""
+"""The scenario's clients: they ask at the times drawn for them, repeat what they may, and record it."""
 
 from __future__ import annotations
 
--- a/runspool/lab/engine_faults.py
+++ b/runspool/lab/engine_faults.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FaultSetting:
+class FaultSwitch:
     """One fault of an engine: its name, and the settings that switch it on and off."""
 
     name: str
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineFault:
-    """A fault setting of one engine, by the engine's index in the plan."""
+    """A fault of one engine, by the engine's index in the plan."""
 
     engine_index: int
-    setting: FaultSetting
+    switch: FaultSwitch
 
 
 def engine_faults(plan: ScenarioPlan, fault: FaultPlan) -> list[EngineFault]:
@@ -44,50 +44,50 @@
     build = _BUILDERS.get(fault.kind)
     if build is None:
         return []
-    settings = build(plan, fault)
+    switches = build(plan, fault)
     targets = fault.targets or list(range(len(plan.engines)))
-    return [EngineFault(index, setting) for index in targets for setting in settings]
+    return [EngineFault(index, switch) for index in targets for switch in switches]
 
 
-def _hang(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSetting]:
-    return [FaultSetting("hang", {"on": True}, {"on": False})]
+def _hang(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
+    return [FaultSwitch("hang", {"on": True}, {"on": False})]
 
 
-def _full(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSetting]:
+def _full(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
     return [_response_fault("full_503", 1.0)]
 
 
-def _slow(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSetting]:
-    return [FaultSetting("slow", {"times": fault.magnitude}, {"times": 1.0})]
+def _slow(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
+    return [FaultSwitch("slow", {"times": fault.magnitude}, {"times": 1.0})]
 
 
-def _slow_links(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSetting]:
-    return [FaultSetting("links", {"times": fault.magnitude}, {"times": 1.0})]
+def _slow_links(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
+    return [FaultSwitch("links", {"times": fault.magnitude}, {"times": 1.0})]
 
 
-def _errors(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSetting]:
+def _errors(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
     return [_response_fault(row, fault.magnitude / len(ERROR_ROWS)) for row in ERROR_ROWS]
 
 
-def _resets(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSetting]:
+def _resets(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
     return [_response_fault(row, fault.magnitude / len(RESET_ROWS)) for row in RESET_ROWS]
 
 
-def _response_fault(row: str, share: float) -> FaultSetting:
-    return FaultSetting("row", {"row": row, "share": share}, {"row": row, "share": 0})
+def _response_fault(row: str, share: float) -> FaultSwitch:
+    return FaultSwitch("row", {"row": row, "share": share}, {"row": row, "share": 0})
 
 
-def _class_failure(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSetting]:
+def _class_failure(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
     request_class = plan.request_classes[fault.subject_index % len(plan.request_classes)]
     subject: Settings = {
         "tariff": request_class.name,
         "how": "silence" if fault.mode == "silence" else "error",
     }
     share = min(1.0, fault.magnitude)
-    return [FaultSetting("tariff", subject | {"share": share}, subject | {"share": 0})]
+    return [FaultSwitch("tariff", subject | {"share": share}, subject | {"share": 0})]
 
 
-def _throttle(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSetting]:
+def _throttle(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
     """Limit a tenant or request class to a multiple of its even share of the load at an engine."""
     rows: Sequence[TenantPlan | RequestClassPlan] = (
         plan.tenants if fault.mode == "tenant" else plan.request_classes
@@ -97,7 +97,7 @@
     even_rate = plan.requests_per_second * row.share / engines_per_stage
     shortest_objective = min(row.first_token_objective for row in plan.request_classes)
     return [
-        FaultSetting(
+        FaultSwitch(
             "throttle",
             {
                 "whose": row.name,
@@ -109,7 +109,7 @@
     ]
 
 
-_BUILDERS: dict[str, Callable[[ScenarioPlan, FaultPlan], list[FaultSetting]]] = {
+_BUILDERS: dict[str, Callable[[ScenarioPlan, FaultPlan], list[FaultSwitch]]] = {
     "hang": _hang,
     "pause": _hang,
     "full": _full,
--- a/runspool/lab/fault_injection.py
+++ b/runspool/lab/fault_injection.py
@@ -71,8 +71,8 @@
         `start` must hold the scenario's start. Faults that clients bring about are passed over.
         """
         method = self.methods.get(fault.kind)
-        settings = [] if method is not None else engine_faults(self.plan, fault)
-        if method is None and not settings:
+        faults_of_engines = [] if method is not None else engine_faults(self.plan, fault)
+        if method is None and not faults_of_engines:
             return
         await self._sleep_until(fault.starts_at)
         self.record.line(
@@ -81,19 +81,19 @@
         if method is not None:
             await method(fault)
         else:
-            await self._hold_settings(settings, fault.duration)
+            await self._hold_engine_faults(faults_of_engines, fault.duration)
         self.record.line("trouble_over", kind=fault.kind, on=fault.targets)
 
     async def _sleep_until(self, at: int) -> None:
         """Sleep until a time of the scenario; not at all where it has passed."""
         await anyio.sleep(max(0.0, (self.start + at - now()) / SECOND))
 
-    async def _hold_settings(self, faults: list[EngineFault], duration: int) -> None:
+    async def _hold_engine_faults(self, faults: list[EngineFault], duration: int) -> None:
         for fault in faults:
-            await self.fleet.send_fault(fault.engine_index, fault.setting.name, **fault.setting.on)
+            await self.fleet.send_fault(fault.engine_index, fault.switch.name, **fault.switch.on)
         await anyio.sleep(duration / SECOND)
         for fault in faults:
-            await self.fleet.send_fault(fault.engine_index, fault.setting.name, **fault.setting.off)
+            await self.fleet.send_fault(fault.engine_index, fault.switch.name, **fault.switch.off)
 
     async def _slow_down(self, engine_indices: list[int], multiple: float) -> None:
         for index in engine_indices:
--- a/runspool/lab/fleet.py
+++ b/runspool/lab/fleet.py
@@ -30,7 +30,7 @@
 # Tenths of a millisecond for which a process that is killed beside a migration is down.
 MIGRATION_DOWNTIME = SECOND // 2
 
-# The seed of a front's process is the plan's times the first, plus its index times the second, plus its start.
+# A front's seed is the plan's times the first, plus its index times the second, plus its number of starts.
 SEEDS_PER_PLAN = 1_000
 SEEDS_PER_FRONT = 100
 
--- a/runspool/lab/scenario_runner.py
+++ b/runspool/lab/scenario_runner.py
@@ -7,6 +7,7 @@
 
 import anyio
 import anyio.abc
+import anyio.lowlevel
 import msgspec
 
 from runspool.lab import recording
@@ -155,7 +156,7 @@
             for index, process in enumerate(self.fleet.engines):
                 if process.has_exited and not process.is_restarting:
                     tasks.start_soon(self.fleet.restart_engines, [index], REVIVAL_DOWNTIME)
-                    await anyio.sleep(0)
+                    await anyio.lowlevel.checkpoint()
 
     async def _record_lag(self) -> None:
         """Record when this process was late itself: what it then saw late was not answered late."""
