--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -32,7 +32,7 @@
 from runspool.lab import recording
 from runspool.lab.audit import history, judge
 from runspool.lab.cell_plans import bad_release, flood, full_cell, poisoned
-from runspool.lab.plan import Plan
+from runspool.lab.plan import ScenarioPlan
 from runspool.lab.report import _served
 from runspool.lab.scenario_runner import ScenarioRunner, front_terms
 from runspool.runtime.scheduler_driver import SchedulerDriver
@@ -42,7 +42,7 @@
 STUDENT = {2: 12.706, 3: 4.303, 4: 3.182, 5: 2.776, 6: 2.571, 8: 2.365, 10: 2.262}  # two-sided, 95%
 
 
-def played(plan: Plan) -> list[dict[str, Any]]:
+def played(plan: ScenarioPlan) -> list[dict[str, Any]]:
     with tempfile.TemporaryDirectory() as folder:
         return list(recording.read_recording(anyio.run(ScenarioRunner(plan, Path(folder)).play)))
 
@@ -51,7 +51,7 @@
     """Gain served in time and gain asked, by tenant, of queries first asked from `start` to `end` seconds."""
     found = history(events)
     begin = next(event["at"] for event in events if event["what"] == "begin")
-    gain = {row.name: row.gain for row in found.plan.tariffs}
+    gain = {row.name: row.priority_weight for row in found.plan.request_classes}
     items: dict[str, list[Any]] = {}
     for seen in found.tries.values():
         items.setdefault(seen.asked["item"], []).append(seen)
--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -32,17 +32,10 @@
 from runspool.engines.completions_client import CompletionsEngineClient
 from runspool.lab import recording
 from runspool.lab.clients import Clients, Entry, Seen
-from runspool.lab.plan import (
-    SECOND,
-    ClientsPlan,
-    FrontPlan,
-    Plan,
-    RequestClassPlan,
-    TenantPlan,
-    engine,
-)
+from runspool.lab.plan import SECOND, ClientsPlan, FrontPlan, RequestClassPlan, ScenarioPlan, TenantPlan
 from runspool.lab.recording import Recorder
 from runspool.lab.scenario_runner import ScenarioRunner
+from runspool.lab.scripted_scenarios import plan_engine
 from runspool.lab.workload import Item, crowd
 from runspool.scheduling.types import AttemptStatus
 from runspool.service.clock import now
@@ -50,30 +43,30 @@
 WARM = 5.0  # seconds at the start that are not counted
 
 
-def plan_of(engines: int, rate: float, seconds: float, out: int, seed: int = 1) -> Plan:
+def plan_of(engines: int, rate: float, seconds: float, out: int, seed: int = 1) -> ScenarioPlan:
     rows = [RequestClassPlan("ask", 1.0, "rerunnable", 1, 30_000, 0, 200_000, 2_000, 200, out, 2.0, 0.8, 800)]
     rng = Random(seed)
     kinds = ["prefill", "decode", "prefill", "mixed"]
-    there = [engine(f"engine-{at}", kinds[at % 4], "a", at // 4, rows, rng) for at in range(engines)]
-    return Plan(
+    there = [plan_engine(f"engine-{at}", kinds[at % 4], "a", at // 4, rows, rng) for at in range(engines)]
+    return ScenarioPlan(
         name="bench",
         seed=seed,
-        length=int(seconds * SECOND),
-        rate=rate,
+        duration=int(seconds * SECOND),
+        requests_per_second=rate,
         zones=["a"],
-        tariffs=rows,
+        request_classes=rows,
         tenants=[TenantPlan("all", 1.0, 1e6)],
         fronts=[FrontPlan("front-0", "a", "127.0.0.11")],
         engines=there,
-        clients=ClientsPlan(retries=0, leaving=0.0, slow_readers=0.0),
-        troubles=[],
+        clients=ClientsPlan(retries=0, disconnecting_share=0.0, slow_reading_share=0.0),
+        faults=[],
     )
 
 
 class Half(Clients):
     """Sends one query in `direct` past the front; both ways on kept connections and by the same code."""
 
-    def __init__(self, plan: Plan, entry: Entry, record: Recorder, direct: int) -> None:
+    def __init__(self, plan: ScenarioPlan, entry: Entry, record: Recorder, direct: int) -> None:
         super().__init__(plan, entry, record)
         terms = EngineClientConfig(
             connect_ms=1000,
@@ -86,8 +79,8 @@
         )
         self.caller = CompletionsEngineClient(terms, now, 10_000)
         self.direct = direct
-        self.readers = [("127.0.0.1", one.port) for one in plan.engines if one.make.role == "reader"]
-        self.writers = [("127.0.0.1", one.port) for one in plan.engines if one.make.role != "reader"]
+        self.readers = [("127.0.0.1", one.port) for one in plan.engines if one.spec.role == "reader"]
+        self.writers = [("127.0.0.1", one.port) for one in plan.engines if one.spec.role != "reader"]
         self.turn = 0
 
     async def _try(self, item: Item, number: int, limit: int) -> Seen:
@@ -248,7 +241,7 @@
 
 
 async def worker(plan_file: str, at: int, of: int, start: int, direct: int, out: str) -> None:
-    plan = msgspec.json.decode(Path(plan_file).read_bytes(), type=Plan)
+    plan = msgspec.json.decode(Path(plan_file).read_bytes(), type=ScenarioPlan)
     items = [item for number, item in enumerate(crowd(plan)) if number % of == at]
     entry = Entry([("127.0.0.1", plan.fronts[0].port)], ["a"], [True])
     clients = Half(plan, entry, Recorder(Path(out)), direct)
