--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -30,11 +30,12 @@
 from runspool.cells.engine_placement import EnginePlace, home_cell, place_engines
 from runspool.config import parse_config
 from runspool.lab import recording
-from runspool.lab.audit import history, judge
+from runspool.lab.audit import judge, read_history
 from runspool.lab.cell_plans import bad_release, flood, full_cell, poisoned
+from runspool.lab.front_configuration import front_configuration
 from runspool.lab.plan import ScenarioPlan
-from runspool.lab.report import _served
-from runspool.lab.scenario_runner import ScenarioRunner, front_terms
+from runspool.lab.report import share_of_value
+from runspool.lab.scenario_runner import ScenarioRunner
 from runspool.runtime.scheduler_driver import SchedulerDriver
 from runspool.scheduling.settings import RoutingSettings
 from runspool.scheduling.types import EndpointUpdate, EngineRecord, EngineState, Request, Role
@@ -49,11 +50,11 @@
 
 def gains(events: list[dict[str, Any]], start: float = 0, end: float = 1e9) -> dict[str, tuple[float, float]]:
     """Gain served in time and gain asked, by tenant, of queries first asked from `start` to `end` seconds."""
-    found = history(events)
+    found = read_history(events)
     begin = next(event["at"] for event in events if event["what"] == "begin")
     gain = {row.name: row.priority_weight for row in found.plan.request_classes}
     items: dict[str, list[Any]] = {}
-    for seen in found.tries.values():
+    for seen in found.client_attempts.values():
         items.setdefault(seen.asked["item"], []).append(seen)
     sums: dict[str, tuple[float, float]] = {}
     for tries in items.values():
@@ -63,7 +64,7 @@
         if any(seen.answer and seen.answer["kind"] == "left" for seen in tries):
             continue
         got, of = sums.get(asked["tenant"], (0.0, 0.0))
-        part = max(_served(found.plan, tries[0], seen) for seen in tries)
+        part = max(share_of_value(found.plan, tries[0], seen) for seen in tries)
         sums[asked["tenant"]] = (got + gain[asked["tariff"]] * part, of + gain[asked["tariff"]])
     return sums
 
@@ -74,7 +75,7 @@
 
 
 def broken(events: list[dict[str, Any]]) -> int:
-    return sum(rule.broken for rule in judge(history(events)).values())
+    return sum(rule.broken for rule in judge(read_history(events)).values())
 
 
 def interval(values: list[float]) -> tuple[float, float]:
@@ -141,11 +142,11 @@
             row[f"own_2s_after_{key}"] = round(after[0] / after[1], 4)
             row["broken"] += broken(events)
             if on:
-                found = history(events)
+                found = read_history(events)
                 begin = next(event["at"] for event in events if event["what"] == "begin")
                 early = [
                     (seen.answer["at"] - seen.asked["t"]) / seen.asked["due"]
-                    for seen in found.tries.values()
+                    for seen in found.client_attempts.values()
                     if seen.answer
                     and seen.answer["kind"] == "dismissed"
                     and seen.asked["tenant"] == "tenant-0"
@@ -344,11 +345,13 @@
 def module(engines: list[EnginePlace], many: int, queries: int) -> float:
     """Microseconds that one query's arrival costs the module with `many` of the engines."""
     plan = flood(1)
-    house: RoutingSettings = parse_config(front_terms(plan, 0, 1, Path("/nowhere"))).routing_settings()
+    house: RoutingSettings = parse_config(
+        front_configuration(plan, 0, 1, Path("/nowhere"))
+    ).routing_settings()
     out = _Out()
     desk = SchedulerDriver(house, 1, out, 0)
     kinds = {Role.PREFILL: "prefill", Role.DECODE: "decode", Role.MIXED: "mixed"}
-    names = list(parse_config(front_terms(plan, 0, 1, Path("/nowhere"))).house.kinds)
+    names = list(parse_config(front_configuration(plan, 0, 1, Path("/nowhere"))).house.kinds)
     desk.update_endpoints(
         0,
         EndpointUpdate(
--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -31,12 +31,15 @@
 from runspool.config import EngineClientConfig
 from runspool.engines.completions_client import CompletionsEngineClient
 from runspool.lab import recording
-from runspool.lab.clients import Clients, Entry, Seen
+from runspool.lab.client_messages import request_body, request_headers
+from runspool.lab.clients import WorkloadClients
+from runspool.lab.load_balancer import LoadBalancer
 from runspool.lab.plan import SECOND, ClientsPlan, FrontPlan, RequestClassPlan, ScenarioPlan, TenantPlan
 from runspool.lab.recording import Recorder
+from runspool.lab.response_reader import ClientOutcome
 from runspool.lab.scenario_runner import ScenarioRunner
 from runspool.lab.scripted_scenarios import plan_engine
-from runspool.lab.workload import Item, crowd
+from runspool.lab.workload import PlannedRequest, draw_workload
 from runspool.scheduling.types import AttemptStatus
 from runspool.service.clock import now
 
@@ -63,11 +66,13 @@
     )
 
 
-class Half(Clients):
+class Half(WorkloadClients):
     """Sends one query in `direct` past the front; both ways on kept connections and by the same code."""
 
-    def __init__(self, plan: ScenarioPlan, entry: Entry, record: Recorder, direct: int) -> None:
-        super().__init__(plan, entry, record)
+    def __init__(
+        self, plan: ScenarioPlan, load_balancer: LoadBalancer, record: Recorder, direct: int
+    ) -> None:
+        super().__init__(plan, load_balancer, record)
         terms = EngineClientConfig(
             connect_ms=1000,
             idle_ms=15000,
@@ -83,30 +88,34 @@
         self.writers = [("127.0.0.1", one.port) for one in plan.engines if one.spec.role != "reader"]
         self.turn = 0
 
-    async def _try(self, item: Item, number: int, limit: int) -> Seen:
+    async def attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
         self.turn += 1
-        name = f"{item.id}.{number}"
+        name = f"{request.id}.{number}"
         directly = self.direct and self.turn % self.direct == 0
         self.record.line(
-            "asked", item=item.id, front="direct" if directly else "front-0", limit=limit, **{"try": name}
+            "asked",
+            item=request.id,
+            front="direct" if directly else "front-0",
+            limit=time_limit,
+            **{"try": name},
         )
-        query = msgspec.json.decode(self._body(item, name), type=dict[str, msgspec.Raw])
-        headers, address, state = {"X-Request-Id": name}, self.entry.addresses[0], None
+        query = msgspec.json.decode(request_body(request, name), type=dict[str, msgspec.Raw])
+        headers, address, state = {"X-Request-Id": name}, self.load_balancer.addresses[0], None
         if directly:
             reader = self.readers[self.turn // 2 % len(self.readers)]
-            state = (await self.caller.prefill(reader, query, headers, limit)).state
+            state = (await self.caller.prefill(reader, query, headers, time_limit)).state
             headers, address = {"X-Request-Id": name + "w"}, self.writers[self.turn // 2 % len(self.writers)]
         else:
             headers = {
                 key: value
-                for key, value in self._headers(item, name, limit, 0)
+                for key, value in request_headers(self.plan, request, name, time_limit, 0)
                 if key.startswith("Runspool-")
             }
         heard = _First(self.record, name)
-        ended = await self.caller.decode(address, query, state, headers, limit, 2000, heard)
+        ended = await self.caller.decode(address, query, state, headers, time_limit, 2000, heard)
         seen = "succeeded" if ended.status is AttemptStatus.SUCCEEDED else ended.status.name.lower()
         self.record.line("answer", kind=seen, **{"try": name})
-        return Seen(seen)
+        return ClientOutcome(seen)
 
 
 class _First:
@@ -127,7 +136,7 @@
     direct = 2
     samples: list[tuple[float, int]]
 
-    async def _run(self, items: list[Item]) -> None:
+    async def run_workload(self, requests: list[PlannedRequest]) -> None:
         self.samples = []
         start = now() + 2 * SECOND
         self.record.line("begin", at=start)
@@ -157,7 +166,7 @@
 
     async def _sample(self) -> None:
         """CPU seconds and resident bytes of the front, each second."""
-        child = self.fronts[0].child
+        child = self.fleet.fronts[0].child
         assert child is not None
         while True:
             self.samples.append(usage(child.pid))
@@ -203,7 +212,7 @@
 
 def measure(engines: int, rate: float, seconds: float, out: int, workers: int, direct: int) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as folder:
-        bench = Bench(plan_of(engines, rate, seconds, out), Path(folder), together=4)
+        bench = Bench(plan_of(engines, rate, seconds, out), Path(folder), engines_per_process=4)
         bench.workers, bench.direct = workers, direct
         file = anyio.run(bench.play)
         events = recording.read_recording(file)
@@ -242,10 +251,10 @@
 
 async def worker(plan_file: str, at: int, of: int, start: int, direct: int, out: str) -> None:
     plan = msgspec.json.decode(Path(plan_file).read_bytes(), type=ScenarioPlan)
-    items = [item for number, item in enumerate(crowd(plan)) if number % of == at]
-    entry = Entry([("127.0.0.1", plan.fronts[0].port)], ["a"], [True])
-    clients = Half(plan, entry, Recorder(Path(out)), direct)
-    await clients.run(items, start)
+    requests = [request for number, request in enumerate(draw_workload(plan)) if number % of == at]
+    load_balancer = LoadBalancer([("127.0.0.1", plan.fronts[0].port)], ["a"], [True])
+    clients = Half(plan, load_balancer, Recorder(Path(out)), direct)
+    await clients.run(requests, start)
 
 
 class Crowded(Bench):
@@ -254,16 +263,16 @@
     queries = 400
     found: dict[str, float]
 
-    async def _run(self, items: list[Item]) -> None:
-        child = self.fronts[0].child
+    async def run_workload(self, requests: list[PlannedRequest]) -> None:
+        child = self.fleet.fronts[0].child
         assert child is not None
-        clients = Clients(self.plan, self.entry, Recorder(None))
+        clients = WorkloadClients(self.plan, self.fleet.load_balancer, Recorder(None))
         before = usage(child.pid)[1]
-        for at in range(len(self.engines)):
-            await self._fault(at, "hang", on=True)
+        for at in range(len(self.fleet.engines)):
+            await self.fleet.send_fault(at, "hang", on=True)
         async with anyio.create_task_group() as tasks:
             for number in range(self.queries):
-                item = Item(
+                request = PlannedRequest(
                     f"m{number}",
                     0,
                     0,
@@ -281,11 +290,11 @@
                     0,
                     0,
                 )
-                tasks.start_soon(clients._try, item, 1, 600_000)
+                tasks.start_soon(clients.attempt, request, 1, 600_000)
             await anyio.sleep(5)
             waiting = usage(child.pid)[1]
-            for at in range(len(self.engines)):
-                await self._fault(at, "hang", on=False)
+            for at in range(len(self.fleet.engines)):
+                await self.fleet.send_fault(at, "hang", on=False)
             await anyio.sleep(6)
             streaming = usage(child.pid)[1]
             tasks.cancel_scope.cancel()
