--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -12,6 +12,7 @@
 from anyio.abc import SocketAttribute, SocketListener, SocketStream, TaskGroup, TaskStatus
 
 from runspool.engines.failure_classification import STATE_GONE
+from runspool.lab.engine_events import EngineEvents
 from runspool.lab.http_server import PeerClosedError, ReceivedRequest, serve_connections, serve_requests
 from runspool.lab.injected_faults import FaultSetting, InjectedFaults
 from runspool.lab.model import AdmissionResult, EngineModel, EngineSpec, Job, Phase, Step
@@ -84,9 +85,9 @@
         self.active_requests: dict[int, ActiveRequest] = {}
         self.token_text = "t"
         self.port = 0
-        self._recorder = recorder
+        self._events = EngineEvents(spec, recorder)
         self._draw = Random(seed + 1).random
-        self._states = HeldStates(self.model, self.faults, recorder, self._wake)
+        self._states = HeldStates(self.model, self.faults, self._events, self._wake)
         self._work_available = anyio.Event()
         self._open_connections = 0
         self._host = "127.0.0.1"
@@ -104,7 +105,7 @@
                 listener = listeners.listeners[0]
                 assert isinstance(listener, SocketListener)
                 self.port = int(listener.extra(SocketAttribute.local_port))
-                self._record_start()
+                self._events.started(cold=self.model.capacity_fraction(now()) < 1)
                 tasks.start_soon(self._run_steps, tasks)
                 task_status.started(self.port)
                 await serve_connections(listener, self._serve_connection, tasks)
@@ -115,7 +116,7 @@
 
     def fault(self, name: str, **settings: FaultSetting) -> None:
         """Switch a fault on or off; raise ValueError for one that is not known."""
-        self._record("fault", fault=name, **settings)
+        self._events.fault_switched(name, settings)
         self.faults.switch(name, settings)
 
     # Steps.
@@ -142,7 +143,7 @@
                 continue
             if job.decodes and not request.executed:
                 request.executed = True
-                self._record_execution(request.call)
+                self._events.executed(request.call)
             request.progress.set()
 
     def _wake(self) -> None:
@@ -187,14 +188,14 @@
         request_class = received.headers.get("runspool-tariff", "")
         fault = self.faults.draw_response_fault(request_class, self._draw)
         if fault == RESET_BEFORE_BODY:
-            self._record("cut_in", request=received.headers.get("x-request-id", ""))
+            self._events.reset_before_body(received.headers.get("x-request-id", ""))
             await received.reset()
             return
         body, options = decode_body(await received.read_body())
         call = CompletionCall(received, body, options, fault)
-        self._record_arrival(call, arrived_at)
+        self._events.arrived(call, arrived_at)
         if options.poison and not call.is_prefill:
-            self._record("fell", poison=True)
+            self._events.crashed_by_poison()
             self.crash()
         ending = "lost"
         try:
@@ -202,11 +203,11 @@
         except PeerClosedError:
             ending = "left"
         finally:
-            self._record("ended", request=call.request_id, how=ending, **{"try": options.attempt})
+            self._events.ended(call, ending)
 
     async def _serve(self, call: CompletionCall) -> str:
         """Serve a completion, or play its fault; return how it ended, in the recording's words."""
-        ending = await play_response_fault(call.received, call.fault, partial(self._record_execution, call))
+        ending = await play_response_fault(call.received, call.fault, partial(self._events.executed, call))
         if ending:
             return ending
         job = Job(
@@ -231,7 +232,7 @@
         job, received = request.job, request.call.received
         admission = self.model.submit(now(), job)
         if admission is AdmissionResult.OVERLOADED_COLD:
-            self._record("fell")
+            self._events.crashed_by_overload()
             self.crash()
         if admission is not AdmissionResult.ACCEPTED:
             rejection = error_body("overloaded", "full", "no slot, no place")
@@ -315,43 +316,3 @@
     def _load_report(self) -> dict[str, str]:
         metrics = msgspec.json.encode({"named_metrics": self.model.load_report()}).decode()
         return {LOAD_REPORT_HEADER: f"{LOAD_REPORT_FORMAT} {metrics}"}
-
-    # Recording.
-
-    def _record(self, what: str, **fields: object) -> None:
-        self._recorder.line(what, engine=self.spec.name, **fields)
-
-    def _record_start(self) -> None:
-        spec = self.spec
-        self._record(
-            "engine_up",
-            role=spec.role,
-            zone=spec.zone,
-            rack=spec.rack,
-            cold=self.model.capacity_fraction(now()) < 1,
-            cold_from=spec.slow_start_initial_fraction,
-            cold_time=spec.slow_start_duration,
-            multiple=spec.slow_start_overload_multiple,
-            fall_time=spec.slow_start_overload_window,
-            work=spec.mean_work,
-        )
-
-    def _record_arrival(self, call: CompletionCall, arrived_at: int) -> None:
-        self._record(
-            "arrived",
-            request=call.request_id,
-            head=arrived_at,
-            peer=call.received.peer,
-            stage="read" if call.is_prefill else "write",
-            fetches=call.fetches_state,
-            tariff=call.request_class,
-            tenant=call.tenant,
-            ticket=call.idempotency_key,
-            prompt=call.prompt_tokens,
-            **{"try": call.options.attempt},
-        )
-
-    def _record_execution(self, call: CompletionCall) -> None:
-        """Record that a request has had an effect, which only decoding has."""
-        if not call.is_prefill:
-            self._record("ran", request=call.request_id, **{"try": call.options.attempt})
--- a/runspool/lab/state_transfer.py
+++ b/runspool/lab/state_transfer.py
@@ -7,11 +7,11 @@
 import anyio
 import msgspec
 
+from runspool.lab.engine_events import EngineEvents
 from runspool.lab.http_server import ReceivedRequest
 from runspool.lab.injected_faults import InjectedFaults
 from runspool.lab.model import EngineModel, EngineSpec, Job
 from runspool.lab.plan import SECOND
-from runspool.lab.recording import Recorder
 from runspool.lab.standin_messages import StateTransferParams
 from runspool.service.clock import now
 
@@ -29,36 +29,29 @@
         self,
         model: EngineModel,
         faults: InjectedFaults,
-        recorder: Recorder,
+        events: EngineEvents,
         on_release: Callable[[], None],
     ) -> None:
         self._model = model
         self._faults = faults
-        self._recorder = recorder
-        self._engine = model.spec.name
+        self._events = events
         self._on_release = on_release
 
     def hold(self, job: Job, attempt: str) -> None:
         """End a prefill and hold its state under the job's request id, for a client's attempt."""
         self._model.hold_state(job, job.request_id)
-        self._recorder.line(
-            "held",
-            engine=self._engine,
-            state=job.request_id,
-            tokens=job.prompt_tokens,
-            **{"try": attempt},
-        )
+        self._events.state_held(job, attempt)
 
     def drop(self, state: str) -> None:
         """Free a state whose front will never know of it, as it has gone before the response."""
         if self._model.release_state(state):
-            self._recorder.line("dropped", engine=self._engine, state=state)
+            self._events.state_dropped(state)
 
     async def expire(self, state: str) -> None:
         """Free a state after its time to live, if it is still held then."""
         await anyio.sleep(self._model.spec.state_ttl / SECOND)
         if self._model.release_state(state):
-            self._recorder.line("expired", engine=self._engine, state=state)
+            self._events.state_expired(state)
             self._on_release()
 
     async def handle_release(self, received: ReceivedRequest) -> None:
@@ -69,7 +62,7 @@
         received_at = now()
         await self._faults.wait_until_resumed()
         if self._model.release_state(state):
-            self._recorder.line("released", engine=self._engine, state=state, told=received_at)
+            self._events.state_released(state, received_at)
             self._on_release()
         await received.respond(200, {})
 
@@ -88,7 +81,7 @@
         if not self._model.release_state(state):
             await received.respond(404, {})
             return
-        self._recorder.line("taken", engine=self._engine, state=state, by=content["engine"])
+        self._events.state_taken(state, content["engine"])
         self._on_release()
         await received.respond(200, {})
 
