--- a/runspool/lab/model.py
+++ b/runspool/lab/model.py
@@ -24,8 +24,27 @@
 class EngineSpec(msgspec.Struct, frozen=True):
     """What an engine is; the names in stored plans are those given to `field`.
 
-    `role` and `memory` (tokens of key-value cache) are as in the endpoint list. `mean_work` has the mean work
-    of a request of each class at this engine, in tenths of a millisecond at full capacity.
+    Attributes:
+        name: unique in the plan.
+        role: whether it prefills ("reader"), decodes ("writer") or does both.
+        zone: its zone.
+        rack: the number of its rack.
+        slots: how many jobs run at once.
+        queue_capacity: how many jobs may wait.
+        memory: tokens of key-value cache.
+        prefill_rate: tokens per tenth of a millisecond.
+        step_time: of a step that decodes, without what each stream adds.
+        step_time_per_stream: what each stream adds.
+        same_rack_rate: of transfers within the rack, tokens per tenth of a millisecond.
+        cross_rack_rate: of transfers to another rack.
+        cross_zone_slowdown: divides that rate for transfers to another zone.
+        slow_start_initial_fraction: the part of its capacity that a cold engine has at its start.
+        slow_start_duration: until it has all of it.
+        slow_start_overload_multiple: of its present capacity, at which a cold engine crashes.
+        slow_start_overload_window: over which that load is measured.
+        state_ttl: how long it holds a state that nobody fetches.
+        mean_work: the mean work of a request by class, at full capacity.
+        cache_capacity_blocks: how many blocks its prefix cache holds.
     """
 
     name: str
@@ -70,10 +89,21 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One request at an engine.
-
-    A job that `decodes` generates a stream of tokens; any other only prefills its prompt and leaves a state.
-    One that `fetches_state` decodes from a state that another engine has prefilled. Lengths are tokens.
+    """One request at an engine; lengths are tokens.
+
+    Attributes:
+        request_id: the front's name of the attempt.
+        request_class: its name.
+        prompt_tokens: the prompt's length.
+        block_hashes: of the prompt's blocks, each over all that stands before it too.
+        output_tokens: how many tokens it generates.
+        decodes: whether it generates tokens; a job that does not prefills its prompt and leaves a state.
+        fetches_state: whether it decodes from a state that another engine has prefilled.
+        phase: how far it has come.
+        prefill_remaining: prompt tokens that are still to be prefilled.
+        cached_tokens: prompt tokens that were found in the prefix cache.
+        generated_tokens: tokens generated so far.
+        allocated_tokens: what it takes of the engine's memory.
     """
 
     request_id: str
@@ -87,12 +117,18 @@
     prefill_remaining: int = 0
     cached_tokens: int = 0
     generated_tokens: int = 0
-    allocated_tokens: int = 0  # of the engine's memory
+    allocated_tokens: int = 0
 
 
 @dataclass(slots=True)
 class Step:
-    """What one step will have done when it ends: tokens prefilled by job, and the jobs that decode one."""
+    """What one step will have done when it ends.
+
+    Attributes:
+        duration: of the step.
+        prefills: prompt tokens prefilled, by job.
+        decodes: the jobs that generate one token each.
+    """
 
     duration: int
     prefills: list[tuple[Job, int]]
@@ -101,7 +137,13 @@
 
 @dataclass(slots=True)
 class StepResult:
-    """Prefills that ended without a stream, streams that generated a token, and those of them that ended."""
+    """What a step has done.
+
+    Attributes:
+        prefilled: jobs that have ended their prefill and do not decode.
+        decoded: jobs that have generated a token.
+        finished: those of them that have generated their last.
+    """
 
     prefilled: list[Job] = field(default_factory=list)
     decoded: list[Job] = field(default_factory=list)
@@ -109,10 +151,21 @@
 
 
 class EngineModel:
-    """The state of one engine: its queue, running jobs, prefix cache, held states and slow start.
-
-    `slowdown` divides its speed, `network_slowdown` the rate of transfers out of its rack; both are 1 in an
-    engine without faults.
+    """The state of one engine.
+
+    Attributes:
+        spec: what the engine is.
+        started_at: when it started; it is cold for a while after that.
+        draw: returns a number from 0 to 1.
+        waiting: the queue of jobs.
+        active: the jobs that run.
+        cached_blocks: hashes of the blocks in the prefix cache, least recently used first.
+        held_states: the tokens of each state that awaits its transfer, by its name.
+        used_memory: tokens of key-value cache that jobs and states take.
+        overloaded: whether it has had more load than it could take while it was cold.
+        slowdown: divides its speed; 1 without faults.
+        network_slowdown: divides the rate of transfers out of its rack; 1 without faults.
+        outgoing_transfers: how many states are being fetched from it.
     """
 
     def __init__(self, spec: EngineSpec, now: int, cold: bool, seed: int) -> None:
@@ -121,8 +174,8 @@
         self.draw = Random(seed).random
         self.waiting: deque[Job] = deque()
         self.active: list[Job] = []
-        self.cached_blocks: OrderedDict[int, None] = OrderedDict()  # least recently used first
-        self.held_states: dict[str, int] = {}  # tokens of each state that awaits its transfer, by its name
+        self.cached_blocks: OrderedDict[int, None] = OrderedDict()
+        self.held_states: dict[str, int] = {}
         self.used_memory = 0
         self.overloaded = False
         self.slowdown = 1.0
--- a/runspool/lab/plan.py
+++ b/runspool/lab/plan.py
@@ -18,11 +18,24 @@
 class RequestClassPlan(msgspec.Struct):
     """A request class as its clients know it, with the lengths of its requests.
 
-    `first_token_objective_per_1000_tokens` is added for each 1,000 prompt tokens. A session has `turns`
-    requests in the mean, each with `new_prompt_tokens` more; `prefix_share` of the sessions start with one of
-    the prefixes of `prefix_tokens` that the class shares. `late_value` is the part of a request's value that
-    a late response still has. Duplicates are detected within `deduplication_scope` and for
-    `deduplication_window`.
+    Attributes:
+        name: of the class.
+        share: of all sessions.
+        idempotency: whether a request may be executed twice ("rerunnable"), is recognised by its idempotency
+            key ("ticketed"), or must not be executed again ("exclusive").
+        priority_weight: the value of a request that is served in time.
+        first_token_objective: time within which the first token has the full value.
+        first_token_objective_per_1000_tokens: what 1,000 prompt tokens add to that.
+        time_limit: how long its clients wait.
+        time_per_output_token: at which a stream still has the full value.
+        new_prompt_tokens: mean length of what each turn adds to the prompt.
+        output_tokens: mean length of an answer.
+        turns: mean number of requests in a session.
+        prefix_share: of the sessions that start with a prefix that others share.
+        prefix_tokens: length of such a prefix.
+        late_value: the part of its value that a late response still has.
+        deduplication_scope: among which engines a repeated idempotency key is recognised.
+        deduplication_window: for how long it is.
     """
 
     name: str
@@ -76,8 +89,13 @@
 class ClientsPlan(msgspec.Struct):
     """How the clients behave.
 
-    `attempt_time_share` of a request class's time limit is what a client sets as a request's limit.
-    `failover_delay` is how long the load balancer goes on sending to a front that is down.
+    Attributes:
+        retries: how often a request is sent again at most.
+        backoff: between an attempt's end and the next.
+        attempt_time_share: the part of the request class's time limit that a client gives a request.
+        failover_delay: how long the load balancer goes on sending to a front that is down.
+        disconnecting_share: of the clients that disconnect before their answer's end.
+        slow_reading_share: of the clients that read a stream slowly.
     """
 
     retries: int = 1
@@ -89,11 +107,21 @@
 
 
 class FaultPlan(msgspec.Struct):
-    """One fault. What the magnitudes and `mode` mean depends on the kind (see ScenarioRunner, workload).
-
-    `targets` are indices of engines, or of fronts or tenants where the kind concerns these;
-    `subject_index` is that of a request class or tenant. `steps` of a balancer_roll are times with the fronts
-    that are then restarted.
+    """One fault.
+
+    What magnitudes and mode mean depends on the kind; see the modules fault_injection, engine_faults,
+    workload and migration_script of this package.
+
+    Attributes:
+        kind: one of SIMULATOR_FAULT_KINDS or LABORATORY_FAULT_KINDS.
+        starts_at: from the scenario's start.
+        duration: 0 for what happens at once.
+        magnitude: how strong it is.
+        secondary_magnitude: a second measure of that, for kinds that have one.
+        targets: indices of engines, or of fronts or tenants where the kind concerns these.
+        subject_index: of the request class or tenant that it concerns.
+        mode: a variant of the kind.
+        steps: of a balancer_roll: times, each with the fronts that are then restarted.
     """
 
     kind: str
@@ -110,9 +138,29 @@
 class ScenarioPlan(msgspec.Struct):
     """A whole scenario.
 
-    `max_time_limit` is the longest that a front accepts, 0 for the library's. `load_shape` has points of time
-    in seconds and multiple of `requests_per_second`; without any the load is level. `cells` is a cell map as
-    plain data.
+    Attributes:
+        name: of the scenario.
+        seed: of all that is drawn while it is played.
+        duration: for which requests are sent.
+        requests_per_second: the mean rate of all clients.
+        zones: names of the zones.
+        request_classes: what is asked.
+        tenants: who asks.
+        fronts: the fronts.
+        engines: the engines.
+        clients: how clients behave.
+        faults: what goes wrong.
+        max_time_limit: the longest that a front accepts; 0 for the library's default.
+        cells: a cell map as plain data, None for a fleet without cells.
+        load_shape: points of time (seconds) and multiple of the rate; without any the load is level.
+        endpoint_list_delay: between an engine's change and the list's.
+        drain_grace: how long after a drain was told requests may still be sent to the engine.
+        state_release_timeout: how long a state may be held without an attempt that uses it.
+        max_attempts: that a front makes for one request.
+        slow_start_initial_fraction: as the fronts are configured, so with those below.
+        slow_start_duration: see EngineSpec.
+        slow_start_overload_multiple: see EngineSpec.
+        slow_start_overload_window: see EngineSpec.
     """
 
     name: str
