--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -27,7 +27,7 @@
     TOKENS_BEFORE_STREAM_FAULT,
     break_stream,
     end_stream_wrongly,
-    play_response_fault,
+    inject_response_fault,
 )
 from runspool.lab.standin_messages import (
     CompletionCall,
@@ -206,8 +206,8 @@
             self._events.ended(call, ending)
 
     async def _serve(self, call: CompletionCall) -> str:
-        """Serve a completion, or play its fault; return how it ended, in the recording's words."""
-        ending = await play_response_fault(call.received, call.fault, partial(self._events.executed, call))
+        """Serve a completion, or inject its fault; return how it ended, in the recording's words."""
+        ending = await inject_response_fault(call.received, call.fault, partial(self._events.executed, call))
         if ending:
             return ending
         job = Job(
--- a/runspool/lab/injected_faults.py
+++ b/runspool/lab/injected_faults.py
@@ -54,7 +54,7 @@
         await self._resumed.wait()
 
     def draw_response_fault(self, request_class: str, draw: Callable[[], float]) -> str:
-        """Return the response fault that befalls a request, empty for none; `draw` returns from 0 to 1."""
+        """Return the response fault of a request, empty for none; `draw` returns from 0 to 1."""
         for fault, share in self._response_fault_shares.items():
             if draw() < share:
                 return fault
--- a/runspool/lab/listing.py
+++ b/runspool/lab/listing.py
@@ -1,4 +1,4 @@
-"""A stand-in endpoint list service: numbered updates streamed to every front, late or garbled if told so."""
+"""A stand-in endpoint list service: numbered updates streamed to every front, late or garbled on request."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     """Knows the true state of the engines and publishes it `delay` later.
 
     Attributes:
-        record: where every update that a front is told is recorded.
+        record: where every message that a front has received intact is recorded.
         delay: tenths of a millisecond between an update and its publication.
         noisy: whether some lines are torn, repeated or reordered.
         rng: draws which.
@@ -171,15 +171,15 @@
             while self._queue:
                 message, line = self._queue.popleft()
                 await self._received.send_chunk(line)
-                if line == encode_message(message):  # a torn line has told the front nothing
-                    self._record_told(message)
+                if line == encode_message(message):  # a torn line means nothing to the front
+                    self._record_message(message)
             with anyio.move_on_after(HEARTBEAT_INTERVAL):
                 await self._queued.wait()
                 continue
             heartbeat = EndpointListMessage(self._service.version, self._service.epoch, is_heartbeat=True)
             await self._received.send_chunk(encode_message(heartbeat))
 
-    def _record_told(self, message: EndpointListMessage) -> None:
+    def _record_message(self, message: EndpointListMessage) -> None:
         engines = [[entry.engine, entry.state, entry.started_unix_ms] for entry in message.engines]
         self._service.record.line(
             "told",
--- a/runspool/lab/plan.py
+++ b/runspool/lab/plan.py
@@ -154,7 +154,7 @@
         cells: a cell map as plain data, None for a fleet without cells.
         load_shape: points of time (seconds) and multiple of the rate; without any the load is level.
         endpoint_list_delay: between an engine's change and the list's.
-        drain_grace: how long after a drain was told requests may still be sent to the engine.
+        drain_grace: how long requests may still be sent to an engine after the front knows that it drains.
         state_release_timeout: how long a state may be held without an attempt that uses it.
         max_attempts: that a front makes for one request.
         slow_start_initial_fraction: as the fronts are configured, so with those below.
--- a/runspool/lab/response_faults.py
+++ b/runspool/lab/response_faults.py
@@ -1,4 +1,4 @@
-"""Response faults: what a stand-in engine can be told to do wrong on a share of the requests.
+"""Response faults: what can go wrong with a share of a stand-in engine's responses.
 
 Together they are the rows of the table of failures that an engine can cause.
 """
@@ -52,10 +52,10 @@
 HUGE_EVENT_BYTES = 1_000_000
 
 
-async def play_response_fault(
+async def inject_response_fault(
     received: ReceivedRequest, fault: str, record_execution: Callable[[], None]
 ) -> str:
-    """Play a fault that takes the place of the engine's work.
+    """Inject a fault that takes the place of the engine's work.
 
     Returns how the request has ended: "full" for a rejection, "mishap" for any other fault; empty where the
     fault concerns the work's own response, or there is none, and the request is to be served.
@@ -68,12 +68,12 @@
     if fault in REJECTION_STATUSES:
         await received.respond(REJECTION_STATUSES[fault], error_body("engine", fault, "turned away"))
         return "full"
-    play = _PLAYS.get(fault)
-    if play is None:
+    inject = _INJECTIONS.get(fault)
+    if inject is None:
         return ""
     if fault in AFTER_EXECUTION:
         record_execution()
-    await play(received)
+    await inject(received)
     return "mishap"
 
 
@@ -131,7 +131,7 @@
     await received.close()
 
 
-_PLAYS: dict[str, Callable[[ReceivedRequest], Awaitable[None]]] = {
+_INJECTIONS: dict[str, Callable[[ReceivedRequest], Awaitable[None]]] = {
     "reset_after": ReceivedRequest.reset,
     "close_after": ReceivedRequest.close,
     FAILED_500: _fail,
--- a/runspool/lab/standin_messages.py
+++ b/runspool/lab/standin_messages.py
@@ -1,6 +1,6 @@
 """What a stand-in engine receives and sends: completions in the published two-stage form.
 
-In the body's `standin` field the laboratory's clients say what no real engine is told: the name of the client
+In the body's `standin` field the laboratory's clients give what no real engine receives: the name of the client
 attempt and the true length of the answer.
 """
 
@@ -22,7 +22,7 @@
 
 
 class StandInOptions(msgspec.Struct):
-    """What the laboratory's clients tell a stand-in.
+    """What the laboratory's clients send to a stand-in only.
 
     Attributes:
         attempt: the client attempt that the request belongs to ("try" in the body).
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class CompletionCall:
-    """A completion request at a stand-in, with the response fault that is to befall it, empty for none."""
+    """A completion request at a stand-in, with the response fault to inject, empty for none."""
 
     received: ReceivedRequest
     body: CompletionBody
