--- a/tests/test_auditor_rejects_forged_recordings.py
+++ b/tests/test_auditor_rejects_forged_recordings.py
@@ -1,4 +1,4 @@
-"""Fronts doctored to break a rule are found out; in the same trouble the sound front breaks none."""
+"""The auditor finds out fronts that break a rule; amid the same faults the sound front breaks none."""
 
 from __future__ import annotations
 
@@ -35,19 +35,19 @@
 pytestmark = pytest.mark.anyio
 LOST, TWICE, DRAINS, COLD, PINNED = RULES
 ASK, BOOK, MARK = range(3)
-Doctor = Callable[[pytest.MonkeyPatch], None]
-Trouble = Callable[[SmallFleet], Coroutine[Any, Any, None]]
+InstallDefect = Callable[[pytest.MonkeyPatch], None]
+InjectFault = Callable[[SmallFleet], Coroutine[Any, Any, None]]
 
 
-def items(
-    count: int, tariff: int = ASK, gap: int = 50, limit: int = 20_000, out: int = 6
+def requests(
+    count: int, request_class: int = ASK, gap: int = 50, limit: int = 20_000, out: int = 6
 ) -> list[PlannedRequest]:
     return [
         PlannedRequest(
             f"i{at}",
             at * gap,
             0,
-            tariff,
+            request_class,
             0,
             f"s{at}",
             [(f"text{at}", 50)],
@@ -65,38 +65,38 @@
     ]
 
 
-async def nothing(town: SmallFleet) -> None:
+async def no_fault(fleet: SmallFleet) -> None:
     return
 
 
-# What goes wrong around the front.
+# Faults around the front.
 
 
-async def resets(town: SmallFleet) -> None:
-    for one in town.engines:
+async def resets(fleet: SmallFleet) -> None:
+    for one in fleet.engines:
         if one.spec.role == "writer":
             one.fault("row", row="reset_after", share=0.7)
 
 
-async def full_writers(town: SmallFleet) -> None:
-    for one in town.engines:
+async def full_writers(fleet: SmallFleet) -> None:
+    for one in fleet.engines:
         if one.spec.role == "writer":
             one.fault("row", row="full_503", share=1.0)
 
 
-async def drained(town: SmallFleet) -> None:
-    await town.until("ran", 5)
-    town.tell(0, "draining")
+async def drained(fleet: SmallFleet) -> None:
+    await fleet.until("ran", 5)
+    fleet.tell(0, "draining")
     with anyio.fail_after(10):
         while not any(
             name == "e0" and state == "draining"
-            for event in town.seen("told")
+            for event in fleet.seen("told")
             for name, state, _ in event["engines"]
         ):
             await anyio.sleep(0.01)
 
 
-# How a front is doctored.
+# Defects of a front.
 
 
 def forgets_that_it_may_have_run(patch: pytest.MonkeyPatch) -> None:
@@ -199,33 +199,33 @@
 
 
 KINDS = ["prefill", "prefill", "decode", "decode"]
-CASES: dict[str, tuple[Doctor, str, Trouble, list[PlannedRequest], dict[str, Any]]] = {
-    "exclusive twice": (forgets_that_it_may_have_run, TWICE, resets, items(8, BOOK), {}),
-    "ticket outside its group": (forgets_that_it_may_have_run, TWICE, resets, items(12, MARK), {}),
-    "two shots at once": (sends_each_shot_twice, TWICE, nothing, items(6, out=60), {}),
-    "no answer": (gives_no_answer, LOST, nothing, items(4, limit=8_000), {}),
-    "late answer": (answers_late, LOST, full_writers, items(4, limit=6_000), {}),
-    "speaks after the end": (speaks_after_the_end, LOST, nothing, items(4), {}),
-    "loses a token": (loses_a_token, LOST, nothing, items(4), {}),
+CASES: dict[str, tuple[InstallDefect, str, InjectFault, list[PlannedRequest], dict[str, Any]]] = {
+    "exclusive twice": (forgets_that_it_may_have_run, TWICE, resets, requests(8, BOOK), {}),
+    "ticket outside its group": (forgets_that_it_may_have_run, TWICE, resets, requests(12, MARK), {}),
+    "two shots at once": (sends_each_shot_twice, TWICE, no_fault, requests(6, out=60), {}),
+    "no answer": (gives_no_answer, LOST, no_fault, requests(4, limit=8_000), {}),
+    "late answer": (answers_late, LOST, full_writers, requests(4, limit=6_000), {}),
+    "speaks after the end": (speaks_after_the_end, LOST, no_fault, requests(4), {}),
+    "loses a token": (loses_a_token, LOST, no_fault, requests(4), {}),
     "sends after a drain": (
         does_not_hear_of_drains,
         DRAINS,
         drained,
-        items(50, gap=300),
+        requests(50, gap=300),
         {"drain_grace": 500},
     ),
     "keeps states": (
         lets_no_state_go,
         PINNED,
         full_writers,
-        items(6, limit=30_000),
+        requests(6, limit=30_000),
         {"state_release_timeout": 4_000, "held_on": 1.5},
     ),
     "floods a cold engine": (
         takes_cold_for_warm,
         COLD,
-        nothing,
-        items(60, gap=100),
+        no_fault,
+        requests(60, gap=100),
         {"cold": 0, "slow_start_overload_multiple": 0.3},
     ),
 }
@@ -236,32 +236,32 @@
 async def test_a_doctored_front_is_found_out(
     case: str, doctored: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    doctor, rule, trouble, asked, said = CASES[case]
+    install_defect, rule, inject_fault, planned, settings = CASES[case]
     if doctored:
-        doctor(monkeypatch)
+        install_defect(monkeypatch)
     monkeypatch.setattr(StandInEngine, "crash", lambda engine: None)  # one that falls goes on, noted
     # All runs in one process here: what a busy machine delays is no breach, and the doctored overdo it.
     tolerance = AuditTolerance(late_answer=4_000, observation_delay=4_000)
-    town = SmallFleet(tmp_path, KINDS)
-    for at, one in enumerate(town.plan.engines):
-        multiple = said.get("slow_start_overload_multiple", one.spec.slow_start_overload_multiple)
+    fleet = SmallFleet(tmp_path, KINDS)
+    for at, one in enumerate(fleet.plan.engines):
+        multiple = settings.get("slow_start_overload_multiple", one.spec.slow_start_overload_multiple)
         one.spec = replace(one.spec, zone="ab"[at % 2], slow_start_overload_multiple=multiple)
-        town.engines[at] = StandInEngine(one.spec, town.record, at == said.get("cold"), at)
-        town.started[at] = int(time() * 1000) if at == said.get("cold") else 0
-    for name in said.keys() - {"cold", "held_on"}:
-        setattr(town.plan, name, said[name])
-    town.record.line("day", plan=msgspec.to_builtins(town.plan))
-    async with town.open(), anyio.create_task_group() as tasks:
-        tasks.start_soon(trouble, town)
-        load_balancer = LoadBalancer([("127.0.0.1", town.port)], ["a"], [True])
-        clients = WorkloadClients(town.plan, load_balancer, town.record)
+        fleet.engines[at] = StandInEngine(one.spec, fleet.record, at == settings.get("cold"), at)
+        fleet.started[at] = int(time() * 1000) if at == settings.get("cold") else 0
+    for name in settings.keys() - {"cold", "held_on"}:
+        setattr(fleet.plan, name, settings[name])
+    fleet.record.line("day", plan=msgspec.to_builtins(fleet.plan))
+    async with fleet.open(), anyio.create_task_group() as tasks:
+        tasks.start_soon(inject_fault, fleet)
+        load_balancer = LoadBalancer([("127.0.0.1", fleet.port)], ["a"], [True])
+        clients = WorkloadClients(fleet.plan, load_balancer, fleet.record)
         with anyio.fail_after(30):
-            await clients.run(asked, now())
-            while town.running.front.requests:
+            await clients.run(planned, now())
+            while fleet.running.front.requests:
                 await anyio.sleep(0.01)
-        await anyio.sleep(said.get("held_on", 0))  # a state is pinned by being there for so long
-        town.record.line("over")
-    found = audit(list(recording.read_recording(town.file)), tolerance)
+        await anyio.sleep(settings.get("held_on", 0))  # a state is pinned by being there for so long
+        fleet.record.line("over")
+    found = audit(list(recording.read_recording(fleet.file)), tolerance)
     broken = {name: judged.broken for name, judged in found.items() if judged.broken}
     assert found[rule].cases
     assert (broken.get(rule, 0) > 0) if doctored else not broken, [one.examples for one in found.values()]
