--- a/runspool/cli/lab.py
+++ b/runspool/cli/lab.py
@@ -17,7 +17,7 @@
 from runspool.lab import audit as auditing
 from runspool.lab import recording, report
 from runspool.lab import replay as event_replay
-from runspool.lab.cell_plans import DAYS
+from runspool.lab.cell_plans import SCENARIOS
 from runspool.lab.engine import StandInEngine
 from runspool.lab.errors import ScenarioFailedError
 from runspool.lab.plan import EnginePlan, ScenarioPlan
@@ -58,15 +58,15 @@
 @app.command("run-scenario", epilog=_run_scenario_epilog("run-scenario"))
 @app.command("day", hidden=True, epilog=_run_scenario_epilog("day"))
 def run_scenario(
-    name: Annotated[str, typer.Argument(help=f"One of {', '.join(DAYS)}.")],
+    name: Annotated[str, typer.Argument(help=f"One of {', '.join(SCENARIOS)}.")],
     seed: Annotated[int, typer.Option(min=0)] = 1,
     output_folder: OutputFolder = Path("runspool-day"),
     record_events: RecordEvents = False,
 ) -> None:
     """Play a scripted day through real fronts and judge it from what passed on the sockets."""
-    if name not in DAYS:
-        _fail(f"no day {name!r}; there are {', '.join(DAYS)}")
-    _play(DAYS[name](seed), output_folder, record_events, all_rules=name == SCENARIO_WITH_ALL_RULES)
+    if name not in SCENARIOS:
+        _fail(f"no day {name!r}; there are {', '.join(SCENARIOS)}")
+    _play(SCENARIOS[name](seed), output_folder, record_events, all_rules=name == SCENARIO_WITH_ALL_RULES)
 
 
 @app.command(epilog="Example: runspool lab replay day.json --fronts 3 --engines 12 --out /tmp/replay")
--- a/runspool/lab/cell_plans.py
+++ b/runspool/lab/cell_plans.py
@@ -185,7 +185,7 @@
     }
 
 
-DAYS: dict[str, Callable[[int], ScenarioPlan]] = {
+SCENARIOS: dict[str, Callable[[int], ScenarioPlan]] = {
     "bad-night": bad_night,
     "quiet": quiet,
     "flood": flood,
--- a/runspool/lab/standin_messages.py
+++ b/runspool/lab/standin_messages.py
@@ -1,7 +1,7 @@
 """What a stand-in engine receives and sends: completions in the published two-stage form.
 
-In the body's `standin` field the laboratory's clients give what no real engine receives: the name of the client
-attempt and the true length of the answer.
+In the body's `standin` field the laboratory's clients give what no real engine receives: the name of the
+client attempt and the true length of the answer.
 """
 
 from __future__ import annotations
