--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -197,7 +197,7 @@
 ) -> None:
     come, hung, out, lost, kinds = STAGES[stage]
     town = SmallFleet(tmp_path, KINDS, drain_ms=100, body_ms=LIMIT_MS if way != "cancel" else LONG_MS)
-    town.plan.release_within = 20_000  # a state held stays so until something ends it
+    town.plan.state_release_timeout = 20_000  # a state held stays so until something ends it
     limit = LIMIT_MS if stage != "in the line" else 4_000
     query = Query(town, limit if way == "limit" else LONG_MS if way != "loss" else 3_000)
     first = Query(town, LONG_MS)
@@ -240,7 +240,7 @@
 async def test_a_stop_waits_for_states_to_be_let_go(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Three calls are lost: the fourth comes when the answer has long been written."""
     town = SmallFleet(tmp_path, KINDS, drain_ms=100)
-    town.plan.release_within = 20_000
+    town.plan.state_release_timeout = 20_000
     query = Query(town, LONG_MS)
     async with town.open(), anyio.create_task_group() as tasks:
         caller, calls = town.running.front.engine_client, []
