--- /dev/null
+++ b/tests/node_platform/agent.py
@@ -0,0 +1,100 @@
+"""A scripted discovery agent: the endpoint list as nodes fetch and watch it."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager, suppress
+
+from tests.fault_proxy import HOST
+from tests.node_platform.engine import ScriptedEngine
+from tests.node_platform.http_messages import ReceivedRequest, http_response, read_request
+from tests.node_platform.observed_peers import ObservedPeers
+
+
+class ScriptedAgent(ObservedPeers):
+    """Engines, the list of them, and the agent that serves the list."""
+
+    def __init__(self, kinds: dict[str, str]) -> None:
+        super().__init__()
+        self.engines = {name: ScriptedEngine(self, name, kind) for name, kind in kinds.items()}
+        self.states = dict.fromkeys(kinds, "active")
+        self.version = 1
+        self.lists: list[str] = []  # targets of the requests for the list
+        self.list_scripts: list[bytes | None] = []  # the agent's next responses; None for silence
+        self.list_gate = asyncio.Event()  # while clear, the agent receives requests and sends nothing
+        self.list_gate.set()
+
+    def listed(self, snapshot: bool = True) -> bytes:
+        """Return the endpoint list as it is now."""
+        return json.dumps(
+            {
+                "index": self.version,
+                "snapshot": snapshot,
+                "endpoints": [
+                    {
+                        "name": name,
+                        "address": f"{HOST}:{engine.listed_port}",
+                        "zone": "a",
+                        "type": engine.kind,
+                        "group": 1,
+                        "status": self.states[name],
+                        "weight": 1.0,
+                        "since_ms": 0,
+                    }
+                    for name, engine in self.engines.items()
+                ],
+            }
+        ).encode()
+
+    def tell(self, **states: str) -> None:
+        """Change the states of endpoints, in a new version of the list."""
+        self.states |= states
+        self.version += 1
+        self.changed()
+
+    @asynccontextmanager
+    async def agent(self) -> AsyncIterator[int]:
+        """Run the agent; yields its port."""
+        agent = await asyncio.start_server(self._serve_agent, HOST, 0)
+        try:
+            yield int(agent.sockets[0].getsockname()[1])
+        finally:
+            agent.close()
+            for task in list(self.tasks):
+                task.cancel()
+            await asyncio.gather(*self.tasks, return_exceptions=True)
+            await asyncio.sleep(0)  # aborted transports are closed by the loop's next round
+
+    async def _serve_agent(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async with self.serving(writer):
+            while True:
+                request = await read_request(reader)
+                self.lists.append(request.target)
+                self.changed()
+                await self.list_gate.wait()
+                body = await self._next_body(request)
+                if body is None:
+                    await reader.read()
+                    return
+                writer.write(body if body.startswith(b"HTTP/") else http_response(200, body))
+
+    async def _next_body(self, request: ReceivedRequest) -> bytes | None:
+        """Return the scripted body if there is one, else the list; a watch waits for its next version."""
+        body: bytes | None = self.listed()
+        if self.list_scripts:
+            return self.list_scripts.pop(0)
+        if "after=" in request.target:
+            await self._wait_for_version_after(request.target)
+            body = self.listed(snapshot=False)
+        return body
+
+    async def _wait_for_version_after(self, target: str) -> None:
+        known_version = int(target.partition("after=")[2].partition("&")[0])
+        wait_seconds = int(target.partition("wait_ms=")[2]) / 1000
+        async with self.change:
+            with suppress(TimeoutError):
+                await asyncio.wait_for(
+                    self.change.wait_for(lambda: self.version != known_version), wait_seconds
+                )
--- /dev/null
+++ b/tests/node_platform/client.py
@@ -0,0 +1,94 @@
+"""A raw client of a node: requests as bytes, responses as they come, one connection at a time."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from tests.node_platform.http_messages import WAIT, parse_headers
+
+BODY = b'{"model":"chat","stream":true,"max_tokens":40,"messages":[{"role":"user","content":"hi"}]}'
+
+
+def post(name: str, kind: str = "ask", body: bytes = BODY, **fields: str | None) -> bytes:
+    """Return a request, with the given header fields in place of the usual; one of None is left out."""
+    headers: dict[str, str | None] = {
+        "host": "origin.svc",
+        "req-id": name,
+        "req-kind": kind,
+        "req-owner": "one",
+        "req-key": f"k{name}",
+        "req-deadline": "4000m",
+        "req-extra": "prefix=5c0f,prompt_len=40,prefix_len=8,max_out=40",
+        "content-length": str(len(body)),
+    }
+    headers |= {key.replace("_", "-"): value for key, value in fields.items()}
+    lines = "".join(f"{key}: {value}\r\n" for key, value in headers.items() if value is not None)
+    return f"POST /v1/chat/completions?v=1 HTTP/1.1\r\n{lines}\r\n".encode() + body
+
+
+@dataclass
+class Response:
+    """A response as far as it has been read."""
+
+    status: int
+    headers: dict[str, str]
+    body: bytes
+    complete: bool  # ended as its head said
+
+    @property
+    def whole(self) -> bool:
+        """The same as `complete`, for tests/test_scale.py, which still has this name."""
+        return self.complete
+
+
+class Client:
+    """One raw connection."""
+
+    def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self.reader, self.writer = reader, writer
+
+    def send(self, data: bytes) -> None:
+        """Hand bytes to the connection."""
+        self.writer.write(data)
+
+    async def read_head(self) -> Response:
+        """Read a response's status and headers."""
+        head = await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), WAIT)
+        lines = head.decode().split("\r\n")
+        return Response(int(lines[0].split(" ")[1]), parse_headers(lines[1:-2]), b"", False)
+
+    async def read_chunk(self) -> bytes:
+        """Read the next chunk's data; that of the last chunk is empty."""
+        size = int(await asyncio.wait_for(self.reader.readuntil(b"\r\n"), WAIT), 16)
+        data = await asyncio.wait_for(self.reader.readexactly(size + 2), WAIT)
+        return data[:-2]
+
+    async def read_body(self, response: Response) -> Response:
+        """Read the body that is left to its end, or as far as it comes."""
+        try:
+            if "transfer-encoding" in response.headers:
+                while data := await self.read_chunk():
+                    response.body += data
+            else:
+                length = int(response.headers.get("content-length", "0"))
+                response.body = await asyncio.wait_for(self.reader.readexactly(length), WAIT)
+            response.complete = True
+        except (OSError, asyncio.IncompleteReadError):
+            pass
+        return response
+
+    async def read_response(self) -> Response:
+        """Read a response, head and body."""
+        return await self.read_body(await self.read_head())
+
+    async def read_to_close(self) -> bytes:
+        """Read everything that still comes until the node closes the connection."""
+        try:
+            return await asyncio.wait_for(self.reader.read(), WAIT)
+        except ConnectionError:
+            return b""
+
+    def close(self) -> None:
+        """Reset the connection."""
+        self.writer.transport.abort()
--- /dev/null
+++ b/tests/node_platform/engine.py
@@ -0,0 +1,105 @@
+"""A scripted engine on loopback, and the scripts that tests give it."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+from tests.fault_proxy import HOST, FaultProxy
+from tests.node_platform.http_messages import (
+    COMPLETE_STREAM,
+    EVENTS,
+    PREFILL_RESPONSE,
+    STREAM_HEAD,
+    STREAM_REMAINDER,
+    ReceivedRequest,
+    chunked,
+    http_response,
+    read_request,
+)
+from tests.node_platform.observed_peers import ObservedPeers
+
+Script = Callable[[ReceivedRequest], Awaitable[None]]
+
+
+def responds(data: bytes, proceed: asyncio.Event | None = None) -> Script:
+    """Return a script that sends these bytes, once `proceed` is set where it is given."""
+
+    async def script(request: ReceivedRequest) -> None:
+        if proceed is not None:
+            await proceed.wait()
+        await request.send(data)
+
+    return script
+
+
+def streams_until(proceed: asyncio.Event) -> Script:
+    """Return a script that begins a stream at once and ends it when `proceed` is set."""
+
+    async def script(request: ReceivedRequest) -> None:
+        await request.send(STREAM_HEAD + chunked(EVENTS[0]))
+        await proceed.wait()
+        await request.send(STREAM_REMAINDER)
+
+    return script
+
+
+async def resets_connection(request: ReceivedRequest) -> None:
+    """Reset the connection without a response."""
+    request.reset()
+
+
+async def never_responds(request: ReceivedRequest) -> None:
+    """Send nothing until the node closes the connection."""
+    await request.until_closed()
+
+
+class ScriptedEngine:
+    """Responds as an engine of its kind does, unless a script is due first."""
+
+    def __init__(self, observed: ObservedPeers, name: str, kind: str) -> None:
+        self.observed, self.name, self.kind = observed, name, kind
+        self.scripts: list[Script] = []  # one for each request but DELETE; after them the usual responses
+        self.server: asyncio.Server
+        self.port = 0
+        self.proxy: FaultProxy | None = None  # where the endpoint list sends nodes, if there is one
+
+    @property
+    def listed_port(self) -> int:
+        """The port that the endpoint list names."""
+        return self.port if self.proxy is None else self.proxy.port
+
+    async def start(self) -> None:
+        """Listen, behind the proxy if there is one."""
+        self.server = await asyncio.start_server(self._serve, HOST, self.port)
+        self.port = self.server.sockets[0].getsockname()[1]
+        if self.proxy is not None:
+            await self.proxy.start()
+
+    async def close(self) -> None:
+        """Accept no more connections."""
+        self.server.close()
+        if self.proxy is not None:
+            await self.proxy.close()
+
+    def behind_proxy(self) -> FaultProxy:
+        """Put a proxy before the engine; to be called before start()."""
+        self.proxy = FaultProxy(lambda: self.port)
+        return self.proxy
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async with self.observed.serving(writer):
+            while not writer.transport.is_closing():
+                request = await read_request(reader)
+                request.engine, request.reader, request.writer = self.name, reader, writer
+                request.stop_listening = self.server.close
+                self.observed.record(request)
+                await self._respond(request)
+
+    async def _respond(self, request: ReceivedRequest) -> None:
+        if request.method == "DELETE":
+            await request.send(http_response(204))
+        elif self.scripts:
+            await self.scripts.pop(0)(request)
+        else:
+            await request.send(PREFILL_RESPONSE if self.kind == "prefill" else COMPLETE_STREAM)
--- /dev/null
+++ b/tests/node_platform/inspection.py
@@ -0,0 +1,59 @@
+"""Looks into a node that runs in this process, and changed settings for it."""
+
+from __future__ import annotations
+
+import asyncio
+import copy
+from collections.abc import Callable
+from typing import Any
+
+from runspool.node.executor import NodeExecutor
+from runspool.node.request_handler import RequestHandler
+from runspool.node.server import NodeServer
+from runspool.scheduling.types import EngineState
+from tests.node_platform.client import Client, post
+from tests.node_platform.http_messages import WAIT
+from tests.node_platform.platform import Platform
+from tests.node_platform.settings import SETTINGS
+
+
+def changed_settings(change: Callable[[dict[str, Any]], None]) -> dict[str, Any]:
+    """Return a copy of the settings with a change."""
+    settings = copy.deepcopy(SETTINGS)
+    change(settings)
+    return settings
+
+
+def settings_with_deadline(milliseconds: int) -> dict[str, Any]:
+    """Return the settings with this deadline for every request class."""
+
+    def change(settings: dict[str, Any]) -> None:
+        for row in settings["classes"]:
+            row["deadline-us"] = milliseconds * 1000
+
+    return changed_settings(change)
+
+
+async def until(condition: Callable[[], object]) -> None:
+    """Wait until the node has come to a state that only a look inside can tell."""
+    async with asyncio.timeout(WAIT):
+        while not condition():
+            await asyncio.sleep(0.001)
+
+
+async def until_listed(node: NodeExecutor, state: str, *names: str) -> None:
+    """Wait until the node has taken over this state for the named engines, for all if none is named."""
+    expected = EngineState(state)
+    await until(
+        lambda: all(node.engine_records[name].state == expected for name in names or node.engine_records)
+    )
+
+
+async def idle_connection(platform: Platform, running: NodeServer) -> tuple[Client, RequestHandler]:
+    """Return a client that has been served and keeps its connection, and the node's handler of that."""
+    client = await platform.client()
+    client.send(post("q0"))
+    assert (await client.read_response()).complete
+    (handler,) = running.connections.handlers
+    await until(lambda: handler.idle_since)  # a round or two after the response is out
+    return client, handler
--- /dev/null
+++ b/tests/node_platform/platform.py
@@ -0,0 +1,207 @@
+"""Engines, the discovery agent and the node itself, as a process or inside this one."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import signal
+import sys
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager, suppress
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+from runspool.node.config import read_node_config
+from runspool.node.server import NodeServer
+from tests.fault_proxy import HOST
+from tests.node_platform.agent import ScriptedAgent
+from tests.node_platform.client import Client, Response
+from tests.node_platform.http_messages import WAIT, ReceivedRequest
+from tests.node_platform.ports import free_port
+from tests.node_platform.settings import SETTINGS
+
+HEALTH_REQUEST = b"GET /_health HTTP/1.1\r\nHost: n0\r\n\r\n"
+FAULT_WORDS = (b"Traceback", b"_failed", b"invariant_violated")  # that no node may log
+PREFILL_KIND = "prefill"
+
+
+class Platform(ScriptedAgent):
+    """All that a node meets, and one node."""
+
+    def __init__(self, folder: Path, kinds: dict[str, str]) -> None:
+        super().__init__(kinds)
+        self.folder = folder
+        self.process: asyncio.subprocess.Process
+        self.run: asyncio.Future[None]  # of a node inside this process
+        self.clients: list[Client] = []
+        self.port = self.agent_port = 0
+        self.log = b""
+        self.settings = SETTINGS
+        self.sockets = 256
+        self.redirection = ""  # of the node's standard files, as a shell words it
+        self.reads_log = asyncio.Event()  # while clear, the node's standard error is not read
+        self.reads_log.set()
+
+    # What engines have received.
+
+    def attempts(self, name: str, role: str = "") -> list[ReceivedRequest]:
+        """Return the attempts for a request that engines received: no release calls, of a role if given."""
+        return [
+            request
+            for request in self.received
+            if request.headers.get("req-id") == name and (not role or self._role(request) == role)
+        ]
+
+    def _role(self, request: ReceivedRequest) -> str:
+        return "prefill" if self.engines[request.engine].kind == PREFILL_KIND else "decode"
+
+    def release_calls(self, name: str) -> list[ReceivedRequest]:
+        """Return the calls that release a request's state."""
+        return [request for request in self.received if request.target == f"/state/{name}"]
+
+    # The node.
+
+    def write_config(self, **changes: Any) -> Path:
+        """Write the node's configuration with these keys changed."""
+        file = self.folder / "config.json"
+        config = {
+            "name": "n0",
+            "listen": f"{HOST}:{self.port}",
+            "discovery": f"{HOST}:{self.agent_port}",
+            "seed": "8c1f30d27a5be964",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
+            "known": json.loads(self.listed()),
+            "settings": self.settings,
+        } | changes
+        file.write_text(json.dumps(config))
+        return file
+
+    @asynccontextmanager
+    async def open(self) -> AsyncIterator[Platform]:
+        """Run engines, agent and a node process that is ready; the node is ended at the end."""
+        async with self._around(), self._node():
+            yield self
+
+    @asynccontextmanager
+    async def inside(self, wait: bool = True) -> AsyncIterator[NodeServer]:
+        """Run the same with the node in this process, to look into; with `wait` once it is ready."""
+        async with self._around():
+            config = read_node_config({"BALANCER_CONFIG": str(self.write_config(listen="127.0.0.1:1"))})
+            config = replace(config, listen=("127.0.0.1", 0))
+            running, ready = NodeServer(config, lambda: config, self.sockets), _Ready()
+            task = self.run = asyncio.ensure_future(running.run(task_status=ready))
+            if wait:
+                await ready.wait()
+            while not running.port:
+                await asyncio.sleep(0)
+            self.port = running.port
+            try:
+                yield running
+            finally:
+                task.cancel()
+                await asyncio.gather(task, return_exceptions=True)
+
+    @asynccontextmanager
+    async def _around(self) -> AsyncIterator[None]:
+        """Run engines and agent; connections that a test left open to the node are closed at the end."""
+        async with self.agent() as self.agent_port:
+            for engine in self.engines.values():
+                await engine.start()
+            try:
+                yield
+            finally:
+                for engine in self.engines.values():
+                    await engine.close()
+                for client in self.clients:
+                    client.close()
+
+    @asynccontextmanager
+    async def _node(self) -> AsyncIterator[None]:
+        """Run the node process; it may neither fail nor log a fault."""
+        await self._start_process()
+        logging = asyncio.ensure_future(self._keep_log())
+        try:
+            await self._until_ready()
+            yield
+            assert self.process.returncode in (None, 0), self.log.decode()
+            for fault in FAULT_WORDS:
+                assert fault not in self.log, self.log.decode()
+        finally:
+            if self.process.returncode is None:
+                self.process.kill()
+            await self.process.wait()
+            await logging
+
+    async def _start_process(self) -> None:
+        self.port = free_port()
+        file = self.write_config()
+        self.process = await asyncio.create_subprocess_exec(
+            "/bin/sh",
+            "-c",
+            f'exec "$0" -m runspool.node {self.redirection}',
+            sys.executable,
+            stderr=asyncio.subprocess.PIPE,
+            env=os.environ | {"BALANCER_CONFIG": str(file), "RUNSPOOL_LOG": "debug"},
+        )
+
+    async def _until_ready(self) -> None:
+        """Wait until the node answers that it is healthy and watches the endpoint list."""
+        if self.redirection:
+            await self._answers()
+        else:
+            await self.logged("node_listening")
+        client = await self.client()
+        client.send(HEALTH_REQUEST)
+        assert (await client.read_response()).status == 200
+        client.close()
+        await self.until(lambda: any("after=" in target for target in self.lists) or bool(self.list_scripts))
+
+    async def _answers(self) -> None:
+        """Wait until the node, of which no log is seen, accepts connections."""
+        async with asyncio.timeout(WAIT):
+            while True:
+                with suppress(OSError):
+                    (await self.client()).close()
+                    return
+                await asyncio.sleep(0.01)
+
+    async def _keep_log(self) -> None:
+        assert self.process.stderr is not None
+        async for line in self.process.stderr:
+            await self.reads_log.wait()
+            self.log += line
+            self.changed()
+
+    async def logged(self, event: str) -> None:
+        """Wait until the node has logged this event."""
+        await self.until(lambda: f'"event":"{event}"'.encode() in self.log)
+
+    def signal(self, number: signal.Signals) -> None:
+        """Send the node process a signal."""
+        self.process.send_signal(number)
+
+    # Clients of the node.
+
+    async def client(self) -> Client:
+        """Open a connection to the node; it is closed with the platform."""
+        client = Client(*await asyncio.open_connection(HOST, self.port))
+        self.clients.append(client)
+        return client
+
+    async def ask(self, data: bytes) -> Response:
+        """Send one request on a connection of its own and read the response."""
+        client = await self.client()
+        try:
+            client.send(data)
+            return await client.read_response()
+        finally:
+            client.close()
+
+
+class _Ready(asyncio.Event):
+    """The task status that a node is started with."""
+
+    def started(self, value: object = None) -> None:
+        self.set()
--- a/tests/soak/crowd.py
+++ b/tests/soak/crowd.py
@@ -6,8 +6,8 @@
 from contextlib import suppress
 from random import Random
 
-from tests.faults import HOST
-from tests.platform import Client, post
+from tests.fault_proxy import HOST
+from tests.node_platform.client import Client, post
 from tests.soak.nodes import SoakNode
 from tests.soak.world import World, stream_of
 
@@ -94,14 +94,14 @@
             client.close()
 
     async def _answer(self, client: Client, name: str) -> tuple[int, str]:
-        head = await client.head()
+        head = await client.read_head()
         if head.status == 200:
             self.world.say("begun", request=name)
-        answer = await client.rest(head)
-        if answer.status == 200 and answer.body != b"".join(stream_of(name)) and answer.whole:
+        answer = await client.read_body(head)
+        if answer.status == 200 and answer.body != b"".join(stream_of(name)) and answer.complete:
             return answer.status, "wrong"
         closes = answer.headers.get("connection") == "close"
-        return answer.status, "cut" if not answer.whole else "last" if closes else "whole"
+        return answer.status, "cut" if not answer.complete else "last" if closes else "whole"
 
     async def _bad(self, node: SoakNode, name: str) -> None:
         """Owed an error or a close; nothing of it may reach an engine."""
--- a/tests/soak/edges.py
+++ b/tests/soak/edges.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass
 
-from tests.faults import FaultProxy
+from tests.fault_proxy import FaultProxy
 from tests.soak.world import World
 
 LENGTH = re.compile(rb"\r\ncontent-length: *(\d+)", re.IGNORECASE)
@@ -29,7 +29,7 @@
         self.world, self.node, self.engine = world, node, engine
         self.sendings: dict[int, Sending] = {}
 
-    def came(self, number: int, data: bytes) -> None:
+    def on_request_bytes(self, number: int, data: bytes) -> None:
         sending = self.sendings.get(number)
         if sending is None or not sending.left:
             head, _, body = data.partition(b"\r\n\r\n")
@@ -45,13 +45,13 @@
             sending.left = 0
             self._say("sent_whole", sending)
 
-    def went(self, number: int, data: bytes) -> None:
+    def on_response_bytes(self, number: int, data: bytes) -> None:
         sending = self.sendings.get(number)
         if sending is not None and sending.out:
             sending.out = False
             self._say("node_got", sending)
 
-    def ended(self, number: int) -> None:
+    def on_end(self, number: int) -> None:
         sending = self.sendings.pop(number, None)
         if sending is not None and sending.out:
             self._say("node_closed", sending)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from tests.faults import Direction, FaultProxy
+from tests.fault_proxy import Direction, FaultProxy
 from tests.soak.nodes import SoakNode
 from tests.soak.world import World
 
@@ -78,12 +78,12 @@
 
     async def _gates(self, fault: Fault, ways: list[Direction]) -> None:
         for way in ways:
-            way.shut += 1
+            way.silences += 1
             way.gate.clear()
         await asyncio.sleep(fault.lasts)
         for way in ways:
-            way.shut -= 1
-            if not way.shut:
+            way.silences -= 1
+            if not way.silences:
                 way.gate.set()
 
     async def silent_after(self, fault: Fault) -> None:
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -14,8 +14,9 @@
 from pathlib import Path
 from typing import Any
 
-from tests.faults import HOST, FaultProxy
-from tests.platform import SETTINGS, free_port
+from tests.fault_proxy import HOST, FaultProxy
+from tests.node_platform.ports import free_port
+from tests.node_platform.settings import SETTINGS
 from tests.soak.world import SoakAgent, World
 
 READY_WITHIN = 10.0  # seconds that a start may take
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -15,8 +15,15 @@
 from random import Random
 from typing import Any
 
-from tests.faults import HOST
-from tests.platform import READ, STREAM, chunked, request_of, whole
+from tests.fault_proxy import HOST
+from tests.node_platform.http_messages import (
+    PREFILL_RESPONSE,
+    STREAM_HEAD,
+    ReceivedRequest,
+    chunked,
+    http_response,
+    read_request,
+)
 
 Event = dict[str, Any]
 DECLINED = b"Srv-Declined: 1"
@@ -72,25 +79,27 @@
         with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError, ValueError):
             while True:
                 await self.hung.wait()
-                asked = await request_of(reader)
+                request = await read_request(reader)
                 await self.hung.wait()
-                if asked.method == "DELETE":
-                    self.world.released(self.name, asked.target.removeprefix("/state/"))
-                    writer.write(whole(204))
+                if request.method == "DELETE":
+                    self.world.released(self.name, request.target.removeprefix("/state/"))
+                    writer.write(http_response(204))
                     continue
-                await self._attempt(asked, reader, writer)
+                await self._attempt(request, reader, writer)
         writer.transport.abort()
 
-    async def _attempt(self, asked: Any, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        name = asked.headers.get("req-id", "")
+    async def _attempt(
+        self, request: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        name = request.headers.get("req-id", "")
         self.world.say(
             "arrived",
             engine=self.name,
             kind=self.kind,
             request=name,
-            body=asked.body.decode(),
-            target=asked.target,
-            deadline=asked.headers.get("req-deadline", ""),
+            body=request.body.decode(),
+            target=request.target,
+            deadline=request.headers.get("req-deadline", ""),
         )
         work = asyncio.ensure_future(self._work(name, writer))
         gone = asyncio.ensure_future(reader.read(1))
@@ -112,12 +121,12 @@
             if self.draw() < self.failing:
                 writer.transport.abort()
                 raise ConnectionResetError
-            writer.write(READ)
+            writer.write(PREFILL_RESPONSE)
             return
         state = self.world.states.get(name)
         if state is None and self.kind == "decode":
             self.world.say("declined", engine=self.name, request=name)
-            writer.write(whole(410, b"", DECLINED))
+            writer.write(http_response(410, b"", DECLINED))
             return
         await self._write(name, writer, state)
 
@@ -132,13 +141,13 @@
                 if self.draw() < 0.5:
                     writer.transport.abort()
                     raise ConnectionResetError
-                writer.write(whole(500))
+                writer.write(http_response(500))
                 return
         finally:
             if state is not None:
                 state.waiting -= 1
         self.world.taken(name)
-        writer.write(STREAM)
+        writer.write(STREAM_HEAD)
         for event in stream_of(name):
             writer.write(chunked(event))
             await asyncio.sleep(self.slow * 0.01 * self.draw())
@@ -185,15 +194,15 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             while True:
-                asked = await request_of(reader)
+                request = await read_request(reader)
                 await self.gate.wait()
-                if "after=" in asked.target:
-                    after = int(asked.target.partition("after=")[2].partition("&")[0])
+                if "after=" in request.target:
+                    after = int(request.target.partition("after=")[2].partition("&")[0])
                     with suppress(TimeoutError):
-                        async with asyncio.timeout(int(asked.target.partition("wait_ms=")[2]) / 1000):
+                        async with asyncio.timeout(int(request.target.partition("wait_ms=")[2]) / 1000):
                             await self.world.newer_than(after)
                 await self.gate.wait()
-                writer.write(whole(200, self.listed()))
+                writer.write(http_response(200, self.listed()))
                 self.world.say("told", node=self.node, version=self.world.version)
         writer.transport.abort()
 
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -12,7 +12,18 @@
 import pytest
 
 from runspool.scheduling.types import Role
-from tests.platform import EVENTS, GOOD, READ, REST, STREAM, Platform, Request, chunked, post, whole
+from tests.node_platform.client import post
+from tests.node_platform.http_messages import (
+    COMPLETE_STREAM,
+    EVENTS,
+    PREFILL_RESPONSE,
+    STREAM_HEAD,
+    STREAM_REMAINDER,
+    ReceivedRequest,
+    chunked,
+    http_response,
+)
+from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
 KINDS = {"r": "prefill", "s": "prefill", "w": "decode", "v": "decode", "m": "mixed"}
@@ -36,9 +47,9 @@
     draw = Random(4)
     seen: list[tuple[str, str, str, float]] = []  # query, engine, how it ended there, seconds there
 
-    async def answers(asked: Request) -> None:
+    async def answers(request: ReceivedRequest) -> None:
         at = asyncio.get_running_loop().time()
-        reads = platform.engines[asked.engine].kind == "prefill"
+        reads = platform.engines[request.engine].kind == "prefill"
         how = draw.choices(["good", "declined", "gone", "error", "reset", "cut"], [12, 2, 1, 2, 1, 1])[0]
         how = {
             "good": "read" if reads else "ok",
@@ -48,20 +59,20 @@
         await asyncio.sleep(draw.random() * 0.05)
         if how in ("reset", "cut"):
             if how == "cut":
-                await asked.say(STREAM + chunked(EVENTS[0]))
+                await request.send(STREAM_HEAD + chunked(EVENTS[0]))
                 await asyncio.sleep(0.02)
-            asked.reset()
+            request.reset()
         else:
-            await asked.say(
+            await request.send(
                 {
-                    "read": READ,
-                    "ok": GOOD,
-                    "declined": whole(503, b"", b"Srv-Declined: 1"),
-                    "gone": whole(410, b"", b"Srv-Declined: 1"),
-                    "error": whole(500),
+                    "read": PREFILL_RESPONSE,
+                    "ok": COMPLETE_STREAM,
+                    "declined": http_response(503, b"", b"Srv-Declined: 1"),
+                    "gone": http_response(410, b"", b"Srv-Declined: 1"),
+                    "error": http_response(500),
                 }[how]
             )
-        seen.append((asked.headers["req-id"], asked.engine, how, asyncio.get_running_loop().time() - at))
+        seen.append((request.headers["req-id"], request.engine, how, asyncio.get_running_loop().time() - at))
 
     async with Platform(tmp_path, KINDS).open() as platform:
         for engine in platform.engines.values():
@@ -103,18 +114,18 @@
     the middle and after the end, whatever ended them."""
     platform = Platform(tmp_path, KINDS)
     open_at: Counter[str] = Counter()
-    steps: asyncio.Queue[Callable[[Request], Awaitable[None]]] = asyncio.Queue()
+    steps: asyncio.Queue[Callable[[ReceivedRequest], Awaitable[None]]] = asyncio.Queue()
 
-    async def counted(asked: Request) -> None:
-        open_at[asked.engine] += 1
+    async def counted(request: ReceivedRequest) -> None:
+        open_at[request.engine] += 1
         platform.changed()
-        if platform.engines[asked.engine].kind != "prefill":
-            await asked.say(STREAM + chunked(EVENTS[0]))
+        if platform.engines[request.engine].kind != "prefill":
+            await request.send(STREAM_HEAD + chunked(EVENTS[0]))
             end = await steps.get()
         else:
             end = _reads
-        open_at[asked.engine] -= 1
-        await end(asked)
+        open_at[request.engine] -= 1
+        await end(request)
 
     for engine in platform.engines.values():
         engine.scripts = [counted] * 1_000
@@ -152,17 +163,17 @@
             await asyncio.sleep(0.005)
 
 
-async def _reads(asked: Request) -> None:
-    await asked.say(READ)
+async def _reads(request: ReceivedRequest) -> None:
+    await request.send(PREFILL_RESPONSE)
 
 
-async def _ends(asked: Request) -> None:
-    await asked.say(REST)
+async def _ends(request: ReceivedRequest) -> None:
+    await request.send(STREAM_REMAINDER)
 
 
-async def _cuts(asked: Request) -> None:
-    asked.reset()
+async def _cuts(request: ReceivedRequest) -> None:
+    request.reset()
 
 
-async def _spoils(asked: Request) -> None:
-    await asked.say(b"zz\r\n")
+async def _spoils(request: ReceivedRequest) -> None:
+    await request.send(b"zz\r\n")
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -10,7 +10,8 @@
 import pytest
 
 from runspool.logs import LINES_AT_ONCE, BoundedLog, SafeSink
-from tests.platform import Platform, post
+from tests.node_platform.client import post
+from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
 PAIR = {"r": "prefill", "w": "decode"}
@@ -70,7 +71,7 @@
     async with Platform(tmp_path, PAIR).open() as platform:
         platform.reads_log.clear()
         for number in range(400):
-            assert (await platform.ask(post(f"q{number}", body=b'{"prompt":"%b"}' % (b"x" * 50)))).whole
+            assert (await platform.ask(post(f"q{number}", body=b'{"prompt":"%b"}' % (b"x" * 50)))).complete
         platform.reads_log.set()
 
 
@@ -80,5 +81,5 @@
     platform.redirection = redirection
     async with platform.open():
         for number in range(5):
-            assert (await platform.ask(post(f"q{number}"))).whole
-        assert {shot.headers["req-id"] for shot in platform.seen} == {f"q{number}" for number in range(5)}
+            assert (await platform.ask(post(f"q{number}"))).complete
+        assert {shot.headers["req-id"] for shot in platform.received} == {f"q{number}" for number in range(5)}
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -17,25 +17,20 @@
 from runspool.node.executor import PendingNodeRequest
 from runspool.scheduling.types import EngineState
 from runspool.transport.tcp import TcpConnection, connect
-from tests.platform import (
-    BODY,
+from tests.node_platform.client import BODY, post
+from tests.node_platform.engine import Script, never_responds, resets_connection, responds, streams_until
+from tests.node_platform.http_messages import (
+    COMPLETE_STREAM,
     EVENTS,
-    GOOD,
-    READ,
-    SETTINGS,
-    STREAM,
+    PREFILL_RESPONSE,
+    STREAM_HEAD,
     WAIT,
-    Platform,
-    Request,
-    Script,
+    ReceivedRequest,
     chunked,
-    post,
-    resets,
-    says,
-    silent,
-    waits_for,
-    whole,
+    http_response,
 )
+from tests.node_platform.platform import Platform
+from tests.node_platform.settings import SETTINGS
 
 pytestmark = pytest.mark.anyio
 PAIR = {"r": "prefill", "w": "decode"}
@@ -46,27 +41,27 @@
 async def test_a_query_is_read_then_written_and_its_events_come_unchanged(tmp_path: Path) -> None:
     async with Platform(tmp_path, PAIR).open() as platform:
         answer = await platform.ask(post("q1"))
-        assert (answer.status, answer.whole, answer.body) == (200, True, b"".join(EVENTS))
-        read, write = platform.shots("q1")
+        assert (answer.status, answer.complete, answer.body) == (200, True, b"".join(EVENTS))
+        read, write = platform.attempts("q1")
         assert (read.engine, write.engine) == ("r", "w")
         for shot in (read, write):
             assert (shot.method, shot.target, shot.body) == ("POST", "/v1/chat/completions?v=1", BODY)
             assert 0 < int(shot.headers["req-deadline"].removesuffix("u")) <= 4_000_000
 
 
-async def _half(asked: Request) -> None:
-    await asked.say(GOOD[:60])
-    asked.reset()
+async def _half(request: ReceivedRequest) -> None:
+    await request.send(COMPLETE_STREAM[:60])
+    request.reset()
 
 
 MAYBE_RAN: dict[str, Script] = {
-    "500": says(whole(500)),
-    "503 undeclared": says(whole(503)),
-    "410 undeclared": says(whole(410)),
-    "404": says(whole(404)),
-    "202 from a writer": says(READ),
-    "reset": resets,
-    "noise": says(b"\x00\xff" * 50),
+    "500": responds(http_response(500)),
+    "503 undeclared": responds(http_response(503)),
+    "410 undeclared": responds(http_response(410)),
+    "404": responds(http_response(404)),
+    "202 from a writer": responds(PREFILL_RESPONSE),
+    "reset": resets_connection,
+    "noise": responds(b"\x00\xff" * 50),
     "half a stream": _half,
 }
 
@@ -78,38 +73,38 @@
             platform.engines[writer].scripts.append(MAYBE_RAN[how])
         answer = await platform.ask(post("q1", "book"))
         assert answer.status == 500 and "retry-after" not in answer.headers
-        assert len(platform.shots("q1", "write")) == 1
+        assert len(platform.attempts("q1", "decode")) == 1
 
 
 @pytest.mark.parametrize("status", [503, 504])
 async def test_a_declined_shot_never_ran_and_goes_elsewhere(status: int, tmp_path: Path) -> None:
     async with Platform(tmp_path, TWO).open() as platform:
         for writer in "wv":
-            platform.engines[writer].scripts = [says(whole(status, b"", DECLINED))]
+            platform.engines[writer].scripts = [responds(http_response(status, b"", DECLINED))]
         platform.engines["v"].scripts = []
         platform.engines["w"].scripts *= 4
         for at in range(6):
             answer = await platform.ask(post(f"q{at}", "book"))
-            assert (answer.status, answer.whole) == (200, True)
-        assert any(len(platform.shots(f"q{at}", "write")) == 2 for at in range(6))
+            assert (answer.status, answer.complete) == (200, True)
+        assert any(len(platform.attempts(f"q{at}", "decode")) == 2 for at in range(6))
 
 
 async def test_a_state_that_is_gone_is_read_again(tmp_path: Path) -> None:
     async with Platform(tmp_path, PAIR).open() as platform:
-        platform.engines["w"].scripts = [says(whole(410, b"", DECLINED))]
+        platform.engines["w"].scripts = [responds(http_response(410, b"", DECLINED))]
         answer = await platform.ask(post("q1", "book"))
-        assert (answer.status, answer.whole) == (200, True)
-        assert [shot.engine for shot in platform.shots("q1")] == ["r", "w", "r", "w"]
+        assert (answer.status, answer.complete) == (200, True)
+        assert [shot.engine for shot in platform.attempts("q1")] == ["r", "w", "r", "w"]
 
 
 async def test_a_read_given_up_is_let_go(tmp_path: Path) -> None:
     async with Platform(tmp_path, PAIR).open() as platform:
-        platform.engines["r"].scripts = [silent]
+        platform.engines["r"].scripts = [never_responds]
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: len(platform.shots("q1")) == 1)
+        await platform.until(lambda: len(platform.attempts("q1")) == 1)
         client.close()
-        await platform.until(lambda: len(platform.let_go("q1")) == 1)
+        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
 
 
 async def test_letting_go_asks_another_engine_where_the_first_is_down(tmp_path: Path) -> None:
@@ -117,7 +112,7 @@
         platform.engines["r"].scripts = [_goes_down]
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: any(one.engine == "w" for one in platform.let_go("q1")))
+        await platform.until(lambda: any(one.engine == "w" for one in platform.release_calls("q1")))
 
 
 async def test_letting_go_does_not_wait_for_one_cut_off_engine_after_the_other(tmp_path: Path) -> None:
@@ -152,28 +147,28 @@
         assert asked == [sites["r"].address, sites["w7"].address]
 
 
-async def _goes_down(asked: Request) -> None:
+async def _goes_down(request: ReceivedRequest) -> None:
     """The read is lost, and nothing answers at its engine any more."""
-    asked.down()
-    asked.reset()
+    request.stop_listening()
+    request.reset()
 
 
 async def test_an_exclusive_query_declined_by_all_is_dismissed_at_once_with_a_time(tmp_path: Path) -> None:
     async with Platform(tmp_path, PAIR).open() as platform:
-        platform.engines["w"].scripts = [says(whole(503, b"", DECLINED))] * 5
+        platform.engines["w"].scripts = [responds(http_response(503, b"", DECLINED))] * 5
         answer = await platform.ask(post("q1", "book"))
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) <= 2.0
-        await platform.until(lambda: len(platform.let_go("q1")) >= 1)  # the state that nobody fetched
+        await platform.until(lambda: len(platform.release_calls("q1")) >= 1)  # the state that nobody fetched
 
 
 SPOILT = {
     "noise": b"\x00\x01\xfe" * 30,
-    "no event": STREAM + chunked(b"hello\n\n"),
-    "no json": STREAM + chunked(b"data: {oops\n\n"),
+    "no event": STREAM_HEAD + chunked(b"hello\n\n"),
+    "no json": STREAM_HEAD + chunked(b"data: {oops\n\n"),
     "endless head": b"HTTP/1.1 200 OK\r\nA: " + b"x" * 70_000,
-    "bad size": STREAM + b"zz\r\n",
-    "3 GB": STREAM + b"c0000000\r\n" + b"x" * 70_000,
+    "bad size": STREAM_HEAD + b"zz\r\n",
+    "3 GB": STREAM_HEAD + b"c0000000\r\n" + b"x" * 70_000,
 }
 
 
@@ -181,19 +176,19 @@
 async def test_a_stream_spoilt_before_its_first_event_is_a_shot_that_may_have_run(
     how: str, tmp_path: Path
 ) -> None:
-    async def spoils(asked: Request) -> None:
-        await asked.say(SPOILT[how])
-        await asked.closed()  # its connection is of no further use
+    async def spoils(request: ReceivedRequest) -> None:
+        await request.send(SPOILT[how])
+        await request.until_closed()  # its connection is of no further use
 
     async with Platform(tmp_path, TWO).open() as platform:
         for writer in "wv":
             platform.engines[writer].scripts = [spoils]
         again = await platform.ask(post("q1"))
-        assert (again.status, again.whole, len(platform.shots("q1", "write"))) == (200, True, 3)
+        assert (again.status, again.complete, len(platform.attempts("q1", "decode"))) == (200, True, 3)
         for writer in "wv":
             platform.engines[writer].scripts = [spoils]
         assert (await platform.ask(post("q2", "book"))).status == 500
-        assert len(platform.shots("q2", "write")) == 1
+        assert len(platform.attempts("q2", "decode")) == 1
 
 
 LATER = {
@@ -208,30 +203,30 @@
 
 @pytest.mark.parametrize("how", LATER)
 async def test_a_stream_spoilt_later_ends_without_its_last_chunk(how: str, tmp_path: Path) -> None:
-    async def spoils(asked: Request) -> None:
-        await asked.say(STREAM + chunked(EVENTS[0]))
+    async def spoils(request: ReceivedRequest) -> None:
+        await request.send(STREAM_HEAD + chunked(EVENTS[0]))
         await begun.wait()
-        await asked.say(LATER[how])
-        await asked.closed()
+        await request.send(LATER[how])
+        await request.until_closed()
 
     begun = asyncio.Event()
     async with Platform(tmp_path, PAIR).open() as platform:
         platform.engines["w"].scripts = [spoils]
         client = await platform.client()
         client.send(post("q1"))
-        answer = await client.head()
-        assert await client.chunk() == EVENTS[0]
+        answer = await client.read_head()
+        assert await client.read_chunk() == EVENTS[0]
         begun.set()
-        answer = await client.rest(answer)  # "half" is only ever silent: its client is told within 5 s
-        assert not answer.whole and len(platform.shots("q1", "write")) == 1
+        answer = await client.read_body(answer)  # "half" is only ever silent: its client is told within 5 s
+        assert not answer.complete and len(platform.attempts("q1", "decode")) == 1
 
 
 MORE = {
-    "1xx": b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + GOOD,
-    "report": GOOD.replace(b"Content-Type", b"Srv-Load: \xff;;=,{\r\nContent-Type"),
-    "second answer": GOOD + GOOD,
-    "another answer": GOOD + whole(500, b"no"),
-    "trash": GOOD + b"\x00\x01 trash",
+    "1xx": b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + COMPLETE_STREAM,
+    "report": COMPLETE_STREAM.replace(b"Content-Type", b"Srv-Load: \xff;;=,{\r\nContent-Type"),
+    "second answer": COMPLETE_STREAM + COMPLETE_STREAM,
+    "another answer": COMPLETE_STREAM + http_response(500, b"no"),
+    "trash": COMPLETE_STREAM + b"\x00\x01 trash",
 }
 
 
@@ -240,19 +235,19 @@
 async def test_a_good_stream_with_more_than_belongs_to_it_is_served(
     how: str, pieces: str, tmp_path: Path
 ) -> None:
-    async def says_more(asked: Request) -> None:
+    async def says_more(request: ReceivedRequest) -> None:
         if pieces == "whole":
-            await asked.say(MORE[how])
+            await request.send(MORE[how])
         else:
             for at in range(len(MORE[how])):
-                await asked.say(MORE[how][at : at + 1])
+                await request.send(MORE[how][at : at + 1])
                 await asyncio.sleep(0)
 
     async with Platform(tmp_path, PAIR).open() as platform:
         platform.engines["w"].scripts = [says_more]
         for name in ("q1", "q2"):  # the connection that said too much spoils no other
             answer = await platform.ask(post(name))
-            assert (answer.status, answer.whole, answer.body) == (200, True, b"".join(EVENTS))
+            assert (answer.status, answer.complete, answer.body) == (200, True, b"".join(EVENTS))
 
 
 BAD: dict[str, bytes] = {
@@ -296,11 +291,11 @@
             hidden = post("hidden") if b"chunked" in data else b""
             client = await platform.client()
             client.send(data + hidden)
-            answer = await client.head()
+            answer = await client.read_head()
             assert 400 <= answer.status < 600, how
             client.close()
         assert (await platform.ask(post("q1"))).status == 200
-        assert {one.headers.get("req-id") for one in platform.seen} == {"q1"}
+        assert {one.headers.get("req-id") for one in platform.received} == {"q1"}
 
 
 @pytest.mark.parametrize("order", ["length first", "coding first"])
@@ -318,27 +313,27 @@
             client.send(data[:at])
             await asyncio.sleep(0.001)
             client.send(data[at:])
-            assert (await client.head()).status == 400
+            assert (await client.read_head()).status == 400
             client.close()
-        assert platform.seen == []
+        assert platform.received == []
 
 
 async def test_an_id_that_is_open_is_turned_away_and_the_open_one_goes_on(tmp_path: Path) -> None:
     go = asyncio.Event()
 
-    async def waits(asked: Request) -> None:
+    async def waits(request: ReceivedRequest) -> None:
         await go.wait()
-        await asked.say(GOOD)
+        await request.send(COMPLETE_STREAM)
 
     async with Platform(tmp_path, PAIR).open() as platform:
         platform.engines["w"].scripts = [waits]
         first = await platform.client()
         first.send(post("q1"))
-        await platform.until(lambda: len(platform.shots("q1", "write")) == 1)
+        await platform.until(lambda: len(platform.attempts("q1", "decode")) == 1)
         assert (await platform.ask(post("q1"))).status == 409
         go.set()
-        assert (await first.answer()).whole
-        assert len(platform.shots("q1")) == 2
+        assert (await first.read_response()).complete
+        assert len(platform.attempts("q1")) == 2
 
 
 async def test_silent_clients_by_the_hundreds_keep_nobody_out_and_are_closed(tmp_path: Path) -> None:
@@ -346,11 +341,11 @@
         crowd = [await platform.client() for _ in range(400)]
         half = await platform.client()
         half.send(post("h1")[:-10])
-        assert (await platform.ask(post("q1"))).whole
+        assert (await platform.ask(post("q1"))).complete
         for one in [*crowd, half]:
-            await one.end()
-        assert platform.shots("h1") == []
-        assert (await platform.ask(post("q2"))).whole
+            await one.read_to_close()
+        assert platform.attempts("h1") == []
+        assert (await platform.ask(post("q2"))).complete
 
 
 async def test_at_sigterm_what_still_comes_is_served_and_streams_run_to_their_ends(tmp_path: Path) -> None:
@@ -359,30 +354,30 @@
     async with Platform(tmp_path, PAIR).open() as platform:
         kept = await platform.client()
         kept.send(post("q0"))
-        assert (await kept.answer()).whole
-        platform.engines["w"].scripts = [waits_for(go)]
+        assert (await kept.read_response()).complete
+        platform.engines["w"].scripts = [streams_until(go)]
         running = await platform.client()
         running.send(post("q1"))
-        answer = await running.head()
+        answer = await running.read_head()
         platform.signal(signal.SIGTERM)
         await platform.logged("node_stopping")
         for client, name in ((kept, "q2"), (await platform.client(), "q3")):
             client.send(post(name))
-            assert (await client.answer()).whole
+            assert (await client.read_response()).complete
             client.send(post(f"{name}-again"))  # its connection stays open: there may be no other node
-            assert (await client.answer()).whole
+            assert (await client.read_response()).complete
         health = await platform.client()
         health.send(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
-        assert (await health.answer()).status == 503
+        assert (await health.read_response()).status == 503
         go.set()
-        assert (await running.rest(answer)).body == b"".join(EVENTS)
+        assert (await running.read_body(answer)).body == b"".join(EVENTS)
         assert await asyncio.wait_for(platform.process.wait(), 15) == 0
 
 
 async def test_a_stream_that_cannot_end_before_the_kill_is_moved(tmp_path: Path) -> None:
-    async def begins(asked: Request) -> None:
-        await asked.say(STREAM + chunked(EVENTS[0]))
-        await asked.closed()
+    async def begins(request: ReceivedRequest) -> None:
+        await request.send(STREAM_HEAD + chunked(EVENTS[0]))
+        await request.until_closed()
         gone.set()
 
     gone = asyncio.Event()
@@ -390,10 +385,10 @@
         platform.engines["w"].scripts = [begins]
         running = await platform.client()
         running.send(post("q1"))
-        answer = await running.head()
+        answer = await running.read_head()
         platform.signal(signal.SIGTERM)
-        answer = await running.rest(answer)
-        assert (answer.body, answer.whole) == (EVENTS[0], False)  # its client comes again for the rest
+        answer = await running.read_body(answer)
+        assert (answer.body, answer.complete) == (EVENTS[0], False)  # its client comes again for the rest
         await asyncio.wait_for(gone.wait(), 15)
         assert await asyncio.wait_for(platform.process.wait(), 15) == 0
 
@@ -403,15 +398,15 @@
         (tmp_path / "config.json").write_text("{oops")
         platform.signal(signal.SIGHUP)
         await platform.logged("config_unusable")
-        assert (await platform.ask(post("q1"))).whole
+        assert (await platform.ask(post("q1"))).complete
         other = Platform(tmp_path, {"x": "mixed"})
         async with other.agent() as port:
             await other.engines["x"].start()
             platform.write_config(discovery=f"127.0.0.1:{port}")
             platform.signal(signal.SIGHUP)
             await other.until(lambda: any("after=" in one for one in other.lists))
-            assert (await platform.ask(post("q2"))).whole
-            assert [shot.engine for shot in other.shots("q2")] == ["x"]
+            assert (await platform.ask(post("q2"))).complete
+            assert [shot.engine for shot in other.attempts("q2")] == ["x"]
             other.engines["x"].server.close()
 
 
@@ -421,7 +416,7 @@
         b"{oops",
         b'{"index":-1,"snapshot":true}',
         None,
-        whole(500),
+        http_response(500),
         b'{"index":9,"snapshot":true,"endpoints":[{"name":"r"}]}',
     ],
 )
@@ -433,7 +428,7 @@
         platform.list_scripts = [trouble]
         platform.tell()  # ends the watch: what it says next is the trouble
         await platform.until(lambda: len(platform.lists) >= asked + 3)
-        assert (await platform.ask(post("q1"))).whole
+        assert (await platform.ask(post("q1"))).complete
 
 
 async def test_a_list_whose_numbers_begin_anew_is_believed(tmp_path: Path) -> None:
@@ -447,8 +442,8 @@
         platform.changed()
         await platform.until(lambda: any("after=3&" in one for one in platform.lists))
         for at in range(4):
-            assert (await platform.ask(post(f"q{at}"))).whole
-            assert [shot.engine for shot in platform.shots(f"q{at}")] == ["r", "w"]
+            assert (await platform.ask(post(f"q{at}"))).complete
+            assert [shot.engine for shot in platform.attempts(f"q{at}")] == ["r", "w"]
 
 
 @pytest.mark.parametrize(
@@ -481,16 +476,16 @@
 
 
 async def test_a_kept_connection_that_its_engine_closed_costs_no_doubt(tmp_path: Path) -> None:
-    async def serves_and_closes(asked: Request) -> None:
-        await asked.say(GOOD)
-        asked.reset()
+    async def serves_and_closes(request: ReceivedRequest) -> None:
+        await request.send(COMPLETE_STREAM)
+        request.reset()
 
     async with Platform(tmp_path, PAIR).open() as platform:
         platform.engines["w"].scripts = [serves_and_closes] * 10
         for at in range(10):
             answer = await platform.ask(post(f"q{at}", "book"))
-            assert (answer.status, answer.whole) == (200, True)
-            assert len(platform.shots(f"q{at}", "write")) == 1
+            assert (answer.status, answer.complete) == (200, True)
+            assert len(platform.attempts(f"q{at}", "decode")) == 1
 
 
 async def test_a_kept_connection_reset_by_the_next_request_costs_no_doubt(
@@ -500,10 +495,10 @@
         await asyncio.sleep(0.5)  # a round trip so long that the reset is always seen in it
         return await connect(address, source)
 
-    async def given_up(asked: Request) -> None:
-        await asked.say(GOOD)
-        await asked.reader.read(1)
-        asked.reset()
+    async def given_up(request: ReceivedRequest) -> None:
+        await request.send(COMPLETE_STREAM)
+        await request.reader.read(1)
+        request.reset()
 
     monkeypatch.setattr("runspool.engines.connection_pool.connect", far)
     monkeypatch.setattr("runspool.engines.http_exchange.MAX_OBSERVATION_TIME", 100_000)
@@ -517,9 +512,9 @@
             0  # the kept connection is what this is about, however soon it is used
         )
         platform.engines["w"].scripts = [given_up]
-        assert (await platform.ask(post("q1"))).whole
-        assert (await platform.ask(post("q2", "book", req_deadline="9000m"))).whole
-        assert len(platform.shots("q2", "write")) == 1
+        assert (await platform.ask(post("q1"))).complete
+        assert (await platform.ask(post("q2", "book", req_deadline="9000m"))).complete
+        assert len(platform.attempts("q2", "decode")) == 1
 
 
 async def test_descriptors_stay_under_their_cap_and_whoever_asks_is_answered(tmp_path: Path) -> None:
@@ -528,20 +523,20 @@
     platform = Platform(tmp_path, PAIR)
     platform.sockets = 64
     async with platform.open():
-        platform.engines["w"].scripts = [waits_for(go)] * 100
+        platform.engines["w"].scripts = [streams_until(go)] * 100
         held = Path(f"/proc/{platform.process.pid}/fd")
         most = 0
         begun = []
         for at in range(40):
             client = await platform.client()
             client.send(post(f"q{at}"))
-            begun.append((client, await client.head()))
+            begun.append((client, await client.read_head()))
             most = max(most, len(os.listdir(held)))
         go.set()
         assert {answer.status for _, answer in begun} == {200, 503}
         for client, answer in begun:
             if answer.status == 200:
-                await client.rest(answer)  # only then is there room again
+                await client.read_body(answer)  # only then is there room again
         assert most <= 64
         assert (await platform.ask(post("last"))).status == 200
 
@@ -568,4 +563,4 @@
                 await asyncio.sleep(0.005)
         go.set()
         assert (await asked).status == 503  # known not to have run
-        assert platform.shots("q1", "write") == []
+        assert platform.attempts("q1", "decode") == []
--- a/tests/test_rare.py
+++ b/tests/test_rare.py
@@ -31,23 +31,20 @@
 from runspool.service.timer_queue import SchedulerTimer
 from runspool.transport.tcp import TcpConnection, connect
 from runspool.units import tenths
-from tests.platform import (
-    BODY,
+from tests.node_platform.client import BODY, Client, post
+from tests.node_platform.engine import never_responds, responds
+from tests.node_platform.http_messages import (
     EVENTS,
-    READ,
-    SETTINGS,
-    STREAM,
+    PREFILL_RESPONSE,
+    STREAM_HEAD,
     WAIT,
-    Client,
-    Platform,
-    Request,
+    ReceivedRequest,
     chunked,
-    post,
-    request_of,
-    says,
-    silent,
-    whole,
+    http_response,
+    read_request,
 )
+from tests.node_platform.platform import Platform
+from tests.node_platform.settings import SETTINGS
 
 pytestmark = pytest.mark.anyio
 PAIR = {"r": "prefill", "w": "decode"}
@@ -72,7 +69,7 @@
     """A client that has been served and keeps its connection, and the node's end of that."""
     client = await platform.client()
     client.send(post("q0"))
-    assert (await client.answer()).whole
+    assert (await client.read_response()).complete
     (intake,) = running.connections.handlers
     await until(lambda: intake.idle_since)  # a round or two after its answer is out
     return client, intake
@@ -102,7 +99,7 @@
         # Before the kill there is time enough for it.
         for one in (client, await platform.client()):
             one.send(post(f"s{id(one)}", req_deadline="600m"))
-            assert (await one.answer()).whole
+            assert (await one.read_response()).complete
             assert not running.executor.closing
 
 
@@ -137,7 +134,7 @@
 
         intake.tcp.data_received = comes  # type: ignore[method-assign]
         client.send(post("q1"))
-        assert (await client.answer()).whole
+        assert (await client.read_response()).complete
         assert gave_way == [False]
 
 
@@ -147,7 +144,7 @@
         client, _ = await kept(platform, running)
         client.send(post("q1"))  # to the kernel, at once
         assert not running.connections.make_room()  # no loop's round since: nobody here has read it
-        assert (await client.answer()).whole
+        assert (await client.read_response()).complete
 
 
 async def test_half_a_head_keeps_its_connection_from_a_stop_and_not_from_who_asks(tmp_path: Path) -> None:
@@ -158,12 +155,12 @@
         await until(lambda: intake.requests.ready)
         assert not intake.close_if_waiting()
         client.send(post("q1")[50:])
-        assert (await client.answer()).whole
+        assert (await client.read_response()).complete
         await until(lambda: intake.idle_since)  # a round or two after its answer is out
         client.send(post("q2")[:50])
         await until(lambda: intake.requests.ready)
         assert running.connections.make_room()
-        assert (await client.answer()).status == 408
+        assert (await client.read_response()).status == 408
 
 
 async def test_hard_limits_beyond_the_kill_are_answered_and_let_go_before_it(
@@ -172,14 +169,14 @@
     monkeypatch.setattr(graceful_shutdown, "MAX_COUNTED_DEADLINE", 1_000)  # a stop of 0.3 s in place of 3.2
     platform = Platform(tmp_path, PAIR)
     platform.settings = hard_limit(60_000)
-    platform.engines["r"].scripts = [silent]
+    platform.engines["r"].scripts = [never_responds]
     async with platform.inside() as running:
         client = await platform.client()
         client.send(post("q1", req_deadline="60000m"))
-        await platform.until(lambda: len(platform.shots("q1")) == 1)
+        await platform.until(lambda: len(platform.attempts("q1")) == 1)
         running.stop()
-        assert (await client.answer()).status == 500
-        await platform.until(lambda: len(platform.let_go("q1")) == 1)
+        assert (await client.read_response()).status == 500
+        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
         await asyncio.wait_for(platform.run, WAIT)
 
 
@@ -195,9 +192,9 @@
         new = await platform.client()
         await until(lambda: len(running.connections.handlers) == 2)
         running.stop()
-        assert await served.end() == b""  # by then the new one has been passed over as well
+        assert await served.read_to_close() == b""  # by then the new one has been passed over as well
         new.send(post("q1"))
-        answer = await new.answer()
+        answer = await new.read_response()
         assert (answer.status, answer.headers["connection"]) == (503, "close")
         await asyncio.wait_for(platform.run, WAIT)
 
@@ -229,10 +226,10 @@
         client.send(post("q1"))
         for _ in range(100):  # time enough to be taken and sent on, were it taken
             await asyncio.sleep(0.001)
-        assert not running.connections.handlers and not platform.shots("q1")
+        assert not running.connections.handlers and not platform.attempts("q1")
         platform.list_gate.set()
-        assert (await client.answer()).whole
-        assert [shot.engine for shot in platform.shots("q1")] == ["r", "w"]
+        assert (await client.read_response()).complete
+        assert [shot.engine for shot in platform.attempts("q1")] == ["r", "w"]
 
 
 async def test_a_start_with_a_silent_agent_serves_on_the_last_list(
@@ -242,7 +239,7 @@
     platform = Platform(tmp_path, PAIR)
     platform.list_gate.clear()
     async with platform.inside():
-        assert (await platform.ask(post("q1"))).whole
+        assert (await platform.ask(post("q1"))).complete
 
 
 async def test_a_reset_watch_is_opened_anew_without_a_rest(
@@ -299,7 +296,7 @@
     async with platform.inside():
         await platform.until(lambda: any("after=" in one for one in platform.lists))
         assert [one for one in platform.lists if "after=" not in one][1:]  # asked for again
-        assert (await platform.ask(post("q1"))).whole
+        assert (await platform.ask(post("q1"))).complete
 
 
 async def test_a_configuration_that_is_half_written_is_looked_at_again(tmp_path: Path) -> None:
@@ -336,7 +333,7 @@
         await until(lambda: len(faults) >= 3)
         running.executor.timers.on_timer = sound[0]
         running.discovery.listener.receive = sound[1]  # type: ignore[method-assign]
-        assert (await platform.ask(post("q1"))).whole
+        assert (await platform.ask(post("q1"))).complete
         assert not platform.run.done()
 
 
@@ -352,7 +349,7 @@
 
         node.after_attempt = fails  # type: ignore[method-assign, assignment]
         assert (await platform.ask(post("bad"))).status == 500
-        assert (await platform.ask(post("q1"))).whole
+        assert (await platform.ask(post("q1"))).complete
         assert not node.requests and not platform.run.done()
 
 
@@ -364,12 +361,12 @@
 
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
-        platform.engines["r"].scripts = [silent]
+        platform.engines["r"].scripts = [never_responds]
         monkeypatch.setattr(RequestHandler, "_send_final", fails)
         answer = await platform.ask(post("q1", req_deadline="300m"))
-        assert (answer.status, answer.headers["connection"], answer.whole) == (500, "close", True)
+        assert (answer.status, answer.headers["connection"], answer.complete) == (500, "close", True)
         monkeypatch.undo()
-        assert (await platform.ask(post("q2"))).whole
+        assert (await platform.ask(post("q2"))).complete
         assert not platform.run.done() and not running.executor.requests
 
 
@@ -381,8 +378,8 @@
     await until(lambda: not node.requests and not node.releases_in_progress)
     platform.tell(**dict.fromkeys(platform.states, "active"))
     await until_listed(node, "on")
-    assert (await platform.ask(post(f"after-{name}"))).whole  # whatever waited would have gone with it
-    assert len(platform.shots(name)) == shots
+    assert (await platform.ask(post(f"after-{name}"))).complete  # whatever waited would have gone with it
+    assert len(platform.attempts(name)) == shots
     assert not node.engine_client.pool.open_counts or sum(
         map(len, node.engine_client.pool.idle.values())
     ) == sum(node.engine_client.pool.open_counts.values())
@@ -400,16 +397,16 @@
 async def test_a_client_that_goes_while_its_query_is_read_is_let_go(ahead: int, tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
-        platform.engines["r"].scripts = [silent]
+        platform.engines["r"].scripts = [never_responds]
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: len(platform.shots("q1")) == 1)
+        await platform.until(lambda: len(platform.attempts("q1")) == 1)
         # More than the node keeps and its kernel holds: the end behind it would never come through.
         client.send(b"x" * ahead)
         if ahead:
             await asyncio.wait_for(client.writer.drain(), WAIT)
         client.writer.close()
-        await platform.until(lambda: len(platform.let_go("q1")) == 1)
+        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
         await settled(platform, running.executor, "q1", 1)
 
 
@@ -430,16 +427,16 @@
     platform.settings = changed(lambda said: said["family-info"].update({"release-within-us": 60_000_000}))
     async with platform.inside() as running:
         go = asyncio.Event()
-        platform.engines["r"].scripts = [says(READ, go)]
+        platform.engines["r"].scripts = [responds(PREFILL_RESPONSE, go)]
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: len(platform.shots("q1")) == 1)
+        await platform.until(lambda: len(platform.attempts("q1")) == 1)
         platform.tell(w="leaving")
         await until_listed(running.executor, "draining", "w")
         go.set()
         await until(lambda: any(taken.prefill_endpoint for taken in running.executor.requests.values()))
         client.close()
-        await platform.until(lambda: len(platform.let_go("q1")) == 1)
+        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
         await settled(platform, running.executor, "q1", 1)
 
 
@@ -486,7 +483,7 @@
         monkeypatch.setattr("runspool.engines.connection_pool.connect", dials)
         client = await platform.client()
         client.send(post("q1"))
-        assert await client.end() == b""
+        assert await client.read_to_close() == b""
         await settled(platform, running.executor, "q1", 0)
 
 
@@ -494,28 +491,28 @@
     go = asyncio.Event()
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
-        platform.engines["r"].scripts = [says(READ, go)]
+        platform.engines["r"].scripts = [responds(PREFILL_RESPONSE, go)]
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: len(platform.shots("q1")) == 1)
+        await platform.until(lambda: len(platform.attempts("q1")) == 1)
         client.send(b"x" * 400_000)
         await asyncio.wait_for(client.writer.drain(), WAIT)
         (intake,) = running.connections.handlers
         await until(lambda: intake.tcp.discarded_bytes)
         go.set()
-        answer = await client.answer()
-        assert answer.whole and answer.headers["connection"] == "close"
+        answer = await client.read_response()
+        assert answer.complete and answer.headers["connection"] == "close"
 
 
 # Engines.
 
 
 async def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_querys(tmp_path: Path) -> None:
-    async def twice(asked: Request) -> None:
-        await asked.say(READ)
-        await request_of(asked.reader)
-        await asked.say(READ)  # the first one's, again: this request is not read yet
-        await asked.closed()
+    async def twice(request: ReceivedRequest) -> None:
+        await request.send(PREFILL_RESPONSE)
+        await read_request(request.reader)
+        await request.send(PREFILL_RESPONSE)  # the first one's, again: this request is not read yet
+        await request.until_closed()
 
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
@@ -523,17 +520,17 @@
             600_000  # whatever the machine's speed, the link has just been used
         )
         platform.engines["r"].scripts = [twice]
-        assert (await platform.ask(post("q1"))).whole
-        assert (await platform.ask(post("q2"))).whole
+        assert (await platform.ask(post("q1"))).complete
+        assert (await platform.ask(post("q2"))).complete
         # Had it been taken, the state would have been fetched from a reader that never had it.
-        assert [shot.engine for shot in platform.shots("q2")] == ["r", "w"]
+        assert [shot.engine for shot in platform.attempts("q2")] == ["r", "w"]
 
 
 async def test_a_link_just_used_waits_its_rest_where_no_other_can_be_had(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
         pool = running.executor.engine_client.pool
-        assert (await platform.ask(post("q1"))).whole
+        assert (await platform.ask(post("q1"))).complete
         looks: list[float] = []
         for waiting in pool.idle.values():
             for link in waiting:
@@ -545,7 +542,7 @@
 
                 link.tcp.stays_silent = looked  # type: ignore[method-assign]
         pool.quiet_time, pool.max_connections = 600_000, sum(pool.open_counts.values())
-        assert (await platform.ask(post("q2"))).whole
+        assert (await platform.ask(post("q2"))).complete
         assert len(looks) == 2 and min(looks) > 30
 
 
@@ -554,23 +551,23 @@
     events = [event.replace(b"\n\n", end) for event in EVENTS]
     passed = [asyncio.Event() for _ in events]
 
-    async def one_by_one(asked: Request) -> None:
-        await asked.say(STREAM)
+    async def one_by_one(request: ReceivedRequest) -> None:
+        await request.send(STREAM_HEAD)
         for event, seen in zip(events, passed, strict=True):
-            await asked.say(chunked(event))
+            await request.send(chunked(event))
             await asyncio.wait_for(seen.wait(), WAIT)  # the next only once its client has this one
-        await asked.say(b"0\r\n\r\n")
+        await request.send(b"0\r\n\r\n")
 
     platform = Platform(tmp_path, PAIR)
     async with platform.inside():
         platform.engines["w"].scripts = [one_by_one]
         client = await platform.client()
         client.send(post("q1"))
-        answer = await client.head()
+        answer = await client.read_head()
         for event, seen in zip(events, passed, strict=True):
-            assert await client.chunk() == event
+            assert await client.read_chunk() == event
             seen.set()
-        assert (await client.rest(answer)).whole
+        assert (await client.read_body(answer)).complete
 
 
 BAD = {
@@ -584,22 +581,22 @@
 async def test_good_events_ahead_of_a_bad_one_are_passed_on(how: str, tmp_path: Path) -> None:
     seen = asyncio.Event()
 
-    async def spoils(asked: Request) -> None:
-        await asked.say(STREAM + chunked(EVENTS[0]))
+    async def spoils(request: ReceivedRequest) -> None:
+        await request.send(STREAM_HEAD + chunked(EVENTS[0]))
         await asyncio.wait_for(seen.wait(), WAIT)
-        await asked.say(BAD[how])
-        await asked.closed()
+        await request.send(BAD[how])
+        await request.until_closed()
 
     platform = Platform(tmp_path, PAIR)
     async with platform.inside():
         platform.engines["w"].scripts = [spoils]
         client = await platform.client()
         client.send(post("q1"))
-        answer = await client.head()
-        assert await client.chunk() == EVENTS[0]
+        answer = await client.read_head()
+        assert await client.read_chunk() == EVENTS[0]
         seen.set()
-        answer = await client.rest(answer)
-        assert (answer.body, answer.whole) == (EVENTS[1], False)
+        answer = await client.read_body(answer)
+        assert (answer.body, answer.complete) == (EVENTS[1], False)
 
 
 @pytest.mark.parametrize("where", ["body", "event", "read"])
@@ -608,15 +605,15 @@
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
         scripts = {
-            "event": ("w", STREAM + chunked(b'data: {"choices":' + b"[" * 20_000 + b"\n\n")),
-            "read": ("r", whole(202, deep[:30_000])),
+            "event": ("w", STREAM_HEAD + chunked(b'data: {"choices":' + b"[" * 20_000 + b"\n\n")),
+            "read": ("r", http_response(202, deep[:30_000])),
         }
         if where in scripts:
             engine, data = scripts[where]
-            platform.engines[engine].scripts = [says(data)]
+            platform.engines[engine].scripts = [responds(data)]
         answer = await platform.ask(post("q1", "book", body=deep if where == "body" else BODY))
         assert answer.status == {"body": 400, "event": 500, "read": 200}[where]
-        assert (await platform.ask(post("q2"))).whole
+        assert (await platform.ask(post("q2"))).complete
         assert not platform.run.done() and not running.executor.requests
 
 
@@ -635,7 +632,7 @@
     async with platform.inside() as running:
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: len(platform.let_go("q1")) == 1)
+        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
         # 300 ms are granted for the state, and each connection is waited for for 250.
         assert 1 <= running.executor.counts["attempt_connect_failed"] <= 2
 
@@ -747,7 +744,7 @@
             try:
                 async with platform.inside() as running:
                     answer = await platform.ask(post("q1", req_deadline="700m"))
-                    assert answer.status in (200, 400, 500, 503) and answer.whole
+                    assert answer.status in (200, 400, 500, 503) and answer.complete
                     running.stop()
                     await until(lambda: running.executor.shutdown_deadline)
                     assert not platform.run.done(), value
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,8 +18,11 @@
 from runspool.node import server as node_running
 from runspool.scheduling.types import EngineState
 from runspool.transport import tcp as lines
-from tests.faults import FaultProxy
-from tests.platform import HOST, WAIT, Platform, free_port, post
+from tests.fault_proxy import HOST, FaultProxy
+from tests.node_platform.client import post
+from tests.node_platform.http_messages import WAIT
+from tests.node_platform.platform import Platform
+from tests.node_platform.ports import free_port
 
 pytestmark = pytest.mark.anyio
 PAIR = {"r": "prefill", "w": "decode"}
