--- a/tests/node_platform/http_messages.py
+++ b/tests/node_platform/http_messages.py
@@ -18,6 +18,7 @@
 ]
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
+DECLINED = b"Srv-Declined: 1"  # the header line of a response to what was not executed
 
 
 def chunked(data: bytes) -> bytes:
--- /dev/null
+++ b/tests/test_client_connections.py
@@ -0,0 +1,88 @@
+"""Connections of clients: many, silent, ahead of their responses, beyond the cap of descriptors."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+from pathlib import Path
+
+import pytest
+
+from tests.node_platform.client import post
+from tests.node_platform.engine import responds, streams_until
+from tests.node_platform.http_messages import COMPLETE_STREAM, PREFILL_RESPONSE, WAIT, ReceivedRequest
+from tests.node_platform.inspection import until
+from tests.node_platform.platform import Platform
+
+pytestmark = pytest.mark.anyio
+PAIR = {"r": "prefill", "w": "decode"}
+
+
+async def test_a_request_id_in_use_is_rejected_and_the_first_request_goes_on(tmp_path: Path) -> None:
+    proceed = asyncio.Event()
+
+    async def responds_later(request: ReceivedRequest) -> None:
+        await proceed.wait()
+        await request.send(COMPLETE_STREAM)
+
+    async with Platform(tmp_path, PAIR).open() as platform:
+        platform.engines["w"].scripts = [responds_later]
+        first = await platform.client()
+        first.send(post("q1"))
+        await platform.until(lambda: len(platform.attempts("q1", "decode")) == 1)
+        assert (await platform.ask(post("q1"))).status == 409
+        proceed.set()
+        assert (await first.read_response()).complete
+        assert len(platform.attempts("q1")) == 2
+
+
+async def test_hundreds_of_silent_clients_keep_nobody_out_and_are_closed(tmp_path: Path) -> None:
+    async with Platform(tmp_path, PAIR).open() as platform:
+        silent_clients = [await platform.client() for _ in range(400)]
+        partial = await platform.client()
+        partial.send(post("h1")[:-10])
+        assert (await platform.ask(post("q1"))).complete
+        for client in [*silent_clients, partial]:
+            await client.read_to_close()
+        assert platform.attempts("h1") == []
+        assert (await platform.ask(post("q2"))).complete
+
+
+async def test_a_client_that_sends_much_ahead_and_stays_is_answered(tmp_path: Path) -> None:
+    proceed = asyncio.Event()
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        platform.engines["r"].scripts = [responds(PREFILL_RESPONSE, proceed)]
+        client = await platform.client()
+        client.send(post("q1"))
+        await platform.until(lambda: len(platform.attempts("q1")) == 1)
+        client.send(b"x" * 400_000)
+        await asyncio.wait_for(client.writer.drain(), WAIT)
+        (handler,) = running.connections.handlers
+        await until(lambda: handler.tcp.discarded_bytes)
+        proceed.set()
+        response = await client.read_response()
+        assert response.complete and response.headers["connection"] == "close"
+
+
+async def test_descriptors_stay_under_their_cap_and_every_request_is_answered(tmp_path: Path) -> None:
+    proceed = asyncio.Event()
+    platform = Platform(tmp_path, PAIR)
+    platform.sockets = 64
+    async with platform.open():
+        platform.engines["w"].scripts = [streams_until(proceed)] * 100
+        descriptors = Path(f"/proc/{platform.process.pid}/fd")
+        most_open = 0
+        responses = []
+        for index in range(40):
+            client = await platform.client()
+            client.send(post(f"q{index}"))
+            responses.append((client, await client.read_head()))
+            most_open = max(most_open, len(os.listdir(descriptors)))
+        proceed.set()
+        assert {response.status for _, response in responses} == {200, 503}
+        for client, response in responses:
+            if response.status == 200:
+                await client.read_body(response)  # only then is there room again
+        assert most_open <= 64
+        assert (await platform.ask(post("last"))).status == 200
--- /dev/null
+++ b/tests/test_client_disconnects.py
@@ -0,0 +1,134 @@
+"""Clients that disconnect: nothing is sent on for them, and nothing of theirs stays reserved.
+
+The order of events is forced by the node's peers (docs/design/rare.md).
+"""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from runspool.node.executor import NodeExecutor
+from runspool.transport.tcp import TcpConnection, connect
+from tests.node_platform.client import post
+from tests.node_platform.engine import never_responds, responds
+from tests.node_platform.http_messages import PREFILL_RESPONSE, WAIT
+from tests.node_platform.inspection import changed_settings, until, until_listed
+from tests.node_platform.platform import Platform
+
+pytestmark = pytest.mark.anyio
+PAIR = {"r": "prefill", "w": "decode"}
+
+
+async def assert_released(platform: Platform, node: NodeExecutor, name: str, attempts: int) -> None:
+    """Check that all of a request is released after its client has disconnected, and no attempt follows."""
+    await until(lambda: not node.requests and not node.releases_in_progress)
+    platform.tell(**dict.fromkeys(platform.states, "active"))
+    await until_listed(node, "on")
+    assert (await platform.ask(post(f"after-{name}"))).complete  # whatever waited would have gone with it
+    assert len(platform.attempts(name)) == attempts
+    pool = node.engine_client.pool
+    idle_count = sum(map(len, pool.idle.values()))
+    assert not pool.open_counts or idle_count == sum(pool.open_counts.values())
+
+
+@pytest.mark.parametrize("bytes_ahead", [0, 400_000])
+async def test_a_client_that_disconnects_during_prefill_has_its_state_released(
+    bytes_ahead: int, tmp_path: Path
+) -> None:
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        platform.engines["r"].scripts = [never_responds]
+        client = await platform.client()
+        client.send(post("q1"))
+        await platform.until(lambda: len(platform.attempts("q1")) == 1)
+        # More than the node and its kernel buffer: the end of the connection would never come through.
+        client.send(b"x" * bytes_ahead)
+        if bytes_ahead:
+            await asyncio.wait_for(client.writer.drain(), WAIT)
+        client.writer.close()
+        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
+        await assert_released(platform, running.executor, "q1", 1)
+
+
+async def test_a_request_whose_client_disconnects_in_the_queue_is_not_sent_on(tmp_path: Path) -> None:
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        platform.tell(r="leaving")
+        await until_listed(running.executor, "draining", "r")
+        client = await platform.client()
+        client.send(post("q1"))
+        await until(lambda: running.executor.requests)
+        client.close()
+        await assert_released(platform, running.executor, "q1", 0)
+
+
+async def test_a_client_that_disconnects_between_prefill_and_decode_has_its_state_released(
+    tmp_path: Path,
+) -> None:
+    platform = Platform(tmp_path, PAIR)
+    platform.settings = changed_settings(
+        lambda settings: settings["family-info"].update({"release-within-us": 60_000_000})
+    )
+    async with platform.inside() as running:
+        proceed = asyncio.Event()
+        platform.engines["r"].scripts = [responds(PREFILL_RESPONSE, proceed)]
+        client = await platform.client()
+        client.send(post("q1"))
+        await platform.until(lambda: len(platform.attempts("q1")) == 1)
+        platform.tell(w="leaving")
+        await until_listed(running.executor, "draining", "w")
+        proceed.set()
+        await until(lambda: any(pending.prefill_endpoint for pending in running.executor.requests.values()))
+        client.close()
+        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
+        await assert_released(platform, running.executor, "q1", 1)
+
+
+async def test_a_request_whose_client_disconnects_while_connecting_is_not_sent_on(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    connecting, proceed = asyncio.Event(), asyncio.Event()
+
+    async def delayed_connect(address: tuple[str, int], source: str | None) -> TcpConnection:
+        if not proceed.is_set():
+            connecting.set()
+            await proceed.wait()
+        return await connect(address, source)
+
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        monkeypatch.setattr("runspool.engines.connection_pool.connect", delayed_connect)
+        client = await platform.client()
+        client.send(post("q1"))
+        await asyncio.wait_for(connecting.wait(), WAIT)
+        client.close()
+        await until(lambda: all(pending.final_response for pending in running.executor.requests.values()))
+        proceed.set()
+        await assert_released(platform, running.executor, "q1", 0)
+
+
+@pytest.mark.parametrize(
+    "anyio_backend",
+    [("asyncio", {"use_uvloop": uvloop}) for uvloop in (False, True)],
+    ids=["asyncio", "uvloop"],
+)
+async def test_a_request_whose_client_disconnects_as_its_connection_opens_leaves_no_connection(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def connect_and_disconnect_client(address: tuple[str, int], source: str | None) -> TcpConnection:
+        connection = await connect(address, source)
+        for pending in list(running.executor.requests.values()):
+            if pending.id == "q1":
+                running.executor.client_disconnected(pending)
+        return connection
+
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        monkeypatch.setattr("runspool.engines.connection_pool.connect", connect_and_disconnect_client)
+        client = await platform.client()
+        client.send(post("q1"))
+        assert await client.read_to_close() == b""
+        await assert_released(platform, running.executor, "q1", 0)
--- /dev/null
+++ b/tests/test_connection_reuse.py
@@ -0,0 +1,100 @@
+"""Idle engine connections that are used again, closed, reset or answered twice."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from runspool.transport.tcp import TcpConnection, connect
+from tests.node_platform.client import post
+from tests.node_platform.http_messages import COMPLETE_STREAM, PREFILL_RESPONSE, ReceivedRequest, read_request
+from tests.node_platform.platform import Platform
+from tests.node_platform.settings import SETTINGS
+
+pytestmark = pytest.mark.anyio
+PAIR = {"r": "prefill", "w": "decode"}
+
+
+async def test_an_idle_connection_closed_by_its_engine_leaves_no_uncertainty(tmp_path: Path) -> None:
+    async def serves_and_closes(request: ReceivedRequest) -> None:
+        await request.send(COMPLETE_STREAM)
+        request.reset()
+
+    async with Platform(tmp_path, PAIR).open() as platform:
+        platform.engines["w"].scripts = [serves_and_closes] * 10
+        for index in range(10):
+            response = await platform.ask(post(f"q{index}", "book"))
+            assert (response.status, response.complete) == (200, True)
+            assert len(platform.attempts(f"q{index}", "decode")) == 1
+
+
+async def test_an_idle_connection_reset_by_the_next_request_leaves_no_uncertainty(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def slow_connect(address: tuple[str, int], source: str | None) -> TcpConnection:
+        await asyncio.sleep(0.5)  # a round trip so long that the reset is always seen in it
+        return await connect(address, source)
+
+    async def responds_then_resets(request: ReceivedRequest) -> None:
+        await request.send(COMPLETE_STREAM)
+        await request.reader.read(1)
+        request.reset()
+
+    monkeypatch.setattr("runspool.engines.connection_pool.connect", slow_connect)
+    monkeypatch.setattr("runspool.engines.http_exchange.MAX_OBSERVATION_TIME", 100_000)
+    platform = Platform(tmp_path, PAIR)
+    # Deadlines are long: that connecting takes long is not what this tests.
+    classes = [row | {"aim-us": 5_000_000} for row in SETTINGS["classes"]]
+    limits = SETTINGS["limits"] | {"dial-timeout-us": 5_000_000}
+    platform.settings = SETTINGS | {"limits": limits, "classes": classes}
+    async with platform.inside() as running:
+        # This tests the idle connection, however soon it is used.
+        running.executor.engine_client.pool.quiet_time = 0
+        platform.engines["w"].scripts = [responds_then_resets]
+        assert (await platform.ask(post("q1"))).complete
+        assert (await platform.ask(post("q2", "book", req_deadline="9000m"))).complete
+        assert len(platform.attempts("q2", "decode")) == 1
+
+
+async def test_a_late_second_response_is_not_taken_for_that_of_the_next_request(tmp_path: Path) -> None:
+    async def responds_twice(request: ReceivedRequest) -> None:
+        await request.send(PREFILL_RESPONSE)
+        await read_request(request.reader)
+        await request.send(PREFILL_RESPONSE)  # the first response again: this request has not been prefilled
+        await request.until_closed()
+
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        # On a machine of any speed, the connection has just been used.
+        running.executor.engine_client.pool.quiet_time = 600_000
+        platform.engines["r"].scripts = [responds_twice]
+        assert (await platform.ask(post("q1"))).complete
+        assert (await platform.ask(post("q2"))).complete
+        # Had it been accepted, the state would have been fetched from an engine that never had it.
+        assert [attempt.engine for attempt in platform.attempts("q2")] == ["r", "w"]
+
+
+async def test_a_connection_just_used_is_observed_for_its_quiet_time_where_no_other_can_be_opened(
+    tmp_path: Path,
+) -> None:
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        pool = running.executor.engine_client.pool
+        assert (await platform.ask(post("q1"))).complete
+        observation_times: list[float] = []
+        for idle in pool.idle.values():
+            for connection in idle:
+                stays_silent = connection.tcp.stays_silent
+
+                async def observe_briefly(seconds: float, stays_silent: Any = stays_silent) -> bool:
+                    observation_times.append(seconds)
+                    return bool(await stays_silent(0))
+
+                connection.tcp.stays_silent = observe_briefly  # type: ignore[method-assign]
+        pool.quiet_time = 600_000
+        pool.max_connections = sum(pool.open_counts.values())
+        assert (await platform.ask(post("q2"))).complete
+        assert len(observation_times) == 2 and min(observation_times) > 30
--- /dev/null
+++ b/tests/test_endpoint_watch_faults.py
@@ -0,0 +1,156 @@
+"""Faults of the agent and of its endpoint list: a node serves on its last list and asks again.
+
+The order of events is forced by the agent (docs/design/rare.md).
+"""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+from msgspec.structs import replace
+
+from runspool.node import discovery_client
+from runspool.node import server as node_server
+from runspool.scheduling.types import EngineState
+from runspool.units import tenths
+from tests.node_platform.client import post
+from tests.node_platform.http_messages import http_response
+from tests.node_platform.platform import Platform
+
+pytestmark = pytest.mark.anyio
+PAIR = {"r": "prefill", "w": "decode"}
+TWO_DECODE_ENGINES = {"r": "prefill", "w": "decode", "v": "decode"}
+
+
+@pytest.mark.parametrize(
+    "fault",
+    [
+        b"{oops",
+        b'{"index":-1,"snapshot":true}',
+        None,
+        http_response(500),
+        b'{"index":9,"snapshot":true,"endpoints":[{"name":"r"}]}',
+    ],
+)
+async def test_a_faulty_list_leaves_the_last_one_and_is_fetched_again(
+    fault: bytes | None, tmp_path: Path
+) -> None:
+    async with Platform(tmp_path, PAIR).open() as platform:
+        fetched = len(platform.lists)
+        platform.list_scripts = [fault]
+        platform.tell()  # ends the watch: the next response is the fault
+        await platform.until(lambda: len(platform.lists) >= fetched + 3)
+        assert (await platform.ask(post("q1"))).complete
+
+
+async def test_a_list_whose_versions_start_anew_is_accepted(tmp_path: Path) -> None:
+    async with Platform(tmp_path, TWO_DECODE_ENGINES).open() as platform:
+        platform.version = 700
+        platform.changed()
+        await platform.until(lambda: any("after=700" in target for target in platform.lists))
+        platform.version = 3
+        platform.states["v"] = "leaving"
+        platform.list_scripts = [platform.listed()]
+        platform.changed()
+        await platform.until(lambda: any("after=3&" in target for target in platform.lists))
+        for index in range(4):
+            assert (await platform.ask(post(f"q{index}"))).complete
+            assert [attempt.engine for attempt in platform.attempts(f"q{index}")] == ["r", "w"]
+
+
+async def reset_connections(platform: Platform) -> None:
+    """Reset all connections to the agent and the engines."""
+    tasks = list(platform.tasks)
+    for task in tasks:
+        task.cancel()
+    await asyncio.gather(*tasks, return_exceptions=True)
+
+
+async def test_a_start_fetches_the_list_before_it_accepts_anything(tmp_path: Path) -> None:
+    platform = Platform(tmp_path, PAIR | {"s": "prefill"})
+    platform.states["s"] = "leaving"  # as the agent lists it from the start
+    platform.list_gate.clear()
+    async with platform.inside(wait=False) as running:
+        # The list of an earlier run of the node, in which the other prefill engine was draining.
+        last_entries = [
+            replace(entry, state={"r": "draining"}.get(entry.engine, "on"))
+            for entry in running.config.last_endpoints.engines
+        ]
+        running.executor.endpoints_changed(running.executor.endpoint_tracker.restore(last_entries))
+        await platform.until(lambda: bool(platform.lists))
+        client = await platform.client()
+        client.send(post("q1"))
+        for _ in range(100):  # time enough to be accepted and sent on, were it accepted
+            await asyncio.sleep(0.001)
+        assert not running.connections.handlers and not platform.attempts("q1")
+        platform.list_gate.set()
+        assert (await client.read_response()).complete
+        assert [attempt.engine for attempt in platform.attempts("q1")] == ["r", "w"]
+
+
+async def test_a_start_with_a_silent_agent_serves_on_the_last_list(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(node_server, "FIRST_LIST_WAIT_SECONDS", 0.05)
+    platform = Platform(tmp_path, PAIR)
+    platform.list_gate.clear()
+    async with platform.inside():
+        assert (await platform.ask(post("q1"))).complete
+
+
+async def test_a_reset_watch_is_opened_anew_without_a_pause(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(discovery_client, "RETRY_INTERVAL_S", 600.0)
+    platform = Platform(tmp_path, PAIR | {"s": "prefill"})
+    async with platform.inside() as running:
+        await platform.until(lambda: any("after=" in target for target in platform.lists))
+        # It has stood for as long as two attempts lie apart.
+        monkeypatch.setattr(running.discovery, "round_started_at", -tenths(600_000), raising=False)
+        await reset_connections(platform)
+        platform.tell(s="leaving")  # changed while no watch is open
+        await platform.until(lambda: any("after=2" in target for target in platform.lists))
+        assert running.executor.engine_records["s"].state == EngineState.DRAINING
+
+
+async def test_an_agent_that_never_answers_requests_made_in_an_outage_is_asked_anew(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # No attempt times out: another is begun beside it.
+    monkeypatch.setattr(discovery_client, "SILENCE_TIMEOUT_MS", 600_000)
+    platform = Platform(tmp_path, PAIR | {"s": "prefill"})
+    async with platform.inside() as running:
+        await platform.until(lambda: any("after=" in target for target in platform.lists))
+        await reset_connections(platform)
+        platform.list_scripts = [None, None]
+        platform.tell(s="leaving")
+        await platform.until(lambda: any("after=2" in target for target in platform.lists))
+        assert running.executor.engine_records["s"].state == EngineState.DRAINING
+        open_counts = running.discovery.pool.open_counts
+        assert len(open_counts) == 1 and sum(open_counts.values()) == 1
+
+
+async def test_silence_of_the_agent_is_noticed_within_what_the_platform_allows() -> None:
+    noticed_after_ms = discovery_client.WATCH_WAIT_MS + discovery_client.SILENCE_TIMEOUT_MS
+    two_retries_ms = 2 * 1000 * discovery_client.RETRY_INTERVAL_S
+    assert noticed_after_ms + two_retries_ms < 2_000  # an outage lasts some seconds
+    assert two_retries_ms <= 250  # a drain's grace, from the agent's return on
+
+
+@pytest.mark.parametrize(
+    "fault",
+    [
+        b"[" * 100_000,
+        b'{"index":7,"snapshot":true,"endpoints":' + b"[" * 5_000,
+        b'{"index":7,"snapshot":false,"endpoints":[]}',
+    ],
+)
+async def test_a_list_nested_too_deep_or_partial_ends_nothing(fault: bytes, tmp_path: Path) -> None:
+    platform = Platform(tmp_path, PAIR)
+    platform.list_scripts = [fault]
+    async with platform.inside():
+        await platform.until(lambda: any("after=" in target for target in platform.lists))
+        assert [target for target in platform.lists if "after=" not in target][1:]  # fetched again
+        assert (await platform.ask(post("q1"))).complete
--- /dev/null
+++ b/tests/test_engine_streams.py
@@ -0,0 +1,168 @@
+"""Streams of engines, well formed and malformed, as a node passes them on."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from tests.node_platform.client import post
+from tests.node_platform.http_messages import (
+    COMPLETE_STREAM,
+    EVENTS,
+    STREAM_HEAD,
+    WAIT,
+    ReceivedRequest,
+    chunked,
+    http_response,
+)
+from tests.node_platform.platform import Platform
+
+pytestmark = pytest.mark.anyio
+PAIR = {"r": "prefill", "w": "decode"}
+TWO_DECODE_ENGINES = {"r": "prefill", "w": "decode", "v": "decode"}
+
+
+MALFORMED_STREAMS = {
+    "noise": b"\x00\x01\xfe" * 30,
+    "no event": STREAM_HEAD + chunked(b"hello\n\n"),
+    "no json": STREAM_HEAD + chunked(b"data: {oops\n\n"),
+    "endless head": b"HTTP/1.1 200 OK\r\nA: " + b"x" * 70_000,
+    "bad size": STREAM_HEAD + b"zz\r\n",
+    "3 GB": STREAM_HEAD + b"c0000000\r\n" + b"x" * 70_000,
+}
+
+
+@pytest.mark.parametrize("fault", MALFORMED_STREAMS)
+async def test_a_stream_malformed_before_its_first_event_is_an_attempt_that_may_have_executed(
+    fault: str, tmp_path: Path
+) -> None:
+    async def sends_malformed_stream(request: ReceivedRequest) -> None:
+        await request.send(MALFORMED_STREAMS[fault])
+        await request.until_closed()  # its connection is of no further use
+
+    async with Platform(tmp_path, TWO_DECODE_ENGINES).open() as platform:
+        for engine in "wv":
+            platform.engines[engine].scripts = [sends_malformed_stream]
+        repeated = await platform.ask(post("q1"))
+        assert (repeated.status, repeated.complete, len(platform.attempts("q1", "decode"))) == (200, True, 3)
+        for engine in "wv":
+            platform.engines[engine].scripts = [sends_malformed_stream]
+        assert (await platform.ask(post("q2", "book"))).status == 500
+        assert len(platform.attempts("q2", "decode")) == 1
+
+
+MALFORMED_LATER = {
+    "bad size": b"zz\r\n",
+    "does not fit": b"5\r\n" + EVENTS[1] + b"\r\n",
+    "no json": chunked(b"data: {oops\n\n"),
+    "3 GB": b"c0000000\r\n" + b"x" * 70_000,
+    "half": chunked(EVENTS[1][:20]),
+    "no end": b"0\r\n\r\n",
+}
+
+
+@pytest.mark.parametrize("fault", MALFORMED_LATER)
+async def test_a_stream_malformed_later_ends_without_its_last_chunk(fault: str, tmp_path: Path) -> None:
+    async def sends_malformed_remainder(request: ReceivedRequest) -> None:
+        await request.send(STREAM_HEAD + chunked(EVENTS[0]))
+        await begun.wait()
+        await request.send(MALFORMED_LATER[fault])
+        await request.until_closed()
+
+    begun = asyncio.Event()
+    async with Platform(tmp_path, PAIR).open() as platform:
+        platform.engines["w"].scripts = [sends_malformed_remainder]
+        client = await platform.client()
+        client.send(post("q1"))
+        response = await client.read_head()
+        assert await client.read_chunk() == EVENTS[0]
+        begun.set()
+        # After "half" the engine is silent, and the response is ended within 5 s.
+        response = await client.read_body(response)
+        assert not response.complete and len(platform.attempts("q1", "decode")) == 1
+
+
+STREAMS_WITH_EXTRA_BYTES = {
+    "1xx": b"HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + COMPLETE_STREAM,
+    "report": COMPLETE_STREAM.replace(b"Content-Type", b"Srv-Load: \xff;;=,{\r\nContent-Type"),
+    "second response": COMPLETE_STREAM + COMPLETE_STREAM,
+    "another response": COMPLETE_STREAM + http_response(500, b"no"),
+    "trash": COMPLETE_STREAM + b"\x00\x01 trash",
+}
+
+
+@pytest.mark.parametrize("extra", STREAMS_WITH_EXTRA_BYTES)
+@pytest.mark.parametrize("pieces", ["whole", "bytes"])
+async def test_a_well_formed_stream_with_extra_bytes_is_passed_on(
+    extra: str, pieces: str, tmp_path: Path
+) -> None:
+    data = STREAMS_WITH_EXTRA_BYTES[extra]
+
+    async def sends_extra_bytes(request: ReceivedRequest) -> None:
+        if pieces == "whole":
+            await request.send(data)
+        else:
+            for index in range(len(data)):
+                await request.send(data[index : index + 1])
+                await asyncio.sleep(0)
+
+    async with Platform(tmp_path, PAIR).open() as platform:
+        platform.engines["w"].scripts = [sends_extra_bytes]
+        for name in ("q1", "q2"):  # the connection with extra bytes affects no other request
+            response = await platform.ask(post(name))
+            assert (response.status, response.complete, response.body) == (200, True, b"".join(EVENTS))
+
+
+@pytest.mark.parametrize("line_end", [b"\n\n", b"\r\n\r\n", b"\r\r"])
+async def test_events_pass_one_by_one_whatever_ends_their_lines(line_end: bytes, tmp_path: Path) -> None:
+    events = [event.replace(b"\n\n", line_end) for event in EVENTS]
+    passed = [asyncio.Event() for _ in events]
+
+    async def sends_one_by_one(request: ReceivedRequest) -> None:
+        await request.send(STREAM_HEAD)
+        for event, seen in zip(events, passed, strict=True):
+            await request.send(chunked(event))
+            await asyncio.wait_for(seen.wait(), WAIT)  # the next only once its client has this one
+        await request.send(b"0\r\n\r\n")
+
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside():
+        platform.engines["w"].scripts = [sends_one_by_one]
+        client = await platform.client()
+        client.send(post("q1"))
+        response = await client.read_head()
+        for event, seen in zip(events, passed, strict=True):
+            assert await client.read_chunk() == event
+            seen.set()
+        assert (await client.read_body(response)).complete
+
+
+MALFORMED_AFTER_EVENT = {
+    "no json": chunked(EVENTS[1] + b"data: {oops\n\n"),
+    "deep": chunked(EVENTS[1] + b'data: {"choices":' + b"[" * 20_000 + b"\n\n"),
+    "bad size": chunked(EVENTS[1]) + b"zz\r\n",
+}
+
+
+@pytest.mark.parametrize("fault", MALFORMED_AFTER_EVENT)
+async def test_well_formed_events_ahead_of_a_malformed_one_are_passed_on(fault: str, tmp_path: Path) -> None:
+    seen = asyncio.Event()
+
+    async def sends_malformed_remainder(request: ReceivedRequest) -> None:
+        await request.send(STREAM_HEAD + chunked(EVENTS[0]))
+        await asyncio.wait_for(seen.wait(), WAIT)
+        await request.send(MALFORMED_AFTER_EVENT[fault])
+        await request.until_closed()
+
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside():
+        platform.engines["w"].scripts = [sends_malformed_remainder]
+        client = await platform.client()
+        client.send(post("q1"))
+        response = await client.read_head()
+        assert await client.read_chunk() == EVENTS[0]
+        seen.set()
+        response = await client.read_body(response)
+        assert (response.body, response.complete) == (EVENTS[1], False)
--- /dev/null
+++ b/tests/test_node_attempts.py
@@ -0,0 +1,126 @@
+"""What a node does after each outcome of an attempt: the real program against scripted engines."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from runspool.scheduling.types import EngineState
+from runspool.transport.tcp import TcpConnection, connect
+from tests.node_platform.client import BODY, post
+from tests.node_platform.engine import Script, resets_connection, responds
+from tests.node_platform.http_messages import (
+    COMPLETE_STREAM,
+    DECLINED,
+    EVENTS,
+    PREFILL_RESPONSE,
+    ReceivedRequest,
+    http_response,
+)
+from tests.node_platform.platform import Platform
+
+pytestmark = pytest.mark.anyio
+PAIR = {"r": "prefill", "w": "decode"}
+TARGET = "/v1/chat/completions?v=1"
+TWO_DECODE_ENGINES = {"r": "prefill", "w": "decode", "v": "decode"}
+
+
+async def test_a_request_is_prefilled_then_decoded_and_its_events_pass_unchanged(tmp_path: Path) -> None:
+    async with Platform(tmp_path, PAIR).open() as platform:
+        response = await platform.ask(post("q1"))
+        assert (response.status, response.complete, response.body) == (200, True, b"".join(EVENTS))
+        prefill, decode = platform.attempts("q1")
+        assert (prefill.engine, decode.engine) == ("r", "w")
+        for attempt in (prefill, decode):
+            assert (attempt.method, attempt.target, attempt.body) == ("POST", TARGET, BODY)
+            assert 0 < int(attempt.headers["req-deadline"].removesuffix("u")) <= 4_000_000
+
+
+async def sends_part_of_a_stream(request: ReceivedRequest) -> None:
+    await request.send(COMPLETE_STREAM[:60])
+    request.reset()
+
+
+MAY_HAVE_EXECUTED: dict[str, Script] = {
+    "500": responds(http_response(500)),
+    "503 undeclared": responds(http_response(503)),
+    "410 undeclared": responds(http_response(410)),
+    "404": responds(http_response(404)),
+    "202 from a decode engine": responds(PREFILL_RESPONSE),
+    "reset": resets_connection,
+    "noise": responds(b"\x00\xff" * 50),
+    "part of a stream": sends_part_of_a_stream,
+}
+
+
+@pytest.mark.parametrize("outcome", MAY_HAVE_EXECUTED)
+async def test_an_at_most_once_request_that_may_have_executed_gets_one_attempt(
+    outcome: str, tmp_path: Path
+) -> None:
+    async with Platform(tmp_path, TWO_DECODE_ENGINES).open() as platform:
+        for engine in "wv":
+            platform.engines[engine].scripts.append(MAY_HAVE_EXECUTED[outcome])
+        response = await platform.ask(post("q1", "book"))
+        assert response.status == 500 and "retry-after" not in response.headers
+        assert len(platform.attempts("q1", "decode")) == 1
+
+
+@pytest.mark.parametrize("status", [503, 504])
+async def test_a_declined_attempt_did_not_execute_and_is_made_at_another_engine(
+    status: int, tmp_path: Path
+) -> None:
+    async with Platform(tmp_path, TWO_DECODE_ENGINES).open() as platform:
+        for engine in "wv":
+            platform.engines[engine].scripts = [responds(http_response(status, b"", DECLINED))]
+        platform.engines["v"].scripts = []
+        platform.engines["w"].scripts *= 4
+        for index in range(6):
+            response = await platform.ask(post(f"q{index}", "book"))
+            assert (response.status, response.complete) == (200, True)
+        assert any(len(platform.attempts(f"q{index}", "decode")) == 2 for index in range(6))
+
+
+async def test_a_missing_state_is_prefilled_again(tmp_path: Path) -> None:
+    async with Platform(tmp_path, PAIR).open() as platform:
+        platform.engines["w"].scripts = [responds(http_response(410, b"", DECLINED))]
+        response = await platform.ask(post("q1", "book"))
+        assert (response.status, response.complete) == (200, True)
+        assert [attempt.engine for attempt in platform.attempts("q1")] == ["r", "w", "r", "w"]
+
+
+async def test_an_at_most_once_request_declined_by_all_is_rejected_at_once_with_retry_after(
+    tmp_path: Path,
+) -> None:
+    async with Platform(tmp_path, PAIR).open() as platform:
+        platform.engines["w"].scripts = [responds(http_response(503, b"", DECLINED))] * 5
+        response = await platform.ask(post("q1", "book"))
+        assert response.status == 503
+        assert float(response.headers["retry-after"]) <= 2.0
+        await platform.until(lambda: len(platform.release_calls("q1")) >= 1)  # the state that nobody fetched
+
+
+async def test_a_drain_learned_while_connecting_bars_the_attempt(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    connecting, proceed = asyncio.Event(), asyncio.Event()
+
+    async def delayed_connect(address: tuple[str, int], source: str | None) -> TcpConnection:
+        if address[1] == platform.engines["w"].port:
+            connecting.set()
+            await proceed.wait()
+        return await connect(address, source)
+
+    platform = Platform(tmp_path, PAIR)
+    monkeypatch.setattr("runspool.engines.connection_pool.connect", delayed_connect)
+    async with platform.inside() as running:
+        response = asyncio.ensure_future(platform.ask(post("q1", "book")))
+        await asyncio.wait_for(connecting.wait(), 15)
+        platform.tell(w="leaving")
+        async with asyncio.timeout(15):
+            while running.executor.engine_records["w"].state == EngineState.READY:
+                await asyncio.sleep(0.005)
+        proceed.set()
+        assert (await response).status == 503  # known not to have executed
+        assert platform.attempts("q1", "decode") == []
--- /dev/null
+++ b/tests/test_node_internal_errors.py
@@ -0,0 +1,76 @@
+"""Errors of the program itself end at most the request that they happen in."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from runspool.node.executor import PendingNodeRequest
+from runspool.node.request_handler import RequestHandler
+from runspool.service.timer_queue import SchedulerTimer
+from tests.node_platform.client import post
+from tests.node_platform.engine import never_responds
+from tests.node_platform.inspection import until
+from tests.node_platform.platform import Platform
+
+pytestmark = pytest.mark.anyio
+PAIR = {"r": "prefill", "w": "decode"}
+
+
+async def test_an_error_in_a_background_task_ends_nothing(tmp_path: Path) -> None:
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        errors = []
+
+        def fails(*arguments: Any) -> None:
+            errors.append(arguments)
+            raise RuntimeError("an error of the program")
+
+        on_timer = running.executor.timers.on_timer
+        receive = running.discovery.listener.receive
+        running.executor.timers.on_timer = fails
+        running.discovery.listener.receive = fails  # type: ignore[method-assign, assignment]
+        running.executor.timers.schedule(0, SchedulerTimer("node", "0.0"))
+        platform.tell()
+        running.executor.engine_client.watchdog.watch(0, fails).waiting_since = 1
+        await until(lambda: len(errors) >= 3)
+        running.executor.timers.on_timer = on_timer
+        running.discovery.listener.receive = receive  # type: ignore[method-assign]
+        assert (await platform.ask(post("q1"))).complete
+        assert not platform.run.done()
+
+
+async def test_an_error_after_an_attempt_ends_its_request_alone(tmp_path: Path) -> None:
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        node = running.executor
+        after_attempt = node.after_attempt
+
+        def fails(pending: PendingNodeRequest, *arguments: Any) -> None:
+            if pending.id == "bad":
+                raise RuntimeError("an error of the program")
+            after_attempt(pending, *arguments)
+
+        node.after_attempt = fails  # type: ignore[method-assign, assignment]
+        assert (await platform.ask(post("bad"))).status == 500
+        assert (await platform.ask(post("q1"))).complete
+        assert not node.requests and not platform.run.done()
+
+
+async def test_an_error_while_a_response_is_sent_is_answered_itself(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def fails(*arguments: Any) -> None:
+        raise RuntimeError("an error of the program")
+
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        platform.engines["r"].scripts = [never_responds]
+        monkeypatch.setattr(RequestHandler, "_send_final", fails)
+        response = await platform.ask(post("q1", req_deadline="300m"))
+        assert (response.status, response.headers["connection"], response.complete) == (500, "close", True)
+        monkeypatch.undo()
+        assert (await platform.ask(post("q2"))).complete
+        assert not platform.run.done() and not running.executor.requests
--- /dev/null
+++ b/tests/test_node_shutdown_races.py
@@ -0,0 +1,185 @@
+"""Shutdown of a node: requests, connections and streams in every order around the signal.
+
+The node is real and on loopback; the order of events is forced by its peers (docs/design/rare.md).
+"""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+from pathlib import Path
+
+import pytest
+
+from runspool.node import graceful_shutdown
+from tests.node_platform.client import post
+from tests.node_platform.engine import never_responds, streams_until
+from tests.node_platform.http_messages import EVENTS, STREAM_HEAD, WAIT, ReceivedRequest, chunked
+from tests.node_platform.inspection import changed_settings, idle_connection, settings_with_deadline, until
+from tests.node_platform.platform import Platform
+
+pytestmark = pytest.mark.anyio
+PAIR = {"r": "prefill", "w": "decode"}
+
+
+async def test_after_sigterm_late_requests_are_served_and_streams_run_to_their_ends(tmp_path: Path) -> None:
+    proceed = asyncio.Event()
+    async with Platform(tmp_path, PAIR).open() as platform:
+        idle_client = await platform.client()
+        idle_client.send(post("q0"))
+        assert (await idle_client.read_response()).complete
+        platform.engines["w"].scripts = [streams_until(proceed)]
+        streaming = await platform.client()
+        streaming.send(post("q1"))
+        response = await streaming.read_head()
+        platform.signal(signal.SIGTERM)
+        await platform.logged("node_stopping")
+        for client, name in ((idle_client, "q2"), (await platform.client(), "q3")):
+            client.send(post(name))
+            assert (await client.read_response()).complete
+            client.send(post(f"{name}-again"))  # its connection stays open: there may be no other node
+            assert (await client.read_response()).complete
+        health = await platform.client()
+        health.send(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
+        assert (await health.read_response()).status == 503
+        proceed.set()
+        assert (await streaming.read_body(response)).body == b"".join(EVENTS)
+        assert await asyncio.wait_for(platform.process.wait(), 15) == 0
+
+
+async def test_a_stream_that_cannot_end_before_the_kill_is_ended_for_its_client_to_resume(
+    tmp_path: Path,
+) -> None:
+    async def never_ends_stream(request: ReceivedRequest) -> None:
+        await request.send(STREAM_HEAD + chunked(EVENTS[0]))
+        await request.until_closed()
+        engine_connection_closed.set()
+
+    engine_connection_closed = asyncio.Event()
+    async with Platform(tmp_path, PAIR).open() as platform:
+        platform.engines["w"].scripts = [never_ends_stream]
+        streaming = await platform.client()
+        streaming.send(post("q1"))
+        response = await streaming.read_head()
+        platform.signal(signal.SIGTERM)
+        response = await streaming.read_body(response)
+        assert (response.body, response.complete) == (EVENTS[0], False)  # its client resumes it elsewhere
+        await asyncio.wait_for(engine_connection_closed.wait(), 15)
+        assert await asyncio.wait_for(platform.process.wait(), 15) == 0
+
+
+async def test_a_shutdown_with_short_deadlines_serves_late_requests(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # So long that a slow machine cannot be late for it; where only deadlines count it is no time at all.
+    monkeypatch.setattr(graceful_shutdown, "MIN_ACCEPT_DURATION", 10 * 10_000, raising=False)
+    platform = Platform(tmp_path, PAIR)
+    platform.settings = settings_with_deadline(600)
+    async with platform.inside() as running:
+        idle_client, _ = await idle_connection(platform, running)
+        running.stop()
+        await asyncio.sleep(0)
+        # Before the kill there is time enough for it.
+        for client in (idle_client, await platform.client()):
+            client.send(post(f"s{id(client)}", req_deadline="600m"))
+            assert (await client.read_response()).complete
+            assert not running.executor.closing
+
+
+@pytest.mark.parametrize("resumable", [True, False])
+async def test_a_shutdown_accepts_late_requests_only_where_streams_can_resume(
+    resumable: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """What comes 0.7 s after SIGTERM and still streams at the kill is lost unless it can resume elsewhere."""
+    monkeypatch.setattr(graceful_shutdown, "MIN_ACCEPT_DURATION", 0)
+    # As if there were a minute until the last request.
+    monkeypatch.setattr(graceful_shutdown, "LAST_REQUEST_MARGIN", -60 * 10_000)
+    platform = Platform(tmp_path, PAIR)
+    platform.settings = changed_settings(lambda settings: settings["family-info"].update(resume=resumable))
+    async with platform.inside() as running:
+        running.stop()
+        await until(lambda: running.executor.shutdown_deadline)
+        for _ in range(20):  # rounds of the loop, in which nothing but the shutdown has anything to do
+            await asyncio.sleep(0)
+        assert running.executor.closing is not resumable
+
+
+async def test_a_request_received_as_its_connection_is_to_make_room_is_served(tmp_path: Path) -> None:
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        client, handler = await idle_connection(platform, running)
+        data_received = handler.tcp.data_received
+        made_room = []
+
+        def receive_and_make_room(data: bytes) -> None:
+            data_received(data)  # the connection's task is woken, and has not run
+            made_room.append(running.connections.make_room())
+
+        handler.tcp.data_received = receive_and_make_room  # type: ignore[method-assign]
+        client.send(post("q1"))
+        assert (await client.read_response()).complete
+        assert made_room == [False]
+
+
+async def test_a_request_that_only_the_kernel_has_keeps_its_connection_open(tmp_path: Path) -> None:
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        client, _ = await idle_connection(platform, running)
+        client.send(post("q1"))  # to the kernel, at once
+        assert not running.connections.make_room()  # no round of the loop since: the node has not read it
+        assert (await client.read_response()).complete
+
+
+async def test_half_a_head_keeps_its_connection_through_a_shutdown_but_makes_room_for_clients(
+    tmp_path: Path,
+) -> None:
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        client, handler = await idle_connection(platform, running)
+        client.send(post("q1")[:50])
+        await until(lambda: handler.requests.ready)
+        assert not handler.close_if_waiting()
+        client.send(post("q1")[50:])
+        assert (await client.read_response()).complete
+        await until(lambda: handler.idle_since)  # a round or two after its response is out
+        client.send(post("q2")[:50])
+        await until(lambda: handler.requests.ready)
+        assert running.connections.make_room()
+        assert (await client.read_response()).status == 408
+
+
+async def test_deadlines_beyond_the_kill_are_answered_and_released_before_it(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # A shutdown of 0.3 s in place of 3.2 s.
+    monkeypatch.setattr(graceful_shutdown, "MAX_COUNTED_DEADLINE", 1_000)
+    platform = Platform(tmp_path, PAIR)
+    platform.settings = settings_with_deadline(60_000)
+    platform.engines["r"].scripts = [never_responds]
+    async with platform.inside() as running:
+        client = await platform.client()
+        client.send(post("q1", req_deadline="60000m"))
+        await platform.until(lambda: len(platform.attempts("q1")) == 1)
+        running.stop()
+        assert (await client.read_response()).status == 500
+        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
+        await asyncio.wait_for(platform.run, WAIT)
+
+
+async def test_a_shutdown_grants_a_new_connection_a_moment_and_a_served_one_none(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(graceful_shutdown, "MIN_ACCEPT_DURATION", 0)
+    monkeypatch.setattr(graceful_shutdown, "LAST_REQUEST_MARGIN", 600_000)
+    monkeypatch.setattr(graceful_shutdown, "FIRST_REQUEST_GRACE", 600_000, raising=False)
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        served, _ = await idle_connection(platform, running)
+        new = await platform.client()
+        await until(lambda: len(running.connections.handlers) == 2)
+        running.stop()
+        assert await served.read_to_close() == b""  # by then the new one has been passed over as well
+        new.send(post("q1"))
+        response = await new.read_response()
+        assert (response.status, response.headers["connection"]) == (503, "close")
+        await asyncio.wait_for(platform.run, WAIT)
--- /dev/null
+++ b/tests/test_state_release.py
@@ -0,0 +1,180 @@
+"""Prefill state that no decode engine will fetch is released, whichever engines can be reached."""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any, cast
+
+import pytest
+
+from runspool.engines.attempt_result import AttemptResult
+from runspool.engines.connection_pool import Address
+from runspool.engines.failure_classification import FailureCause
+from runspool.engines.send_permit import SendPermit
+from runspool.node.executor import PendingNodeRequest
+from runspool.node.request_parser import ClientRequest
+from runspool.scheduling.types import AttemptStatus
+from runspool.service.clock import now
+from runspool.transport.tcp import TcpConnection, connect
+from tests.node_platform.client import post
+from tests.node_platform.engine import never_responds
+from tests.node_platform.http_messages import WAIT, ReceivedRequest
+from tests.node_platform.inspection import until
+from tests.node_platform.platform import Platform
+
+pytestmark = pytest.mark.anyio
+PAIR = {"r": "prefill", "w": "decode"}
+
+
+async def test_the_state_of_a_prefill_given_up_is_released(tmp_path: Path) -> None:
+    async with Platform(tmp_path, PAIR).open() as platform:
+        platform.engines["r"].scripts = [never_responds]
+        client = await platform.client()
+        client.send(post("q1"))
+        await platform.until(lambda: len(platform.attempts("q1")) == 1)
+        client.close()
+        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
+
+
+async def fails_and_stops_listening(request: ReceivedRequest) -> None:
+    """Lose the prefill and accept no more connections at its engine."""
+    request.stop_listening()
+    request.reset()
+
+
+async def test_a_release_goes_to_another_engine_where_the_first_is_down(tmp_path: Path) -> None:
+    async with Platform(tmp_path, PAIR).open() as platform:
+        platform.engines["r"].scripts = [fails_and_stops_listening]
+        client = await platform.client()
+        client.send(post("q1"))
+        await platform.until(lambda: any(call.engine == "w" for call in platform.release_calls("q1")))
+
+
+async def test_a_release_does_not_wait_for_one_unreachable_engine_after_the_other(tmp_path: Path) -> None:
+    names = {"r": "prefill"} | {f"w{index}": "decode" for index in range(9)}
+    async with Platform(tmp_path, names).inside() as running:
+        node = running.executor
+        endpoints = {endpoint.name: endpoint for endpoint in node.endpoints.values()}
+        called: list[Address] = []
+        released = asyncio.Event()
+
+        async def release(address: Address, request: str, limit: int) -> FailureCause | None:
+            called.append(address)
+            if address != endpoints["w7"].address:
+                await asyncio.sleep(limit / 10_000)
+                return FailureCause.TIMED_OUT_BEFORE_RESPONSE
+            released.set()
+            return None
+
+        # All have been connected to, that one last: it is the likeliest to be there still.
+        idle_connections = {
+            endpoint.address: [SimpleNamespace(idle_since=9 - abs(int(endpoint.name[1:]) - 7))]
+            for endpoint in node.endpoints.values()
+            if endpoint.name != "r"
+        }
+        node.engine_client.pool.idle = cast(Any, idle_connections)
+        node.engine_client.pool.close_idle = lambda: None  # type: ignore[method-assign]
+        node.engine_client.release_state = release  # type: ignore[method-assign]
+        pending = PendingNodeRequest(
+            0, "q1", 0, 0, cast(Any, None), client_request=cast(Any, None), prefill_endpoint=endpoints["r"]
+        )
+        node.release_prefill_state(pending)
+        await asyncio.wait_for(released.wait(), WAIT)
+        node.engine_client.pool.idle = {}
+        assert called == [endpoints["r"].address, endpoints["w7"].address]
+
+
+async def test_a_state_is_released_at_the_first_engine_that_can_be_reached(tmp_path: Path) -> None:
+    """All but the last of twelve are unreachable, and none has been connected to before."""
+    names = {"r": "prefill"} | {f"w{index}": "decode" for index in range(12)}
+    platform = Platform(tmp_path, names)
+    async with platform.inside() as running:
+        node = running.executor
+        endpoints = {endpoint.name: endpoint for endpoint in node.endpoints.values()}
+        called: list[Address] = []
+        released = asyncio.Event()
+
+        async def release(address: Address, request: str, limit: int) -> FailureCause | None:
+            called.append(address)
+            if len(called) <= 12:
+                return FailureCause.CONNECT_FAILED
+            released.set()
+            return None
+
+        node.engine_client.release_state = release  # type: ignore[method-assign]
+        pending = PendingNodeRequest(
+            0, "q1", 0, 0, cast(Any, None), client_request=cast(Any, None), prefill_endpoint=endpoints["r"]
+        )
+        node.release_prefill_state(pending)
+        await asyncio.wait_for(released.wait(), WAIT)
+        assert len(set(called)) == 13
+
+
+async def test_a_release_call_goes_on_until_the_next_prefill_has_been_answered(tmp_path: Path) -> None:
+    """Not only until its last byte is sent, which does not show that it has arrived. After the response the
+    call would release the new state too: what it was for is owed from then on."""
+    platform = Platform(tmp_path, PAIR)
+    async with platform.inside() as running:
+        node = running.executor
+        open_calls = 0
+
+        async def release(address: Address, request: str, limit: int) -> FailureCause | None:
+            nonlocal open_calls
+            open_calls += 1
+            try:
+                await asyncio.sleep(WAIT)
+            finally:
+                open_calls -= 1
+            return None
+
+        async def prefill(
+            address: Address, request: ClientRequest, limit: int, permit: SendPermit
+        ) -> AttemptResult:
+            await until(lambda: open_calls == 2 and node.releases_in_progress == 1)
+            assert permit.deny_last_byte(now()) is None
+            permit.request_written()
+            await asyncio.sleep(0.05)
+            assert open_calls == 2 and node.releases_in_progress == 1
+            permit.response_started()
+            return AttemptResult(AttemptStatus.PREFILL_COMPLETE, reached_engine=True)
+
+        node.engine_client.release_state = release  # type: ignore[method-assign]
+        node.engine_client.prefill = prefill  # type: ignore[method-assign]
+        endpoint = next(endpoint for endpoint in node.endpoints.values() if endpoint.name == "r")
+        pending = PendingNodeRequest(
+            0,
+            "q1",
+            0,
+            now() + 100_000,
+            cast(Any, None),
+            client_request=cast(Any, None),
+            prefill_endpoint=endpoint,
+        )
+        node.release_prefill_state(pending)
+        node.requests[0] = pending
+        pending.attempt_count = 1
+        await node.attempt_runner.run(pending, endpoint, 0)
+        await until(lambda: not open_calls and not node.releases_in_progress)
+        assert pending.possible_prefill_endpoint is endpoint and pending.prefill_endpoint is endpoint
+
+
+async def test_decode_engines_that_cannot_be_connected_to_do_not_pin_a_state(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def delayed_connect(address: tuple[str, int], source: str | None) -> TcpConnection:
+        if any(engine.port == address[1] for name, engine in platform.engines.items() if name != "r"):
+            await asyncio.sleep(WAIT)  # its packets go nowhere
+        return await connect(address, source)
+
+    platform = Platform(tmp_path, {"r": "prefill"} | {f"w{index}": "decode" for index in range(6)})
+    monkeypatch.setattr("runspool.engines.connection_pool.connect", delayed_connect)
+    # No further prefill before the state has been released.
+    monkeypatch.setattr("runspool.scheduling.admission.RETRY_INTERVAL", 20_000)
+    async with platform.inside() as running:
+        client = await platform.client()
+        client.send(post("q1"))
+        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
+        # 300 ms are granted for the state, and each connection is waited for 250 ms.
+        assert 1 <= running.executor.counts["attempt_connect_failed"] <= 2
