--- a/tests/test_endings.py
+++ b/tests/test_failure_classification.py
@@ -1,4 +1,4 @@
-"""Every row of the endings table, forced on a socket."""
+"""Every failure cause that the classification tells apart, forced on a socket."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from runspool.service.clock import now
 from tests.small_fleet import engine_spec
 
-SECOND = 10_000
-TERMS = EngineClientConfig(
+ONE_SECOND = 10_000
+CLIENT_CONFIG = EngineClientConfig(
     connect_ms=300,
     idle_ms=15000,
     connections_each=4,
@@ -33,14 +33,16 @@
     line_bytes=16384,
     source_address=None,
 )
-QUERY: PrefillState = {
+REQUEST_STATE: PrefillState = {
     "prompt": msgspec.Raw(b'"' + b"abcd" * 40 + b'"'),
     "max_tokens": msgspec.Raw(b"50"),
     "standin": msgspec.Raw(b'{"try":"t","out":5}'),
 }
 
 
-class Heard:
+class RecordingListener:
+    """Takes a stream and keeps what it was given."""
+
     def __init__(self) -> None:
         self.started = 0
         self.texts: list[str] = []
@@ -52,47 +54,49 @@
         self.texts.append(text)
 
 
-async def write(
-    caller: CompletionsEngineClient, address: Address, limit: int = 2 * SECOND, query: PrefillState = QUERY
+async def decode(
+    client: CompletionsEngineClient,
+    address: Address,
+    limit: int = 2 * ONE_SECOND,
+    state: PrefillState = REQUEST_STATE,
 ) -> AttemptResult:
-    return await caller.decode(
-        address, query, None, {"X-Request-Id": "q.1"}, limit, UNRESTRICTED, 50, Heard()
+    """Make one decode attempt, of a request that any engine can serve."""
+    return await client.decode(
+        address, state, None, {"X-Request-Id": "q.1"}, limit, UNRESTRICTED, 50, RecordingListener()
     )
 
 
-async def shot_at(
+async def attempt_at(
     serve: Callable[[anyio.abc.SocketStream], Awaitable[None]],
-    limit: int = SECOND,
-    query: PrefillState = QUERY,
-    warm: Callable[[CompletionsEngineClient, Address], Awaitable[None]] | None = None,
-    read: bool = False,
+    limit: int = ONE_SECOND,
+    state: PrefillState = REQUEST_STATE,
+    prepare: Callable[[CompletionsEngineClient, Address], Awaitable[None]] | None = None,
+    prefill: bool = False,
 ) -> AttemptResult:
-    """One shot at a peer that does what `serve` says with each connection."""
-    caller = CompletionsEngineClient(TERMS, now, 500)
+    """Make one attempt at a peer that treats each connection as `serve` does."""
+    client = CompletionsEngineClient(CLIENT_CONFIG, now, 500)
     async with anyio.create_task_group() as tasks:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
         address = ("127.0.0.1", int(listener.extra(anyio.abc.SocketAttribute.local_port)))
         tasks.start_soon(listener.serve, serve)
-        tasks.start_soon(caller.watchdog.run)
-        if warm is not None:
-            await warm(caller, address)
+        tasks.start_soon(client.watchdog.run)
+        if prepare is not None:
+            await prepare(client, address)
         with anyio.fail_after(20):
-            ended = await (
-                caller.prefill(address, query, {}, limit, UNRESTRICTED)
-                if read
-                else write(caller, address, limit, query)
+            result = await (
+                client.prefill(address, state, {}, limit, UNRESTRICTED)
+                if prefill
+                else decode(client, address, limit, state)
             )
         tasks.cancel_scope.cancel()
-    caller.pool.close()
+    client.pool.close()
     await listener.aclose()
-    return ended
+    return result
 
 
-BY_ENGINE = {
-    "reset_before_body": (
-        FailureCause.CLOSED_WHILE_SENDING,
-        FailureCause.CLOSED_BEFORE_RESPONSE,
-    ),  # as fast as the reset is
+CAUSES_BY_FAULT = {
+    # The cause depends on whether the reset comes before the last byte is out.
+    "reset_before_body": (FailureCause.CLOSED_WHILE_SENDING, FailureCause.CLOSED_BEFORE_RESPONSE),
     "reset_after": (FailureCause.CLOSED_BEFORE_RESPONSE,),
     "close_after": (FailureCause.CLOSED_BEFORE_RESPONSE,),
     "silent": (FailureCause.TIMED_OUT_BEFORE_RESPONSE,),
@@ -116,62 +120,70 @@
 }
 
 
-def test_no_row_that_an_engine_can_play_is_left_out() -> None:
-    assert set(BY_ENGINE) == set(RESPONSE_FAULTS)
+def test_every_fault_of_the_stand_in_engine_has_its_cause() -> None:
+    assert set(CAUSES_BY_FAULT) == set(RESPONSE_FAULTS)
 
 
-@pytest.mark.parametrize("row", RESPONSE_FAULTS)
+@pytest.mark.parametrize("fault", RESPONSE_FAULTS)
 @pytest.mark.anyio
-async def test_a_row_played_by_an_engine(row: str) -> None:
+async def test_a_fault_of_the_stand_in_engine_has_its_cause_and_status(fault: str) -> None:
     engine = StandInEngine(engine_spec("mixed"), Recorder(None), False, 1)
-    caller = CompletionsEngineClient(TERMS, now, 500)
+    client = CompletionsEngineClient(CLIENT_CONFIG, now, 500)
     async with anyio.create_task_group() as tasks:
         port = await tasks.start(engine.run, "127.0.0.1", 0)
-        tasks.start_soon(caller.watchdog.run)
-        engine.fault("row", row=row, share=1.0)
+        tasks.start_soon(client.watchdog.run)
+        engine.fault("row", row=fault, share=1.0)
         with anyio.fail_after(20):
-            ended = await write(caller, ("127.0.0.1", port), SECOND // 2)
-        assert ended.failure_cause in BY_ENGINE[row], ended
-        assert ended.status is STATUS_BY_CAUSE[ended.failure_cause]
-        # The link that it happened on serves nobody any more; the engine does, once it is well.
-        engine.fault("row", row=row, share=0.0)
+            result = await decode(client, ("127.0.0.1", port), ONE_SECOND // 2)
+        assert result.failure_cause in CAUSES_BY_FAULT[fault], result
+        assert result.status is STATUS_BY_CAUSE[result.failure_cause]
+        # That connection is not used again; the engine is, once the fault is over.
+        engine.fault("row", row=fault, share=0.0)
         with anyio.fail_after(20):
-            assert (await write(caller, ("127.0.0.1", port))).status is AttemptStatus.SUCCEEDED
+            assert (await decode(client, ("127.0.0.1", port))).status is AttemptStatus.SUCCEEDED
         tasks.cancel_scope.cancel()
-    caller.pool.close()
+    client.pool.close()
 
 
 @pytest.mark.anyio
-async def test_a_refused_connection_never_ran() -> None:
-    with socket.socket() as holder:
-        holder.bind(("127.0.0.1", 0))  # bound, not listening
-        ended = await write(CompletionsEngineClient(TERMS, now, 500), ("127.0.0.1", holder.getsockname()[1]))
-    assert (ended.failure_cause, ended.status) == (FailureCause.CONNECT_FAILED, AttemptStatus.CONNECT_FAILED)
+async def test_a_refused_connection_did_not_execute() -> None:
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))  # bound, not listening
+        result = await decode(
+            CompletionsEngineClient(CLIENT_CONFIG, now, 500), ("127.0.0.1", listener.getsockname()[1])
+        )
+    assert (result.failure_cause, result.status) == (
+        FailureCause.CONNECT_FAILED,
+        AttemptStatus.CONNECT_FAILED,
+    )
 
 
 @pytest.mark.anyio
-async def test_a_connection_not_made_in_time_never_ran() -> None:
-    with socket.socket() as holder:
-        holder.bind(("127.0.0.1", 0))
-        holder.listen(0)
+async def test_a_connection_not_made_in_time_did_not_execute() -> None:
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
         fillers = [socket.socket() for _ in range(4)]
-        for filler in fillers:  # nobody accepts: the line before the listener is full
+        for filler in fillers:  # nobody accepts: the listener's queue is full
             filler.setblocking(False)
-            filler.connect_ex(holder.getsockname())
-        ended = await write(CompletionsEngineClient(TERMS, now, 500), holder.getsockname())
+            filler.connect_ex(listener.getsockname())
+        result = await decode(CompletionsEngineClient(CLIENT_CONFIG, now, 500), listener.getsockname())
         for filler in fillers:
             filler.close()
-    assert (ended.failure_cause, ended.status) == (FailureCause.CONNECT_FAILED, AttemptStatus.CONNECT_FAILED)
+    assert (result.failure_cause, result.status) == (
+        FailureCause.CONNECT_FAILED,
+        AttemptStatus.CONNECT_FAILED,
+    )
 
 
 @pytest.mark.anyio
-async def test_no_time_left_is_never_sent() -> None:
-    ended = await write(CompletionsEngineClient(TERMS, now, 500), ("127.0.0.1", 1), 0)
-    assert (ended.failure_cause, ended.status) == (FailureCause.NO_TIME_LEFT, AttemptStatus.NOT_SENT)
+async def test_an_attempt_without_time_left_is_not_sent() -> None:
+    result = await decode(CompletionsEngineClient(CLIENT_CONFIG, now, 500), ("127.0.0.1", 1), 0)
+    assert (result.failure_cause, result.status) == (FailureCause.NO_TIME_LEFT, AttemptStatus.NOT_SENT)
 
 
 @pytest.mark.anyio
-async def test_past_the_own_cap_nothing_is_sent_and_none_waits() -> None:
+async def test_beyond_the_connection_limit_nothing_is_sent_and_nothing_waits() -> None:
     opened = anyio.Event()
 
     async def hold(stream: anyio.abc.SocketStream) -> None:
@@ -179,31 +191,31 @@
             opened.set()
             await anyio.sleep_forever()
 
-    caller = CompletionsEngineClient(TERMS, now, 500)
+    client = CompletionsEngineClient(CLIENT_CONFIG, now, 500)
     async with anyio.create_task_group() as tasks:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
         address = ("127.0.0.1", int(listener.extra(anyio.abc.SocketAttribute.local_port)))
         tasks.start_soon(listener.serve, hold)
-        for _ in range(TERMS.connections_each):
-            tasks.start_soon(write, caller, address, 60 * SECOND)
+        for _ in range(CLIENT_CONFIG.connections_each):
+            tasks.start_soon(decode, client, address, 60 * ONE_SECOND)
         await opened.wait()
-        while caller.pool.open_counts.get(address, 0) < TERMS.connections_each:
+        while client.pool.open_counts.get(address, 0) < CLIENT_CONFIG.connections_each:
             await anyio.sleep(0.001)
-        ended = await write(caller, address)
-        assert (ended.failure_cause, ended.status) == (
+        result = await decode(client, address)
+        assert (result.failure_cause, result.status) == (
             FailureCause.CONNECTION_LIMIT_REACHED,
             AttemptStatus.NOT_SENT,
         )
         tasks.cancel_scope.cancel()
-    assert caller.pool.open_counts == {}  # a cancelled shot leaves no connection behind
+    assert client.pool.open_counts == {}  # a cancelled attempt leaves no connection behind
     await listener.aclose()
 
 
 @pytest.mark.anyio
-async def test_a_kept_connection_closed_by_its_engine_is_not_used_again() -> None:
+async def test_an_idle_connection_closed_by_its_engine_is_not_used_again() -> None:
     count = 0
 
-    async def once(stream: anyio.abc.SocketStream) -> None:
+    async def answer_once(stream: anyio.abc.SocketStream) -> None:
         nonlocal count
         count += 1
         async with stream:
@@ -211,50 +223,52 @@
             await anyio.sleep(0.01)
             await stream.send(b"HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n")
 
-    async def warm(caller: CompletionsEngineClient, address: Address) -> None:
-        assert (await write(caller, address)).status is AttemptStatus.OVERLOADED
-        while not caller.pool.idle[address][0].has_unsolicited_data():  # the engine's close has come
+    async def prepare(client: CompletionsEngineClient, address: Address) -> None:
+        assert (await decode(client, address)).status is AttemptStatus.OVERLOADED
+        while not client.pool.idle[address][0].has_unsolicited_data():  # the engine's close has come
             await anyio.sleep(0.001)
 
-    ended = await shot_at(once, warm=warm)
-    assert (ended.status, count) == (AttemptStatus.OVERLOADED, 2)
+    result = await attempt_at(answer_once, prepare=prepare)
+    assert (result.status, count) == (AttemptStatus.OVERLOADED, 2)
 
 
 @pytest.mark.anyio
-async def test_a_close_that_crosses_the_request_costs_no_doubt_before_the_last_byte() -> None:
+async def test_a_close_that_crosses_the_request_before_its_last_byte_did_not_execute() -> None:
     async def close(stream: anyio.abc.SocketStream) -> None:
         await stream.aclose()
 
-    async def warm(caller: CompletionsEngineClient, address: Address) -> None:
-        link = await caller.pool.acquire(address)
-        while not link.has_unsolicited_data():  # closed by its engine after the pool had found it sound
+    async def prepare(client: CompletionsEngineClient, address: Address) -> None:
+        connection = await client.pool.acquire(address)
+        while not connection.has_unsolicited_data():  # closed by its engine after the pool had checked it
             await anyio.sleep(0.001)
 
-        async def taken(_: Address) -> object:
-            return link
+        async def acquire_closed(_: Address) -> object:
+            return connection
 
-        caller.pool.acquire = taken  # type: ignore[method-assign, assignment]
+        client.pool.acquire = acquire_closed  # type: ignore[method-assign, assignment]
 
-    ended = await shot_at(close, warm=warm)
-    assert ended.failure_cause is FailureCause.CLOSED_WHILE_SENDING
-    assert ended.status is AttemptStatus.CONNECT_FAILED
+    result = await attempt_at(close, prepare=prepare)
+    assert result.failure_cause is FailureCause.CLOSED_WHILE_SENDING
+    assert result.status is AttemptStatus.CONNECT_FAILED
 
 
 @pytest.mark.anyio
-async def test_an_engine_that_does_not_read_the_request_never_ran_it() -> None:
-    big = QUERY | {"prompt": msgspec.Raw(b'"' + b"x" * 30_000_000 + b'"')}
-    with socket.socket() as deaf:
-        deaf.bind(("127.0.0.1", 0))
-        deaf.listen(8)  # connections are made by the kernel, and nobody reads from them
-        ended = await write(CompletionsEngineClient(TERMS, now, 500), deaf.getsockname(), SECOND // 2, big)
-    assert (ended.failure_cause, ended.status) == (
+async def test_an_engine_that_does_not_receive_the_request_did_not_execute_it() -> None:
+    big = REQUEST_STATE | {"prompt": msgspec.Raw(b'"' + b"x" * 30_000_000 + b'"')}
+    with socket.socket() as listener:
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(8)  # connections are made by the kernel, and nobody receives from them
+        result = await decode(
+            CompletionsEngineClient(CLIENT_CONFIG, now, 500), listener.getsockname(), ONE_SECOND // 2, big
+        )
+    assert (result.failure_cause, result.status) == (
         FailureCause.TIMED_OUT_WHILE_SENDING,
         AttemptStatus.CONNECT_FAILED,
     )
 
 
 @pytest.mark.parametrize(
-    ("raw", "mishap"),
+    ("raw", "cause"),
     [
         (b"HTTP/1.1 408 Late\r\nContent-Length: 0\r\n\r\n", FailureCause.SERVER_ERROR),
         (
@@ -272,57 +286,57 @@
     ],
 )
 @pytest.mark.anyio
-async def test_a_status_says_what_it_promises(raw: bytes, mishap: FailureCause) -> None:
+async def test_each_response_status_has_its_cause(raw: bytes, cause: FailureCause) -> None:
     async def answer(stream: anyio.abc.SocketStream) -> None:
         async with stream:
             await stream.receive()
             await anyio.sleep(0.02)
             await stream.send(raw)
 
-    ended = await shot_at(answer)
-    assert ended.failure_cause is mishap, ended
-    assert ended.status is STATUS_BY_CAUSE[mishap]
+    result = await attempt_at(answer)
+    assert result.failure_cause is cause, result
+    assert result.status is STATUS_BY_CAUSE[cause]
 
 
 @pytest.mark.anyio
-async def test_a_read_that_hands_back_no_state_is_garbled() -> None:
+async def test_a_prefill_response_without_state_is_malformed() -> None:
     async def answer(stream: anyio.abc.SocketStream) -> None:
         async with stream:
             await stream.receive()
             await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
 
-    assert (await shot_at(answer, read=True)).failure_cause is FailureCause.MALFORMED_RESPONSE
+    assert (await attempt_at(answer, prefill=True)).failure_cause is FailureCause.MALFORMED_RESPONSE
 
 
 @pytest.mark.anyio
-async def test_a_shot_called_back_closes_its_connection() -> None:
-    left = anyio.Event()
+async def test_a_cancelled_attempt_closes_its_connection() -> None:
+    closed = anyio.Event()
 
-    async def watch(stream: anyio.abc.SocketStream) -> None:
+    async def await_close(stream: anyio.abc.SocketStream) -> None:
         try:
             async with stream:
                 while True:
                     await stream.receive()
         except (anyio.EndOfStream, anyio.BrokenResourceError):
-            left.set()
+            closed.set()
 
-    caller = CompletionsEngineClient(TERMS, now, 500)
+    client = CompletionsEngineClient(CLIENT_CONFIG, now, 500)
     async with anyio.create_task_group() as tasks:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
         address = ("127.0.0.1", int(listener.extra(anyio.abc.SocketAttribute.local_port)))
-        tasks.start_soon(listener.serve, watch)
+        tasks.start_soon(listener.serve, await_close)
         with anyio.move_on_after(0.1):
-            await write(caller, address, 60 * SECOND)
+            await decode(client, address, 60 * ONE_SECOND)
         with anyio.fail_after(10):
-            await left.wait()
+            await closed.wait()
         tasks.cancel_scope.cancel()
     assert STATUS_BY_CAUSE[FailureCause.CANCELLED] is AttemptStatus.CANCELLED
     await listener.aclose()
 
 
-def test_only_what_cannot_have_run_counts_as_that() -> None:
-    never = {mishap for mishap in FailureCause if not may_have_executed(mishap)}
-    assert never == {
+def test_only_causes_that_exclude_execution_count_as_not_executed() -> None:
+    not_executed = {cause for cause in FailureCause if not may_have_executed(cause)}
+    assert not_executed == {
         FailureCause.NO_TIME_LEFT,
         FailureCause.CONNECTION_LIMIT_REACHED,
         FailureCause.NOT_PERMITTED,
@@ -335,4 +349,4 @@
         FailureCause.UNSUPPORTED_ENDPOINT,
     }
     assert set(STATUS_BY_CAUSE) == set(FailureCause)
-    assert all(STATUS_BY_CAUSE[mishap] in NOT_EXECUTED for mishap in never)
+    assert all(STATUS_BY_CAUSE[cause] in NOT_EXECUTED for cause in not_executed)
