--- a/tests/test_incident.py
+++ b/tests/test_undelivered_attempts.py
@@ -1,4 +1,4 @@
-"""Incident 1: what was written is not what has arrived. Real nodes on loopback, faults by a proxy.
+"""Attempts that were written and have not arrived (incident 1): real nodes on loopback, faults by a proxy.
 
 docs/incidents/incident-1.md has the evidence and the candidates.
 """
@@ -7,6 +7,7 @@
 
 import asyncio
 import time
+from functools import partial
 from pathlib import Path
 
 import pytest
@@ -16,6 +17,7 @@
 from tests.node_platform.engine import Script, never_responds, responds
 from tests.node_platform.http_messages import (
     COMPLETE_STREAM,
+    DECLINED,
     PREFILL_RESPONSE,
     WAIT,
     ReceivedRequest,
@@ -25,8 +27,8 @@
 
 pytestmark = pytest.mark.anyio
 PAIR = {"r": "prefill", "w": "decode"}
-GRANTED = 0.3  # seconds that the settings grant for letting go
-SLACK = 0.3  # more on sockets
+RELEASE_GRANT = 0.3  # seconds that the settings grant for a release
+SOCKET_SLACK = 0.3  # more on sockets
 
 
 class Stopwatch:
@@ -36,142 +38,145 @@
         self.at = 0.0
 
     def stop(self) -> None:
+        """Note the time, the first time only."""
         self.at = self.at or time.monotonic()
 
 
-def reads(watch: Stopwatch) -> Script:
+def prefills(prefilled: Stopwatch) -> Script:
+    """Return a script that completes a prefill and stops the watch."""
+
     async def script(request: ReceivedRequest) -> None:
         await request.send(PREFILL_RESPONSE)
-        watch.stop()
+        prefilled.stop()
 
     return script
 
 
-async def let_go_within(platform: Platform, name: str, since: Stopwatch) -> float:
-    """Seconds from the read's end to the first call that lets go, which must come."""
+async def seconds_until_release(platform: Platform, name: str, since: Stopwatch) -> float:
+    """Return the seconds since then until the first release call, which must come."""
     await platform.until(lambda: bool(platform.release_calls(name)))
     return time.monotonic() - since.at
 
 
 @pytest.mark.parametrize("effect", ["ask", "book"])
 @pytest.mark.parametrize("connection", ["fresh", "used"])
-async def test_a_state_is_let_go_while_its_write_has_not_arrived(
+async def test_a_state_is_released_while_its_decode_attempt_has_not_arrived(
     effect: str, connection: str, tmp_path: Path
 ) -> None:
-    """The writer's kernel takes connection and bytes, and nothing reaches its process."""
+    """The decode engine's kernel takes connection and bytes, and nothing reaches its process."""
     platform = Platform(tmp_path, PAIR)
     proxy = platform.engines["w"].behind_proxy()
     async with platform.open():
         if connection == "used":
             assert (await platform.ask(post("q0"))).complete
         proxy.silence()
-        read = Stopwatch()
-        platform.engines["r"].scripts = [reads(read)]
+        prefilled = Stopwatch()
+        platform.engines["r"].scripts = [prefills(prefilled)]
         client = await platform.client()
         client.send(post("q1", effect))
-        assert await let_go_within(platform, "q1", read) < GRANTED + SLACK
-        assert [shot.engine for shot in platform.attempts("q1")] == [
-            "r"
-        ]  # the write is out and has not arrived
+        assert await seconds_until_release(platform, "q1", prefilled) < RELEASE_GRANT + SOCKET_SLACK
+        # The decode attempt is sent and has not arrived.
+        assert [attempt.engine for attempt in platform.attempts("q1")] == ["r"]
 
 
-async def test_what_a_lost_read_left_is_let_go_while_the_next_has_not_arrived(tmp_path: Path) -> None:
+async def test_the_state_of_a_lost_prefill_is_released_while_the_next_has_not_arrived(tmp_path: Path) -> None:
     lost = Stopwatch()
-
-    async def reads_and_is_lost(request: ReceivedRequest) -> None:
-        lost.stop()
-        request.reset()
-
     platform = Platform(tmp_path, {"r": "prefill", "s": "prefill", "w": "decode"})
     proxies = {name: platform.engines[name].behind_proxy() for name in "rs"}
 
-    async def lost_at(name: str, request: ReceivedRequest) -> None:
+    async def loses_prefill(name: str, request: ReceivedRequest) -> None:
         proxies["s" if name == "r" else "r"].silence()
-        await reads_and_is_lost(request)
+        lost.stop()
+        request.reset()
 
     async with platform.open():
         for name in "rs":
-            platform.engines[name].scripts = [lambda request, name=name: lost_at(name, request)]  # type: ignore[misc]
+            platform.engines[name].scripts = [partial(loses_prefill, name)]
         client = await platform.client()
         client.send(post("q1"))
-        assert await let_go_within(platform, "q1", lost) < GRANTED + SLACK
+        assert await seconds_until_release(platform, "q1", lost) < RELEASE_GRANT + SOCKET_SLACK
 
 
-async def test_a_state_is_let_go_once_the_network_is_back_however_long_it_was_away(tmp_path: Path) -> None:
-    """No engine can be reached for longer than all calls to let go may take; none may be given up."""
+async def test_a_state_is_released_once_the_network_is_back_however_long_it_was_away(tmp_path: Path) -> None:
+    """No engine can be reached for longer than all release calls may take; none may be given up."""
     platform = Platform(tmp_path, PAIR)
     proxies = [engine.behind_proxy() for engine in platform.engines.values()]
 
-    async def reads_then_silence(request: ReceivedRequest) -> None:
+    async def prefills_then_silences(request: ReceivedRequest) -> None:
         await request.send(PREFILL_RESPONSE)
         for proxy in proxies:
             proxy.silence()
 
     async with platform.open():
-        platform.engines["r"].scripts = [reads_then_silence]
+        platform.engines["r"].scripts = [prefills_then_silences]
         client = await platform.client()
         client.send(post("q1", req_deadline="500m"))
-        await asyncio.sleep(2.0)  # the answer's time and that of every call are over
+        await asyncio.sleep(2.0)  # the deadline and the time of every release call are over
         for proxy in proxies:
             proxy.reset()
             proxy.heal()
         await platform.until(lambda: bool(platform.release_calls("q1")))
 
 
-async def test_a_slow_write_that_arrived_keeps_its_state_and_is_served_by_one_read(tmp_path: Path) -> None:
-    """The call that lets go finds an attempt waiting for the state, and takes nothing from it."""
+async def test_a_slow_decode_attempt_that_arrived_keeps_its_state_and_needs_one_prefill(
+    tmp_path: Path,
+) -> None:
+    """The release call finds an attempt waiting for the state, and takes nothing from it."""
     platform = Platform(tmp_path, PAIR)
     async with platform.open():
-        go = asyncio.Event()
-        platform.engines["w"].scripts = [responds(COMPLETE_STREAM, go)]
+        proceed = asyncio.Event()
+        platform.engines["w"].scripts = [responds(COMPLETE_STREAM, proceed)]
         client = await platform.client()
         client.send(post("q1"))
         await platform.until(lambda: len(platform.attempts("q1", "decode")) == 1)
-        await asyncio.sleep(GRANTED + SLACK)
-        go.set()
+        await asyncio.sleep(RELEASE_GRANT + SOCKET_SLACK)
+        proceed.set()
         assert (await client.read_response()).complete
-        assert [shot.engine for shot in platform.attempts("q1")] == ["r", "w"]
+        assert [attempt.engine for attempt in platform.attempts("q1")] == ["r", "w"]
 
 
 @pytest.mark.parametrize("effect", ["ask", "book"])
-async def test_a_write_that_arrives_after_its_state_went_is_read_again(effect: str, tmp_path: Path) -> None:
+async def test_a_decode_attempt_that_arrives_after_its_state_was_released_is_prefilled_again(
+    effect: str, tmp_path: Path
+) -> None:
     platform = Platform(tmp_path, PAIR)
     proxy = platform.engines["w"].behind_proxy()
     async with platform.open():
         proxy.silence()
-        platform.engines["w"].scripts = [responds(http_response(410, b"", b"Srv-Declined: 1"))]
+        platform.engines["w"].scripts = [responds(http_response(410, b"", DECLINED))]
         client = await platform.client()
         client.send(post("q1", effect))
         await platform.until(lambda: bool(platform.release_calls("q1")))
         proxy.heal()
         assert (await client.read_response()).complete
-        assert [shot.engine for shot in platform.attempts("q1")] == ["r", "w", "r", "w"]
+        assert [attempt.engine for attempt in platform.attempts("q1")] == ["r", "w", "r", "w"]
 
 
-async def test_the_time_told_to_an_engine_is_what_is_left_when_it_is_sent(
+async def test_the_deadline_sent_to_an_engine_is_what_is_left_when_it_is_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A connection that took long to come up has taken its time from the client's."""
+    """A connection that took long to open has used some of the client's time."""
 
-    async def dials(address: tuple[str, int], source: str | None) -> TcpConnection:
+    async def slow_connect(address: tuple[str, int], source: str | None) -> TcpConnection:
         await asyncio.sleep(0.22)
         return await connect(address, source)
 
     platform = Platform(tmp_path, PAIR)
     async with platform.inside():
-        monkeypatch.setattr("runspool.engines.connection_pool.connect", dials)
+        monkeypatch.setattr("runspool.engines.connection_pool.connect", slow_connect)
         client = await platform.client()
         sent = time.monotonic()
         client.send(post("q1", "book", req_deadline="2000m"))
         await platform.until(lambda: len(platform.attempts("q1", "decode")) == 1)
-        left = 2.0 - (time.monotonic() - sent)
-        (write,) = platform.attempts("q1", "decode")
-        assert left - 0.2 < int(write.headers["req-deadline"].removesuffix("u")) / 1e6 < left + 0.1
+        seconds_left = 2.0 - (time.monotonic() - sent)
+        (decode,) = platform.attempts("q1", "decode")
+        deadline = int(decode.headers["req-deadline"].removesuffix("u")) / 1e6
+        assert seconds_left - 0.2 < deadline < seconds_left + 0.1
         assert (await asyncio.wait_for(client.read_response(), WAIT)).complete
 
 
-async def test_what_an_attempt_took_up_from_one_given_up_is_let_go_of_once_more(tmp_path: Path) -> None:
-    """Its engine may have found the state that the call before it had left to the attempt given up (soak)."""
+async def test_a_state_that_a_later_attempt_took_over_is_released_once_more(tmp_path: Path) -> None:
+    """Its engine may have found the state that an earlier release left to the attempt given up (soak)."""
     platform = Platform(tmp_path, {"r": "prefill", "w": "decode", "m": "mixed"})
     for name in "wm":
         platform.engines[name].scripts = [never_responds] * 10
@@ -181,4 +186,4 @@
         await platform.until(lambda: len(platform.attempts("q1", "decode")) >= 1)
         assert (await client.read_response()).status in (500, 503)
         last = platform.received.index(platform.attempts("q1")[-1])
-        await platform.until(lambda: any(one.method == "DELETE" for one in platform.received[last + 1 :]))
+        await platform.until(lambda: any(call.method == "DELETE" for call in platform.received[last + 1 :]))
