--- /dev/null
+++ b/tests/soak/client_workload.py
@@ -0,0 +1,138 @@
+"""The client workload of a soak: usual requests, clients that disconnect, and malformed requests."""
+
+from __future__ import annotations
+
+import asyncio
+from contextlib import suppress
+from random import Random
+
+from tests.fault_proxy import HOST
+from tests.node_platform.client import Client, post
+from tests.soak.environment import Environment, expected_stream
+from tests.soak.nodes import SoakNode
+
+CLASSES = ("ask", "ask", "book", "pay")
+DISCONNECTING_SHARE = 0.07  # of clients, that disconnect before they are answered
+MALFORMED_SHARE = 0.04
+REUSED_CONNECTION_SHARE = 0.8
+SPLIT_REQUEST_SHARE = 0.1
+GRACE = 2.0  # seconds beyond a deadline that a client still listens, so that a late answer is seen as one
+
+
+class ClientWorkload:
+    """Sends requests to nodes that are up, at a mean rate a node, until stopped."""
+
+    def __init__(
+        self,
+        environment: Environment,
+        nodes: list[SoakNode],
+        rate: float,
+        disconnecting_share: float = DISCONNECTING_SHARE,
+    ) -> None:
+        self.environment, self.nodes, self.rate = environment, nodes, rate
+        self.disconnecting_share = disconnecting_share
+        self.random = Random(f"{environment.seed}.crowd")  # this word keeps the draws of each seed
+        self.idle_clients: dict[str, list[Client]] = {node.name: [] for node in nodes}
+        self.request_count = 0
+        self.tasks: set[asyncio.Task[None]] = set()
+
+    async def run(self, seconds: float) -> None:
+        """Begin requests for so long, and wait for the last to end."""
+        end = asyncio.get_running_loop().time() + seconds
+        while asyncio.get_running_loop().time() < end:
+            await asyncio.sleep(self.random.expovariate(self.rate * len(self.nodes)))
+            available = [node for node in self.nodes if node.up]
+            if available:
+                task = asyncio.ensure_future(self._make_request(self.random.choice(available)))
+                self.tasks.add(task)
+                task.add_done_callback(self.tasks.discard)
+        await asyncio.gather(*self.tasks)
+        for clients in self.idle_clients.values():
+            for client in clients:
+                client.close()
+
+    async def _make_request(self, node: SoakNode) -> None:
+        self.request_count += 1
+        name = f"q{self.environment.seed}-{self.request_count}"
+        draw = self.random.random()
+        with suppress(OSError, asyncio.IncompleteReadError, ValueError):
+            if draw < MALFORMED_SHARE:
+                await self._send_malformed(node, name)
+            else:
+                await self._send_usual(node, name, disconnects=draw > 1.0 - self.disconnecting_share)
+
+    async def _connection(self, node: SoakNode) -> tuple[Client, bool]:
+        """Return an idle connection or a new one, and whether it is new."""
+        if self.idle_clients[node.name] and self.random.random() < REUSED_CONNECTION_SHARE:
+            return self.idle_clients[node.name].pop(), False
+        return Client(*await asyncio.open_connection(HOST, node.port)), True
+
+    async def _send_usual(self, node: SoakNode, name: str, disconnects: bool) -> None:
+        kind = self.random.choice(CLASSES)
+        deadline = self.random.choice([0.7, 1.5, 2.5, 4.0])
+        body = b'{"prompt":"%b"}' % name.encode()
+        client, new = await self._connection(node)
+        data = post(
+            name, kind, body, req_deadline=f"{int(deadline * 1000)}m", req_key=f"k{self.request_count % 40}"
+        )
+        if self.random.random() < SPLIT_REQUEST_SHARE:
+            client.send(data[:200])
+            await asyncio.sleep(0.02)
+            data = data[200:]
+        client.send(data)
+        self.environment.record(
+            "asked", request=name, node=node.name, kind=kind, deadline=deadline, new=new, body=body.decode()
+        )
+        if disconnects:
+            await asyncio.sleep(self.random.random() * 0.5)
+            client.close()
+            self.environment.record("left", request=name)
+            return
+        how, status = "late", 0
+        try:
+            async with asyncio.timeout(deadline + GRACE + 8.0):
+                status, how = await self._read_response(client, name)
+        except TimeoutError:
+            pass
+        except (OSError, asyncio.IncompleteReadError):
+            how = "closed"
+        self.environment.record("answered", request=name, status=status, how=how)
+        if how == "whole":
+            self.idle_clients[node.name].append(client)
+        else:
+            client.close()
+
+    async def _read_response(self, client: Client, name: str) -> tuple[int, str]:
+        head = await client.read_head()
+        if head.status == 200:
+            self.environment.record("begun", request=name)
+        response = await client.read_body(head)
+        if response.status == 200 and response.body != b"".join(expected_stream(name)) and response.complete:
+            return response.status, "wrong"
+        closes = response.headers.get("connection") == "close"
+        return response.status, "cut" if not response.complete else "last" if closes else "whole"
+
+    async def _send_malformed(self, node: SoakNode, name: str) -> None:
+        """Send what is owed an error or a close; nothing of it may reach an engine."""
+        well_formed = post(name)
+        data = self.random.choice(
+            [
+                well_formed[:300],
+                b"\x00\xff" * 40,
+                well_formed.replace(b"content-length: ", b"content-length: -"),
+                well_formed.replace(b"req-kind: ask", b"req-kind: odd"),
+                b"GET / HTTP/1.1\r\n" + b"x" * 40_000,
+                well_formed.replace(b"req-deadline: 4000m", b"req-deadline: soon"),
+                well_formed.replace(b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n", 1),
+                well_formed[:-1] + well_formed.replace(name.encode(), b"hidden" + name.encode()),
+            ]
+        )
+        client = Client(*await asyncio.open_connection(HOST, node.port))
+        client.send(data)
+        self.environment.record("bad", request=name, node=node.name)
+        if self.random.random() < 0.5:
+            await asyncio.sleep(self.random.random() * 0.2)
+        else:
+            async with asyncio.timeout(4.0):
+                await client.reader.read(1 << 16)
+        client.close()
--- a/tests/soak/edges.py
+++ b/tests/soak/edges.py
@@ -1,4 +1,4 @@
-"""An edge between one node and one engine: what the node sent, when all of it was out, what it got back."""
+"""The edge between a node and an engine: what the node sent, when all of it was out, what it got back."""
 
 from __future__ import annotations
 
@@ -6,55 +6,58 @@
 from dataclasses import dataclass
 
 from tests.fault_proxy import FaultProxy
-from tests.soak.world import World
+from tests.soak.environment import Environment
 
 LENGTH = re.compile(rb"\r\ncontent-length: *(\d+)", re.IGNORECASE)
 FIELD = re.compile(rb"\r\n(req-id|req-deadline): *([^\r]*)", re.IGNORECASE)
 
 
 @dataclass
-class Sending:
+class SentRequest:
     """The request that a connection carries."""
 
     request: str
-    left: int  # bytes that have not come yet
-    out: bool = True  # the node waits for its answer
+    missing_bytes: int  # of its body
+    unanswered: bool = True  # the node waits for its response
 
 
 class Edge(FaultProxy):
-    """Says what crosses it. A head always comes in one piece: the node writes it so."""
+    """Records what crosses it. A head always comes in one piece: the node writes it so."""
 
-    def __init__(self, world: World, node: str, engine: str) -> None:
-        super().__init__(lambda: world.engines[engine].port)
-        self.world, self.node, self.engine = world, node, engine
-        self.sendings: dict[int, Sending] = {}
+    def __init__(self, environment: Environment, node: str, engine: str) -> None:
+        super().__init__(lambda: environment.engines[engine].port)
+        self.environment, self.node, self.engine = environment, node, engine
+        self.sent_requests: dict[int, SentRequest] = {}
 
     def on_request_bytes(self, number: int, data: bytes) -> None:
-        sending = self.sendings.get(number)
-        if sending is None or not sending.left:
+        """Record that a request was begun, and that all of it was sent."""
+        sent = self.sent_requests.get(number)
+        if sent is None or not sent.missing_bytes:
             head, _, body = data.partition(b"\r\n\r\n")
-            said = {name.lower(): value.decode() for name, value in FIELD.findall(head)}
+            fields = {name.lower(): value.decode() for name, value in FIELD.findall(head)}
             length = LENGTH.search(head)
-            if b"req-id" not in said or length is None:
-                return  # a call to let go, or the rest of one: its last byte comes by itself
-            sending = self.sendings[number] = Sending(said[b"req-id"], int(length[1]) - len(body))
-            self._say("sent", sending, deadline=said.get(b"req-deadline", ""))
+            if b"req-id" not in fields or length is None:
+                return  # a release call, or the rest of one: its last byte comes by itself
+            sent = self.sent_requests[number] = SentRequest(fields[b"req-id"], int(length[1]) - len(body))
+            self._record("sent", sent, deadline=fields.get(b"req-deadline", ""))
         else:
-            sending.left -= len(data)
-        if sending.left <= 0 and sending.out:
-            sending.left = 0
-            self._say("sent_whole", sending)
+            sent.missing_bytes -= len(data)
+        if sent.missing_bytes <= 0 and sent.unanswered:
+            sent.missing_bytes = 0
+            self._record("sent_whole", sent)
 
     def on_response_bytes(self, number: int, data: bytes) -> None:
-        sending = self.sendings.get(number)
-        if sending is not None and sending.out:
-            sending.out = False
-            self._say("node_got", sending)
+        """Record the first bytes of a response."""
+        sent = self.sent_requests.get(number)
+        if sent is not None and sent.unanswered:
+            sent.unanswered = False
+            self._record("node_got", sent)
 
     def on_end(self, number: int) -> None:
-        sending = self.sendings.pop(number, None)
-        if sending is not None and sending.out:
-            self._say("node_closed", sending)
+        """Record that the node closed the connection before a response."""
+        sent = self.sent_requests.pop(number, None)
+        if sent is not None and sent.unanswered:
+            self._record("node_closed", sent)
 
-    def _say(self, what: str, sending: Sending, **said: str) -> None:
-        self.world.say(what, node=self.node, engine=self.engine, request=sending.request, **said)
+    def _record(self, what: str, sent: SentRequest, **details: str) -> None:
+        self.environment.record(what, node=self.node, engine=self.engine, request=sent.request, **details)
--- /dev/null
+++ b/tests/soak/environment.py
@@ -0,0 +1,268 @@
+"""The environment of a soak's nodes: engines that hold states, an agent for each node, recorded events.
+
+A state belongs to a request and can be released at any engine. Everything is observed from here alone: the
+judge reads these events and never what a node reports of itself.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from collections.abc import Callable
+from contextlib import suppress
+from dataclasses import dataclass, field
+from hashlib import sha256
+from random import Random
+from typing import Any
+
+from tests.fault_proxy import HOST
+from tests.node_platform.http_messages import (
+    DECLINED,
+    LAST_CHUNK,
+    PREFILL_RESPONSE,
+    STREAM_HEAD,
+    ReceivedRequest,
+    chunked,
+    http_response,
+    read_request,
+)
+
+Event = dict[str, Any]
+KINDS = ("prefill", "decode", "mixed")
+MIXED_ENGINES = 3
+
+
+@dataclass
+class Recording:
+    """Events as they were observed, by the machine's monotonic clock."""
+
+    events: list[Event] = field(default_factory=list)
+
+    def record(self, what: str, **details: Any) -> None:
+        """Append an event with the present time."""
+        self.events.append({"t": asyncio.get_running_loop().time(), "what": what, **details})
+
+
+@dataclass(eq=False)
+class State:
+    """Prefill state that an engine holds for a request, and how many attempts wait for it."""
+
+    waiting_attempts: int = 0
+
+
+def expected_stream(request: str) -> list[bytes]:
+    """Return the events that any engine answers a request with: a client can tell whether it got them all."""
+    words = [sha256(f"{request}.{index}".encode()).hexdigest()[:8] for index in range(4 + len(request) % 3)]
+    events = [
+        b'data: {"choices":[{"index":0,"delta":{"content":"%b"},"finish_reason":null}]}\n\n' % word.encode()
+        for word in words
+    ]
+    return [*events, b"data: [DONE]\n\n"]
+
+
+class SoakEngine:
+    """One engine: prefills, decodes, or does both; slow now and then, failing now and then."""
+
+    def __init__(self, environment: Environment, name: str, kind: str) -> None:
+        self.environment, self.name, self.kind = environment, name, kind
+        self.random_share = Random(f"{environment.seed}.{name}").random
+        self.slowdown = 1.0
+        self.failing_share = 0.0  # share of attempts that end in an error or a reset after they ran
+        self.running = asyncio.Event()  # while clear, nothing is received on any connection
+        self.running.set()
+        self.server: asyncio.Server
+        self.port = 0
+
+    async def start(self) -> None:
+        """Listen."""
+        self.server = await asyncio.start_server(self._serve, HOST, self.port)
+        self.port = int(self.server.sockets[0].getsockname()[1])
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError, ValueError):
+            while True:
+                await self.running.wait()
+                request = await read_request(reader)
+                await self.running.wait()
+                if request.method == "DELETE":
+                    self.environment.release_state(self.name, request.target.removeprefix("/state/"))
+                    writer.write(http_response(204))
+                    continue
+                await self._observe_attempt(request, reader, writer)
+        writer.transport.abort()
+
+    async def _observe_attempt(
+        self, request: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        name = request.headers.get("req-id", "")
+        self.environment.record(
+            "arrived",
+            engine=self.name,
+            kind=self.kind,
+            request=name,
+            body=request.body.decode(),
+            target=request.target,
+            deadline=request.headers.get("req-deadline", ""),
+        )
+        work = asyncio.ensure_future(self._serve_attempt(name, writer))
+        disconnect = asyncio.ensure_future(reader.read(1))
+        try:
+            await asyncio.wait([work, disconnect], return_when=asyncio.FIRST_COMPLETED)
+        finally:
+            completed = work.done()
+            for task in (work, disconnect):
+                task.cancel()
+            await asyncio.gather(work, disconnect, return_exceptions=True)
+            self.environment.record("over", engine=self.name, request=name, whole=completed)
+        if disconnect.done() and not disconnect.cancelled():
+            raise ConnectionResetError
+
+    async def _serve_attempt(self, name: str, writer: asyncio.StreamWriter) -> None:
+        if self.kind == "prefill":
+            await self._prefill(name, writer)
+            return
+        state = self.environment.states.get(name)
+        if state is None and self.kind == "decode":
+            self.environment.record("declined", engine=self.name, request=name)
+            writer.write(http_response(410, b"", DECLINED))
+            return
+        await self._decode(name, writer, state)
+
+    async def _prefill(self, name: str, writer: asyncio.StreamWriter) -> None:
+        await asyncio.sleep(self.slowdown * (0.01 + 0.08 * self.random_share()))
+        self.environment.hold_state(self.name, name)
+        if self.random_share() < self.failing_share:
+            writer.transport.abort()
+            raise ConnectionResetError
+        writer.write(PREFILL_RESPONSE)
+
+    async def _decode(self, name: str, writer: asyncio.StreamWriter, state: State | None) -> None:
+        if state is not None:
+            state.waiting_attempts += 1
+        try:
+            self.environment.record("ran", engine=self.name, request=name)
+            extra_delay = 0.5 if self.random_share() < 0.05 else 0.0
+            await asyncio.sleep(self.slowdown * (0.01 + 0.05 * self.random_share()) + extra_delay)
+            if self.random_share() < self.failing_share:
+                if self.random_share() < 0.5:
+                    writer.transport.abort()
+                    raise ConnectionResetError
+                writer.write(http_response(500))
+                return
+        finally:
+            if state is not None:
+                state.waiting_attempts -= 1
+        self.environment.take_state(name)
+        writer.write(STREAM_HEAD)
+        for event in expected_stream(name):
+            writer.write(chunked(event))
+            await asyncio.sleep(self.slowdown * 0.01 * self.random_share())
+        writer.write(LAST_CHUNK)
+
+
+class SoakAgent:
+    """One node's agent: the endpoint list with that node's own addresses, and its silences."""
+
+    def __init__(self, environment: Environment, node: str, port_of: Callable[[str], int]) -> None:
+        self.environment, self.node, self.port_of = environment, node, port_of
+        self.gate = asyncio.Event()
+        self.gate.set()
+        self.port = 0
+        self.server: asyncio.Server
+        self.tasks: set[asyncio.Task[Any]] = set()
+
+    async def start(self) -> None:
+        """Listen."""
+        self.server = await asyncio.start_server(self._serve, HOST, self.port)
+        self.port = int(self.server.sockets[0].getsockname()[1])
+
+    def listed(self) -> bytes:
+        """Return the list as it is now."""
+        return json.dumps(
+            {
+                "index": self.environment.version,
+                "snapshot": True,
+                "endpoints": [
+                    {
+                        "name": engine.name,
+                        "address": f"{HOST}:{self.port_of(engine.name)}",
+                        "zone": "a",
+                        "type": engine.kind,
+                        "group": 1,
+                        "status": self.environment.status[engine.name],
+                        "weight": 1.0,
+                        "since_ms": 0,
+                    }
+                    for engine in self.environment.engines.values()
+                ],
+            }
+        ).encode()
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        with suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
+            while True:
+                request = await read_request(reader)
+                await self.gate.wait()
+                if "after=" in request.target:
+                    after = int(request.target.partition("after=")[2].partition("&")[0])
+                    with suppress(TimeoutError):
+                        async with asyncio.timeout(int(request.target.partition("wait_ms=")[2]) / 1000):
+                            await self.environment.newer_than(after)
+                await self.gate.wait()
+                writer.write(http_response(200, self.listed()))
+                self.environment.record("told", node=self.node, version=self.environment.version)
+        writer.transport.abort()
+
+
+class Environment:
+    """All engines of a soak, their states, and the endpoint list."""
+
+    def __init__(self, seed: int, prefill: int = 8, decode: int = 7, mixed: int = MIXED_ENGINES) -> None:
+        self.seed = seed
+        self.recording = Recording()
+        self.record = self.recording.record
+        self.states: dict[str, State] = {}
+        self.engines: dict[str, SoakEngine] = {}
+        for kind, count in zip(KINDS, (prefill, decode, mixed), strict=True):
+            for index in range(count):
+                name = f"{kind}-{index}"
+                self.engines[name] = SoakEngine(self, name, kind)
+        self.status = dict.fromkeys(self.engines, "active")
+        self.version = 1
+        self.list_changed = asyncio.Condition()
+
+    async def start(self) -> None:
+        """Start all engines."""
+        for engine in self.engines.values():
+            await engine.start()
+
+    async def newer_than(self, version: int) -> None:
+        """Wait until the list has changed since."""
+        async with self.list_changed:
+            await self.list_changed.wait_for(lambda: self.version != version)
+
+    async def set_status(self, engine: str, status: str) -> None:
+        """Change an engine's status in a new version of the list."""
+        self.status[engine] = status
+        self.version += 1
+        self.record("status", engine=engine, status=status, version=self.version)
+        async with self.list_changed:
+            self.list_changed.notify_all()
+
+    def hold_state(self, engine: str, request: str) -> None:
+        """A prefill has ended: its state is held."""
+        self.states[request] = State()
+        self.record("held", engine=engine, request=request)
+
+    def take_state(self, request: str) -> None:
+        """A stream has begun: its state is not held any more."""
+        if self.states.pop(request, None) is not None:
+            self.record("taken", request=request)
+
+    def release_state(self, engine: str, request: str) -> None:
+        """A release call has arrived; a state that an attempt waits for stays."""
+        state = self.states.get(request)
+        if state is not None and not state.waiting_attempts:
+            del self.states[request]
+            self.record("taken", request=request)
+        self.record("released", engine=engine, request=request)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a soak: overlapping faults drawn from a seed, as a list that can be played again."""
+"""Faults of a soak: they overlap and are drawn from a seed, as a list that can be played again."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from random import Random
 
 from tests.fault_proxy import Direction, FaultProxy
+from tests.soak.environment import Environment
 from tests.soak.nodes import SoakNode
-from tests.soak.world import World
 
-ROOM = 2.0  # seconds at the end in which nothing new goes wrong
+QUIET_END = 2.0  # seconds at the end in which no fault begins
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something that goes wrong at a time, for a time, in seconds."""
+    """One fault: when it begins and how long it lasts, in seconds, and whom it affects."""
 
     at: float
     kind: str
@@ -26,141 +26,159 @@
     nodes: tuple[int, ...] = ()
 
 
-def schedule(seed: int, seconds: float, world: World, nodes: int, each: float = 0.5) -> list[Fault]:
-    """Faults that begin some `each` seconds apart and overlap."""
+def schedule(
+    seed: int, seconds: float, environment: Environment, nodes: int, each: float = 0.5
+) -> list[Fault]:
+    """Draw faults that begin some `each` seconds apart and overlap."""
     random = Random(f"{seed}.schedule")
-    faults, at = [], 0.5
-    engines = list(world.engines)
-    while at < seconds - ROOM:
+    faults = []
+    at = 0.5
+    engines = list(environment.engines)
+    while at < seconds - QUIET_END:
         kind = random.choice(list(KINDS))
-        some = tuple(random.sample(engines, random.choice([1, 1, 2, 4])))
-        who = tuple(random.sample(range(nodes), max(1, random.choice([1, 2, nodes // 2, nodes]))))
-        faults.append(Fault(round(at, 2), kind, round(random.uniform(0.1, 2.5), 2), some, who))
+        affected_engines = tuple(random.sample(engines, random.choice([1, 1, 2, 4])))
+        node_count = max(1, random.choice([1, 2, nodes // 2, nodes]))
+        affected_nodes = tuple(random.sample(range(nodes), node_count))
+        lasts = round(random.uniform(0.1, 2.5), 2)
+        faults.append(Fault(round(at, 2), kind, lasts, affected_engines, affected_nodes))
         at += random.expovariate(1 / each)
     return faults
 
 
-class Trouble:
-    """Brings a schedule about."""
+class FaultInjector:
+    """Brings scheduled faults about."""
 
-    def __init__(self, world: World, nodes: list[SoakNode]) -> None:
-        self.world, self.nodes = world, nodes
+    def __init__(self, environment: Environment, nodes: list[SoakNode]) -> None:
+        self.environment, self.nodes = environment, nodes
         self.restarting: set[str] = set()
-        self.clock = 0
+        self.clock_offset = 0
 
     async def run(self, faults: list[Fault]) -> None:
-        """Until the last fault has ended."""
+        """Inject all faults at their times; returns when the last has ended."""
         began = asyncio.get_running_loop().time()
 
-        async def one(fault: Fault) -> None:
+        async def inject(fault: Fault) -> None:
             await asyncio.sleep(max(0.0, began + fault.at - asyncio.get_running_loop().time()))
-            self.world.say(
+            self.environment.record(
                 "fault", kind=fault.kind, lasts=fault.lasts, engines=fault.engines, nodes=fault.nodes
             )
             await KINDS[fault.kind](self, fault)
 
-        await asyncio.gather(*map(one, faults))
+        await asyncio.gather(*map(inject, faults))
 
     def edges(self, fault: Fault) -> list[FaultProxy]:
-        return [self.nodes[at].edges[engine] for at in fault.nodes for engine in fault.engines]
+        """Return the edges between the nodes and the engines of a fault."""
+        return [self.nodes[index].edges[engine] for index in fault.nodes for engine in fault.engines]
 
     async def silence(self, fault: Fault) -> None:
-        """Both ways: what has been written is acknowledged, and arrives when it is over, if it still can."""
-        await self._gates(
-            fault, [way for edge in self.edges(fault) for way in (edge.to_engine, edge.from_engine)]
-        )
+        """Silence both directions: what was written is acknowledged, and arrives afterwards if it can."""
+        await self._silence_directions(fault, self._both_directions(fault))
 
     async def silence_there(self, fault: Fault) -> None:
-        await self._gates(fault, [edge.to_engine for edge in self.edges(fault)])
+        """Silence the direction to the engines."""
+        await self._silence_directions(fault, [edge.to_engine for edge in self.edges(fault)])
 
     async def silence_back(self, fault: Fault) -> None:
-        await self._gates(fault, [edge.from_engine for edge in self.edges(fault)])
+        """Silence the direction from the engines."""
+        await self._silence_directions(fault, [edge.from_engine for edge in self.edges(fault)])
 
-    async def _gates(self, fault: Fault, ways: list[Direction]) -> None:
-        for way in ways:
-            way.silences += 1
-            way.gate.clear()
+    def _both_directions(self, fault: Fault) -> list[Direction]:
+        return [direction for edge in self.edges(fault) for direction in (edge.to_engine, edge.from_engine)]
+
+    async def _silence_directions(self, fault: Fault, directions: list[Direction]) -> None:
+        for direction in directions:
+            direction.silences += 1
+            direction.gate.clear()
         await asyncio.sleep(fault.lasts)
-        for way in ways:
-            way.silences -= 1
-            if not way.silences:
-                way.gate.set()
+        for direction in directions:
+            direction.silences -= 1
+            if not direction.silences:
+                direction.gate.set()
 
     async def silent_after(self, fault: Fault) -> None:
-        """Connections that are made now fall silent after some bytes, for good."""
-        ways = [way for edge in self.edges(fault) for way in (edge.to_engine, edge.from_engine)]
-        for way in ways:
-            way.silent_after = 150
+        """Have connections fall silent after some bytes, for good."""
+        directions = self._both_directions(fault)
+        for direction in directions:
+            direction.silent_after = 150
         await asyncio.sleep(fault.lasts)
-        for way in ways:
-            way.silent_after = None
+        for direction in directions:
+            direction.silent_after = None
 
     async def delay(self, fault: Fault) -> None:
-        ways = [edge.to_engine for edge in self.edges(fault)]
-        for way in ways:
-            way.delay, way.piece = 0.05, 64
+        """Pass requests on slowly and in small pieces."""
+        directions = [edge.to_engine for edge in self.edges(fault)]
+        for direction in directions:
+            direction.delay, direction.piece = 0.05, 64
         await asyncio.sleep(fault.lasts)
-        for way in ways:
-            way.delay, way.piece = 0.0, 65_536
+        for direction in directions:
+            direction.delay, direction.piece = 0.0, 65_536
 
     async def reset(self, fault: Fault) -> None:
+        """Reset all connections of the edges."""
         for edge in self.edges(fault):
             edge.reset()
 
     async def hang(self, fault: Fault) -> None:
-        """The engines' processes stand still, for everybody."""
+        """Stop the engines' processes, for all nodes."""
         for engine in fault.engines:
-            self.world.engines[engine].hung.clear()
+            self.environment.engines[engine].running.clear()
         await asyncio.sleep(fault.lasts)
         for engine in fault.engines:
-            self.world.engines[engine].hung.set()
+            self.environment.engines[engine].running.set()
 
     async def slow(self, fault: Fault) -> None:
+        """Have engines take eight times as long."""
         for engine in fault.engines:
-            self.world.engines[engine].slow = 8.0
+            self.environment.engines[engine].slowdown = 8.0
         await asyncio.sleep(fault.lasts)
         for engine in fault.engines:
-            self.world.engines[engine].slow = 1.0
+            self.environment.engines[engine].slowdown = 1.0
 
     async def failing(self, fault: Fault) -> None:
+        """Have half of the attempts end in an error or a reset."""
         for engine in fault.engines:
-            self.world.engines[engine].failing = 0.5
+            self.environment.engines[engine].failing_share = 0.5
         await asyncio.sleep(fault.lasts)
         for engine in fault.engines:
-            self.world.engines[engine].failing = 0.0
+            self.environment.engines[engine].failing_share = 0.0
 
     async def drain(self, fault: Fault) -> None:
+        """Drain two engines and bring them back."""
         for engine in fault.engines[:2]:
-            await self.world.set_status(engine, "leaving")
+            await self.environment.set_status(engine, "leaving")
         await asyncio.sleep(fault.lasts)
         for engine in fault.engines[:2]:
-            await self.world.set_status(engine, "active")
+            await self.environment.set_status(engine, "active")
 
     async def agent_silent(self, fault: Fault) -> None:
-        for at in fault.nodes:
-            self.nodes[at].agent.gate.clear()
+        """Have the nodes' agents send nothing."""
+        for index in fault.nodes:
+            self.nodes[index].agent.gate.clear()
         await asyncio.sleep(fault.lasts)
-        for at in fault.nodes:
-            self.nodes[at].agent.gate.set()
+        for index in fault.nodes:
+            self.nodes[index].agent.gate.set()
 
     async def reload(self, fault: Fault) -> None:
-        for at in fault.nodes:
-            if self.nodes[at].up:
-                self.nodes[at].write_config()
-                self.nodes[at].signal(signal.SIGHUP)
+        """Have nodes read their configuration again."""
+        for index in fault.nodes:
+            if self.nodes[index].up:
+                self.nodes[index].write_config()
+                self.nodes[index].signal(signal.SIGHUP)
 
     async def pause(self, fault: Fault) -> None:
-        """The processes get no turn for a moment."""
-        for at in fault.nodes:
-            self.nodes[at].signal(signal.SIGSTOP)
+        """Stop the nodes' processes for a moment."""
+        for index in fault.nodes:
+            self.nodes[index].signal(signal.SIGSTOP)
         await asyncio.sleep(0.1)
-        for at in fault.nodes:
-            self.nodes[at].signal(signal.SIGCONT)
+        for index in fault.nodes:
+            self.nodes[index].signal(signal.SIGCONT)
 
     async def restart(self, fault: Fault) -> None:
+        """Restart one node gracefully."""
         await self._restart(fault, kill=False)
 
     async def kill(self, fault: Fault) -> None:
+        """Kill one node and start it again."""
         await self._restart(fault, kill=True)
 
     async def _restart(self, fault: Fault, kill: bool) -> None:
@@ -171,30 +189,30 @@
             self.restarting.discard(node.name)
 
     async def wall_clock(self, fault: Fault) -> None:
-        """The wall clock steps by up to an hour, where the preloaded library is there to do it."""
-        self.clock = 3_600 if self.clock <= 0 else -3_600
-        (self.nodes[0].folder / "clock").write_text(str(self.clock))
+        """Step the wall clock by an hour, where the preloaded library is there to do it."""
+        self.clock_offset = 3_600 if self.clock_offset <= 0 else -3_600
+        (self.nodes[0].folder / "clock").write_text(str(self.clock_offset))
         await asyncio.sleep(0)
 
 
-KINDS: dict[str, Callable[[Trouble, Fault], Awaitable[None]]] = {
-    one.__name__: one
-    for one in (
-        Trouble.silence,
-        Trouble.silence_there,
-        Trouble.silence_back,
-        Trouble.silent_after,
-        Trouble.delay,
-        Trouble.reset,
-        Trouble.hang,
-        Trouble.slow,
-        Trouble.failing,
-        Trouble.drain,
-        Trouble.agent_silent,
-        Trouble.reload,
-        Trouble.pause,
-        Trouble.restart,
-        Trouble.kill,
-        Trouble.wall_clock,
+KINDS: dict[str, Callable[[FaultInjector, Fault], Awaitable[None]]] = {
+    inject.__name__: inject
+    for inject in (
+        FaultInjector.silence,
+        FaultInjector.silence_there,
+        FaultInjector.silence_back,
+        FaultInjector.silent_after,
+        FaultInjector.delay,
+        FaultInjector.reset,
+        FaultInjector.hang,
+        FaultInjector.slow,
+        FaultInjector.failing,
+        FaultInjector.drain,
+        FaultInjector.agent_silent,
+        FaultInjector.reload,
+        FaultInjector.pause,
+        FaultInjector.restart,
+        FaultInjector.kill,
+        FaultInjector.wall_clock,
     )
 }
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -1,4 +1,4 @@
-"""Real nodes of a soak: started as the deploy file does, each with an agent and edges of its own."""
+"""Real nodes of a soak, started as the deploy file does, each with an agent and edges of its own."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.fault_proxy import HOST, FaultProxy
 from tests.node_platform.ports import free_port
 from tests.node_platform.settings import SETTINGS
-from tests.soak.world import SoakAgent, World
+from tests.soak.environment import Environment, SoakAgent
 
 READY_WITHIN = 10.0  # seconds that a start may take
 KILL_AFTER = 3.7  # seconds from SIGTERM to SIGKILL: the longest deadline, counted as 3 s at least, and 0.7
@@ -31,7 +31,7 @@
 
 
 def soak_settings() -> dict[str, Any]:
-    """The tests' settings, with a class of each effect."""
+    """Return the tests' settings with a request class of each effect."""
     settings = copy.deepcopy(SETTINGS)
     settings["classes"].append(
         copy.deepcopy(settings["classes"][0])
@@ -45,9 +45,9 @@
 
 @dataclass(eq=False)
 class SoakNode:
-    """One node process and what stands around it."""
+    """One node process with its agent and edges."""
 
-    world: World
+    environment: Environment
     name: str
     folder: Path
     sabotage: str = ""
@@ -55,19 +55,20 @@
     edges: dict[str, FaultProxy] = field(default_factory=dict)
     port: int = 0
     log: bytes = b""
-    up: bool = False  # it is ready, and nobody has told it to end
-    ended_by_us: bool = False
+    up: bool = False  # it is ready, and no signal to end has been sent
+    ended_by_test: bool = False
 
     async def prepare(self, edge: Callable[[str, str], FaultProxy]) -> None:
-        """Its edges, each made by its name and the engine's, and its agent."""
-        for engine in self.world.engines:
+        """Start its edges, each made for its name and the engine's, and its agent."""
+        for engine in self.environment.engines:
             self.edges[engine] = edge(self.name, engine)
             await self.edges[engine].start()
-        self.agent = SoakAgent(self.world, self.name, lambda engine: self.edges[engine].port)
+        self.agent = SoakAgent(self.environment, self.name, lambda engine: self.edges[engine].port)
         await self.agent.start()
         self.port = free_port()
 
     def write_config(self) -> Path:
+        """Write the node's configuration as it is now."""
         file = self.folder / f"{self.name}.json"
         file.write_text(
             json.dumps(
@@ -75,7 +76,7 @@
                     "name": self.name,
                     "listen": f"{HOST}:{self.port}",
                     "discovery": f"{HOST}:{self.agent.port}",
-                    "seed": f"{hash((self.world.seed, self.name)) & 0xFFFF:x}",
+                    "seed": f"{hash((self.environment.seed, self.name)) & 0xFFFF:x}",
                     "limits": {"sockets": 512},
                     "known": json.loads(self.agent.listed()),
                     "settings": soak_settings(),
@@ -85,28 +86,28 @@
         return file
 
     async def start(self) -> None:
-        """Returns when it is ready, or when it never will be."""
+        """Start the process; returns when it is ready, or when it never will be."""
         command = ["-m", "tests.soak.sabotage", self.sabotage] if self.sabotage else ["-m", "runspool.node"]
-        environment = os.environ | {"BALANCER_CONFIG": str(self.write_config()), "PYTHONPATH": os.getcwd()}
+        variables = os.environ | {"BALANCER_CONFIG": str(self.write_config()), "PYTHONPATH": os.getcwd()}
         if self.preload:
-            environment |= {"LD_PRELOAD": self.preload, "SOAK_CLOCK": str(self.folder / "clock")}
+            variables |= {"LD_PRELOAD": self.preload, "SOAK_CLOCK": str(self.folder / "clock")}
         began = asyncio.get_running_loop().time()
-        self.ended_by_us = False
+        self.ended_by_test = False
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, *command, stderr=asyncio.subprocess.PIPE, env=environment
+            sys.executable, *command, stderr=asyncio.subprocess.PIPE, env=variables
         )
         self.logging = asyncio.ensure_future(self._read_log())
-        self.world.say("started", node=self.name)
+        self.environment.record("started", node=self.name)
         while not await self.healthy():
             if self.process.returncode is not None or asyncio.get_running_loop().time() - began > 30:
-                self.world.say("not_started", node=self.name, code=self.process.returncode)
+                self.environment.record("not_started", node=self.name, code=self.process.returncode)
                 return
             await asyncio.sleep(0.05)
         self.up = True
-        self.world.say("ready", node=self.name, took=asyncio.get_running_loop().time() - began)
+        self.environment.record("ready", node=self.name, took=asyncio.get_running_loop().time() - began)
 
     async def healthy(self) -> bool:
-        """Whether it answers that it is ready, in a second."""
+        """Return whether it answers within a second that it is ready."""
         writer: asyncio.StreamWriter | None = None
         try:
             async with asyncio.timeout(1.0):
@@ -124,39 +125,39 @@
         async for line in self.process.stderr:
             self.log += line
             if any(word in line for word in FAULT_WORDS):
-                self.world.say("node_fault", node=self.name, line=line.decode()[:2_000])
+                self.environment.record("node_fault", node=self.name, line=line.decode()[:2_000])
         code = await self.process.wait()
         self.up = False
-        if not self.ended_by_us:
-            self.world.say("crashed", node=self.name, code=code)
+        if not self.ended_by_test:
+            self.environment.record("crashed", node=self.name, code=code)
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends a signal; one that ends the process is noted first."""
+        """Send a signal; one that ends the process is recorded first."""
         if self.process.returncode is None:
             if number in (signal.SIGTERM, signal.SIGKILL):
-                self.up, self.ended_by_us = False, True
-                self.world.say("told_to_end", node=self.name, kill=number is signal.SIGKILL)
+                self.up, self.ended_by_test = False, True
+                self.environment.record("told_to_end", node=self.name, kill=number is signal.SIGKILL)
             with suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
     async def restart(self, kill: bool) -> None:
-        """By SIGKILL, or by SIGTERM with a SIGKILL behind it; then it starts again from nothing."""
+        """End it by SIGKILL, or by SIGTERM with a SIGKILL behind it, and start it again from nothing."""
         self.signal(signal.SIGKILL if kill else signal.SIGTERM)
         await self.wait_end(KILL_AFTER)
         await self.start()
 
     async def wait_end(self, seconds: float) -> None:
-        """Until the process has ended; killed after a while."""
+        """Wait until the process has ended; kill it after so long."""
         try:
             async with asyncio.timeout(seconds):
                 await asyncio.shield(self.logging)
         except TimeoutError:
-            self.world.say("killed_late", node=self.name)
+            self.environment.record("killed_late", node=self.name)
             self.signal(signal.SIGKILL)
             await self.logging
 
     async def close(self) -> None:
-        """Ends all of it."""
+        """End process, agent and edges."""
         if self.process.returncode is None:
             self.signal(signal.SIGTERM)
             await self.wait_end(2 * KILL_AFTER)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -14,20 +14,22 @@
 from tempfile import TemporaryDirectory
 
 from runspool.lab.audit import RuleVerdict
-from tests.soak.crowd import LEAVING_SHARE, Crowd
+from tests.soak.client_workload import DISCONNECTING_SHARE, ClientWorkload
 from tests.soak.edges import Edge
-from tests.soak.faults import Fault, Trouble, schedule
+from tests.soak.environment import MIXED_ENGINES, Environment, Event
+from tests.soak.faults import Fault, FaultInjector, schedule
 from tests.soak.judge import judge
 from tests.soak.nodes import SoakNode
-from tests.soak.world import MIXED_ENGINES, Event, World
 
 STARTED_AT_ONCE = 6
-LAG_TOLD = 0.05  # seconds by which this process may come late before that is an event
+RECORDED_LAG = 0.05  # seconds by which this process may come late before that is an event
+LAG_INTERVAL = 0.02
+RELEASE_TIME = 2.5  # seconds at the end, in which what is held may still be released
 
 
 @dataclass(frozen=True, slots=True)
 class Soak:
-    """What is played."""
+    """What is played; the options of the command line."""
 
     seed: int
     seconds: float = 10.0
@@ -40,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """What came of it."""
+    """Faults, events and verdict of a soak."""
 
     faults: list[Fault]
     events: list[Event]
@@ -48,75 +50,82 @@
 
     @property
     def broken(self) -> list[str]:
+        """The rules that were violated."""
         return [rule for rule, judged in self.verdict.items() if judged.broken]
 
 
 @dataclass(frozen=True, slots=True)
-class Stake:
-    """Conditions that put one rule at stake, so that a node which does not keep it is seen to break it."""
+class RuleConditions:
+    """Conditions in which a node that does not keep one rule is seen to break it."""
 
     fault: Fault
     mixed_engines: int = MIXED_ENGINES
-    leaving_share: float = LEAVING_SHARE
+    disconnecting_share: float = DISCONNECTING_SHARE
 
 
-def at_stake(rule: str, nodes: int) -> Stake:
-    """The conditions for one rule, in a soak of so many nodes."""
-    everybody = tuple(range(nodes))
-    readers = tuple(f"prefill-{at}" for at in range(8))
-    writers = tuple(f"decode-{at}" for at in range(5))
+def conditions_for(rule: str, nodes: int) -> RuleConditions:
+    """Return the conditions for one rule, in a soak of so many nodes."""
+    all_nodes = tuple(range(nodes))
+    prefill = tuple(f"prefill-{index}" for index in range(8))
+    decode = tuple(f"decode-{index}" for index in range(5))
     kind, engines = {
-        "held": ("silence", writers),
-        "gone": ("slow", readers),
-        "drain": ("drain", readers[:2]),
-        "twice": ("failing", writers),
-    }.get(rule, ("silence", writers[:2]))
-    fault = Fault(0.5, kind, 4.0, engines, everybody)
+        "held": ("silence", decode),
+        "gone": ("slow", prefill),
+        "drain": ("drain", prefill[:2]),
+        "twice": ("failing", decode),
+    }.get(rule, ("silence", decode[:2]))
+    fault = Fault(0.5, kind, 4.0, engines, all_nodes)
     if rule == "gone":
         # An attempt after a disconnect shows only behind a prefill; a mixed engine needs no further attempt.
-        return Stake(fault, mixed_engines=0, leaving_share=0.5)
-    return Stake(fault)
+        return RuleConditions(fault, mixed_engines=0, disconnecting_share=0.5)
+    return RuleConditions(fault)
 
 
 async def play(soak: Soak, folder: Path) -> Result:
-    """Starts everything, brings the faults about under load, ends everything, judges."""
-    stake = at_stake(soak.sabotage, soak.nodes) if soak.sabotage else None
-    world = World(soak.seed, mixed=stake.mixed_engines if stake else MIXED_ENGINES)
-    await world.start()
-    nodes = [SoakNode(world, f"n{at}", folder, soak.sabotage, soak.preload) for at in range(soak.nodes)]
-    faults = [stake.fault] if stake else schedule(soak.seed, soak.seconds, world, soak.nodes, soak.each)
-    leaving_share = stake.leaving_share if stake else LEAVING_SHARE
-    lag = asyncio.ensure_future(_lag(world))
+    """Start everything, inject the faults under load, end everything, judge."""
+    conditions = conditions_for(soak.sabotage, soak.nodes) if soak.sabotage else None
+    environment = Environment(soak.seed, mixed=conditions.mixed_engines if conditions else MIXED_ENGINES)
+    await environment.start()
+    nodes = [
+        SoakNode(environment, f"n{index}", folder, soak.sabotage, soak.preload) for index in range(soak.nodes)
+    ]
+    if conditions:
+        faults = [conditions.fault]
+        disconnecting_share = conditions.disconnecting_share
+    else:
+        faults = schedule(soak.seed, soak.seconds, environment, soak.nodes, soak.each)
+        disconnecting_share = DISCONNECTING_SHARE
+    lag = asyncio.ensure_future(_record_lag(environment))
     try:
         for node in nodes:
-            await node.prepare(lambda node, engine: Edge(world, node, engine))
-        for at in range(0, len(nodes), STARTED_AT_ONCE):
-            await asyncio.gather(*(node.start() for node in nodes[at : at + STARTED_AT_ONCE]))
-        trouble = asyncio.ensure_future(Trouble(world, nodes).run(faults))
-        await Crowd(world, nodes, soak.rate, leaving_share).run(soak.seconds)
-        await trouble
-        await asyncio.sleep(2.5)  # what is held may still be let go of
+            await node.prepare(lambda node, engine: Edge(environment, node, engine))
+        for first in range(0, len(nodes), STARTED_AT_ONCE):
+            await asyncio.gather(*(node.start() for node in nodes[first : first + STARTED_AT_ONCE]))
+        injection = asyncio.ensure_future(FaultInjector(environment, nodes).run(faults))
+        await ClientWorkload(environment, nodes, soak.rate, disconnecting_share).run(soak.seconds)
+        await injection
+        await asyncio.sleep(RELEASE_TIME)
         for node in nodes:
             if node.up and not await node.healthy():
-                world.say("hung", node=node.name)
+                environment.record("hung", node=node.name)
     finally:
         await asyncio.gather(*(node.close() for node in nodes))
         lag.cancel()
-    events = list(world.recording.events)
+    events = list(environment.recording.events)
     return Result(faults, events, judge(events))
 
 
-async def _lag(world: World) -> None:
+async def _record_lag(environment: Environment) -> None:
     loop = asyncio.get_running_loop()
     while True:
-        due = loop.time() + 0.02
-        await asyncio.sleep(0.02)
-        if loop.time() - due > LAG_TOLD:
-            world.say("lag", late=round(loop.time() - due, 3))
+        due = loop.time() + LAG_INTERVAL
+        await asyncio.sleep(LAG_INTERVAL)
+        if loop.time() - due > RECORDED_LAG:
+            environment.record("lag", late=round(loop.time() - due, 3))
 
 
 def clock_library(folder: Path) -> str:
-    """The library that steps wall clocks, built; empty where there is no C compiler."""
+    """Build the library that steps wall clocks; the path is empty where there is no C compiler."""
     compiler, library = which("cc"), folder / "clock.so"
     if compiler is None:
         return ""
@@ -126,11 +135,12 @@
 
 
 def play_now(soak: Soak, folder: Path) -> Result:
-    """play() on a loop of its own."""
+    """Run play() on a loop of its own."""
     return asyncio.run(play(soak, folder))
 
 
 def main() -> int:
+    """Play one soak as the command line says; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     for name, kind, default in (
         ("seed", int, 1),
@@ -142,22 +152,27 @@
         parser.add_argument(f"--{name}", type=kind, default=default)
     parser.add_argument("--sabotage", default="")
     parser.add_argument("--events", type=Path, help="where what was seen is written, a JSON object a line")
-    said = vars(parser.parse_args())
-    events = said.pop("events")
+    options = vars(parser.parse_args())
+    events = options.pop("events")
     with TemporaryDirectory() as folder:
         preload = clock_library(Path(folder))
         print("wall clocks " + ("step" if preload else "do not step: no C compiler"))
-        result = play_now(Soak(**said, preload=preload), Path(folder))
-    for fault in result.faults:
-        print(json.dumps(asdict(fault)))
+        result = play_now(Soak(**options, preload=preload), Path(folder))
     if events is not None:
         events.write_text("".join(json.dumps(event) + "\n" for event in result.events))
+    print_result(result)
+    return 1 if result.broken else 0
+
+
+def print_result(result: Result) -> None:
+    """Print faults, counts of events, and the verdict by rule with examples."""
+    for fault in result.faults:
+        print(json.dumps(asdict(fault)))
     print(json.dumps(Counter(event["what"] for event in result.events)))
     for rule, judged in result.verdict.items():
         print(f"{rule}: {judged.cases} cases, {judged.broken} broken")
         for example in judged.examples[:5]:
             print(f"  {example}")
-    return 1 if result.broken else 0
 
 
 if __name__ == "__main__":
--- a/tests/soak/sabotage.py
+++ b/tests/soak/sabotage.py
@@ -1,4 +1,4 @@
-"""A node with a fault built in, which the judge of a soak has to refuse: `-m tests.soak.sabotage RULE`."""
+"""A node that violates one rule, which the judge of a soak has to notice: `-m tests.soak.sabotage RULE`."""
 
 from __future__ import annotations
 
@@ -20,102 +20,103 @@
 from runspool.service.request_executor import RequestExecutor
 
 
-def loses_refusals() -> None:
-    """Never gives the answers that are no stream."""
-    sound = RequestExecutor.finish
+def drop_rejections() -> None:
+    """Never send the responses that are no stream."""
+    original = RequestExecutor.finish
 
-    def settle(self: Any, pending: Any, final: Any) -> bool:
-        return final.kind not in (ResponseKind.REJECTED, ResponseKind.INDETERMINATE) and sound(
+    def finish_streams_only(self: Any, pending: Any, final: Any) -> bool:
+        return final.kind not in (ResponseKind.REJECTED, ResponseKind.INDETERMINATE) and original(
             self, pending, final
         )
 
-    RequestExecutor.finish = settle  # type: ignore[method-assign]
+    RequestExecutor.finish = finish_streams_only  # type: ignore[method-assign]
 
 
-def repeats_effects() -> None:
-    """Takes every class for one that may be repeated."""
-    sound = Scheduler.__init__
+def repeat_attempts() -> None:
+    """Treat every request class as one that may be repeated."""
+    original = Scheduler.__init__
 
-    def init(self: Scheduler, terms: Any, seed: int) -> None:
+    def init_with_idempotent_classes(self: Scheduler, terms: Any, seed: int) -> None:
         for row in terms.request_classes:
             row.idempotency = Idempotency.IDEMPOTENT
-        sound(self, terms, seed)
+        original(self, terms, seed)
 
-    Scheduler.__init__ = init  # type: ignore[method-assign, assignment]
-    RequestLifecycle.deny_attempt = lambda *said: None  # type: ignore[method-assign]
-    RequestLifecycle.deny_rejection = lambda *said: None  # type: ignore[method-assign]
+    Scheduler.__init__ = init_with_idempotent_classes  # type: ignore[method-assign, assignment]
+    RequestLifecycle.deny_attempt = lambda *arguments: None  # type: ignore[method-assign]
+    RequestLifecycle.deny_rejection = lambda *arguments: None  # type: ignore[method-assign]
 
 
-def hears_no_drains() -> None:
-    """Keeps the list that it began with."""
-    sound = RequestExecutor.endpoints_changed
-    heard: list[Any] = []
+def ignore_drains() -> None:
+    """Keep the first endpoint list."""
+    original = RequestExecutor.endpoints_changed
+    lists: list[Any] = []
 
-    def changed(self: Any, entries: Any) -> None:
-        if not heard:
-            sound(self, entries)
-        heard.append(entries)
+    def take_first_list(self: Any, entries: Any) -> None:
+        if not lists:
+            original(self, entries)
+        lists.append(entries)
 
-    RequestExecutor.endpoints_changed = changed  # type: ignore[method-assign, assignment]
+    RequestExecutor.endpoints_changed = take_first_list  # type: ignore[method-assign, assignment]
 
 
-def lets_nothing_go() -> None:
-    """Makes no call that lets go of what is held."""
+def release_nothing() -> None:
+    """Make no release call."""
 
-    async def let_go(self: StateReleaser, release: Any) -> None:
+    async def withdraw_only(self: StateReleaser, release: Any) -> None:
         self.withdraw(release.request)
 
-    StateReleaser.release = let_go  # type: ignore[method-assign]
+    StateReleaser.release = withdraw_only  # type: ignore[method-assign]
 
 
-def serves_who_has_gone() -> None:
-    """Takes no notice of clients that leave."""
-    RequestExecutor.client_disconnected = lambda *said: None  # type: ignore[method-assign]
+def ignore_disconnects() -> None:
+    """Take no notice of clients that disconnect."""
+    RequestExecutor.client_disconnected = lambda *arguments: None  # type: ignore[method-assign]
 
 
-def tells_long_deadlines() -> None:
-    """Tells engines a second more than is left."""
-    sound = calls._encode_request
-    calls._encode_request = lambda request, remaining: sound(request, remaining + 10_000)
+def extend_deadlines() -> None:
+    """Send engines deadlines that are a second too long."""
+    original = calls._encode_request
+    calls._encode_request = lambda request, remaining: original(request, remaining + 10_000)
 
 
-def changes_bodies() -> None:
-    """Sends on what no client has sent, now and then."""
-    sound = exchange.encode_request
-    count = [0]
+def change_bodies() -> None:
+    """Send on what no client has sent, now and then."""
+    original = exchange.encode_request
+    encoded_count = 0
 
-    def worded(method: str, target: str, headers: Any, body: bytes = b"") -> bytes:
-        count[0] += 1
-        body = body.replace(b"prompt", b"promqt") if count[0] % 20 == 0 else body
-        return sound(method, target, headers, body)
+    def encode_with_changes(method: str, target: str, headers: Any, body: bytes = b"") -> bytes:
+        nonlocal encoded_count
+        encoded_count += 1
+        body = body.replace(b"prompt", b"promqt") if encoded_count % 20 == 0 else body
+        return original(method, target, headers, body)
 
-    calls.encode_request = worded  # type: ignore[attr-defined]
+    calls.encode_request = encode_with_changes  # type: ignore[attr-defined]
 
 
-def ends_by_itself() -> None:
-    """Ends after some seconds."""
-    sound = ClientConnections.serve
+def exit_unexpectedly() -> None:
+    """Exit after some seconds."""
+    original = ClientConnections.serve
     began = time.monotonic()
 
-    async def serve(self: Any, connection: Any) -> None:
+    async def serve_or_exit(self: Any, connection: Any) -> None:
         if time.monotonic() - began > 3.0:
             os._exit(3)
-        await sound(self, connection)
+        await original(self, connection)
 
-    ClientConnections.serve = serve  # type: ignore[method-assign]
+    ClientConnections.serve = serve_or_exit  # type: ignore[method-assign]
 
 
-SABOTAGES: dict[str, Callable[[], None]] = {
-    "lost": loses_refusals,
-    "twice": repeats_effects,
-    "drain": hears_no_drains,
-    "held": lets_nothing_go,
-    "gone": serves_who_has_gone,
-    "deadline": tells_long_deadlines,
-    "foreign": changes_bodies,
-    "alive": ends_by_itself,
+SABOTAGE_BY_RULE: dict[str, Callable[[], None]] = {
+    "lost": drop_rejections,
+    "twice": repeat_attempts,
+    "drain": ignore_drains,
+    "held": release_nothing,
+    "gone": ignore_disconnects,
+    "deadline": extend_deadlines,
+    "foreign": change_bodies,
+    "alive": exit_unexpectedly,
 }
 
 if __name__ == "__main__":
-    SABOTAGES[sys.argv[1]]()
+    SABOTAGE_BY_RULE[sys.argv[1]]()
     sys.exit(program.main())
