--- /dev/null
+++ b/tests/test_front_disconnects.py
@@ -0,0 +1,125 @@
+"""Clients that disconnect, and the shutdown of a real front."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from pathlib import Path
+from typing import Any, cast
+
+import anyio
+import msgspec
+import pytest
+
+from runspool.service.pending_completion import PendingCompletion
+from runspool.service.pending_request import FinalResponse, ResponseKind
+from runspool.service.response_relay import ResponseRelay
+from runspool.wire.completions import parse_completion_request
+from tests.small_fleet import SmallFleet
+
+pytestmark = pytest.mark.anyio
+PAIR = ["prefill", "decode"]
+REQUEST_HEAD = (
+    b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nRunspool-Tariff: ask\r\nRunspool-Limit-Ms: 5000\r\n"
+)
+
+
+async def test_a_client_that_disconnects_ends_its_attempt_and_its_state(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+        fleet.engines[1].fault("hang", on=True)
+        raw = msgspec.json.encode({"prompt": "abcd" * 40, "stream": True, "standin": {"try": "t", "out": 5}})
+        async with await anyio.connect_tcp("127.0.0.1", fleet.port) as stream:
+            await stream.send(REQUEST_HEAD + b"Content-Length: %d\r\n\r\n" % len(raw) + raw)
+            await fleet.until("arrived", stage="write")
+        await fleet.until("ended", how="left")
+        await fleet.until("released")
+        while fleet.running.front.requests:
+            await anyio.sleep(0.01)
+        assert fleet.running.front.counts["client_disconnected"] == 1
+
+
+async def test_a_client_that_does_not_read_its_response_counts_as_disconnected(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PAIR, answer_write_ms=300).open() as fleet:
+        # Tokens of a size that fills every buffer on the way soon.
+        fleet.engines[1].token_text = "t" * 60_000
+        raw = msgspec.json.encode(
+            {"prompt": "abcd" * 40, "max_tokens": 900, "stream": True, "standin": {"try": "t", "out": 800}}
+        )
+        async with await anyio.connect_tcp("127.0.0.1", fleet.port) as stream:
+            await stream.send(REQUEST_HEAD + b"Content-Length: %d\r\n\r\n" % len(raw) + raw)
+            await fleet.until("ended", how="left")
+        assert fleet.running.front.counts["client_disconnected"] == 1
+
+
+async def test_what_an_engine_sends_after_the_final_response_is_dropped(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+        front = fleet.running.front
+        passed: list[str] = []
+
+        class RecordingListener:
+            async def stream_started(self) -> None:
+                passed.append("begun")
+
+            async def data_received(self, text: str) -> None:
+                passed.append(text)
+
+        request = parse_completion_request({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
+        pending = PendingCompletion(
+            0,
+            "q",
+            0,
+            10,
+            completion=request,
+            listener=RecordingListener(),
+            headers={},
+            admission=front._admit(request),
+        )
+        relay = ResponseRelay(front, pending, 1, 0)
+        await relay.data_received("before")
+        assert pending.finish(FinalResponse(ResponseKind.INDETERMINATE))
+        await relay.stream_started()
+        await relay.data_received("after")
+        assert passed == ["before"]
+
+
+async def test_a_late_disconnect_in_a_closed_cell_creates_no_scheduler(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+        front = fleet.running.front
+        request = parse_completion_request({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
+        admission = replace(front._admit(request), cell="closed")
+        front._disconnect(
+            PendingCompletion(
+                0, "q", 0, 10, completion=request, listener=cast(Any, None), headers={}, admission=admission
+            )
+        )
+        assert front.cell_schedulers.keys() == {"whole"}
+
+
+async def test_a_shutdown_accepts_nothing_new_and_ends_its_requests(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+        responses = []
+
+        async def make_request() -> None:
+            responses.append(await fleet.ask(out=30))
+
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(make_request)
+            await fleet.until("ran")
+            fleet.running.stop()
+        assert responses[0].text.split()[-1] == "t30"
+        with pytest.raises(OSError):
+            await fleet.ask()
+
+
+async def test_a_shutdown_that_cannot_wait_fails_what_is_left(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PAIR, drain_ms=200).open() as fleet:
+        fleet.engines[1].fault("hang", on=True)
+        responses = []
+
+        async def make_request() -> None:
+            responses.append(await fleet.ask())
+
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(make_request)
+            await fleet.until("arrived", stage="write")
+            fleet.running.stop()
+        assert (responses[0].status, responses[0].error["code"]) == (424, "stopped")
--- /dev/null
+++ b/tests/test_front_recordings.py
@@ -0,0 +1,58 @@
+"""Recordings of a real front at work: they replay to the same actions, and the audit finds no violation."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import anyio
+import msgspec
+import pytest
+
+from runspool.lab.audit import audit
+from runspool.lab.replay import replay
+from tests.small_fleet import SmallFleet
+
+pytestmark = pytest.mark.anyio
+REQUEST_CLASSES = ["ask", "book"]
+FOUR_ENGINES = ["prefill", "prefill", "decode", "mixed"]
+
+
+async def test_a_recording_replays_to_the_same_actions(tmp_path: Path) -> None:
+    recording = tmp_path / "front.tape"
+    async with SmallFleet(tmp_path, FOUR_ENGINES).open(recording) as fleet:
+        fleet.engines[0].fault("row", row="failed_500", share=0.3)
+        fleet.engines[2].fault("row", row="reset_after", share=0.2)
+        async with anyio.create_task_group() as tasks:
+            for number in range(40):
+                tasks.start_soon(
+                    lambda index=number: fleet.ask(  # type: ignore[misc]
+                        REQUEST_CLASSES[index % 2],
+                        out=5,
+                        runspool_mark=f"m{index}",
+                        runspool_session=f"s{index % 7}",
+                    )
+                )
+        fleet.running.front.cell_scheduler("whole").recorder.close()
+    replayed = replay(recording)
+    assert replayed.differs == ""
+    assert replayed.events > 100
+    assert replayed.actions > 100
+    # A changed recording is found to differ.
+    recording.write_bytes(recording.read_bytes().replace(b'"send",5,', b'"send",6,', 1))
+    assert "now" in replay(recording).differs
+
+
+async def test_a_fleet_at_work_keeps_every_rule(tmp_path: Path) -> None:
+    fleet = SmallFleet(tmp_path, FOUR_ENGINES)
+    fleet.record.line("day", plan=msgspec.to_builtins(fleet.plan))
+    async with fleet.open():
+        async with anyio.create_task_group() as tasks:
+            for number in range(30):
+                tasks.start_soon(
+                    lambda index=number: fleet.ask(  # type: ignore[misc]
+                        "book", out=5, runspool_mark=f"m{index}"
+                    )
+                )
+        assert len(fleet.seen("ran")) == 30
+        events = [msgspec.json.decode(line) for line in fleet.file.read_bytes().splitlines()]
+        assert all(rule.broken == 0 for rule in audit(events).values())
--- a/tests/test_node_shutdown_races.py
+++ b/tests/test_node_shutdown_races.py
@@ -109,7 +109,7 @@
     async with platform.inside() as running:
         client, handler = await idle_connection(platform, running)
         data_received = handler.tcp.data_received
-        made_room = []
+        made_room: list[bool] = []
 
         def receive_and_make_room(data: bytes) -> None:
             data_received(data)  # the connection's task is woken, and has not run
