--- a/tests/histories.py
+++ b/tests/histories.py
@@ -36,7 +36,7 @@
 from runspool.service.pending_request import RequestNotAcceptedError, ResponseKind
 from runspool.wire.completions import parse_completion_request
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
-from tests.clockwork import WALL_MS, now
+from tests.simulated_clock import UNIX_MS_AT_ZERO, now
 
 SECOND = 10_000
 CONNECT = 2_500  # until a connect that nobody answers is given up
@@ -518,7 +518,7 @@
 
     def entry(self, at: int) -> EndpointEntry:
         one = self.engines[at]
-        started = round(WALL_MS + one.started / 10) if one.started else 0
+        started = round(UNIX_MS_AT_ZERO + one.started / 10) if one.started else 0
         return EndpointEntry(
             one.make.name,
             one.plan.address,
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -19,7 +19,7 @@
 from runspool.lab.recording import Event
 from runspool.service.front import Front
 from runspool.service.timer_queue import DeadlineGuardTimer
-from tests import clockwork
+from tests import simulated_clock
 from tests.conftest import JUDGED
 from tests.histories import Days, Recorded, World
 from tests.test_doctored import does_not_hear_of_drains, forgets_that_it_may_have_run, takes_cold_for_warm
@@ -30,9 +30,9 @@
 
 
 def played(seed: int, days: Days, patch: pytest.MonkeyPatch) -> World:
-    clockwork.wind(patch)
+    simulated_clock.install(patch)
     world = World(seed, days)
-    clockwork.play(world.run())
+    simulated_clock.run(world.run())
     return world
 
 
@@ -66,9 +66,9 @@
     ]
     as_it_was = audit(recording)
     assert all(judged.cases and not judged.broken for judged in as_it_was.values())
-    clockwork.wind(monkeypatch)
+    simulated_clock.install(monkeypatch)
     world = Recorded(1, recording)
-    clockwork.play(world.run())
+    simulated_clock.run(world.run())
     assert broken(world) == {}
     assert world.left_over == []
     asked = [sum(one["what"] == "asked" for one in events) for events in (recording, world.events)]
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -15,7 +15,7 @@
 from runspool.service.timer_queue import DeadlineGuardTimer
 from runspool.transport import tcp as lines
 from runspool.wire.completions import parse_completion_request
-from tests import clockwork
+from tests import simulated_clock
 from tests.histories import Days, Life, World, leftovers
 from tests.town import Answered, Town, answered
 
@@ -264,7 +264,7 @@
 )
 def test_two_ends_at_one_instant_are_one(order: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """On one simulated clock, as no socket could bring it about; a reader's state is out both times."""
-    clockwork.wind(monkeypatch)
+    simulated_clock.install(monkeypatch)
 
     async def play() -> None:
         world = World(1, Days(fronts=1, mishaps=0))
@@ -295,7 +295,7 @@
             async def data_received(self, text: str) -> None:
                 told.append(text)
 
-        taken = front.submit(wish, Reply(), clockwork.now())
+        taken = front.submit(wish, Reply(), simulated_clock.now())
         while not any(event["what"] == "held" for event in world.events):
             await anyio.sleep(0.0001)
         guard = DeadlineGuardTimer(taken.index)
@@ -316,4 +316,4 @@
         assert not any(engine.states for engine in world.engines)
         assert sum(front.counts[kind.value] for kind in ResponseKind) == 1
 
-    clockwork.play(play())
+    simulated_clock.run(play())
