--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -22,7 +22,7 @@
     EngineState,
     Request,
 )
-from tests.fakehost import READER, WRITER, terms
+from tests.fake_scheduler_host import DECODE, PREFILL, routing_settings
 
 RATE = 1.5  # tokens a tenth of a millisecond
 MEMORY = 150_000  # tokens of texts that a reader keeps
@@ -122,7 +122,7 @@
         self.lines = [
             EngineRecord(
                 at,
-                READER if at < readers else WRITER,
+                PREFILL if at < readers else DECODE,
                 at % 3,
                 at // 6,
                 0,
@@ -137,7 +137,7 @@
         self.rng = Random(seed)
         self.fronts = []
         for me in range(fronts):
-            house = terms(
+            house = routing_settings(
                 front_count=fronts,
                 zone=me % 3,
                 front_index=me,
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -5,7 +5,7 @@
 import pytest
 
 from runspool.scheduling.types import AttemptStatus, Role
-from tests.fakehost import MIXED, READER, WRITER, FakeHost, terms
+from tests.fake_host_aliases import MIXED, READER, WRITER, FakeHost, terms
 
 
 def test_a_prompt_found_cached_does_not_make_a_mixed_engine_look_fast() -> None:
