--- /dev/null
+++ b/tests/simulation/cluster.py
@@ -0,0 +1,93 @@
+"""The simulated fronts and engines, and the endpoint list between them."""
+
+from __future__ import annotations
+
+from typing import Any, cast
+
+from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
+from tests.simulated_clock import TICKS_PER_MILLISECOND, UNIX_MS_AT_ZERO
+from tests.simulation import recorded_words as words
+from tests.simulation.context import SimulationContext, sleep
+from tests.simulation.engines import SimulatedEngine
+from tests.simulation.fronts import SimulatedFront
+
+EPOCH = "epoch"
+MAX_NOTIFICATION_DELAY = 4_000
+REPEATED_NOTIFICATION_SHARE = 0.2
+
+
+class SimulatedCluster:
+    """Engines by the plan, the front processes that run now, and each engine's state on the endpoint list."""
+
+    def __init__(self, context: SimulationContext) -> None:
+        self.context = context
+        for index, planned in enumerate(context.plan.engines):
+            planned.port = index + 1
+        self.engines = [SimulatedEngine(context, index) for index in range(len(context.plan.engines))]
+        self.fronts: list[SimulatedFront] = []
+        self.list_version = 0
+        self.listed_states = [words.LISTED_READY] * len(self.engines)
+
+    # Fronts.
+
+    def start_fronts(self, with_list: bool) -> None:
+        """Start all fronts; `with_list`: each gets the whole endpoint list as it starts."""
+        self.fronts = [
+            self._new_front(index, index, with_list) for index in range(len(self.context.plan.fronts))
+        ]
+        for front in self.fronts:
+            self.context.spawn(front.run)
+
+    def restart_front(self, index: int, with_list: bool = True) -> None:
+        """Start a new process of a front that has been killed."""
+        front = self._new_front(index, len(self.context.events), with_list)
+        self.fronts[index] = front
+        self.context.spawn(front.run)
+
+    def _new_front(self, index: int, seed_number: int, with_list: bool) -> SimulatedFront:
+        initial_list = self.list_snapshot if with_list else None
+        return SimulatedFront(self.context, self.engines, index, seed_number, initial_list)
+
+    # The endpoint list.
+
+    def list_entry(self, index: int) -> EndpointEntry:
+        """An engine's entry, as the list has it now."""
+        engine = self.engines[index]
+        started = round(UNIX_MS_AT_ZERO + engine.started_at / TICKS_PER_MILLISECOND)
+        return EndpointEntry(
+            engine.spec.name,
+            engine.plan.address,
+            engine.plan.kind,
+            engine.spec.zone,
+            engine.spec.rack,
+            cast(Any, self.listed_states[index]),
+            started if engine.started_at else 0,
+        )
+
+    def list_snapshot(self) -> EndpointListMessage:
+        """The whole list."""
+        entries = [
+            self.list_entry(index)
+            for index, state in enumerate(self.listed_states)
+            if state != words.LISTED_REMOVED
+        ]
+        return EndpointListMessage(self.list_version, EPOCH, is_snapshot=True, engines=entries)
+
+    def set_listed_state(self, index: int, state: str) -> None:
+        """Change an engine's state on the list and notify the fronts.
+
+        Each front is notified at its own time; some are notified twice or after a newer message.
+        """
+        self.listed_states[index] = state
+        self.list_version += 1
+        update = EndpointListMessage(self.list_version, EPOCH, engines=[self.list_entry(index)])
+        random = self.context.random
+        for front in self.fronts:
+            is_repeated = random.random() < REPEATED_NOTIFICATION_SHARE
+            for _ in range(1 + is_repeated):
+                delay = random.uniform(0, MAX_NOTIFICATION_DELAY)
+                self.context.spawn(self._notify, front, update, delay)
+
+    async def _notify(self, front: SimulatedFront, update: EndpointListMessage, delay: float) -> None:
+        await sleep(delay)
+        front.receive(update)
--- /dev/null
+++ b/tests/simulation/engine_client.py
@@ -0,0 +1,321 @@
+"""How a simulated front calls the simulated engines, in place of the product's client on sockets."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable, Coroutine, Mapping
+from dataclasses import dataclass
+from enum import Enum, auto
+from typing import Any, TypedDict, cast
+
+import anyio
+import anyio.lowlevel
+
+from runspool.engines.attempt_result import AttemptResult, ResponseListener
+from runspool.engines.completions_client import PrefillState
+from runspool.engines.connection_pool import Address
+from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
+from runspool.engines.send_permit import SendPermit
+from runspool.scheduling.time_units import SECOND
+from runspool.scheduling.types import AttemptStatus
+from tests.simulated_clock import now
+from tests.simulation import recorded_words as words
+from tests.simulation.context import SimulationContext, sleep
+from tests.simulation.engines import EngineDownError, SimulatedEngine
+
+# Durations, in tenths of a millisecond.
+CONNECT_TIMEOUT = 2_500
+CONNECT_REFUSED_AFTER = [1, 1, CONNECT_TIMEOUT]  # mostly at once, else only when the connect times out
+ERROR_RESPONSE_DURATION = 3
+MAX_CONNECT_DURATION = 5
+TRANSFER_DURATION = (10, 200)
+FIRST_TOKEN_DURATION = (50, 300)
+
+PREFILL_DURATION_MULTIPLE = (1, 1.5)
+COMPLETED_WHEN_CLOSED_SHARE = 0.3  # prefills that had just completed when the front closed the connection
+MAX_LOST_RELEASES = 2  # in a row: an engine that no call reaches for long cannot release anything in time
+TOKENS_BEFORE_STREAM_CUT = 2
+
+
+class AttemptFault(Enum):
+    """How an attempt fails at an engine that is up."""
+
+    OVERLOADED = auto()
+    SERVER_ERROR = auto()
+    CONNECTION_CUT = auto()
+    NO_RESPONSE = auto()
+    SERVER_ERROR_AFTER_EXECUTION = auto()
+    NO_RESPONSE_AFTER_EXECUTION = auto()
+    STREAM_CUT = auto()
+
+
+# Shares of the failing attempts, in the order in which they are drawn.
+PREFILL_FAULT_SHARES = {
+    AttemptFault.OVERLOADED: 0.3,
+    AttemptFault.SERVER_ERROR: 0.3,
+    AttemptFault.CONNECTION_CUT: 0.2,
+    AttemptFault.NO_RESPONSE: 0.2,
+}
+DECODE_FAULT_SHARES = {
+    AttemptFault.OVERLOADED: 0.25,
+    AttemptFault.SERVER_ERROR: 0.1,
+    AttemptFault.SERVER_ERROR_AFTER_EXECUTION: 0.1,
+    AttemptFault.CONNECTION_CUT: 0.2,
+    AttemptFault.NO_RESPONSE: 0.1,
+    AttemptFault.NO_RESPONSE_AFTER_EXECUTION: 0.1,
+    AttemptFault.STREAM_CUT: 0.15,
+}
+AT_ONCE = (AttemptFault.OVERLOADED, AttemptFault.SERVER_ERROR)
+
+PREFILL_FAULT_CAUSES = {
+    AttemptFault.OVERLOADED: FailureCause.OVERLOADED,
+    AttemptFault.SERVER_ERROR: FailureCause.SERVER_ERROR,
+    AttemptFault.CONNECTION_CUT: FailureCause.CLOSED_DURING_RESPONSE,
+}
+DECODE_FAULT_CAUSES = {
+    AttemptFault.OVERLOADED: FailureCause.OVERLOADED,
+    AttemptFault.SERVER_ERROR: FailureCause.SERVER_ERROR,
+    AttemptFault.SERVER_ERROR_AFTER_EXECUTION: FailureCause.SERVER_ERROR,
+    AttemptFault.CONNECTION_CUT: FailureCause.CLOSED_BEFORE_RESPONSE,
+}
+
+
+class ReservedState(TypedDict):
+    """What names a prefill's state: the engine that has it, and the prefill's request."""
+
+    engine: SimulatedEngine
+    request: str
+
+
+@dataclass
+class EngineAttempt:
+    """An attempt at an engine; `scope` has its time limit, `result` what the front will get."""
+
+    engine: SimulatedEngine
+    request_id: str
+    client_attempt: str
+    result: AttemptResult
+    scope: anyio.CancelScope
+
+    def succeed(self, status: AttemptStatus) -> None:
+        """Give the result a success."""
+        self.result.failure_cause = None
+        self.result.status = status
+
+
+# Serves an attempt at its engine; returns how it ended there, in the words of recordings.
+Serve = Callable[[EngineAttempt], Coroutine[Any, Any, str]]
+
+
+class SimulatedEngineClient:
+    """One front's calls to the engines; `source_address` is how the engines know the front."""
+
+    def __init__(
+        self, context: SimulationContext, engines: list[SimulatedEngine], source_address: str
+    ) -> None:
+        self.context = context
+        self.engines = engines
+        self.source_address = source_address
+
+    # The interface of the product's client.
+
+    async def prefill(
+        self,
+        address: Address,
+        request: PrefillState,
+        headers: Mapping[str, str],
+        time_limit: int,
+        permit: SendPermit,
+    ) -> AttemptResult:
+        """Have a prompt prefilled."""
+        return await self._run_attempt(address, words.STAGE_PREFILL, headers, time_limit, self._serve_prefill)
+
+    async def decode(
+        self,
+        address: Address,
+        request: PrefillState,
+        state: PrefillState | None,
+        headers: Mapping[str, str],
+        time_limit: int,
+        permit: SendPermit,
+        max_output_tokens: int,
+        listener: ResponseListener[str],
+    ) -> AttemptResult:
+        """Have a response generated and streamed to the listener."""
+
+        async def serve(attempt: EngineAttempt) -> str:
+            return await self._serve_decode(attempt, cast("ReservedState | None", state), listener)
+
+        return await self._run_attempt(address, words.STAGE_DECODE, headers, time_limit, serve)
+
+    async def release_state(
+        self, address: Address, state: PrefillState | None, request: str, time_limit: int
+    ) -> FailureCause | None:
+        """Have a state removed; some calls are lost."""
+        engine = self._engine_at(address)
+        request_id = cast(ReservedState, state)["request"] if state is not None else request
+        await anyio.lowlevel.checkpoint()
+        if not engine.is_up or self._loses_release(engine, request_id):
+            engine.lost_releases[request_id] += 1
+            return FailureCause.CONNECT_FAILED
+        engine.remove_state(request_id, "released", told=now())
+        return None
+
+    async def accepts_connections(self, address: Address) -> bool:
+        """Whether the engine is up."""
+        await sleep(self.context.random.uniform(0, MAX_CONNECT_DURATION))
+        return self._engine_at(address).is_up
+
+    # Draws.
+
+    def _draw_fault(self, shares: Mapping[AttemptFault, float]) -> AttemptFault | None:
+        """Whether and how an attempt fails, from one draw."""
+        failing_share = max(self.context.settings.failing_attempt_share, 1e-9)
+        remaining = self.context.random.random() / failing_share
+        for fault, share in shares.items():
+            remaining -= share
+            if remaining < 0:
+                return fault
+        return None
+
+    def _loses_release(self, engine: SimulatedEngine, request_id: str) -> bool:
+        return (
+            engine.lost_releases[request_id] < MAX_LOST_RELEASES
+            and self.context.random.random() < self.context.settings.lost_release_share
+        )
+
+    # Attempts.
+
+    def _engine_at(self, address: Address) -> SimulatedEngine:
+        """The engine at an address: ports number the engines from 1."""
+        return self.engines[address[1] - 1]
+
+    async def _run_attempt(
+        self, address: Address, stage: str, headers: Mapping[str, str], time_limit: int, serve: Serve
+    ) -> AttemptResult:
+        """Run an attempt from its first byte to its end, recording both."""
+        if time_limit <= 0:
+            return AttemptResult(STATUS_BY_CAUSE[FailureCause.NO_TIME_LEFT], FailureCause.NO_TIME_LEFT)
+        engine = self._engine_at(address)
+        was_up = engine.is_up
+        result = AttemptResult(
+            AttemptStatus.TIMED_OUT, FailureCause.TIMED_OUT_BEFORE_RESPONSE, reached_engine=True
+        )
+        request_id, client_attempt = headers["X-Request-Id"], headers["Runspool-Mark"]
+        engine.record_for_attempt(
+            "arrived",
+            client_attempt,
+            request=request_id,
+            head=now(),
+            peer=self.source_address,
+            stage=stage if was_up else words.STAGE_CONNECT,
+            tariff=headers["Runspool-Tariff"],
+        )
+        how = words.ENDED_FRONT_CLOSED
+        try:
+            with anyio.CancelScope(deadline=anyio.current_time() + time_limit / SECOND) as scope:
+                attempt = EngineAttempt(engine, request_id, client_attempt, result, scope)
+                how = await (serve if was_up else self._refuse_connection)(attempt)
+        except EngineDownError:
+            how = words.ENDED_ENGINE_DOWN
+            result.failure_cause = (
+                FailureCause.STREAM_INTERRUPTED
+                if result.output_tokens
+                else FailureCause.CLOSED_BEFORE_RESPONSE
+            )
+        finally:
+            closed_prefill = stage == words.STAGE_PREFILL and how == words.ENDED_FRONT_CLOSED
+            if closed_prefill and was_up and engine.is_up:
+                self._maybe_complete_closed_prefill(engine, request_id, client_attempt)
+            engine.record_for_attempt("ended", client_attempt, request=request_id, how=how)
+        if result.failure_cause:
+            result.status = STATUS_BY_CAUSE[result.failure_cause]
+        return result
+
+    def _maybe_complete_closed_prefill(
+        self, engine: SimulatedEngine, request_id: str, client_attempt: str
+    ) -> None:
+        """Some prefills had just completed when they were given up: their state is reserved all the same."""
+        if self.context.random.random() < COMPLETED_WHEN_CLOSED_SHARE:
+            engine.reserve_state(request_id, 1, client_attempt)
+
+    async def _refuse_connection(self, attempt: EngineAttempt) -> str:
+        attempt.result.failure_cause = FailureCause.CONNECT_FAILED
+        await sleep(self.context.random.choice(CONNECT_REFUSED_AFTER))
+        return words.ENDED_CONNECT_REFUSED
+
+    async def _serve_prefill(self, attempt: EngineAttempt) -> str:
+        fault = self._draw_fault(PREFILL_FAULT_SHARES)
+        engine, result = attempt.engine, attempt.result
+        prompt_tokens = self.context.token_counts[attempt.client_attempt].prompt
+        if fault in AT_ONCE:
+            await engine.work(ERROR_RESPONSE_DURATION)
+        else:
+            usual = prompt_tokens / engine.spec.read_rate * engine.slowdown / engine.speed_fraction
+            await engine.work(usual * self.context.random.uniform(*PREFILL_DURATION_MULTIPLE))
+        if fault is AttemptFault.NO_RESPONSE:
+            await anyio.sleep_forever()
+        if fault:
+            result.failure_cause = PREFILL_FAULT_CAUSES[fault]
+            return words.ENDED_OVERLOADED if fault is AttemptFault.OVERLOADED else words.ENDED_FAILED
+        engine.reserve_state(attempt.request_id, prompt_tokens, attempt.client_attempt)
+        attempt.succeed(AttemptStatus.PREFILL_COMPLETE)
+        result.prompt_tokens = prompt_tokens
+        reserved = ReservedState(engine=engine, request=attempt.request_id)
+        result.state = cast(PrefillState, reserved)
+        return words.ENDED_PREFILLED
+
+    async def _serve_decode(
+        self, attempt: EngineAttempt, state: ReservedState | None, listener: ResponseListener[str]
+    ) -> str:
+        fault = self._draw_fault(DECODE_FAULT_SHARES)
+        engine, result = attempt.engine, attempt.result
+        tokens = self.context.token_counts[attempt.client_attempt]
+        await engine.work(ERROR_RESPONSE_DURATION)
+        if fault is AttemptFault.NO_RESPONSE:
+            await anyio.sleep_forever()
+        if fault in AT_ONCE:
+            result.failure_cause = DECODE_FAULT_CAUSES[fault]
+            return words.ENDED_OVERLOADED if fault is AttemptFault.OVERLOADED else words.ENDED_FAILED
+        if not await self._obtain_state(engine, state, tokens.prompt):
+            result.failure_cause = FailureCause.STATE_MISSING
+            return words.ENDED_STATE_MISSING
+        first_token = self.context.random.uniform(*FIRST_TOKEN_DURATION)
+        await engine.work(first_token * engine.slowdown / engine.speed_fraction)
+        engine.record_for_attempt("ran", attempt.client_attempt, request=attempt.request_id)
+        if fault is AttemptFault.NO_RESPONSE_AFTER_EXECUTION:
+            await anyio.sleep_forever()
+        if fault in (AttemptFault.SERVER_ERROR_AFTER_EXECUTION, AttemptFault.CONNECTION_CUT):
+            result.failure_cause = DECODE_FAULT_CAUSES[fault]
+            return words.ENDED_FAILED
+        attempt.scope.deadline = math.inf  # the limit applies until the first token
+        return await self._stream(attempt, tokens.output, fault is AttemptFault.STREAM_CUT, listener)
+
+    async def _obtain_state(
+        self, engine: SimulatedEngine, state: ReservedState | None, prompt_tokens: int
+    ) -> bool:
+        """Transfer the state from its prefill engine, or have a mixed engine prefill the prompt itself."""
+        if state is None:
+            if engine.spec.role == "mixed":
+                await engine.work(prompt_tokens / engine.spec.read_rate / engine.speed_fraction)
+            return engine.spec.role == "mixed"
+        if state["request"] not in state["engine"].reserved_states:
+            return False
+        await engine.work(self.context.random.uniform(*TRANSFER_DURATION))
+        return state["engine"].remove_state(state["request"], "taken", by=engine.spec.name)
+
+    async def _stream(
+        self, attempt: EngineAttempt, output_tokens: int, is_cut: bool, listener: ResponseListener[str]
+    ) -> str:
+        engine, result = attempt.engine, attempt.result
+        await listener.stream_started()
+        for number in range(1, output_tokens + 1):
+            result.output_tokens = number
+            await listener.data_received(f"t{number} ")
+            if is_cut and number > TOKENS_BEFORE_STREAM_CUT:
+                result.failure_cause = FailureCause.STREAM_INTERRUPTED
+                return words.ENDED_STREAM_CUT
+            await engine.work(engine.spec.step * engine.slowdown / engine.speed_fraction)
+        attempt.succeed(AttemptStatus.SUCCEEDED)
+        result.finish_reason = "stop"
+        return words.ENDED_COMPLETED
--- /dev/null
+++ b/tests/simulation/fronts.py
@@ -0,0 +1,135 @@
+"""Simulated processes of fronts: a real front on the simulated clock, from its start to its kill."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Coroutine
+from pathlib import Path
+from typing import Any, cast
+
+import anyio
+from anyio.abc import TaskGroup
+
+from runspool.config import parse_config
+from runspool.lab.scenario_runner import front_terms
+from runspool.service.front import Front
+from runspool.wire.endpoint_list import EndpointListMessage
+from tests.simulated_clock import now
+from tests.simulation.context import SimulationContext
+from tests.simulation.engine_client import SimulatedEngineClient
+from tests.simulation.engines import SimulatedEngine
+
+SEEDS_PER_SIMULATION = 100
+RUN_NUMBER = 1  # of the front's process, as the laboratory's configuration wants it
+
+
+class _ErrorLog:
+    """A front's log, of which only unexpected exceptions are kept."""
+
+    def __init__(self, context: SimulationContext) -> None:
+        self.context = context
+
+    def debug(self, event: str, **fields: Any) -> None: ...
+
+    info = warning = error = debug
+
+    def exception(self, event: str, **fields: Any) -> None:
+        self.context.unexpected_errors.append(f"{event}: {fields}")
+
+
+class _OrderedTaskGroup:
+    """A task group whose tasks are cancelled in the order in which they began.
+
+    The usual one keeps them in a set, whose order differs from process to process.
+    """
+
+    def __init__(self, tasks: TaskGroup) -> None:
+        self.tasks = tasks
+        self.scopes: dict[anyio.CancelScope, None] = {}
+        self.is_cancelled = False
+
+    def start_soon(self, work: Callable[..., Coroutine[Any, Any, Any]], *arguments: Any) -> None:
+        self.tasks.start_soon(self._run, work, arguments)
+
+    async def _run(self, work: Callable[..., Coroutine[Any, Any, Any]], arguments: tuple[Any, ...]) -> None:
+        if self.is_cancelled:
+            return
+        with anyio.CancelScope() as scope:
+            self.scopes[scope] = None
+            try:
+                await work(*arguments)
+            finally:
+                del self.scopes[scope]
+
+    def cancel(self) -> None:
+        self.is_cancelled = True
+        for scope in list(self.scopes):
+            scope.cancel()
+
+
+class SimulatedFront:
+    """One process of a front.
+
+    `seed_number` tells the front's random draws from those of other processes. `initial_list` gives the
+    endpoint list that the front gets when it starts; None leaves that to the caller.
+    """
+
+    def __init__(
+        self,
+        context: SimulationContext,
+        engines: list[SimulatedEngine],
+        index: int,
+        seed_number: int,
+        initial_list: Callable[[], EndpointListMessage] | None,
+    ) -> None:
+        self.context = context
+        self.index = index
+        self.initial_list = initial_list
+        plan = context.plan.fronts[index]
+        self.name = plan.name
+        config = parse_config(front_terms(context.plan, index, RUN_NUMBER, Path(".")))
+        self.front = Front(config, seed=context.seed * SEEDS_PER_SIMULATION + seed_number)
+        self.front.engine_client = cast(Any, SimulatedEngineClient(context, engines, plan.source))
+        log = cast(Any, _ErrorLog(context))
+        self.front.log = self.front.registry.log = self.front.timers.log = log
+        self.scope = anyio.CancelScope()
+        self.killed = anyio.Event()
+        self.is_up = False
+
+    async def run(self) -> None:
+        """Run the front until it is killed."""
+        with self.scope:
+            async with anyio.create_task_group() as tasks:
+                self.tasks = _OrderedTaskGroup(tasks)
+                self.front.tasks = cast(TaskGroup, self.tasks)
+                self.tasks.start_soon(self.front.timers.run)
+                self.is_up = True
+                if self.initial_list is not None:
+                    self.receive(self.initial_list())
+                await anyio.sleep_forever()
+
+    def receive(self, update: EndpointListMessage) -> None:
+        """Have the front receive a message of the endpoint list, recording it."""
+        if not self.is_up:
+            return
+        self.context.record(
+            "told",
+            front=self.name,
+            version=update.version,
+            whole=update.is_snapshot,
+            engines=[[entry.engine, entry.state, entry.started_unix_ms] for entry in update.engines],
+        )
+        if changed := self.front.endpoint_tracker.apply(now(), update):
+            self.front.endpoints_changed(changed)
+
+    async def cancel_when_killed(self, scope: anyio.CancelScope) -> None:
+        """Cancel a scope once the front has been killed."""
+        await self.killed.wait()
+        scope.cancel()
+
+    def kill(self) -> None:
+        """End the process at once, as SIGKILL would."""
+        self.is_up = False
+        self.killed.set()
+        self.context.record("killed", process=self.name, front=self.name)
+        self.tasks.cancel()
+        self.scope.cancel()
--- /dev/null
+++ b/tests/simulation/settings.py
@@ -0,0 +1,72 @@
+"""What a simulated history holds: how much load for how long, how much fails, and the plan made of it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field, replace
+from random import Random
+
+from runspool.lab.plan import ClientsPlan, FrontPlan, Plan, RequestClassPlan, TenantPlan, engine
+from runspool.scheduling.time_units import SECOND
+
+ENGINE_TYPES = ["prefill", "prefill", "prefill", "decode", "decode", "decode", "mixed", "mixed"]
+ZONES = ["a", "b"]
+TENANTS = ["one", "two"]
+FIRST_FRONT_HOST = 11  # the fronts' loopback addresses begin at 127.0.0.11
+
+# One class of each idempotency, by the names and in the words of configuration.
+REQUEST_CLASSES = [
+    RequestClassPlan("ask", 0.5, "rerunnable", 1, 8_000, 0, 25_000, 1_000, 300, 12, 1.0, 0.0, 0),
+    RequestClassPlan("book", 0.3, "exclusive", 2, 9_000, 0, 30_000, 1_000, 300, 12, 1.0, 0.0, 0),
+    RequestClassPlan(
+        "mark", 0.2, "ticketed", 1, 8_000, 0, 25_000, 1_000, 300, 12, 1.0, 0.0, 0, 0.1, "zone", window=12_000
+    ),
+]
+
+
+@dataclass
+class SimulationSettings:
+    """Load and faults of a history; durations in tenths of a millisecond, shares of 1."""
+
+    duration: int = 20 * SECOND
+    requests_per_second: float = 40.0
+    front_count: int = 3
+    failing_attempt_share: float = 0.06  # attempts that fail though their engine is up
+    disconnecting_client_share: float = 0.08  # clients that disconnect before their response
+    fault_count: int = 12  # drains, crashes, hangs, restarts, killed fronts
+    lost_release_share: float = 0.15  # calls to release a state whose connection breaks
+    slow_start_overload_multiple: float = 1.5
+    engine_types: list[str] = field(default_factory=lambda: list(ENGINE_TYPES))
+
+
+def build_plan(seed: int, settings: SimulationSettings, random: Random) -> Plan:
+    """The laboratory's plan of a history; draws each engine's own speed."""
+    engines = [
+        engine(
+            f"e{index}",
+            engine_type,
+            ZONES[index % len(ZONES)],
+            index % len(ZONES),
+            REQUEST_CLASSES,
+            random,
+        )
+        for index, engine_type in enumerate(settings.engine_types)
+    ]
+    for planned in engines:
+        planned.make = replace(planned.make, fall_multiple=settings.slow_start_overload_multiple)
+    return Plan(
+        name="history",
+        seed=seed,
+        length=settings.duration,
+        rate=settings.requests_per_second,
+        zones=list(ZONES),
+        tariffs=REQUEST_CLASSES,
+        tenants=[TenantPlan(name, 0.5, settings.requests_per_second) for name in TENANTS],
+        fronts=[
+            FrontPlan(f"front-{index}", ZONES[index % len(ZONES)], f"127.0.0.{FIRST_FRONT_HOST + index}")
+            for index in range(settings.front_count)
+        ],
+        engines=engines,
+        clients=ClientsPlan(),
+        troubles=[],
+        fall_multiple=settings.slow_start_overload_multiple,
+    )
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -24,7 +24,7 @@
 from runspool.transport import tcp as lines
 from runspool.wire.completions import parse_completion_request
 from runspool.wire.endpoint_list import EndpointEntry
-from tests.histories import leftovers
+from tests.simulation.leaks import leaked_state as leftovers
 from tests.town import Town, answered
 
 pytestmark = pytest.mark.anyio
--- /dev/null
+++ b/tests/test_simulated_histories.py
@@ -0,0 +1,158 @@
+"""Simulated histories of real fronts keep every rule of the auditor; each rule's violation is found."""
+
+from __future__ import annotations
+
+import lzma
+import os
+import subprocess
+import sys
+from collections.abc import Callable
+from dataclasses import replace
+from hashlib import sha256
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from runspool.lab.audit import EXACT, RULES, audit
+from runspool.lab.recording import Event
+from runspool.service.front import Front
+from runspool.service.timer_queue import DeadlineGuardTimer
+from tests import simulated_clock
+from tests.conftest import JUDGED
+from tests.simulation.replay import RecordedSimulation
+from tests.simulation.settings import SimulationSettings
+from tests.simulation.simulation import Simulation
+from tests.test_doctored import does_not_hear_of_drains, forgets_that_it_may_have_run, takes_cold_for_warm
+
+NO_REQUEST_LOST, NO_EFFECT_TWICE, DRAINS_RESPECTED, SLOW_START_RESPECTED, STATES_RELEASED = RULES
+SEEDS = range(1, 9)
+RECORDINGS = Path(__file__).parent / "recorded"
+
+
+def simulate(seed: int, settings: SimulationSettings, monkeypatch: pytest.MonkeyPatch) -> Simulation:
+    """Run a history on the simulated clock."""
+    simulated_clock.install(monkeypatch)
+    simulation = Simulation(seed, settings)
+    simulated_clock.run(simulation.run())
+    return simulation
+
+
+def violations(simulation: Simulation) -> dict[str, list[str]]:
+    """Examples by the rules that a history breaks; every rule must have been at stake."""
+    verdicts = audit(simulation.events, EXACT)
+    for rule, verdict in verdicts.items():
+        JUDGED[rule] += verdict.cases
+        assert verdict.cases, f"{rule} was never at stake"
+    return {rule: verdict.examples for rule, verdict in verdicts.items() if verdict.broken}
+
+
+@pytest.mark.parametrize("seed", SEEDS)
+def test_seeded_history_keeps_every_rule_and_leaks_nothing(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    simulation = simulate(seed, SimulationSettings(), monkeypatch)
+    assert violations(simulation) == {}
+    assert simulation.leaks == []
+    answers = {event["kind"] for event in simulation.events if event["what"] == "answer"}
+    assert answers >= {"succeeded", "dismissed", "scrapped", "left", "lost"}
+    request_classes = {event["tariff"] for event in simulation.events if event["what"] == "asked"}
+    assert request_classes == {"ask", "book", "mark"}
+
+
+@pytest.mark.parametrize("file", sorted(RECORDINGS.glob("*.xz")), ids=lambda file: str(file.name))
+def test_recorded_day_keeps_every_rule_and_so_does_its_replay(
+    file: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Recorded on sockets; then what happened around the fronts happens again to the code of today."""
+    recording: list[Event] = [
+        msgspec.json.decode(line) for line in lzma.decompress(file.read_bytes()).splitlines()
+    ]
+    recorded_verdicts = audit(recording)
+    assert all(verdict.cases and not verdict.broken for verdict in recorded_verdicts.values())
+    simulated_clock.install(monkeypatch)
+    simulation = RecordedSimulation(1, recording)
+    simulated_clock.run(simulation.run())
+    assert violations(simulation) == {}
+    assert simulation.leaks == []
+    recorded_requests, replayed_requests = (
+        sum(event["what"] == "asked" for event in events) for events in (recording, simulation.events)
+    )
+    assert recorded_requests == replayed_requests > 300
+
+
+PRINT_DIGEST = """
+import pytest
+from tests.simulation.settings import SimulationSettings
+from tests.test_simulated_histories import digest, simulate
+with pytest.MonkeyPatch.context() as monkeypatch:
+    print(digest(simulate(5, SimulationSettings(duration=50_000), monkeypatch)))
+"""
+
+
+def digest(simulation: Simulation) -> str:
+    """A hash of the whole recording."""
+    return sha256(msgspec.json.encode(simulation.events)).hexdigest()
+
+
+def test_same_seed_gives_the_same_history_in_every_process() -> None:
+    """Whatever order the interpreter gives its sets, by hash or by address."""
+    runs = [
+        subprocess.run(
+            [sys.executable, "-c", PRINT_DIGEST],
+            capture_output=True,
+            text=True,
+            check=True,
+            env=os.environ | {"PYTHONHASHSEED": hash_seed, "PYTHONMALLOC": allocator},
+        )
+        for hash_seed, allocator in (("1", "pymalloc"), ("2", "malloc"), ("3", "pymalloc"))
+    ]
+    assert len({run.stdout.splitlines()[-1] for run in runs}) == 1
+
+
+# One violation for each rule, put into the real code. The same history without it is sound: see the test.
+
+
+def give_no_final_response_on_failure(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Break the rule that no request is lost."""
+    timer_fired = Front._timer_fired
+    monkeypatch.setattr(Front, "reject", lambda front, request, retry_after: None)
+    monkeypatch.setattr(Front, "fail_indeterminate", lambda front, request: None)
+    monkeypatch.setattr(
+        Front,
+        "_timer_fired",
+        lambda front, timer: None if isinstance(timer, DeadlineGuardTimer) else timer_fired(front, timer),
+    )
+
+
+def release_no_state(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Break the rule that states are released."""
+
+    async def release(front: Front, *arguments: Any) -> None:
+        return
+
+    monkeypatch.setattr(Front, "_release", release)
+
+
+VIOLATIONS: dict[str, tuple[Callable[[pytest.MonkeyPatch], None], SimulationSettings]] = {
+    NO_REQUEST_LOST: (give_no_final_response_on_failure, SimulationSettings()),
+    NO_EFFECT_TWICE: (forgets_that_it_may_have_run, SimulationSettings()),
+    DRAINS_RESPECTED: (does_not_hear_of_drains, SimulationSettings()),
+    SLOW_START_RESPECTED: (
+        takes_cold_for_warm,
+        SimulationSettings(slow_start_overload_multiple=0.4, requests_per_second=70.0),
+    ),
+    STATES_RELEASED: (release_no_state, SimulationSettings()),
+}
+
+
+@pytest.mark.parametrize("rule", RULES)
+def test_history_with_one_violation_breaks_that_rule_alone(
+    rule: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    violate, settings = VIOLATIONS[rule]
+    settings = replace(settings, duration=100_000)
+    assert violations(simulate(3, settings, monkeypatch)) == {}
+    violate(monkeypatch)
+    assert list(violations(simulate(3, settings, monkeypatch))) == [rule]
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -16,7 +16,10 @@
 from runspool.transport import tcp as lines
 from runspool.wire.completions import parse_completion_request
 from tests import simulated_clock
-from tests.histories import Days, Life, World, leftovers
+from tests.simulation.context import TokenCounts
+from tests.simulation.leaks import leaked_state
+from tests.simulation.settings import SimulationSettings
+from tests.simulation.simulation import Simulation
 from tests.town import Answered, Town, answered
 
 KINDS = ["prefill", "decode"]
@@ -174,9 +177,9 @@
     front = town.running.front
     states = [f"{one.make.name} holds {one.model.states}" for one in town.engines if one.model.states]
     if way == "stop":
-        return leftovers(front) + states
+        return leaked_state(front) + states
     idle = {address: len(links) for address, links in front.engine_client.pool.idle.items()}
-    found = leftovers(front)
+    found = leaked_state(front)
     found += [
         f"open {address}: {count}"
         for address, count in front.engine_client.pool.open_counts.items()
@@ -267,20 +270,18 @@
     simulated_clock.install(monkeypatch)
 
     async def play() -> None:
-        world = World(1, Days(fronts=1, mishaps=0))
-        async with anyio.create_task_group() as world.tasks:
-            await _one(world)
-            world.tasks.cancel_scope.cancel()
-
-    async def _one(world: World) -> None:
-        for one in world.engines:
-            one.begin(cold=False)
-        life = Life(world, 0, 0)
-        world.lives = [life]
-        world.spawn(life.run)
+        simulation = Simulation(1, SimulationSettings(front_count=1, failing_attempt_share=0))
+        async with anyio.create_task_group() as simulation.context.tasks:
+            await _one(simulation)
+            simulation.context.tasks.cancel_scope.cancel()
+
+    async def _one(simulation: Simulation) -> None:
+        for engine in simulation.cluster.engines:
+            engine.start(cold=False)
+        simulation.cluster.start_fronts(with_list=True)
         await anyio.sleep(0.01)
-        front = life.front
-        world.asked["1.1"] = 500, 3
+        front = simulation.cluster.fronts[0].front
+        simulation.context.token_counts["1.1"] = TokenCounts(500, 3)
         told: list[str] = []
         wish = parse_completion_request(
             {"runspool-tariff": "book", "runspool-mark": "1.1", "runspool-limit-ms": "2000"},
@@ -296,7 +297,7 @@
                 told.append(text)
 
         taken = front.submit(wish, Reply(), simulated_clock.now())
-        while not any(event["what"] == "held" for event in world.events):
+        while not any(event["what"] == "held" for event in simulation.events):
             await anyio.sleep(0.0001)
         guard = DeadlineGuardTimer(taken.index)
         ends: dict[str, Callable[[], object]] = {
@@ -312,8 +313,8 @@
         before = len(told)
         await anyio.sleep(5)
         assert told[before:] == []
-        assert leftovers(front) == []
-        assert not any(engine.states for engine in world.engines)
+        assert leaked_state(front) == []
+        assert not any(engine.reserved_states for engine in simulation.cluster.engines)
         assert sum(front.counts[kind.value] for kind in ResponseKind) == 1
 
     simulated_clock.run(play())
