--- /dev/null
+++ b/tests/congestion_simulation.py
@@ -0,0 +1,315 @@
+"""A discrete-event simulation of prefill congestion: many fronts' real decisions, simple engines.
+
+Prefill engines work first come, first served, at a fixed rate, and go on with prompts that a front has given
+up. Decode engines start each stream at once. Nothing else of a fleet is simulated.
+"""
+
+from __future__ import annotations
+
+import heapq
+from collections import Counter, OrderedDict
+from collections.abc import Callable, Sequence
+from functools import partial
+from random import Random
+
+from runspool.runtime.interning import stable_hash
+from runspool.runtime.scheduler_driver import SchedulerDriver
+from runspool.scheduling.settings import RoutingSettings, TenantSettings
+from runspool.scheduling.time_units import SECOND
+from runspool.scheduling.types import (
+    AttemptOutcome,
+    AttemptStatus,
+    EndpointUpdate,
+    EngineRecord,
+    EngineState,
+    Request,
+)
+from tests.fake_scheduler_host import DECODE, PREFILL, routing_settings
+
+START = SECOND
+WINDOW = 5 * SECOND
+DRAIN_WINDOWS = 4  # simulated after the last new session
+
+FIRST_TOKEN_OBJECTIVE = 15_000
+TIME_LIMIT = 60_000
+MAX_OUTPUT_TOKENS, EXPECTED_OUTPUT_TOKENS = 400, 100
+
+PREFILL_RATE = 1.5  # tokens a tenth of a millisecond
+CACHE_TOKENS = 150_000  # of each prefill engine
+FIRST_TOKEN_DELAY = 200  # at a decode engine
+STREAM_DURATION = SECOND
+
+ZONE_COUNT = 3
+ENGINES_PER_RACK = 6
+CROSS_ZONE_PRICE = 0.011
+UNLIMITED_RATE = 1e6
+
+TURNS = [1, 2, 3]  # of a session
+TURN_GAP_SECONDS = (8, 14)
+TOKENS_ADDED_BY_TURN = (300, 900)
+MIN_PREFIX_TOKENS = 1_000
+
+
+class PrefillEngine:
+    """Prefills first come, first served, and caches prefixes, least recently used first out."""
+
+    def __init__(self) -> None:
+        self.free_at = 0
+        self.cache: OrderedDict[tuple[str, int], int] = OrderedDict()  # tokens by kind and name of the text
+
+    def prefill(self, now: int, request: Request) -> tuple[int, int]:
+        """Queue a prompt; returns when it will be prefilled, and how many of its tokens were cached."""
+        texts = [
+            ("session", request.session or 0, request.prompt_tokens),
+            ("prefix", request.prefix or 0, request.prefix_tokens),
+        ]
+        cached_tokens = max(min(self.cache.get((kind, name), 0), tokens) for kind, name, tokens in texts)
+        for kind, name, tokens in texts:
+            self.cache[kind, name] = tokens
+            self.cache.move_to_end((kind, name))
+        while sum(self.cache.values()) > CACHE_TOKENS:
+            self.cache.popitem(last=False)
+        duration = int((request.prompt_tokens - cached_tokens) / PREFILL_RATE)
+        self.free_at = max(now, self.free_at) + duration
+        return self.free_at, cached_tokens
+
+
+class CongestedFront:
+    """One front: the scheduler's driver, its requests and their attempts.
+
+    `answered` are the requests that got a first token, in time or late.
+    """
+
+    def __init__(self, simulation: CongestionSimulation, index: int, settings: RoutingSettings) -> None:
+        self.simulation = simulation
+        self.requests: list[Request] = []
+        self.submitted_at: list[int] = []
+        self.answered: set[int] = set()
+        self.attempt_counts: Counter[int] = Counter()
+        self.driver = SchedulerDriver(settings, index, self, simulation.now)
+        self.driver.update_endpoints(simulation.now, EndpointUpdate(True, simulation.engine_records))
+
+    def submit(self, request: Request) -> None:
+        """Submit a client's request to the scheduler."""
+        now = self.simulation.now
+        request.index = len(self.requests)
+        self.requests.append(request)
+        self.submitted_at.append(now)
+        self.simulation.submitted[now // WINDOW] += 1
+        self.driver.submit(now, request)
+
+    # What the scheduler asks for.
+
+    def start_attempt(self, request_index: int, engine: int, timeout: int) -> None:
+        """Send a request to an engine."""
+        self.attempt_counts[request_index] += 1
+        if engine < len(self.simulation.prefill_engines):
+            self._start_prefill(request_index, engine, timeout)
+        else:
+            self._start_decode(request_index)
+
+    def reject(self, request_index: int, retry_after: int) -> None:
+        """Count a rejection."""
+        self.simulation.rejected += 1
+
+    def set_timer(self, token: str, at: int) -> None:
+        """Have the driver's timer fire at its time."""
+        self.simulation.schedule(at, lambda: self.driver.timer_fired(self.simulation.now, token))
+
+    def fail_indeterminate(self, request_index: int) -> None:
+        """Do nothing."""
+
+    def release_state(self, request_index: int) -> None:
+        """Do nothing: states take no room here."""
+
+    def migrate_stream(self, request_index: int) -> None:
+        """Do nothing: streams take no room here."""
+
+    def subscribe_to_endpoints(self) -> None:
+        """Do nothing: the list never changes."""
+
+    def log_message(self, text: str) -> None:
+        """Do nothing."""
+
+    def forget_request(self, request_index: int) -> None:
+        """Do nothing: requests are kept for the statistics."""
+
+    # What the engines do.
+
+    def _start_prefill(self, request_index: int, engine: int, timeout: int) -> None:
+        simulation, sent_at = self.simulation, self.simulation.now
+        simulation.prefills += 1
+        end_attempt = self._attempt_end(request_index)
+        request = self.requests[request_index]
+        done_at, cached_tokens = simulation.prefill_engines[engine].prefill(sent_at, request)
+        gives_up_at = min(
+            sent_at + timeout if timeout else TIME_LIMIT + sent_at,
+            self.submitted_at[request_index] + TIME_LIMIT,
+        )
+        if done_at <= gives_up_at:
+            simulation.schedule(done_at, lambda: end_attempt(AttemptStatus.PREFILL_COMPLETE, cached_tokens))
+        else:
+            simulation.timed_out += 1
+            simulation.schedule(gives_up_at, lambda: end_attempt(AttemptStatus.TIMED_OUT))
+
+    def _start_decode(self, request_index: int) -> None:
+        simulation, sent_at = self.simulation, self.simulation.now
+        attempt = self.attempt_counts[request_index]
+        end_attempt = self._attempt_end(request_index)
+
+        def start_stream() -> None:
+            self._count_answer(request_index)
+            self.driver.stream_started(simulation.now, request_index, attempt, simulation.now - sent_at)
+            simulation.schedule(
+                simulation.now + STREAM_DURATION,
+                lambda: end_attempt(AttemptStatus.SUCCEEDED, finished=True),
+            )
+
+        simulation.schedule(sent_at + FIRST_TOKEN_DELAY, start_stream)
+
+    def _attempt_end(self, request_index: int) -> Callable[..., None]:
+        """What ends the attempt that starts now, whenever it is called."""
+        simulation, sent_at = self.simulation, self.simulation.now
+        attempt = self.attempt_counts[request_index]
+
+        def end_attempt(status: AttemptStatus, cached_tokens: int = 0, finished: bool = False) -> None:
+            outcome = AttemptOutcome(status, simulation.now - sent_at, cached_tokens)
+            self.driver.attempt_ended(simulation.now, request_index, attempt, outcome, finished)
+
+        return end_attempt
+
+    def _count_answer(self, request_index: int) -> None:
+        self.answered.add(request_index)
+        submitted_at = self.submitted_at[request_index]
+        if self.simulation.now - submitted_at <= FIRST_TOKEN_OBJECTIVE:
+            self.simulation.answered_in_time[submitted_at // WINDOW] += 1
+
+
+class CongestionSimulation:
+    """A clock, prefill engines, as many decode engines, and fronts in three zones.
+
+    `submitted` and `answered_in_time` count requests by the window in which they were submitted.
+    """
+
+    def __init__(self, front_count: int, prefill_engine_count: int, seed: int) -> None:
+        self.now = START
+        self.event_count = 0
+        self.events: list[tuple[int, int, Callable[[], None]]] = []
+        self.prefill_engines = [PrefillEngine() for _ in range(prefill_engine_count)]
+        self.engine_records = [
+            EngineRecord(
+                index,
+                PREFILL if index < prefill_engine_count else DECODE,
+                index % ZONE_COUNT,
+                index // ENGINES_PER_RACK,
+                0,
+                EngineState.READY,
+                stable_hash(f"e{index}"),
+            )
+            for index in range(2 * prefill_engine_count)
+        ]
+        self.submitted: Counter[int] = Counter()
+        self.answered_in_time: Counter[int] = Counter()
+        self.prefills = self.timed_out = self.rejected = 0
+        self.random = Random(seed)
+        self.fronts = [
+            CongestedFront(self, index, _front_settings(index, front_count)) for index in range(front_count)
+        ]
+
+    def schedule(self, at: int, act: Callable[[], None]) -> None:
+        """Have something happen at a time; what is scheduled for the same time happens in order."""
+        self.event_count += 1
+        heapq.heappush(self.events, (at, self.event_count, act))
+
+    def submit_turn(
+        self, session: int, prompt_tokens: int, prefix: int, prefix_tokens: int, turns: int, zone: int
+    ) -> None:
+        """Submit a session's next request in a zone, and schedule the one after it while turns are left."""
+        fronts = [front for front in self.fronts if front.driver.scheduler.settings.zone == zone]
+        front = self.random.choice(fronts)
+        front.submit(_request(session, prompt_tokens, prefix, prefix_tokens))
+        if turns > 1:
+            next_at = self.now + int(self.random.uniform(*TURN_GAP_SECONDS) * SECOND)
+            self.schedule(
+                next_at,
+                lambda: self.submit_turn(
+                    session,
+                    prompt_tokens + int(self.random.uniform(*TOKENS_ADDED_BY_TURN)),
+                    prefix,
+                    prefix_tokens,
+                    turns - 1,
+                    zone,
+                ),
+            )
+
+    def run(
+        self, session_rates: Sequence[float], zone_weights: Sequence[float], prefix_count: int = 200
+    ) -> list[float]:
+        """Simulate new sessions a second, window by window.
+
+        Returns for each window the part of its requests that were answered in time.
+        """
+        prefix_weights = [1 / (1 + index) for index in range(prefix_count)]
+        for window, rate in enumerate(session_rates):
+            at = START + window * WINDOW
+            end = START + (window + 1) * WINDOW
+            while (at := at + int(self.random.expovariate(rate) * SECOND)) < end:
+                self._schedule_session(at, prefix_weights, zone_weights)
+        end = START + (len(session_rates) + DRAIN_WINDOWS) * WINDOW
+        while self.events and self.now < end:
+            self.now, _, act = heapq.heappop(self.events)
+            act()
+        return [
+            self.answered_in_time[window] / max(1, self.submitted[window])
+            for window in range(len(session_rates) + 2)
+        ]
+
+    def _schedule_session(
+        self, at: int, prefix_weights: Sequence[float], zone_weights: Sequence[float]
+    ) -> None:
+        prefix = self.random.choices(range(len(prefix_weights)), prefix_weights)[0]
+        prefix_tokens = MIN_PREFIX_TOKENS + prefix * 7919 % 1_500
+        zone = self.random.choices(range(ZONE_COUNT), zone_weights)[0]
+        prompt_tokens = prefix_tokens + int(self.random.lognormvariate(6, 1))
+        turns = self.random.choice(TURNS)
+        session = self.event_count
+        self.schedule(
+            at, partial(self.submit_turn, session, prompt_tokens, prefix, prefix_tokens, turns, zone)
+        )
+
+    def requests(self) -> list[tuple[Request, bool]]:
+        """All requests, and whether each was answered."""
+        return [
+            (request, request.index in front.answered) for front in self.fronts for request in front.requests
+        ]
+
+
+def _front_settings(index: int, front_count: int) -> RoutingSettings:
+    settings = routing_settings(
+        front_count=front_count,
+        zone=index % ZONE_COUNT,
+        front_index=index,
+        cross_zone_price=CROSS_ZONE_PRICE,
+        tenants=[TenantSettings(UNLIMITED_RATE)],
+    )
+    settings.request_classes[0].first_token_objective = FIRST_TOKEN_OBJECTIVE
+    return settings
+
+
+def _request(session: int, prompt_tokens: int, prefix: int, prefix_tokens: int) -> Request:
+    return Request(
+        0,
+        0,
+        0,
+        session,
+        prefix,
+        prompt_tokens,
+        prefix_tokens,
+        MAX_OUTPUT_TOKENS,
+        EXPECTED_OUTPUT_TOKENS,
+        TIME_LIMIT,
+        False,
+        False,
+        session_hash=stable_hash(f"s{session}"),
+        prefix_hash=stable_hash(f"b{prefix}"),
+    )
