--- /dev/null
+++ b/tests/test_queueing_delay.py
@@ -0,0 +1,36 @@
+"""What a front learns of queueing delays from its own prefills."""
+
+from __future__ import annotations
+
+from runspool.scheduling.latency_estimator import queueing_delay
+from runspool.scheduling.time_units import SECOND
+from runspool.scheduling.types import AttemptStatus, Role
+from tests.fake_scheduler_host import DECODE, PREFILL, FakeSchedulerHost, routing_settings
+
+
+def test_hanging_engine_does_not_make_its_peers_look_slow() -> None:
+    host = FakeSchedulerHost([PREFILL, PREFILL, DECODE], routing_settings(front_count=50))
+    request = host.submit(500)
+    host.end_attempt(request, AttemptStatus.TIMED_OUT, duration=30_000)
+    scheduler = host.driver.scheduler
+    peer = scheduler.engines[1 - host.attempts[0].engine]
+    assert queueing_delay(scheduler, peer) < 2_000
+
+
+def test_one_timed_prefill_tells_the_delay_of_an_engine_not_used_for_long() -> None:
+    host = FakeSchedulerHost([PREFILL, PREFILL, DECODE], routing_settings(front_count=200))
+    request = host.submit(500)
+    host.end_attempt(request, AttemptStatus.TIMED_OUT, duration=20_000)
+    slow_engine = host.driver.scheduler.engines[host.attempts[0].engine]
+    assert queueing_delay(host.driver.scheduler, slow_engine) > 15_000
+
+
+def test_front_that_seldom_uses_each_engine_knows_congestion_after_three_prefills() -> None:
+    host = FakeSchedulerHost([PREFILL] * 9 + [DECODE], routing_settings(front_count=200))
+    for _ in range(3):
+        host.advance(2 * SECOND)
+        request = host.submit(500)
+        host.end_attempt(request, AttemptStatus.PREFILL_COMPLETE, duration=15_000)
+        host.start_stream(request)
+        host.end_attempt(request, AttemptStatus.SUCCEEDED, finished=True)
+    assert host.driver.scheduler.usual_queueing_delays[Role.PREFILL].time > 3_500
