--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import Any
+
 from runspool.scheduling.time_units import SECOND
 from runspool.scheduling.types import AttemptStatus, LoadReport, Role
 from tests.fake_scheduler_host import DECODE, PREFILL, FakeSchedulerHost, routing_settings
@@ -82,3 +84,31 @@
     assert host.actions_of(host.submit(500)) == ["start_attempt"]
     assert host.actions_of(host.submit(500, session=1, is_client_retry=True)) == ["reject"]
     assert host.retry_after == SECOND  # the longest that the settings allow
+
+
+def test_long_prefill_queue_costs_few_more_engine_selections_than_one_waiting_request() -> None:
+    def selections(waiting_requests: int) -> int:
+        """How often an engine is selected in a second while requests wait."""
+        host = FakeSchedulerHost([PREFILL, DECODE], routing_settings(max_attempts=5))
+        scheduler = host.driver.scheduler
+        select_engine = scheduler.select_engine
+        count = 0
+        # So long a prompt that others wait at the front while its prefill is in progress.
+        host.submit(prompt_tokens=20_000, time_budget=60 * SECOND)
+
+        def count_selection(*arguments: Any) -> Any:
+            nonlocal count
+            count += 1
+            return select_engine(*arguments)
+
+        scheduler.select_engine = count_selection  # type: ignore
+        scheduler.prefill_rates[Role.PREFILL] = 8.0
+        for _ in range(waiting_requests):
+            host.submit(prompt_tokens=100, time_budget=60 * SECOND)
+        count_before = count
+        host.advance(SECOND - 100)
+        return count - count_before
+
+    with_one, with_many = selections(1), selections(30)
+    assert with_one > 0
+    assert with_many < 6 * with_one
--- a/tests/test_decode_selection.py
+++ b/tests/test_decode_selection.py
@@ -81,3 +81,13 @@
     request = host.submit()
     host.end_attempt(request, AttemptStatus.PREFILL_COMPLETE)
     assert host.engine_of(request) == 2
+
+
+def test_busy_front_among_hundreds_does_not_take_all_decode_engines_for_full() -> None:
+    host = FakeSchedulerHost([PREFILL, PREFILL, *[DECODE] * 20], routing_settings(front_count=200))
+    for session in range(8):
+        request = host.submit(prompt_tokens=3_000, time_budget=10 * SECOND, session=session)
+        host.end_attempt(request, AttemptStatus.PREFILL_COMPLETE, duration=100)
+        host.start_stream(request, duration=100)
+        host.advance(10)
+    assert host.attempt_count(host.submit(prompt_tokens=3_000, time_budget=10 * SECOND)) == 1
--- a/tests/test_engine_health.py
+++ b/tests/test_engine_health.py
@@ -77,3 +77,13 @@
         attempts_at_cold_engine += host.engine_of(host.submit(100)) == 0
     assert attempts_at_cold_engine < 12
     assert attempts_at_cold_engine > 0
+
+
+def test_overloaded_prefill_engine_is_not_taken_for_the_one_with_the_shortest_queue() -> None:
+    host = FakeSchedulerHost([PREFILL, PREFILL, DECODE])
+    request = host.submit(time_budget=10 * SECOND)
+    overloaded_engine = host.engine_of(request)
+    host.end_attempt(request, AttemptStatus.OVERLOADED, duration=5)
+    assert host.engine_of(request) != overloaded_engine
+    host.complete(request)
+    assert host.engine_of(host.submit(time_budget=10 * SECOND)) != overloaded_engine
--- a/tests/test_queueing_delay.py
+++ b/tests/test_queueing_delay.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from runspool.scheduling.latency_estimator import queueing_delay
+from runspool.scheduling.latency_estimator import queueing_delay, update
+from runspool.scheduling.slow_start import warmup_fraction
 from runspool.scheduling.time_units import SECOND
 from runspool.scheduling.types import AttemptStatus, Role
 from tests.fake_scheduler_host import DECODE, PREFILL, FakeSchedulerHost, routing_settings
@@ -34,3 +35,17 @@
         host.start_stream(request)
         host.end_attempt(request, AttemptStatus.SUCCEEDED, finished=True)
     assert host.driver.scheduler.usual_queueing_delays[Role.PREFILL].time > 3_500
+
+
+def test_engine_in_slow_start_has_no_delay_but_that_of_its_own_prefills() -> None:
+    host = FakeSchedulerHost([PREFILL, PREFILL, PREFILL, DECODE], routing_settings(front_count=100))
+    scheduler = host.driver.scheduler
+    usual_delay = scheduler.usual_queueing_delays[Role.PREFILL]
+    for engine in (0, 1):
+        update(scheduler, scheduler.engines[engine].queueing_delay, usual_delay, SECOND)
+    host.update_engine(2, started_at=host.now - SECOND)
+    cold_engine = scheduler.engines[2]
+    assert warmup_fraction(scheduler, cold_engine) < 1 and queueing_delay(scheduler, cold_engine) == 0
+    assert queueing_delay(scheduler, scheduler.engines[0]) > 0
+    update(scheduler, cold_engine.queueing_delay, usual_delay, SECOND)
+    assert queueing_delay(scheduler, cold_engine) > 0
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -67,3 +67,25 @@
     host = FakeSchedulerHost([PREFILL, PREFILL, DECODE], routing_settings(front_count=200))
     host.submit(2_000)
     assert host.attempts[0].timeout >= SECOND - 200
+
+
+def test_prefills_that_time_out_are_retried_only_as_far_as_others_complete() -> None:
+    host = FakeSchedulerHost([PREFILL] * 4 + [DECODE])
+    timed_out_after = SECOND // 10
+    for _ in range(2):  # what a front may retry before any of its prefills has completed
+        request = host.submit(time_budget=10 * SECOND)
+        assert host.attempts[-1].timeout > 0
+        host.end_attempt(request, AttemptStatus.TIMED_OUT, duration=timed_out_after)
+        assert host.attempt_count(request) == 2
+        host.driver.client_disconnected(host.now, request)
+        host.end_attempt(request, AttemptStatus.CANCELLED)
+    request = host.submit(time_budget=10 * SECOND)
+    assert host.attempts[-1].timeout == 0  # no retry may follow, so it is not given up before the deadline
+    host.end_attempt(request, AttemptStatus.TIMED_OUT, duration=timed_out_after)
+    assert (host.attempt_count(request), host.actions_of(request)[-1]) == (1, "reject")
+    for _ in range(4):
+        request = host.submit(time_budget=10 * SECOND)
+        host.complete(request)
+    request = host.submit(time_budget=10 * SECOND)
+    host.end_attempt(request, AttemptStatus.TIMED_OUT, duration=timed_out_after)
+    assert host.attempt_count(request) == 2
