--- /dev/null
+++ b/tests/test_command_line.py
@@ -0,0 +1,36 @@
+"""What the command line says, and how it exits."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import msgspec
+from typer.testing import CliRunner
+
+from runspool.cli.lab import app as lab
+from runspool.cli.main import app
+
+EXAMPLE = Path(__file__).parents[1] / "examples" / "house.jsonnet"
+EXIT_WRONG_INPUT = 2
+
+
+def test_command_line_says_what_is_wrong_and_exits_so(tmp_path: Path) -> None:
+    runner = CliRunner()
+    example = str(EXAMPLE)
+    assert runner.invoke(app, ["terms", "check", example]).exit_code == 0
+    shown = runner.invoke(app, ["terms", "show", example])
+    assert msgspec.json.decode(shown.stdout)["front"]["name"] == "front-a"
+    malformed = tmp_path / "bad.jsonnet"
+    malformed.write_text("{ house: 1 }")
+    checked = runner.invoke(app, ["terms", "check", str(malformed)])
+    assert (checked.exit_code, "house" in checked.output, "front" in checked.output) == (
+        EXIT_WRONG_INPUT,
+        True,
+        True,
+    )
+    assert runner.invoke(app, ["front", str(malformed)]).exit_code == EXIT_WRONG_INPUT
+    assert runner.invoke(app, ["terms", "check", example, "--var", "x"]).exit_code == EXIT_WRONG_INPUT
+    assert runner.invoke(lab, ["day", "no-such-day"]).exit_code == EXIT_WRONG_INPUT
+    assert runner.invoke(lab, ["audit", str(tmp_path)]).exit_code == EXIT_WRONG_INPUT
+    assert runner.invoke(lab, ["replay", str(malformed)]).exit_code == EXIT_WRONG_INPUT
+    assert runner.invoke(lab, ["retrace", str(tmp_path / "none")]).exit_code == EXIT_WRONG_INPUT
--- /dev/null
+++ b/tests/test_engine_responses.py
@@ -0,0 +1,57 @@
+"""Parsing of engines' responses: bytes cut anywhere, bytes past the end, load reports and error codes."""
+
+from __future__ import annotations
+
+import msgspec
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from runspool.engines.response_parser import MalformedHttpResponseError, ResponseParser
+from runspool.wire import completions
+from runspool.wire import engine_messages as messages
+
+MAX_BYTES = 65536
+
+
+@given(st.lists(st.text(max_size=20), max_size=6), st.lists(st.integers(1, 40), min_size=1, max_size=30))
+def test_events_come_out_whole_however_the_bytes_were_cut(texts: list[str], cuts: list[int]) -> None:
+    chunks = completions.CompletionChunks("q", "m", 0)
+    body = b"".join(chunks.text(text) for text in texts) + b"0\r\n\r\n"
+    raw = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: y\r\n\r\n" + body
+    response, splitter, events = ResponseParser(MAX_BYTES), messages.EventSplitter(MAX_BYTES), []
+    position = turn = 0
+    while position < len(raw):
+        size = cuts[turn % len(cuts)]
+        response.feed(raw[position : position + size])
+        events += splitter.feed(response.take_body())
+        position, turn = position + size, turn + 1
+    assert response.complete and response.status == 200 and response.headers["x"] == "y"
+    assert [messages.parse_response(event).choices[0].text for event in events] == texts
+
+
+def test_bytes_past_the_end_of_a_response_are_malformed() -> None:
+    response = ResponseParser(MAX_BYTES)
+    response.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+    with pytest.raises(MalformedHttpResponseError):
+        response.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+
+
+@given(st.binary(max_size=200))
+def test_no_bytes_make_a_load_report_or_an_error_code_raise(raw: bytes) -> None:
+    messages.load_report("JSON " + raw.decode("latin-1"))
+    assert isinstance(messages.error_code(raw), str)
+
+
+def test_load_report_in_the_published_form_is_parsed() -> None:
+    header = msgspec.json.encode(
+        {"named_metrics": {"kv_cache_usage_perc": 0.25, "prompt_tokens_waiting": 800}}
+    )
+    report = messages.load_report("JSON " + header.decode())
+    assert report is not None
+    assert (report.memory_utilization, report.queued_prompt_tokens, report.slot_utilization) == (
+        0.25,
+        800,
+        None,
+    )
+    assert messages.load_report(None) is messages.load_report("TEXT a=1") is None
--- /dev/null
+++ b/tests/test_idle_watchdog.py
@@ -0,0 +1,21 @@
+"""The watchdog that times out whatever has waited too long for bytes."""
+
+from __future__ import annotations
+
+from runspool.engines.idle_watchdog import IdleWatchdog
+
+
+def test_watchdog_calls_once_for_what_has_waited_too_long_and_for_nothing_else() -> None:
+    now, timed_out = 1_000, []
+    watchdog = IdleWatchdog(lambda: now)
+    late, idle, quick, removed = (
+        watchdog.watch(500, lambda name=name: timed_out.append(name))  # type: ignore[misc]
+        for name in ("late", "idle", "quick", "removed")
+    )
+    late.waiting_since = removed.waiting_since = 1_000
+    watchdog.unwatch(removed)
+    now = 1_600
+    quick.waiting_since = 1_500
+    watchdog.check()
+    watchdog.check()
+    assert (timed_out, late.timed_out, idle.timed_out) == (["late"], True, False)
--- /dev/null
+++ b/tests/test_interning.py
@@ -0,0 +1,16 @@
+"""Names interned to small integers, and when they are forgotten."""
+
+from __future__ import annotations
+
+from runspool.runtime.interning import Interner
+
+
+def test_name_is_forgotten_when_unused_for_long_or_past_the_bound() -> None:
+    interner = Interner(max_names=3, max_age=100)
+    first, second = interner.intern("a", 0), interner.intern("b", 60)
+    assert interner.intern("a", 90) == first  # used again, so b is now the one unused for longest
+    assert interner.intern("c", 161) not in (first, second) and len(interner) == 2
+    assert interner.lookup("b") is None and interner.lookup("a") == first
+    for number, name in enumerate("defg"):
+        interner.intern(name, 162 + number)
+    assert len(interner) == 3 and interner.lookup("a") is None
