--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""An engine that has just started is cold, whatever the wall clock has done meanwhile."""
+"""An engine that has just started is in slow start, however the wall clock was stepped meanwhile."""
 
 from __future__ import annotations
 
@@ -7,35 +7,36 @@
 from runspool.service.wall_clock import WallClock
 
 HOUR_MS = 3_600_000
-ZERO_MS = 1_700_000_000_000.0  # what the wall clock said when the monotonic clock stood at nought
+UNIX_MS_AT_ZERO = 1_700_000_000_000.0  # the wall clock's time when the monotonic clock stood at 0
 NOW = 50_000_000  # tenths of a millisecond
-NOW_MS = ZERO_MS + NOW / 10
+NOW_UNIX_MS = UNIX_MS_AT_ZERO + NOW / 10
 
 
 @pytest.mark.parametrize("step", [-HOUR_MS, 0, HOUR_MS])
-@pytest.mark.parametrize("stepped_there", [False, True])
-def test_a_start_of_a_second_ago_is_one_by_either_clock(step: int, stepped_there: bool) -> None:
-    offsets = [ZERO_MS]
-    clock = WallClock(lambda: offsets[0])
-    assert clock.started(NOW_MS - 20_000, NOW) == NOW - 200_000
-    offsets[0] = ZERO_MS + step
-    told = NOW_MS - 1_000 + (step if stepped_there else 0)
-    started = clock.started(told, NOW)
-    assert started == NOW - 10_000 or (step < 0 and not stepped_there and started >= NOW - 10_000)
+@pytest.mark.parametrize("engine_clock_stepped", [False, True])
+def test_start_a_second_ago_is_recognized_by_either_clock(step: int, engine_clock_stepped: bool) -> None:
+    offset = UNIX_MS_AT_ZERO
+    clock = WallClock(lambda: offset)
+    assert clock.started(NOW_UNIX_MS - 20_000, NOW) == NOW - 200_000
+    offset = UNIX_MS_AT_ZERO + step
+    listed_start = NOW_UNIX_MS - 1_000 + (step if engine_clock_stepped else 0)
+    started_at = clock.started(listed_start, NOW)
+    is_taken_for_later = step < 0 and not engine_clock_stepped and started_at >= NOW - 10_000
+    assert started_at == NOW - 10_000 or is_taken_for_later
 
 
-def test_a_start_in_the_future_by_every_clock_is_now() -> None:
-    assert WallClock(lambda: ZERO_MS).started(NOW_MS + HOUR_MS, NOW) == NOW
+def test_start_in_the_future_by_every_clock_is_now() -> None:
+    assert WallClock(lambda: UNIX_MS_AT_ZERO).started(NOW_UNIX_MS + HOUR_MS, NOW) == NOW
 
 
-def test_long_ago_stays_long_ago() -> None:
-    assert WallClock(lambda: ZERO_MS).started(0, NOW) == 0
+def test_start_long_ago_stays_long_ago() -> None:
+    assert WallClock(lambda: UNIX_MS_AT_ZERO).started(0, NOW) == 0
 
 
-def test_a_slewed_clock_is_one_clock() -> None:
-    offsets = [ZERO_MS]
-    clock = WallClock(lambda: offsets[0])
+def test_slewed_clock_counts_as_one_clock() -> None:
+    offset = UNIX_MS_AT_ZERO
+    clock = WallClock(lambda: offset)
     for _ in range(100):
-        offsets[0] += 4
-        clock.started(NOW_MS, NOW)
+        offset += 4
+        clock.started(NOW_UNIX_MS, NOW)
     assert len(clock.offsets) <= 2
