--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Thousands of engines, hundreds of processes' worth of load: the list, the start, and calls that fail."""
+"""A node in a large fleet: long endpoint lists, ports still in use, system calls that fail."""
 
 from __future__ import annotations
 
@@ -8,49 +8,49 @@
 import os
 import socket
 import sys
-from collections.abc import AsyncIterator
+from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager, suppress
 from pathlib import Path
-from typing import Any
 
 import pytest
 
-from runspool.node import server as node_running
+from runspool.node import server as node_server
 from runspool.scheduling.types import EngineState
-from runspool.transport import tcp as lines
+from runspool.transport import tcp
 from tests.faults import FaultProxy
 from tests.platform import HOST, WAIT, Platform, free_port, post
 
 pytestmark = pytest.mark.anyio
-PAIR = {"r": "prefill", "w": "decode"}
-THOUSANDS = 3_200
+ENGINES = {"r": "prefill", "w": "decode"}  # engine types by the engines' names
+DRAINING_ENGINES = 3_200
+AFTER = "after="  # in a request for changes of the list since a version
 
 
 class LargePlatform(Platform):
-    """Two engines that serve among thousands that drain, and an agent that may be slow."""
+    """Two engines that serve among thousands that drain, and an agent behind a proxy that may be slow."""
 
     def __init__(self, folder: Path) -> None:
-        super().__init__(folder, PAIR)
+        super().__init__(folder, ENGINES)
         self.proxy = FaultProxy(lambda: self.real_agent_port)
         self.real_agent_port = 0
 
     def listed(self, snapshot: bool = True) -> bytes:
-        told = json.loads(super().listed(snapshot))
+        message = json.loads(super().listed(snapshot))
         if snapshot:
-            told["endpoints"] += [
+            message["endpoints"] += [
                 {
-                    "name": f"s-{at:08x}",
-                    "address": f"10.1.{at >> 8}.{at & 255}:8080",
-                    "zone": "ab"[at % 2],
+                    "name": f"s-{number:08x}",
+                    "address": f"10.1.{number >> 8}.{number & 255}:8080",
+                    "zone": "ab"[number % 2],
                     "type": "decode",
-                    "group": at // 12,
+                    "group": number // 12,
                     "status": "leaving",
                     "weight": 1.0,
                     "since_ms": 0,
                 }
-                for at in range(THOUSANDS)
+                for number in range(DRAINING_ENGINES)
             ]
-        return json.dumps(told).encode()
+        return json.dumps(message).encode()
 
     @asynccontextmanager
     async def agent(self) -> AsyncIterator[int]:
@@ -62,39 +62,39 @@
                 await self.proxy.close()
 
 
-async def test_a_list_of_thousands_gets_through_from_a_slow_agent(tmp_path: Path) -> None:
-    """It takes longer than any single wait for bytes, and than a silent agent is given."""
+async def test_list_of_thousands_arrives_from_a_slow_agent(tmp_path: Path) -> None:
+    """It takes longer than the timeout of a single read, and than a silent agent is given."""
     platform = LargePlatform(tmp_path)
     assert len(platform.listed()) > 400_000
     platform.proxy.from_engine.piece, platform.proxy.from_engine.delay = 16_384, 0.03
     async with platform.open():
         platform.tell(r="leaving")
         await platform.logged("endpoint_list_changed")
-        whole = [target for target in platform.lists if "after=" not in target]
-        assert len(whole) <= 6  # not one every tenth of a second, each making the others slower
+        snapshots = [target for target in platform.lists if AFTER not in target]
+        assert len(snapshots) <= 6  # not one every tenth of a second, each making the others slower
         platform.tell(r="active")
         assert (await platform.ask(post("q1"))).whole
 
 
-async def test_an_agent_that_stops_in_the_middle_of_a_long_list_is_asked_anew(tmp_path: Path) -> None:
+async def test_list_is_requested_again_from_an_agent_that_stops_in_the_middle(tmp_path: Path) -> None:
     platform = LargePlatform(tmp_path)
     platform.proxy.from_engine.silent_after = 200_000
-    async with platform.inside(wait=False) as running:
+    async with platform.inside(wait=False) as server:
         await platform.until(lambda: len(platform.lists) > 2)
         platform.proxy.from_engine.silent_after = None
-        await platform.until(lambda: any("after=" in one for one in platform.lists))
-        assert running.executor.engine_records["s-00000001"].state == EngineState.DRAINING
+        await platform.until(lambda: any(AFTER in target for target in platform.lists))
+        assert server.executor.engine_records["s-00000001"].state == EngineState.DRAINING
 
 
-async def test_a_start_waits_for_a_port_that_is_still_held(tmp_path: Path) -> None:
-    """By the process before it, or by a connection that went out from there."""
-    platform = Platform(tmp_path, PAIR)
+async def test_start_waits_for_a_port_that_is_still_in_use(tmp_path: Path) -> None:
+    """By the process before it, or by an outgoing connection of another."""
+    platform = Platform(tmp_path, ENGINES)
     async with platform._around():
-        with socket.socket() as holder:
-            holder.bind((HOST, 0))
-            holder.listen()
-            platform.port = int(holder.getsockname()[1])
-            process = await started(platform)
+        with socket.socket() as listener:
+            listener.bind((HOST, 0))
+            listener.listen()
+            platform.port = int(listener.getsockname()[1])
+            process = await start_node(platform)
             await asyncio.sleep(1.0)
             assert process.returncode is None
         await platform._answers()
@@ -103,24 +103,25 @@
         assert await asyncio.wait_for(process.wait(), WAIT) == 0
 
 
-async def test_a_start_looks_again_at_a_file_that_is_half_written(tmp_path: Path) -> None:
-    platform = Platform(tmp_path, PAIR)
+async def test_start_reads_a_half_written_configuration_again(tmp_path: Path) -> None:
+    platform = Platform(tmp_path, ENGINES)
     async with platform._around():
         platform.port = free_port()
         file = platform.write_config()
-        written = file.read_bytes()
-        file.write_bytes(written[:200])
-        process = await started(platform, write=False)
+        complete = file.read_bytes()
+        file.write_bytes(complete[:200])
+        process = await start_node(platform, write_config=False)
         await asyncio.sleep(0.8)
-        file.write_bytes(written)
+        file.write_bytes(complete)
         await platform._answers()
         assert (await platform.ask(post("q1"))).whole
         process.terminate()
         assert await asyncio.wait_for(process.wait(), WAIT) == 0
 
 
-async def started(platform: Platform, write: bool = True) -> asyncio.subprocess.Process:
-    file = platform.write_config() if write else platform.folder / "config.json"
+async def start_node(platform: Platform, write_config: bool = True) -> asyncio.subprocess.Process:
+    """Start a node's process on the platform's configuration."""
+    file = platform.write_config() if write_config else platform.folder / "config.json"
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -130,7 +131,7 @@
     )
 
 
-ACCEPT_FAULTS = [
+ACCEPT_ERRORS = [
     errno.ECONNABORTED,
     errno.EMFILE,
     errno.ENFILE,
@@ -145,37 +146,41 @@
 ]
 
 
-@pytest.mark.parametrize("fault", [*map(errno.errorcode.__getitem__, ACCEPT_FAULTS), "RuntimeError"])
-async def test_an_accept_that_fails_ends_nothing_and_holds_nobody_up(
+def error_of(fault: str) -> Exception:
+    """The exception by an errno's name, or a RuntimeError."""
+    if fault == "RuntimeError":
+        return RuntimeError("of the event loop")
+    return OSError(getattr(errno, fault), fault)
+
+
+@pytest.mark.parametrize("fault", [*map(errno.errorcode.__getitem__, ACCEPT_ERRORS), "RuntimeError"])
+async def test_failing_accept_ends_nothing_and_delays_nobody(
     fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, ENGINES)
     failures = 20
 
-    async def fails(listening: socket.socket) -> socket.socket:
+    async def fail(listener: socket.socket) -> socket.socket:
         nonlocal failures
-        taken = await next_connection(listening)
+        accepted = await next_connection(listener)
         if failures:
             failures -= 1
-            taken.close()
-            raise (
-                RuntimeError("of the loop")
-                if fault == "RuntimeError"
-                else OSError(getattr(errno, fault), fault)
-            )
-        return taken
-
-    next_connection = lines.next_connection
-    async with platform.inside() as running:
-        monkeypatch.setattr(lines, "next_connection", fails)
-        await refused_until(platform, lambda: not failures)
+            accepted.close()
+            raise error_of(fault)
+        return accepted
+
+    next_connection = tcp.next_connection
+    async with platform.inside() as server:
+        monkeypatch.setattr(tcp, "next_connection", fail)
+        await connect_until(platform, lambda: not failures)
         assert (await platform.ask(post("q1"))).whole
-        assert not platform.run.done() and running.port == platform.port
+        assert not platform.run.done() and server.port == platform.port
 
 
-async def refused_until(platform: Platform, true: Any) -> None:
+async def connect_until(platform: Platform, condition: Callable[[], bool]) -> None:
+    """Send requests on connections that are closed at once, until a condition holds."""
     async with asyncio.timeout(WAIT):
-        while not true():
+        while not condition():
             client = await platform.client()
             client.send(post("x"))
             with suppress(OSError):
@@ -183,7 +188,7 @@
             client.close()
 
 
-DIAL_FAULTS = [
+CONNECT_ERRORS = [
     errno.ECONNREFUSED,
     errno.EADDRNOTAVAIL,
     errno.ENETUNREACH,
@@ -197,46 +202,42 @@
 ]
 
 
-@pytest.mark.parametrize("fault", [*map(errno.errorcode.__getitem__, DIAL_FAULTS), "RuntimeError"])
-async def test_a_connection_that_cannot_be_made_never_ran_whatever_the_reason(
+@pytest.mark.parametrize("fault", [*map(errno.errorcode.__getitem__, CONNECT_ERRORS), "RuntimeError"])
+async def test_failed_connect_counts_as_not_executed_whatever_the_reason(
     fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, ENGINES)
     failed = False
 
-    async def fails(address: tuple[str, int], source: str | None) -> lines.TcpConnection:
+    async def fail_once(address: tuple[str, int], source: str | None) -> tcp.TcpConnection:
         nonlocal failed
         if address[1] == platform.engines["w"].port and not failed:
             failed = True
-            raise (
-                RuntimeError("of the loop")
-                if fault == "RuntimeError"
-                else OSError(getattr(errno, fault), fault)
-            )
-        return await dial(address, source)
-
-    dial = lines.connect
+            raise error_of(fault)
+        return await connect(address, source)
+
+    connect = tcp.connect
     async with platform.inside():
-        monkeypatch.setattr("runspool.engines.connection_pool.connect", fails)
-        answer = await platform.ask(post("q1", "book"))  # an effect that must not be had twice
+        monkeypatch.setattr("runspool.engines.connection_pool.connect", fail_once)
+        answer = await platform.ask(post("q1", "book"))  # an effect that must not happen twice
         assert failed and answer.whole and answer.status == 200
 
 
-async def test_a_standing_task_that_fails_again_and_again_does_not_fill_the_log(
+async def test_background_task_that_fails_again_and_again_is_restarted_slowly(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, ENGINES)
     failures = 0
 
-    async def fails() -> None:
+    async def fail() -> None:
         nonlocal failures
         failures += 1
-        raise RuntimeError("a fault that stays")
+        raise RuntimeError("a lasting fault")
 
-    async with platform.inside() as running:
-        task = asyncio.ensure_future(running._keep_running(fails))
+    async with platform.inside() as server:
+        task = asyncio.ensure_future(server._keep_running(fail))
         await asyncio.sleep(1.0)
         assert 3 <= failures <= 10
         assert (await platform.ask(post("q1"))).whole
         task.cancel()
-    assert node_running.RESTART_DELAY_SECONDS < node_running.MAX_RESTART_DELAY_SECONDS
+    assert node_server.RESTART_DELAY_SECONDS < node_server.MAX_RESTART_DELAY_SECONDS
