--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -1,8 +1,10 @@
-"""Every stage of a query, ended in every way: one final answer at most, nothing after it, nothing left."""
+"""Every stage of a request, ended in every way: at most one final response, nothing after it, no leaks."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from contextlib import suppress
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -11,9 +13,11 @@
 import pytest
 
 from runspool.engines.failure_classification import FailureCause
+from runspool.service.front import Front
+from runspool.service.pending_completion import PendingCompletion
 from runspool.service.pending_request import FinalResponse, ResponseKind
 from runspool.service.timer_queue import DeadlineGuardTimer
-from runspool.transport import tcp as lines
+from runspool.transport import tcp
 from runspool.wire.completions import parse_completion_request
 from tests import simulated_clock
 from tests.simulation.context import TokenCounts
@@ -22,299 +26,395 @@
 from tests.simulation.simulation import Simulation
 from tests.town import Answered, Town, answered
 
-KINDS = ["prefill", "decode"]
-LIMIT_MS = 900
-LONG_MS = 20_000
-
-
-class Query:
-    """One exclusive query on a connection of its own, and what its client got."""
-
-    def __init__(self, town: Town, limit_ms: int) -> None:
-        self.town, self.limit_ms = town, limit_ms
+ENGINE_TYPES = ["prefill", "decode"]
+PREFILL, DECODE = 0, 1
+
+POLL_SECONDS = 0.005
+END_TIMEOUT_SECONDS = 15
+LEAK_TIMEOUT_SECONDS = 8
+
+TIME_LIMIT_MS = 900
+TIME_LIMIT_WHEN_QUEUED_MS = 4_000
+TIME_LIMIT_WHEN_ENGINE_LOST_MS = 3_000
+LONG_TIME_LIMIT_MS = 20_000
+DRAIN_MS = 100
+STATE_RELEASE_TIMEOUT = 20_000  # so long that a state stays until something ends it
+
+# Stages.
+HALF_RECEIVED = "half received"
+QUEUED = "queued"
+PREFILL_IN_PROGRESS = "prefill in progress"
+STATE_RESERVED = "state reserved"
+CONNECTING = "connecting to the decode engine"
+DECODE_IN_PROGRESS = "decode in progress"
+STREAMING = "streaming"
+
+# Ways to end it.
+CLIENT_DISCONNECTS = "client disconnects"
+TIME_LIMIT = "time limit"
+ENGINE_LOST = "engine lost"
+SHUTDOWN = "shutdown"
+
+# What the client gets: the kind of an error by the word of the wire, or a status.
+SUCCEEDED = "succeeded"
+REJECTED = "dismissed"
+INDETERMINATE = "scrapped"
+CONNECTION_CUT = "cut"
+REQUEST_TIMEOUT = "408"
+
+
+class ClientRequest:
+    """One at-most-once request on a connection of its own, and what its client got."""
+
+    def __init__(self, cluster: Town, time_limit_ms: int) -> None:
+        self.cluster = cluster
+        self.time_limit_ms = time_limit_ms
         self.scope = anyio.CancelScope()
-        self.got: Answered | None = None
-        self.part = b""
-        self.cut: Exception | None = None
-        self.over = anyio.Event()
+        self.response: Answered | None = None
+        self.ended = anyio.Event()
 
-    async def ask(self, out: int, tokens: int = 50, half: bool = False) -> None:
+    async def send(self, output_tokens: int, prompt_words: int = 50, half: bool = False) -> None:
+        """Send it, or only the head and some of the body, and read the response."""
         body = msgspec.json.encode(
             {
-                "prompt": "abcd" * tokens,
+                "prompt": "abcd" * prompt_words,
                 "max_tokens": 2000,
                 "stream": True,
-                "standin": {"try": "t", "out": out},
+                "standin": {"try": "t", "out": output_tokens},
             }
         )
         head = (
             f"POST /v1/completions HTTP/1.1\r\nHost: x\r\nRunspool-Tariff: book\r\nConnection: close\r\n"
-            f"Runspool-Limit-Ms: {self.limit_ms}\r\nContent-Length: {len(body)}\r\n\r\n"
+            f"Runspool-Limit-Ms: {self.time_limit_ms}\r\nContent-Length: {len(body)}\r\n\r\n"
         ).encode()
         with self.scope:
-            async with await anyio.connect_tcp("127.0.0.1", self.town.port) as stream:
+            async with await anyio.connect_tcp("127.0.0.1", self.cluster.port) as stream:
                 await stream.send(head + (body[:20] if half else body))
-                try:
-                    self.got = await answered(stream)
-                except Exception as fault:
-                    self.cut = fault
-        self.over.set()
+                # A connection that was cut leaves `response` None, which answer_kind() tells.
+                with suppress(Exception):
+                    self.response = await answered(stream)
+        self.ended.set()
+
 
+# How a request comes to a stage; each returns once it is there.
 
-# How a query comes to a stage; returns once it is there.
+ReachStage = Callable[[Town, pytest.MonkeyPatch], Awaitable[None]]
 
-Stage = Callable[[Town, Query, Any], Awaitable[None]]
 
+async def poll_until(condition: Callable[[], object]) -> None:
+    """Wait until a condition holds."""
+    while not condition():
+        await anyio.sleep(POLL_SECONDS)
 
-async def half_read(town: Town, query: Query, patch: Any) -> None:
-    while not town.running.active_requests:
-        await anyio.sleep(0.005)
 
+async def reach_half_received(cluster: Town, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The front has the head and a part of the body."""
+    await poll_until(lambda: cluster.running.active_requests)
 
-async def in_the_line(town: Town, query: Query, patch: Any) -> None:
-    while not town.running.front.first_driver.scheduler.prefill_queue:
-        await anyio.sleep(0.005)
 
+async def reach_queued(cluster: Town, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The request waits at the front for a prefill engine."""
+    await poll_until(lambda: cluster.running.front.first_driver.scheduler.prefill_queue)
 
-async def read_out(town: Town, query: Query, patch: Any) -> None:
-    await town.until("arrived", stage="read")
 
+async def reach_prefill(cluster: Town, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The prefill engine has the request."""
+    await cluster.until("arrived", stage="read")
 
-async def state_held(town: Town, query: Query, patch: Any) -> None:
-    await town.until("arrived", stage="read")
-    town.tell(1, "draining")
-    while town.running.front.first_driver.scheduler.engines[1].ready:
-        await anyio.sleep(0.005)
-    town.engines[0].fault("hang", on=False)
-    await town.until("held")
-    while not any(taken.state for taken in town.running.front.requests.values()):
-        await anyio.sleep(0.005)
 
+async def reach_state_reserved(cluster: Town, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The prefill has completed, and no decode engine is to be had."""
+    await cluster.until("arrived", stage="read")
+    cluster.tell(DECODE, "draining")
+    await poll_until(lambda: not cluster.running.front.first_driver.scheduler.engines[DECODE].ready)
+    cluster.engines[PREFILL].fault("hang", on=False)
+    await cluster.until("held")
+    await poll_until(lambda: any(pending.state for pending in cluster.running.front.requests.values()))
 
-async def being_placed(town: Town, query: Query, patch: Any) -> None:
-    dialled, sound = anyio.Event(), lines.connect
 
-    async def dial(address: tuple[str, int], source: str | None) -> lines.TcpConnection:
-        if address[1] != town.plan.engines[1].port:
-            return await sound(address, source)
-        dialled.set()
+async def reach_connecting(cluster: Town, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The front waits for a connection to the decode engine."""
+    connecting, connect = anyio.Event(), tcp.connect
+
+    async def hang_at_decode_engine(address: tuple[str, int], source: str | None) -> tcp.TcpConnection:
+        if address[1] != cluster.plan.engines[DECODE].port:
+            return await connect(address, source)
+        connecting.set()
         await anyio.sleep_forever()
         raise AssertionError
 
-    patch.setattr("runspool.engines.connection_pool.connect", dial)
-    town.engines[0].fault("hang", on=False)
-    await dialled.wait()
+    monkeypatch.setattr("runspool.engines.connection_pool.connect", hang_at_decode_engine)
+    cluster.engines[PREFILL].fault("hang", on=False)
+    await connecting.wait()
 
 
-async def write_out(town: Town, query: Query, patch: Any) -> None:
-    await town.until("arrived", stage="write")
+async def reach_decode(cluster: Town, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The decode engine has the request."""
+    await cluster.until("arrived", stage="write")
 
 
-async def streaming(town: Town, query: Query, patch: Any) -> None:
-    await town.until("ran")
-    while not any(taken.stream_started for taken in town.running.front.requests.values()):
-        await anyio.sleep(0.005)
+async def reach_streaming(cluster: Town, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The client's stream has started."""
+    await cluster.until("ran")
+    await poll_until(
+        lambda: any(pending.stream_started for pending in cluster.running.front.requests.values())
+    )
 
 
-# Stage: how to come there, which engines hang, how long the answer is, the engine whose loss ends it, and
-# which kinds of final answer a client that stays may get for its limit, the loss and the stop.
-STAGES: dict[str, tuple[Stage, list[int], int, int, dict[str, set[str]]]] = {
-    "half read": (half_read, [], 5, 0, {"limit": {"408"}, "loss": {"408"}, "stop": {"cut", "408"}}),
-    "in the line": (
-        in_the_line,
-        [0],
-        5,
-        0,
-        {"limit": {"dismissed"}, "loss": {"dismissed"}, "stop": {"dismissed", "scrapped"}},
-    ),
-    "read out": (
-        read_out,
-        [0],
-        5,
-        0,
-        {"limit": {"dismissed"}, "loss": {"dismissed"}, "stop": {"dismissed", "scrapped"}},
-    ),
-    "state held": (
-        state_held,
-        [0],
+@dataclass(frozen=True)
+class Stage:
+    """A stage and what the client may get there.
+
+    `hanging_engines` hang from the start until the request has ended. `lost_engine` is the one whose loss
+    ends it. `answers` are the kinds of final response that a client that stays may get, by the way in which
+    the request ends.
+    """
+
+    reach: ReachStage
+    hanging_engines: tuple[int, ...]
+    output_tokens: int
+    lost_engine: int
+    answers: dict[str, set[str]]
+
+
+NOT_EXECUTED_ANSWERS = {
+    TIME_LIMIT: {REJECTED},
+    ENGINE_LOST: {REJECTED},
+    SHUTDOWN: {REJECTED, INDETERMINATE},
+}
+STAGES = {
+    HALF_RECEIVED: Stage(
+        reach_half_received,
+        (),
         5,
-        0,
-        {"limit": {"dismissed"}, "loss": {"dismissed"}, "stop": {"dismissed", "scrapped"}},
+        PREFILL,
+        {
+            TIME_LIMIT: {REQUEST_TIMEOUT},
+            ENGINE_LOST: {REQUEST_TIMEOUT},
+            SHUTDOWN: {CONNECTION_CUT, REQUEST_TIMEOUT},
+        },
     ),
-    "being placed": (
-        being_placed,
-        [0],
+    QUEUED: Stage(reach_queued, (PREFILL,), 5, PREFILL, NOT_EXECUTED_ANSWERS),
+    PREFILL_IN_PROGRESS: Stage(reach_prefill, (PREFILL,), 5, PREFILL, NOT_EXECUTED_ANSWERS),
+    STATE_RESERVED: Stage(reach_state_reserved, (PREFILL,), 5, PREFILL, NOT_EXECUTED_ANSWERS),
+    CONNECTING: Stage(reach_connecting, (PREFILL,), 5, PREFILL, NOT_EXECUTED_ANSWERS),
+    DECODE_IN_PROGRESS: Stage(
+        reach_decode,
+        (DECODE,),
         5,
-        0,
-        {"limit": {"dismissed"}, "loss": {"dismissed"}, "stop": {"dismissed", "scrapped"}},
+        DECODE,
+        {TIME_LIMIT: {INDETERMINATE}, ENGINE_LOST: {INDETERMINATE}, SHUTDOWN: {INDETERMINATE}},
     ),
-    "write out": (write_out, [1], 5, 1, {"limit": {"scrapped"}, "loss": {"scrapped"}, "stop": {"scrapped"}}),
-    "streaming": (
-        streaming,
-        [],
+    STREAMING: Stage(
+        reach_streaming,
+        (),
         150,
-        1,
-        {"limit": {"succeeded"}, "loss": {"scrapped"}, "stop": {"scrapped"}},
+        DECODE,
+        {TIME_LIMIT: {SUCCEEDED}, ENGINE_LOST: {INDETERMINATE}, SHUTDOWN: {INDETERMINATE}},
     ),
 }
 
 
-def kind_of(query: Query) -> str:
-    got = query.got
-    if got is None:
-        return "cut"
-    if got.status == 200:
-        return (
-            "succeeded"
-            if got.body.endswith(b"data: [DONE]\n\n")
-            else ("scrapped" if b'"type":"scrapped"' in got.body else "cut")
-        )
-    return str(got.error["type"]) if got.status in (503, 424) else str(got.status)
+def answer_kind(request: ClientRequest) -> str:
+    """The kind of final response that the client got."""
+    response = request.response
+    if response is None:
+        return CONNECTION_CUT
+    if response.status == 200:
+        if response.body.endswith(b"data: [DONE]\n\n"):
+            return SUCCEEDED
+        return INDETERMINATE if b'"type":"scrapped"' in response.body else CONNECTION_CUT
+    return str(response.error["type"]) if response.status in (503, 424) else str(response.status)
 
 
-def pinned(town: Town, way: str) -> list[str]:
-    """What is still held anywhere; after a stop by engines and the front's books alone."""
-    front = town.running.front
-    states = [f"{one.make.name} holds {one.model.states}" for one in town.engines if one.model.states]
-    if way == "stop":
+def leaks(cluster: Town, way: str) -> list[str]:
+    """What is still held anywhere; after a shutdown by the engines and the front's accounting alone."""
+    front = cluster.running.front
+    states = [
+        f"{engine.make.name} holds {engine.model.states}" for engine in cluster.engines if engine.model.states
+    ]
+    if way == SHUTDOWN:
         return leaked_state(front) + states
-    idle = {address: len(links) for address, links in front.engine_client.pool.idle.items()}
-    found = leaked_state(front)
-    found += [
+    return leaked_state(front) + _leaked_connections(front) + states
+
+
+def _leaked_connections(front: Front) -> list[str]:
+    client = front.engine_client
+    idle_counts = {address: len(connections) for address, connections in client.pool.idle.items()}
+    found = [
         f"open {address}: {count}"
-        for address, count in front.engine_client.pool.open_counts.items()
-        if count != idle.get(address, 0)
+        for address, count in client.pool.open_counts.items()
+        if count != idle_counts.get(address, 0)
     ]
-    found += [f"watched {one}" for one in front.engine_client.watchdog.watched]
+    found += [f"watched {watched}" for watched in client.watchdog.watched]
     found += [f"releasing {front.releases_in_progress}"] if front.releases_in_progress else []
-    return found + states
+    return found
+
+
+def time_limit_of(stage: str, way: str) -> int:
+    """The request's time limit: long, where something else is to end it."""
+    if way == TIME_LIMIT:
+        return TIME_LIMIT_WHEN_QUEUED_MS if stage == QUEUED else TIME_LIMIT_MS
+    return TIME_LIMIT_WHEN_ENGINE_LOST_MS if way == ENGINE_LOST else LONG_TIME_LIMIT_MS
+
+
+def end_request(cluster: Town, way: str, request: ClientRequest, lost_engine: int) -> None:
+    """Have the request end; by its time limit it ends by itself."""
+    if way == CLIENT_DISCONNECTS:
+        request.scope.cancel()
+    elif way == ENGINE_LOST:
+        cluster.kill(lost_engine)
+        cluster.tell(lost_engine, "gone")
+    elif way == SHUTDOWN:
+        cluster.running.stop()
 
 
 @pytest.mark.anyio
-@pytest.mark.parametrize("way", ["cancel", "limit", "loss", "stop"])
+@pytest.mark.parametrize("way", [CLIENT_DISCONNECTS, TIME_LIMIT, ENGINE_LOST, SHUTDOWN])
 @pytest.mark.parametrize("stage", STAGES)
-async def test_a_stage_ends_cleanly(
+async def test_request_ends_cleanly_at_every_stage(
     stage: str, way: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    come, hung, out, lost, kinds = STAGES[stage]
-    town = Town(tmp_path, KINDS, drain_ms=100, body_ms=LIMIT_MS if way != "cancel" else LONG_MS)
-    town.plan.release_within = 20_000  # a state held stays so until something ends it
-    limit = LIMIT_MS if stage != "in the line" else 4_000
-    query = Query(town, limit if way == "limit" else LONG_MS if way != "loss" else 3_000)
-    first = Query(town, LONG_MS)
-    async with town.open(), anyio.create_task_group() as tasks:
-        for at in {*hung, *([0] if stage in ("state held", "being placed") else [])}:
-            town.engines[at].fault("hang", on=True)
-        if stage == "in the line":
-            tasks.start_soon(first.ask, 5, 5_000)  # longer than the line is let grow
-            await town.until("arrived", stage="read")
-        tasks.start_soon(query.ask, out, 50, stage == "half read")
-        with anyio.fail_after(15):
-            await come(town, query, monkeypatch)
-            match way:
-                case "cancel":
-                    query.scope.cancel()
-                case "loss":
-                    town.kill(lost)
-                    town.tell(lost, "gone")
-                case "stop":
-                    town.running.stop()
-            await query.over.wait()
-            first.scope.cancel()
-            for at in hung:
-                town.engines[at].fault("hang", on=False)  # what it was told meanwhile it hears now
-        with anyio.move_on_after(8):
-            while pinned(town, way):
+    case = STAGES[stage]
+    body_ms = TIME_LIMIT_MS if way != CLIENT_DISCONNECTS else LONG_TIME_LIMIT_MS
+    cluster = Town(tmp_path, ENGINE_TYPES, drain_ms=DRAIN_MS, body_ms=body_ms)
+    cluster.plan.release_within = STATE_RELEASE_TIMEOUT
+    request = ClientRequest(cluster, time_limit_of(stage, way))
+    earlier_request = ClientRequest(cluster, LONG_TIME_LIMIT_MS)
+    async with cluster.open(), anyio.create_task_group() as tasks:
+        for engine in case.hanging_engines:
+            cluster.engines[engine].fault("hang", on=True)
+        if stage == QUEUED:
+            # So long that the next request is queued at the front.
+            tasks.start_soon(earlier_request.send, 5, 5_000)
+            await cluster.until("arrived", stage="read")
+        tasks.start_soon(request.send, case.output_tokens, 50, stage == HALF_RECEIVED)
+        with anyio.fail_after(END_TIMEOUT_SECONDS):
+            await case.reach(cluster, monkeypatch)
+            end_request(cluster, way, request, case.lost_engine)
+            await request.ended.wait()
+            earlier_request.scope.cancel()
+            for engine in case.hanging_engines:
+                cluster.engines[engine].fault("hang", on=False)  # it now sees what came meanwhile
+        with anyio.move_on_after(LEAK_TIMEOUT_SECONDS):
+            while leaks(cluster, way):
                 await anyio.sleep(0.01)
-        assert pinned(town, way) == []
-        if way != "cancel":
-            assert kind_of(query) in kinds[way]
-        writes = town.seen("arrived", stage="write")
-        assert len(writes) == (stage in ("write out", "streaming"))
-        assert town.running.front.counts["accepted"] == (
-            0 if stage == "half read" else 2 if stage == "in the line" else 1
+        assert leaks(cluster, way) == []
+        if way != CLIENT_DISCONNECTS:
+            assert answer_kind(request) in case.answers[way]
+        decodes = cluster.seen("arrived", stage="write")
+        assert len(decodes) == (stage in (DECODE_IN_PROGRESS, STREAMING))
+        assert cluster.running.front.counts["accepted"] == (
+            0 if stage == HALF_RECEIVED else 2 if stage == QUEUED else 1
         )
         tasks.cancel_scope.cancel()
 
 
 @pytest.mark.anyio
-async def test_a_stop_waits_for_states_to_be_let_go(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Three calls are lost: the fourth comes when the answer has long been written."""
-    town = Town(tmp_path, KINDS, drain_ms=100)
-    town.plan.release_within = 20_000
-    query = Query(town, LONG_MS)
-    async with town.open(), anyio.create_task_group() as tasks:
-        caller, calls = town.running.front.engine_client, []
-        sound = caller.release_state
-
-        async def release(*said: Any) -> FailureCause | None:
-            calls.append(said)
-            return FailureCause.CONNECT_FAILED if len(calls) < 4 else await sound(*said)
-
-        monkeypatch.setattr(caller, "release_state", release)
-        town.engines[0].fault("hang", on=True)
-        tasks.start_soon(query.ask, 5)
-        with anyio.fail_after(15):
-            await state_held(town, query, monkeypatch)
-            town.running.stop()
-            await query.over.wait()
-            await town.until("released")
+async def test_shutdown_waits_for_states_to_be_released(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Three calls are lost: the fourth comes when the response has long been sent."""
+    cluster = Town(tmp_path, ENGINE_TYPES, drain_ms=DRAIN_MS)
+    cluster.plan.release_within = STATE_RELEASE_TIMEOUT
+    request = ClientRequest(cluster, LONG_TIME_LIMIT_MS)
+    async with cluster.open(), anyio.create_task_group() as tasks:
+        client, calls = cluster.running.front.engine_client, []
+        release_state = client.release_state
+
+        async def lose_three_calls(*arguments: Any) -> FailureCause | None:
+            calls.append(arguments)
+            return FailureCause.CONNECT_FAILED if len(calls) < 4 else await release_state(*arguments)
+
+        monkeypatch.setattr(client, "release_state", lose_three_calls)
+        cluster.engines[PREFILL].fault("hang", on=True)
+        tasks.start_soon(request.send, 5)
+        with anyio.fail_after(END_TIMEOUT_SECONDS):
+            await reach_state_reserved(cluster, monkeypatch)
+            cluster.running.stop()
+            await request.ended.wait()
+            await cluster.until("released")
         tasks.cancel_scope.cancel()
 
 
+# Two ends at one instant, on one simulated clock, as no socket could bring them about.
+
+
+class RecordingListener:
+    """A client's end of a stream."""
+
+    def __init__(self) -> None:
+        self.received: list[str] = []
+
+    async def stream_started(self) -> None:
+        self.received.append("stream started")
+
+    async def data_received(self, text: str) -> None:
+        self.received.append(text)
+
+
+async def start_simulation(simulation: Simulation) -> Front:
+    """Start the engines and the only front."""
+    for engine in simulation.cluster.engines:
+        engine.start(cold=False)
+    simulation.cluster.start_fronts(with_list=True)
+    await anyio.sleep(0.01)
+    return simulation.cluster.fronts[0].front
+
+
+async def prefilled_request(
+    simulation: Simulation, front: Front, listener: RecordingListener
+) -> PendingCompletion:
+    """An at-most-once request whose prefill's state is reserved."""
+    simulation.context.token_counts["1.1"] = TokenCounts(500, 3)
+    headers = {"runspool-tariff": "book", "runspool-mark": "1.1", "runspool-limit-ms": "2000"}
+    completion = parse_completion_request(headers, b'{"prompt": "x", "stream": true}', front.config)
+    pending = front.submit(completion, listener, simulated_clock.now())
+    while not any(event["what"] == "held" for event in simulation.events):
+        await anyio.sleep(0.0001)
+    return pending
+
+
+async def end_twice(simulation: Simulation, order: str) -> None:
+    """End a request, whose prefill's state is reserved, in two ways at once: the first one counts."""
+    front = await start_simulation(simulation)
+    listener = RecordingListener()
+    pending = await prefilled_request(simulation, front, listener)
+    guard = DeadlineGuardTimer(pending.index)
+    ends: dict[str, Callable[[], object]] = {
+        "disconnect": lambda: front.client_disconnected(pending),
+        "time limit": lambda: front._timer_fired(guard),
+        "success": lambda: front.finish(pending, FinalResponse(ResponseKind.SUCCEEDED)),
+    }
+    first, second = order.split(" and ")
+    ends[first]()
+    final_response = pending.final_response
+    ends[second]()
+    assert pending.final_response is final_response
+    received_before = len(listener.received)
+    await anyio.sleep(5)
+    assert listener.received[received_before:] == []
+    assert leaked_state(front) == []
+    assert not any(engine.reserved_states for engine in simulation.cluster.engines)
+    assert sum(front.counts[kind.value] for kind in ResponseKind) == 1
+
+
 @pytest.mark.parametrize(
-    "order", ["cancel and limit", "limit and cancel", "end and cancel", "cancel and end"]
+    "order",
+    [
+        "disconnect and time limit",
+        "time limit and disconnect",
+        "success and disconnect",
+        "disconnect and success",
+    ],
 )
 def test_two_ends_at_one_instant_are_one(order: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """On one simulated clock, as no socket could bring it about; a reader's state is out both times."""
     simulated_clock.install(monkeypatch)
 
-    async def play() -> None:
+    async def run() -> None:
         simulation = Simulation(1, SimulationSettings(front_count=1, failing_attempt_share=0))
         async with anyio.create_task_group() as simulation.context.tasks:
-            await _one(simulation)
+            await end_twice(simulation, order)
             simulation.context.tasks.cancel_scope.cancel()
 
-    async def _one(simulation: Simulation) -> None:
-        for engine in simulation.cluster.engines:
-            engine.start(cold=False)
-        simulation.cluster.start_fronts(with_list=True)
-        await anyio.sleep(0.01)
-        front = simulation.cluster.fronts[0].front
-        simulation.context.token_counts["1.1"] = TokenCounts(500, 3)
-        told: list[str] = []
-        wish = parse_completion_request(
-            {"runspool-tariff": "book", "runspool-mark": "1.1", "runspool-limit-ms": "2000"},
-            b'{"prompt": "x", "stream": true}',
-            front.config,
-        )
-
-        class Reply:
-            async def stream_started(self) -> None:
-                told.append("begun")
-
-            async def data_received(self, text: str) -> None:
-                told.append(text)
-
-        taken = front.submit(wish, Reply(), simulated_clock.now())
-        while not any(event["what"] == "held" for event in simulation.events):
-            await anyio.sleep(0.0001)
-        guard = DeadlineGuardTimer(taken.index)
-        ends: dict[str, Callable[[], object]] = {
-            "cancel": lambda: front.client_disconnected(taken),
-            "limit": lambda: front._timer_fired(guard),
-            "end": lambda: front.finish(taken, FinalResponse(ResponseKind.SUCCEEDED)),
-        }
-        first, second = order.split(" and ")
-        ends[first]()
-        final = taken.final_response
-        ends[second]()
-        assert taken.final_response is final
-        before = len(told)
-        await anyio.sleep(5)
-        assert told[before:] == []
-        assert leaked_state(front) == []
-        assert not any(engine.reserved_states for engine in simulation.cluster.engines)
-        assert sum(front.counts[kind.value] for kind in ResponseKind) == 1
-
-    simulated_clock.run(play())
+    simulated_clock.run(run())
