--- /dev/null
+++ b/tests/migration_model.py
@@ -0,0 +1,266 @@
+"""A model of two fronts and one request while a tenant moves, explored in every interleaving.
+
+The fronts adopt published maps in any order and may be killed; an operator plans, undoes and finishes moves;
+the client retries. Requests do not meet in a move: each is placed by map, clock and its own ticket, so one
+stands for any number.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from contextlib import suppress
+from dataclasses import dataclass, replace
+from typing import Any
+
+from runspool.cells import tenant_migration
+from runspool.cells.cell_map import CellMap, Move
+from runspool.cells.tenant_migration import CellChoice, MigrationRefusedError, TenantMigrations
+from tests.cell_maps import cell_map_with
+
+WINDOW = 50_000  # in which repeats with a ticket are recognized; tenths of a millisecond
+TICK_MS = WINDOW // 10 // 2  # a window is two ticks
+TICK = TICK_MS * 10
+TICKS_PER_WINDOW = 2
+MOVE_STARTS_MS = 2 * TICK_MS
+REQUEST_DURATION = 10 * TICK_MS  # at most; one tick, in tenths of a millisecond
+BINDING_TIME = WINDOW + REQUEST_DURATION
+
+LAST_TICK = 4  # with 5: 588,682 and 201,272 states, none wrong, in 47 s
+MAX_MAPS = 3
+MAX_ATTEMPTS = 2
+MAX_KILLS = 1
+
+NOT_SENT = -1  # in place of a front's number
+TICKET = "k"
+
+# How an attempt ended for the client.
+UNKNOWN = "unknown"
+REJECTED = "dismissed"
+
+# Idempotency, by the words of configuration.
+AT_MOST_ONCE = "exclusive"
+KEYED = "ticketed"
+
+ChooseCell = Callable[..., CellChoice]
+
+
+def move(name: str = "m", starts_unix_ms: int = MOVE_STARTS_MS) -> Move:
+    """The tenant's move from cell a to cell b."""
+    return Move.model_validate(
+        {"id": name, "tenant": "t", "source": "a", "target": "b", "starts_unix_ms": starts_unix_ms}
+    )
+
+
+MAP_BEFORE_MOVE = cell_map_with("a", "b", "c", tenants={"t": "a"})
+MAP_WITH_MOVE = tenant_migration.plan_move(MAP_BEFORE_MOVE, move(), [])
+
+
+@dataclass(frozen=True)
+class FrontState:
+    """What a front knows; `ticket` is the request's cell and until when the ticket binds it."""
+
+    cell_map: CellMap
+    adopted_unix_ms: int = 0
+    ticket: tuple[str, int] | None = None
+
+
+@dataclass(frozen=True)
+class State:
+    """A state of the model.
+
+    `in_progress_at` is the front that has the request now, `last_front` the one that had it last,
+    `admitted_at` the tick at which it got it. `executions` are the cells in which the request had its effect,
+    with the tick.
+    """
+
+    published: tuple[CellMap, ...]
+    tick: int
+    fronts: tuple[FrontState, FrontState]
+    idempotency: str
+    attempts: int = 0
+    in_progress_at: int = NOT_SENT
+    cell: str = ""
+    executions: tuple[tuple[str, int], ...] = ()
+    last_result: str = ""
+    last_front: int = NOT_SENT
+    kills: int = 0
+    admitted_at: int = 0
+
+    @property
+    def unix_ms(self) -> int:
+        """The time on the wall clock."""
+        return self.tick * TICK_MS
+
+
+def next_states(state: State, choose_cell: ChooseCell = TenantMigrations.choose_cell) -> list[State]:
+    """Every state one step on."""
+    return (
+        _clock_steps(state)
+        + _operator_steps(state)
+        + [step for number in range(len(state.fronts)) for step in _front_steps(state, number)]
+        + _request_steps(state, choose_cell)
+    )
+
+
+def _clock_steps(state: State) -> list[State]:
+    """A request ends within its time limit, one tick here, and the clock cannot pass that."""
+    is_request_due = state.in_progress_at >= 0 and state.tick > state.admitted_at
+    if state.tick >= LAST_TICK or is_request_due:
+        return []
+    return [replace(state, tick=state.tick + 1)]
+
+
+def _operator_steps(state: State) -> list[State]:
+    if len(state.published) >= MAX_MAPS:
+        return []
+    changes = _cached_changes(state.published[-1], f"m{len(state.published)}", state.unix_ms)
+    return [replace(state, published=(*state.published, cell_map)) for cell_map in changes]
+
+
+def _front_steps(state: State, number: int) -> list[State]:
+    """The front adopts a newer map, or is killed."""
+    front = state.fronts[number]
+    steps = [
+        _with_front(state, number, replace(front, cell_map=cell_map, adopted_unix_ms=state.unix_ms))
+        for cell_map in state.published
+        if cell_map.version > front.cell_map.version
+    ]
+    if state.kills < MAX_KILLS:
+        # Its map, and when it adopted it, are on disk; its tickets are lost, and what it had in progress is
+        # unknown to clients.
+        killed = _with_front(state, number, replace(front, ticket=None))
+        if state.in_progress_at == number:
+            killed = replace(killed, in_progress_at=NOT_SENT, last_result=UNKNOWN)
+        steps.append(replace(killed, kills=state.kills + 1))
+    return steps
+
+
+def _request_steps(state: State, choose_cell: ChooseCell) -> list[State]:
+    if state.in_progress_at >= 0:
+        return _ends_of_attempt(state)
+    if state.attempts >= MAX_ATTEMPTS:
+        return []
+    steps = []
+    for number in range(len(state.fronts)):
+        if _may_send(state, number):
+            steps += _sent_to(state, number, choose_cell)
+    return steps
+
+
+def _ends_of_attempt(state: State) -> list[State]:
+    steps = [replace(state, in_progress_at=NOT_SENT, last_result=UNKNOWN)]
+    if not any(cell == state.cell for cell, _ in state.executions):
+        steps.append(replace(state, executions=(*state.executions, (state.cell, state.tick))))
+    if not state.executions:
+        steps.append(replace(state, in_progress_at=NOT_SENT, last_result=REJECTED))
+    return steps
+
+
+def _may_send(state: State, number: int) -> bool:
+    """A client repeats what may have executed only if it is keyed, at the same front, in the window."""
+    if state.last_result != UNKNOWN:
+        return True
+    is_window_over = bool(state.executions) and state.tick - state.executions[0][1] >= TICKS_PER_WINDOW
+    return state.idempotency == KEYED and number == state.last_front and not is_window_over
+
+
+def _sent_to(state: State, number: int, choose_cell: ChooseCell) -> list[State]:
+    """The request is sent to a front and admitted to a cell, or fails there without being sent on."""
+    front = state.fronts[number]
+    now = state.tick * TICK
+    migrations = TenantMigrations(front.cell_map, front.adopted_unix_ms)
+    if front.ticket is not None:
+        migrations.tickets[TICKET] = front.ticket
+    ticket = TICKET if state.idempotency == KEYED else None
+    is_retry = state.attempts > 0
+    choice = choose_cell(migrations, now, state.unix_ms, "t", None, ticket, is_retry, BINDING_TIME)
+    if choice.earlier_cell_unknown:
+        return []
+    migrations.record_admission(now, "t", choice.cell, ticket, BINDING_TIME)
+    admitted = _with_front(state, number, replace(front, ticket=migrations.tickets.get(TICKET)))
+    return [
+        replace(
+            admitted,
+            attempts=state.attempts + 1,
+            in_progress_at=number,
+            cell=choice.cell,
+            last_front=number,
+            last_result="",
+            admitted_at=state.tick,
+        )
+    ]
+
+
+def _changes(newest: CellMap, name: str, unix_ms: int) -> list[CellMap]:
+    """The maps that an operator may publish next."""
+    changes = []
+    with suppress(MigrationRefusedError):
+        changes.append(tenant_migration.plan_move(newest, move(name, unix_ms + TICK_MS), []))
+    with suppress(MigrationRefusedError):
+        changes.append(tenant_migration.undo_move(newest, newest.moves[-1].id, unix_ms))
+    with suppress(MigrationRefusedError):
+        changes.append(tenant_migration.finish_move(newest, newest.moves[-1].id, unix_ms, BINDING_TIME))
+    return changes
+
+
+_known_maps: dict[str, CellMap] = {}
+_known_changes: dict[tuple[int, str, int], list[CellMap]] = {}
+
+
+def _cached_changes(newest: CellMap, name: str, unix_ms: int) -> list[CellMap]:
+    key = (id(newest), name, unix_ms)
+    if key not in _known_changes:
+        _known_changes[key] = [_same_object(cell_map) for cell_map in _changes(newest, name, unix_ms)]
+    return _known_changes[key]
+
+
+def _same_object(cell_map: CellMap) -> CellMap:
+    """One object for equal maps, so that states compare fast."""
+    return _known_maps.setdefault(cell_map.model_dump_json(), cell_map)
+
+
+def _with_front(state: State, number: int, front: FrontState) -> State:
+    return replace(state, fronts=(front, state.fronts[1]) if number == 0 else (state.fronts[0], front))
+
+
+def _key(state: State) -> tuple[Any, ...]:
+    """What tells two states apart."""
+    fronts = tuple((id(front.cell_map), front.adopted_unix_ms, front.ticket) for front in state.fronts)
+    return (
+        tuple(map(id, state.published)),
+        state.tick,
+        fronts,
+        state.attempts,
+        state.in_progress_at,
+        state.cell,
+        state.executions,
+        state.last_result,
+        state.last_front,
+        state.kills,
+        state.admitted_at,
+    )
+
+
+def explore(
+    idempotency: str, choose_cell: ChooseCell = TenantMigrations.choose_cell
+) -> tuple[int, list[State]]:
+    """Visit every state that can be reached.
+
+    Returns how many there are, and the first in which the effect may have happened in two cells, where it
+    stops.
+    """
+    first_map = _same_object(MAP_BEFORE_MOVE)
+    maps = (first_map, _same_object(MAP_WITH_MOVE))
+    start = State(maps, 1, (FrontState(first_map), FrontState(first_map)), idempotency)
+    visited, to_visit, wrong = {_key(start)}, [start], []
+    while to_visit:
+        state = to_visit.pop()
+        if len({cell for cell, _ in state.executions}) > 1:
+            wrong.append(state)
+            break
+        for following in next_states(state, choose_cell):
+            key = _key(following)
+            if key not in visited:
+                visited.add(key)
+                to_visit.append(following)
+    return len(visited), wrong
