--- a/tests/cell_maps.py
+++ b/tests/cell_maps.py
@@ -1,11 +1,12 @@
-"""Cell maps that tests of cells start from: three cells of two engines, one of them the reserve."""
+"""Cell maps for tests."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from runspool.cells.cell_map import CellMap, Move
+from runspool.cells.cell_map import Cell, CellMap, Move
 
+# CELL_MAP has three cells of two engines, one of them the reserve.
 ENGINE_TYPES = ["prefill", "decode", "prefill", "decode", "prefill", "decode"]
 CELL_MAP = CellMap.model_validate(
     {
@@ -27,3 +28,8 @@
     """Return the next version of the map, in which tenant one moves from cell a to cell b."""
     move = Move(id="m", tenant="one", source="a", target="b", starts_unix_ms=start, **changes)
     return CELL_MAP.model_copy(update={"version": 2, "moves": [move]})
+
+
+def cell_map_with(*cells: str, **fields: Any) -> CellMap:
+    """The first version of a map with plain cells of these names; `fields` by the map's own names."""
+    return CellMap(version=1, cells={name: Cell() for name in cells}, **fields)
--- a/tests/test_front_attempts.py
+++ b/tests/test_front_attempts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from runspool.transport import tcp
-from tests.histories import leftovers
+from tests.simulation.leaks import leaked_state
 from tests.small_fleet import SmallFleet
 
 pytestmark = pytest.mark.anyio
@@ -102,7 +102,7 @@
             while front.requests:
                 await anyio.sleep(0.01)
         assert front.counts["client_disconnected"] == 1
-        assert leftovers(front) == []
+        assert leaked_state(front) == []
         assert not front.counts["poisonous"]
 
 
@@ -132,7 +132,7 @@
 
         def work_is_left() -> bool:
             engines_work = any(engine.active_requests for engine in fleet.engines)
-            return bool(front.requests or leftovers(front) or engines_work)
+            return bool(front.requests or leaked_state(front) or engines_work)
 
         with anyio.fail_after(10):
             while work_is_left():
