--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Following the list: whatever order its news come in, and whatever the disk did to the last one."""
+"""Tracking the endpoint list in whatever order its messages come, and snapshots that may be damaged."""
 
 from __future__ import annotations
 
@@ -10,8 +10,13 @@
 
 from runspool.discovery.endpoint_tracker import GAP_TIMEOUT, EndpointTracker
 from runspool.discovery.snapshot import CorruptFileError, load_snapshot, save_snapshot
-from runspool.wire import endpoint_list as listing
-from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, decode_message, encode_message
+from runspool.wire.endpoint_list import (
+    EndpointEntry,
+    EndpointListMessage,
+    MalformedListLineError,
+    decode_message,
+    encode_message,
+)
 
 STATES = ["on", "draining", "gone"]
 
@@ -20,82 +25,78 @@
     return EndpointEntry(name, "127.0.0.1:1", "prefill", "a", 0, state)  # type: ignore[arg-type]
 
 
-changes = st.lists(st.tuples(st.sampled_from("pqr"), st.sampled_from(STATES)), min_size=1, max_size=12)
+STATE_CHANGES = st.lists(st.tuples(st.sampled_from("pqr"), st.sampled_from(STATES)), min_size=1, max_size=12)
 
 
 @settings(max_examples=300, deadline=None)
-@given(changes, st.randoms(use_true_random=False))
-def test_news_in_any_order_and_any_number_of_times_end_in_the_same_list(
-    said: list[tuple[str, str]], rng: object
+@given(STATE_CHANGES, st.randoms(use_true_random=False))
+def test_messages_in_any_order_and_any_number_of_times_end_in_the_same_list(
+    states: list[tuple[str, str]], rng: object
 ) -> None:
-    news = [
-        EndpointListMessage(at + 1, "e", engines=[entry(name, state)])
-        for at, (name, state) in enumerate(said)
+    messages = [
+        EndpointListMessage(index + 1, "e", engines=[entry(name, state)])
+        for index, (name, state) in enumerate(states)
     ]
-    mixed = [*news, *news[::2]]
-    rng.shuffle(mixed)  # type: ignore[attr-defined]
-    following = EndpointTracker()
-    following.apply(0, EndpointListMessage(0, "e", is_snapshot=True))
-    drained: dict[str, int] = {}
-    for line in mixed:
-        for changed in following.apply(1, line):
-            # Never back to an older word than the one already taken.
-            assert line.version >= drained.get(changed.engine, -1)
-            drained[changed.engine] = line.version
-    last = {name: state for name, state in said}
-    assert {one.engine: one.state for one in following.active_entries()} == {
-        name: state for name, state in last.items() if state != "gone"
+    shuffled = [*messages, *messages[::2]]
+    rng.shuffle(shuffled)  # type: ignore[attr-defined]
+    tracker = EndpointTracker()
+    tracker.apply(0, EndpointListMessage(0, "e", is_snapshot=True))
+    last_versions: dict[str, int] = {}
+    for message in shuffled:
+        for changed in tracker.apply(1, message):
+            # Never back to an older state than the one already applied.
+            assert message.version >= last_versions.get(changed.engine, -1)
+            last_versions[changed.engine] = message.version
+    last_states = dict(states)
+    assert {active.engine: active.state for active in tracker.active_entries()} == {
+        name: state for name, state in last_states.items() if state != "gone"
     }
-    assert (following.version, following.versions_ahead, following.gap_since) == (len(said), set(), None)
+    assert (tracker.version, tracker.versions_ahead, tracker.gap_since) == (len(states), set(), None)
 
 
-def test_a_drain_out_of_order_counts_at_once() -> None:
-    following = EndpointTracker()
-    following.apply(0, EndpointListMessage(1, "e", is_snapshot=True, engines=[entry("p", "on")]))
+def test_a_drain_out_of_order_is_applied_at_once() -> None:
+    tracker = EndpointTracker()
+    tracker.apply(0, EndpointListMessage(1, "e", is_snapshot=True, engines=[entry("p", "on")]))
     assert (
-        following.apply(5, EndpointListMessage(3, "e", engines=[entry("p", "draining")]))[0].state
-        == "draining"
+        tracker.apply(5, EndpointListMessage(3, "e", engines=[entry("p", "draining")]))[0].state == "draining"
     )
-    assert following.apply(6, EndpointListMessage(2, "e", engines=[entry("p", "on")])) == []
+    assert tracker.apply(6, EndpointListMessage(2, "e", engines=[entry("p", "on")])) == []
 
 
-def test_a_gap_that_does_not_close_asks_for_the_whole_list() -> None:
-    following = EndpointTracker()
-    following.apply(0, EndpointListMessage(1, "e", is_snapshot=True))
-    following.apply(10, EndpointListMessage(3, "e", engines=[entry("p", "on")]))
-    assert not following.needs_snapshot(10 + GAP_TIMEOUT - 1)
-    assert following.needs_snapshot(10 + GAP_TIMEOUT)
-    following.apply(
-        10 + GAP_TIMEOUT, EndpointListMessage(3, "e", is_snapshot=True, engines=[entry("p", "on")])
-    )
-    assert not following.needs_snapshot(10 + 3 * GAP_TIMEOUT)
+def test_a_gap_that_does_not_close_needs_a_snapshot() -> None:
+    tracker = EndpointTracker()
+    tracker.apply(0, EndpointListMessage(1, "e", is_snapshot=True))
+    tracker.apply(10, EndpointListMessage(3, "e", engines=[entry("p", "on")]))
+    assert not tracker.needs_snapshot(10 + GAP_TIMEOUT - 1)
+    assert tracker.needs_snapshot(10 + GAP_TIMEOUT)
+    tracker.apply(10 + GAP_TIMEOUT, EndpointListMessage(3, "e", is_snapshot=True, engines=[entry("p", "on")]))
+    assert not tracker.needs_snapshot(10 + 3 * GAP_TIMEOUT)
 
 
-def test_a_beat_shows_what_was_missed() -> None:
-    following = EndpointTracker()
-    following.apply(0, EndpointListMessage(1, "e", is_snapshot=True))
-    following.apply(5, EndpointListMessage(1, "e", is_heartbeat=True))
-    assert following.gap_since is None
-    following.apply(6, EndpointListMessage(2, "e", is_heartbeat=True))
-    assert following.needs_snapshot(6 + GAP_TIMEOUT)
+def test_a_heartbeat_shows_a_missed_message() -> None:
+    tracker = EndpointTracker()
+    tracker.apply(0, EndpointListMessage(1, "e", is_snapshot=True))
+    tracker.apply(5, EndpointListMessage(1, "e", is_heartbeat=True))
+    assert tracker.gap_since is None
+    tracker.apply(6, EndpointListMessage(2, "e", is_heartbeat=True))
+    assert tracker.needs_snapshot(6 + GAP_TIMEOUT)
 
 
-def test_a_whole_list_lets_go_of_those_it_does_not_name() -> None:
-    following = EndpointTracker()
-    following.restore([entry("old", "on"), entry("p", "on")])
-    changed = following.apply(0, EndpointListMessage(4, "e", is_snapshot=True, engines=[entry("p", "on")]))
-    assert [(one.engine, one.state) for one in changed] == [("old", "gone")]
-    assert (
-        following.apply(1, EndpointListMessage(3, "e", is_snapshot=True)) == []
-    )  # an older list says nothing
+def test_a_snapshot_removes_engines_that_it_does_not_name() -> None:
+    tracker = EndpointTracker()
+    tracker.restore([entry("old", "on"), entry("p", "on")])
+    changed = tracker.apply(0, EndpointListMessage(4, "e", is_snapshot=True, engines=[entry("p", "on")]))
+    assert [(change.engine, change.state) for change in changed] == [("old", "gone")]
+    older_snapshot = EndpointListMessage(3, "e", is_snapshot=True)
+    assert tracker.apply(1, older_snapshot) == []
 
 
-def test_a_service_that_lost_its_numbers_is_believed_only_with_a_whole_list() -> None:
-    following = EndpointTracker()
-    following.apply(0, EndpointListMessage(90, "e", is_snapshot=True, engines=[entry("p", "on")]))
-    assert following.apply(1, EndpointListMessage(2, "f", engines=[entry("p", "draining")])) == []
-    assert following.apply(2, EndpointListMessage(2, "f", is_snapshot=True, engines=[entry("p", "draining")]))
-    assert following.version == 2
+def test_a_service_that_lost_its_versions_is_accepted_only_with_a_snapshot() -> None:
+    tracker = EndpointTracker()
+    tracker.apply(0, EndpointListMessage(90, "e", is_snapshot=True, engines=[entry("p", "on")]))
+    assert tracker.apply(1, EndpointListMessage(2, "f", engines=[entry("p", "draining")])) == []
+    assert tracker.apply(2, EndpointListMessage(2, "f", is_snapshot=True, engines=[entry("p", "draining")]))
+    assert tracker.version == 2
 
 
 @pytest.mark.parametrize(
@@ -112,24 +113,24 @@
         ),
     ],
 )
-def test_a_torn_line_is_no_news(line: bytes) -> None:
-    with pytest.raises(listing.MalformedListLineError):
+def test_a_damaged_line_is_malformed(line: bytes) -> None:
+    with pytest.raises(MalformedListLineError):
         decode_message(line)
 
 
-def test_a_last_list_is_whole_or_nothing(tmp_path: Path) -> None:
+def test_a_saved_snapshot_is_complete_or_rejected(tmp_path: Path) -> None:
     file = tmp_path / "last"
     assert load_snapshot(file) is None
     save_snapshot(file, 5, [entry("p", "draining")])
-    found = load_snapshot(file)
-    assert found is not None
-    assert (found.version, found.engines) == (5, [entry("p", "draining")])
+    snapshot = load_snapshot(file)
+    assert snapshot is not None
+    assert (snapshot.version, snapshot.engines) == (5, [entry("p", "draining")])
     raw = file.read_bytes()
     for length in range(len(raw)):
         file.write_bytes(raw[:length])
         with pytest.raises(CorruptFileError):
             load_snapshot(file)
-    for at in range(len(raw)):
-        file.write_bytes(raw[:at] + bytes([raw[at] ^ 1]) + raw[at + 1 :])
+    for index in range(len(raw)):
+        file.write_bytes(raw[:index] + bytes([raw[index] ^ 1]) + raw[index + 1 :])
         with pytest.raises(CorruptFileError):
             load_snapshot(file)
