--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -1,7 +1,7 @@
 """Judges a soak by its rules, from the recorded events; each rule counts the cases that it judged.
 
-The names of the rules are printed and parsed: lost (no, late or wrong response), twice (repeated in spite of its
-class), drain, held (state not released), gone (sent after its client or its response), deadline, foreign
+The names of the rules are printed and parsed: lost (no, late or wrong response), twice (repeated in spite of
+its class), drain, held (state not released), gone (sent after its client or its response), deadline, foreign
 (sent or answered with other contents), alive (processes that start and stay).
 """
 
