--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -48,7 +48,7 @@
         self, name: str, events: list[Event], ends: list[Event], verdict: dict[str, RuleVerdict]
     ) -> None:
         self.name, self.events, self.ends, self.verdict = name, events, ends, verdict
-        self.asked = self.first("asked")
+        self.request = self.first("asked")
         self.left = self.first("left")
         self.answered = self.first("answered")
 
@@ -71,61 +71,62 @@
     def judge(self) -> None:
         """Judge all rules that are about single requests."""
         self._judge_foreign()
-        if self.asked is None:
+        if self.request is None:
             return
-        self._judge_lost(self.asked)
-        self._judge_twice(self.asked)
-        if not self._killed(self.asked):
+        self._judge_lost(self.request)
+        self._judge_twice(self.request)
+        if not self._killed(self.request):
             self._judge_held()
         self._judge_gone()
-        self._judge_deadlines(self.asked)
+        self._judge_deadlines(self.request)
 
     def _judge_foreign(self) -> None:
         self.verdict["foreign"].cases += 1
-        if self.asked is None and self.all("sent"):
+        if self.request is None and self.all("sent"):
             self.add_violation("foreign", "sent on, and no client sent it whole")
         for event in self.all("arrived"):
-            if self.asked is not None and event["body"] != self.asked["body"]:
+            if self.request is not None and event["body"] != self.request["body"]:
                 self.add_violation("foreign", f"arrived as {event['body']!r}")
         if self.answered is not None and self.answered["how"] == "wrong":
             self.add_violation("foreign", "answered with what no engine made for it")
 
-    def _node_ended(self, asked: Event, until: float) -> bool:
+    def _node_ended(self, request: Event, until: float) -> bool:
         return any(
-            end["node"] == asked["node"] and asked["t"] - 4.0 < end["t"] < until + SLACK for end in self.ends
+            end["node"] == request["node"] and request["t"] - 4.0 < end["t"] < until + SLACK
+            for end in self.ends
         )
 
-    def _killed(self, asked: Event) -> bool:
+    def _killed(self, request: Event) -> bool:
         """Whether its node was killed outright, so that nobody is left to release what it held."""
         return any(
-            end["kill"] and end["node"] == asked["node"] and end["t"] > asked["t"] for end in self.ends
+            end["kill"] and end["node"] == request["node"] and end["t"] > request["t"] for end in self.ends
         )
 
-    def _judge_lost(self, asked: Event) -> None:
+    def _judge_lost(self, request: Event) -> None:
         if self.left is not None or self.answered is None:
             return
         self.verdict["lost"].cases += 1
         answered, begun = self.answered, self.first("begun")
-        if self._node_ended(asked, answered["t"]):
+        if self._node_ended(request, answered["t"]):
             return  # its clients ask another node
-        took = (begun or answered)["t"] - asked["t"]
-        if answered["how"] == "closed" and not (self.all("sent") or asked["new"]):
+        took = (begun or answered)["t"] - request["t"]
+        if answered["how"] == "closed" and not (self.all("sent") or request["new"]):
             return  # the end of an idle connection, crossed by a request that nobody received
         if answered["how"] in ("closed", "late") and begun is None:
             self.add_violation("lost", f"no answer: {answered['how']}")
-        elif took > asked["deadline"] + LATE_RESPONSE + SLACK:
+        elif took > request["deadline"] + LATE_RESPONSE + SLACK:
             self.add_violation(
-                "lost", f"answered {took:.2f} s after it was asked, {asked['deadline']} s allowed"
+                "lost", f"answered {took:.2f} s after it was asked, {request['deadline']} s allowed"
             )
         elif answered["status"] not in (0, 200, 500, 503):
             self.add_violation("lost", f"a sound request got {answered['status']}")
 
-    def _judge_twice(self, asked: Event) -> None:
+    def _judge_twice(self, request: Event) -> None:
         self.verdict["twice"].cases += 1
         ran = self.all("ran")
-        if asked["kind"] == "book" and len(ran) > 1:
+        if request["kind"] == "book" and len(ran) > 1:
             self.add_violation("twice", f"ran {len(ran)} times")
-        if asked["kind"] == "book" and ran and self.answered is not None and self.answered["status"] == 503:
+        if request["kind"] == "book" and ran and self.answered is not None and self.answered["status"] == 503:
             self.add_violation("twice", "refused, though it ran")
         declined = {event["engine"] for event in self.all("declined")}  # it did not execute there
         decode_attempts = [
@@ -134,7 +135,7 @@
             if not event["engine"].startswith("prefill") and event["engine"] not in declined
         ]
         if (
-            asked["kind"] == "pay"
+            request["kind"] == "pay"
             and decode_attempts
             and decode_attempts[-1]["t"] > decode_attempts[0]["t"] + DEDUPLICATION_WINDOW + SLACK
         ):
@@ -175,11 +176,11 @@
             if self.answered is not None and event["t"] > self.answered["t"] + SLACK:
                 self.add_violation("gone", "sent after its answer")
 
-    def _judge_deadlines(self, asked: Event) -> None:
+    def _judge_deadlines(self, request: Event) -> None:
         for event in self.all("sent"):
             self.verdict["deadline"].cases += 1
             sent_deadline = int(event["deadline"].removesuffix("u") or 0) / 1e6
-            left = asked["t"] + asked["deadline"] - event["t"]
+            left = request["t"] + request["deadline"] - event["t"]
             if sent_deadline > left + DEADLINE_SLACK + SLACK / 3:
                 self.add_violation("deadline", f"told {sent_deadline:.3f} s, {left:.3f} s are left")
 
--- a/tests/test_engine_accounting.py
+++ b/tests/test_engine_accounting.py
@@ -49,10 +49,10 @@
     "error": http_response(500),
 }
 # Outcomes that are drawn, and what takes their place at an engine of the other role.
-DRAWN_OUTCOMES = ["good", "declined", "state missing", "error", "reset", "interrupted"]
+DRAWN_OUTCOMES = ["success", "declined", "state missing", "error", "reset", "interrupted"]
 OUTCOME_WEIGHTS = [12, 2, 1, 2, 1, 1]
-PREFILL_OUTCOMES = {"good": "prefill", "interrupted": "reset", "state missing": "declined"}
-DECODE_OUTCOMES = {"good": "stream"}
+PREFILL_OUTCOMES = {"success": "prefill", "interrupted": "reset", "state missing": "declined"}
+DECODE_OUTCOMES = {"success": "stream"}
 BATCH = 60  # requests at a time
 ENOUGH_PREFILLS = 21  # completed ones, for the comparison to say something
 # On a slow machine prefill engines that failed by chance stay ejected for most of a batch, and mixed engines
--- a/tests/test_engine_streams.py
+++ b/tests/test_engine_streams.py
@@ -94,14 +94,14 @@
 
 
 @pytest.mark.parametrize("extra", STREAMS_WITH_EXTRA_BYTES)
-@pytest.mark.parametrize("pieces", ["whole", "bytes"])
+@pytest.mark.parametrize("pieces", ["complete", "bytes"])
 async def test_a_well_formed_stream_with_extra_bytes_is_passed_on(
     extra: str, pieces: str, tmp_path: Path
 ) -> None:
     data = STREAMS_WITH_EXTRA_BYTES[extra]
 
     async def sends_extra_bytes(request: ReceivedRequest) -> None:
-        if pieces == "whole":
+        if pieces == "complete":
             await request.send(data)
         else:
             for index in range(len(data)):
