--- a/runspool/lab/front_configuration.py
+++ b/runspool/lab/front_configuration.py
@@ -15,7 +15,7 @@
 from runspool.lab.plan import FrontPlan, RequestClassPlan, ScenarioPlan
 from runspool.units import TENTHS
 
-Section = dict[str, Any]
+Section = dict[str, Any]  # part of a configuration, as decoded from JSON
 
 HOST = "127.0.0.1"
 OVER_QUOTA_VALUE = 0.1
