--- a/tests/histories.py
+++ b/tests/histories.py
@@ -47,7 +47,22 @@
     RequestClassPlan("ask", 0.5, "rerunnable", 1, 8_000, 0, 25_000, 1_000, 300, 12, 1.0, 0.0, 0),
     RequestClassPlan("book", 0.3, "exclusive", 2, 9_000, 0, 30_000, 1_000, 300, 12, 1.0, 0.0, 0),
     RequestClassPlan(
-        "mark", 0.2, "ticketed", 1, 8_000, 0, 25_000, 1_000, 300, 12, 1.0, 0.0, 0, 0.1, "zone", window=12_000
+        "mark",
+        0.2,
+        "ticketed",
+        1,
+        8_000,
+        0,
+        25_000,
+        1_000,
+        300,
+        12,
+        1.0,
+        0.0,
+        0,
+        0.1,
+        "zone",
+        deduplication_window=12_000,
     ),
 ]
 
