--- a/runspool/cli/lab.py
+++ b/runspool/cli/lab.py
@@ -133,7 +133,7 @@
 ) -> None:
     """Run one stand-in engine until standard input ends; faults come there as JSON lines."""
     try:
-        scenario = msgspec.json.decode(plan.read_bytes(), type=ScenarioPlan)
+        scenario: ScenarioPlan = msgspec.json.decode(plan.read_bytes(), type=ScenarioPlan)
         engine_plans = {index: scenario.engines[index] for index in indices}
     except (OSError, msgspec.DecodeError, IndexError) as error:
         _fail(f"{plan}: {error}")
--- a/tests/test_lab_commands.py
+++ b/tests/test_lab_commands.py
@@ -7,8 +7,7 @@
 from typing import Any
 
 import pytest
-from click.testing import Result
-from typer.testing import CliRunner
+from typer.testing import CliRunner, Result
 
 from runspool.cli import lab
 from runspool.lab.errors import ScenarioFailedError
