--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -105,10 +105,10 @@
         if self.lifecycle.release_is_due(self.now):
             self.release_calls.append(self.lifecycle.release_started())
 
-    @rule(target=st.sampled_from([PREFILL_ENGINE, DECODE_ENGINE, DECODE_ENGINE_IN_OTHER_ZONE]))
-    def attempt_starts(self, target: AttemptTarget) -> None:
-        if self.lifecycle.deny_attempt(self.now, target) is None:
-            self.lifecycle.attempt_started(self.now, target)
+    @rule(engine=st.sampled_from([PREFILL_ENGINE, DECODE_ENGINE, DECODE_ENGINE_IN_OTHER_ZONE]))
+    def attempt_starts(self, engine: AttemptTarget) -> None:
+        if self.lifecycle.deny_attempt(self.now, engine) is None:
+            self.lifecycle.attempt_started(self.now, engine)
 
     def attempt_in_progress(self) -> bool:
         return self.lifecycle.last_attempt is not None and self.lifecycle.last_attempt.in_progress
