--- a/tests/test_node_configuration.py
+++ b/tests/test_node_configuration.py
@@ -97,7 +97,7 @@
 
 
 ABSENT = object()
-SETTING_VALUES = (ABSENT, None, 0, 1, -1, 10**14, "odd", [], {})
+SETTING_VALUES: tuple[Any, ...] = (ABSENT, None, 0, 1, -1, 10**14, "odd", [], {})
 
 
 def with_setting(settings: Any, path: tuple[Any, ...], value: Any) -> Any:
