--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -1,13 +1,14 @@
 """What a front costs, against engines asked directly, in one run on real sockets.
 
     python benchmarks/front.py added   --rate 60 --seconds 30   # time added to the first token
-    python benchmarks/front.py most    --rates 60,100,150       # load one front process bears
-    python benchmarks/front.py memory  --queries 400            # bytes a waiting query and an open stream
+    python benchmarks/front.py most    --rates 60,100,150       # load that one front process can serve
+    python benchmarks/front.py memory  --queries 400            # KiB a waiting request and an open stream
     python benchmarks/front.py soak    --rate 40 --minutes 30   # memory over time
 
-Time added is what passed outside engines until the first token, from the far ends' own records: client to
-reader, read's end to writer, writer's first token to client. Some queries go directly, two calls by the
-client, so that both ways meet the same engines in the same second; both use kept connections.
+Time added is what passed outside engines until the first token, from the records of clients and engines:
+client to prefill engine, end of the prefill to decode engine, its first token to the client. Some requests go
+directly, by two calls of the client, so that both ways meet the same engines in the same second; both reuse
+connections.
 Prints a short table and one JSON line.
 """
 
@@ -22,7 +23,7 @@
 import time
 from pathlib import Path
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 import anyio
 import msgspec
@@ -30,6 +31,7 @@
 
 from runspool.config import EngineClientConfig
 from runspool.engines.completions_client import CompletionsEngineClient
+from runspool.engines.send_permit import UNRESTRICTED
 from runspool.lab import recording
 from runspool.lab.client_messages import request_body, request_headers
 from runspool.lab.clients import WorkloadClients
@@ -43,37 +45,55 @@
 from runspool.scheduling.types import AttemptStatus
 from runspool.service.clock import now
 
-WARM = 5.0  # seconds at the start that are not counted
+SAMPLE_INTERVAL = 1  # seconds
+WARM_UP = 5.0  # seconds at the start that are not counted
+ENGINE_TYPES = ("prefill", "decode", "prefill", "mixed")  # in turn
+MAX_OUTPUT_TOKENS = 2_000
+HELD_TIME_LIMIT = 600_000  # tenths of a millisecond: longer than the memory benchmark takes
 
 
-def plan_of(engines: int, rate: float, seconds: float, out: int, seed: int = 1) -> ScenarioPlan:
-    rows = [RequestClassPlan("ask", 1.0, "rerunnable", 1, 30_000, 0, 200_000, 2_000, 200, out, 2.0, 0.8, 800)]
-    rng = Random(seed)
-    kinds = ["prefill", "decode", "prefill", "mixed"]
-    there = [plan_engine(f"engine-{at}", kinds[at % 4], "a", at // 4, rows, rng) for at in range(engines)]
+def build_plan(engines: int, rate: float, seconds: float, output_tokens: int, seed: int = 1) -> ScenarioPlan:
+    """A plan without faults: one front, `rate` requests a second, answers of `output_tokens`."""
+    request_classes = [
+        RequestClassPlan(
+            "ask", 1.0, "rerunnable", 1, 30_000, 0, 200_000, 2_000, 200, output_tokens, 2.0, 0.8, 800
+        )
+    ]
+    random = Random(seed)
+    engine_plans = [
+        plan_engine(
+            f"engine-{index}",
+            ENGINE_TYPES[index % len(ENGINE_TYPES)],
+            "a",
+            index // len(ENGINE_TYPES),
+            request_classes,
+            random,
+        )
+        for index in range(engines)
+    ]
     return ScenarioPlan(
         name="bench",
         seed=seed,
         duration=int(seconds * SECOND),
         requests_per_second=rate,
         zones=["a"],
-        request_classes=rows,
+        request_classes=request_classes,
         tenants=[TenantPlan("all", 1.0, 1e6)],
         fronts=[FrontPlan("front-0", "a", "127.0.0.11")],
-        engines=there,
+        engines=engine_plans,
         clients=ClientsPlan(retries=0, disconnecting_share=0.0, slow_reading_share=0.0),
         faults=[],
     )
 
 
-class Half(WorkloadClients):
-    """Sends one query in `direct` past the front; both ways on kept connections and by the same code."""
+class ComparingClients(WorkloadClients):
+    """Sends one request in `direct_every` past the front (0: none); both ways by the same client code."""
 
     def __init__(
-        self, plan: ScenarioPlan, load_balancer: LoadBalancer, record: Recorder, direct: int
+        self, plan: ScenarioPlan, load_balancer: LoadBalancer, record: Recorder, direct_every: int
     ) -> None:
         super().__init__(plan, load_balancer, record)
-        terms = EngineClientConfig(
+        settings = EngineClientConfig(
             connect_ms=1000,
             idle_ms=15000,
             connections_each=2000,
@@ -82,229 +102,294 @@
             line_bytes=65536,
             source_address="127.0.0.12",
         )
-        self.caller = CompletionsEngineClient(terms, now, 10_000)
-        self.direct = direct
-        self.readers = [("127.0.0.1", one.port) for one in plan.engines if one.spec.role == "reader"]
-        self.writers = [("127.0.0.1", one.port) for one in plan.engines if one.spec.role != "reader"]
-        self.turn = 0
+        self.client = CompletionsEngineClient(settings, now, 10_000)
+        self.direct_every = direct_every
+        self.prefill_engines = [("127.0.0.1", e.port) for e in plan.engines if e.spec.role == "reader"]
+        self.decode_engines = [("127.0.0.1", e.port) for e in plan.engines if e.spec.role != "reader"]
+        self.request_count = 0
 
     async def attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
-        self.turn += 1
+        """Send a request to the front, or to a prefill and a decode engine in turn."""
+        self.request_count += 1
         name = f"{request.id}.{number}"
-        directly = self.direct and self.turn % self.direct == 0
+        is_direct = bool(self.direct_every) and self.request_count % self.direct_every == 0
         self.record.line(
             "asked",
             item=request.id,
-            front="direct" if directly else "front-0",
+            front="direct" if is_direct else "front-0",
             limit=time_limit,
             **{"try": name},
         )
-        query = msgspec.json.decode(request_body(request, name), type=dict[str, msgspec.Raw])
-        headers, address, state = {"X-Request-Id": name}, self.load_balancer.addresses[0], None
-        if directly:
-            reader = self.readers[self.turn // 2 % len(self.readers)]
-            state = (await self.caller.prefill(reader, query, headers, time_limit)).state
-            headers, address = {"X-Request-Id": name + "w"}, self.writers[self.turn // 2 % len(self.writers)]
+        body: dict[str, msgspec.Raw] = msgspec.json.decode(
+            request_body(request, name), type=dict[str, msgspec.Raw]
+        )
+        address, state = self.load_balancer.addresses[0], None
+        if is_direct:
+            turn = self.request_count // 2
+            prefill_engine = self.prefill_engines[turn % len(self.prefill_engines)]
+            prefill = await self.client.prefill(
+                prefill_engine, body, {"X-Request-Id": name}, time_limit, UNRESTRICTED
+            )
+            state = prefill.state
+            headers = {"X-Request-Id": name + "w"}
+            address = self.decode_engines[turn % len(self.decode_engines)]
         else:
-            headers = {
-                key: value
-                for key, value in request_headers(self.plan, request, name, time_limit, 0)
-                if key.startswith("Runspool-")
-            }
-        heard = _First(self.record, name)
-        ended = await self.caller.decode(address, query, state, headers, time_limit, 2000, heard)
-        seen = "succeeded" if ended.status is AttemptStatus.SUCCEEDED else ended.status.name.lower()
-        self.record.line("answer", kind=seen, **{"try": name})
-        return ClientOutcome(seen)
-
-
-class _First:
+            all_headers = request_headers(self.plan, request, name, time_limit, 0)
+            headers = {key: value for key, value in all_headers if key.startswith("Runspool-")}
+        listener = FirstTokenRecorder(self.record, name)
+        result = await self.client.decode(
+            address, body, state, headers, time_limit, UNRESTRICTED, MAX_OUTPUT_TOKENS, listener
+        )
+        succeeded = result.status is AttemptStatus.SUCCEEDED
+        kind = "succeeded" if succeeded else result.status.name.lower()
+        self.record.line("answer", kind=kind, **{"try": name})
+        return ClientOutcome(kind)
+
+
+class FirstTokenRecorder:
+    """Records when a response's first token comes."""
+
     def __init__(self, record: Recorder, name: str) -> None:
-        self.record, self.name = record, name
+        self.record = record
+        self.name = name
 
     async def stream_started(self) -> None:
+        """Record the first token."""
         self.record.line("first", **{"try": self.name})
 
     async def data_received(self, text: str) -> None:
-        return
+        """Drop the text."""
 
 
-class Bench(ScenarioRunner):
-    """A day without trouble whose clients run in processes of their own."""
+class BenchmarkRunner(ScenarioRunner):
+    """A scenario without faults whose clients run in processes of their own."""
 
     workers = 1
-    direct = 2
-    samples: list[tuple[float, int]]
+    direct_every = 2
+    samples: list[ProcessUsage]
 
     async def run_workload(self, requests: list[PlannedRequest]) -> None:
+        """Have the worker processes send the plan's requests, and sample the front's usage meanwhile."""
         self.samples = []
         start = now() + 2 * SECOND
         self.record.line("begin", at=start)
-        commands = [
-            [
-                sys.executable,
-                __file__,
-                "worker",
-                str(self.folder / "plan.json"),
-                str(at),
-                str(self.workers),
-                str(start),
-                str(self.direct),
-                str(self.parts / f"clients-{at}.jsonl"),
-            ]
-            for at in range(self.workers)
-        ]
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._sample)
-            async with anyio.create_task_group() as running:
-                for command in commands:
-                    running.start_soon(self._worker, command)
+            tasks.start_soon(self._sample_usage)
+            async with anyio.create_task_group() as workers:
+                for index in range(self.workers):
+                    workers.start_soon(self._run_worker, index, start)
             tasks.cancel_scope.cancel()
 
-    async def _worker(self, command: list[str]) -> None:
+    async def _run_worker(self, index: int, start: int) -> None:
+        arguments = (self.folder / "plan.json", index, self.workers, start, self.direct_every)
+        recording_file = self.parts / f"clients-{index}.jsonl"
+        command = [sys.executable, __file__, "worker", *map(str, arguments), str(recording_file)]
         await anyio.run_process(command, stderr=None)
 
-    async def _sample(self) -> None:
-        """CPU seconds and resident bytes of the front, each second."""
+    async def _sample_usage(self) -> None:
+        while True:
+            self.samples.append(process_usage(self.front_pid()))
+            await anyio.sleep(SAMPLE_INTERVAL)
+
+    def front_pid(self) -> int:
+        """The process of the only front."""
         child = self.fleet.fronts[0].child
         assert child is not None
-        while True:
-            self.samples.append(usage(child.pid))
-            await anyio.sleep(1)
+        return child.pid
+
+
+class MemoryRunner(BenchmarkRunner):
+    """Holds many requests at once: first waiting for their first token, then as open streams."""
+
+    request_count = 400
+    figures: dict[str, float]
+
+    async def run_workload(self, requests: list[PlannedRequest]) -> None:
+        """Send requests to engines that hang, then let the engines go on, and measure after each."""
+        clients = WorkloadClients(self.plan, self.fleet.load_balancer, Recorder(None))
+        before = process_usage(self.front_pid()).resident_bytes
+        await self._hang_engines(True)
+        async with anyio.create_task_group() as tasks:
+            for number in range(self.request_count):
+                tasks.start_soon(clients.attempt, _held_request(number), 1, HELD_TIME_LIMIT)
+            await anyio.sleep(5)
+            waiting = process_usage(self.front_pid()).resident_bytes
+            await self._hang_engines(False)
+            await anyio.sleep(6)
+            streaming = process_usage(self.front_pid()).resident_bytes
+            tasks.cancel_scope.cancel()
+        self.figures = {
+            "kib_a_waiting_request": (waiting - before) / self.request_count / 1024,
+            "kib_an_open_stream": (streaming - before) / self.request_count / 1024,
+        }
+
+    async def _hang_engines(self, on: bool) -> None:
+        for index in range(len(self.fleet.engines)):
+            await self.fleet.send_fault(index, "hang", on=on)
+
+
+def _held_request(number: int) -> PlannedRequest:
+    return PlannedRequest(
+        id=f"m{number}",
+        at=0,
+        zone_index=0,
+        request_class_index=0,
+        tenant_index=0,
+        session=f"s{number}",
+        parts=[(f"text{number}", 500)],
+        prefix="",
+        prefix_tokens=0,
+        prompt_tokens=500,
+        output_tokens=400,
+        stream=True,
+        time_limit=HELD_TIME_LIMIT,
+        first_token_objective=HELD_TIME_LIMIT,
+        retries=0,
+        backoff=0,
+    )
 
 
-def usage(pid: int) -> tuple[float, int]:
+class ProcessUsage(NamedTuple):
+    """What a process has used."""
+
+    cpu_seconds: float
+    resident_bytes: int
+
+    @property
+    def resident_mib(self) -> float:
+        """Resident memory in MiB."""
+        return round(self.resident_bytes / (1 << 20), 1)
+
+
+def process_usage(pid: int) -> ProcessUsage:
+    """What a process has used so far, from /proc."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    ticks = os.sysconf("SC_CLK_TCK")
-    return (int(fields[11]) + int(fields[12])) / ticks, int(fields[21]) * os.sysconf("SC_PAGE_SIZE")
+    cpu_ticks = int(fields[11]) + int(fields[12])
+    return ProcessUsage(cpu_ticks / os.sysconf("SC_CLK_TCK"), int(fields[21]) * os.sysconf("SC_PAGE_SIZE"))
 
 
-def gaps(events: list[dict[str, Any]], begin: int) -> dict[str, list[int]]:
-    """Time outside engines until the first token of each query, in tenths of a millisecond, by way."""
-    by: dict[str, dict[str, Any]] = {}
+def added_times(events: list[dict[str, Any]], begin: int) -> dict[str, list[int]]:
+    """Time outside engines until the first token of each request, in tenths of a millisecond, by way."""
+    by_attempt: dict[str, dict[str, Any]] = {}
     for event in events:
         if "try" in event:
-            by.setdefault(event["try"], {}).setdefault(event["what"] + event.get("stage", ""), event)
-    found: dict[str, list[int]] = {"front": [], "direct": []}
-    for said in by.values():
-        if not {"asked", "arrivedread", "ended", "arrivedwrite", "ran", "first"} <= said.keys():
-            continue
-        if said["asked"]["t"] < begin + WARM * SECOND:
+            name = event["what"] + event.get("stage", "")
+            by_attempt.setdefault(event["try"], {}).setdefault(name, event)
+    times: dict[str, list[int]] = {"front": [], "direct": []}
+    for seen in by_attempt.values():
+        is_complete = {"asked", "arrivedread", "ended", "arrivedwrite", "ran", "first"} <= seen.keys()
+        if not is_complete or seen["asked"]["t"] < begin + WARM_UP * SECOND:
             continue
-        added = (
-            said["arrivedread"]["head"]
-            - said["asked"]["t"]
-            + said["arrivedwrite"]["head"]
-            - said["ended"]["t"]
-            + said["first"]["t"]
-            - said["ran"]["t"]
-        )
-        found["direct" if said["asked"]["front"] == "direct" else "front"].append(max(1, added))
-    return found
+        to_prefill = seen["arrivedread"]["head"] - seen["asked"]["t"]
+        to_decode = seen["arrivedwrite"]["head"] - seen["ended"]["t"]
+        to_client = seen["first"]["t"] - seen["ran"]["t"]
+        way = "direct" if seen["asked"]["front"] == "direct" else "front"
+        times[way].append(max(1, to_prefill + to_decode + to_client))
+    return times
 
 
 def quantiles(times: list[int]) -> dict[str, float]:
-    seen = HdrHistogram(1, 10_000_000, 3)
-    for time_ in times:
-        seen.record_value(time_)
-    return {f"p{part:g}": seen.get_value_at_percentile(part) / 10 for part in (50, 99, 99.9)}
+    """Quantiles, in milliseconds, of times in tenths of a millisecond."""
+    histogram = HdrHistogram(1, 10_000_000, 3)
+    for duration in times:
+        histogram.record_value(duration)
+    return {f"p{part:g}": histogram.get_value_at_percentile(part) / 10 for part in (50, 99, 99.9)}
 
 
-def measure(engines: int, rate: float, seconds: float, out: int, workers: int, direct: int) -> dict[str, Any]:
+def measure(
+    engines: int, rate: float, seconds: float, output_tokens: int, workers: int, direct_every: int
+) -> dict[str, Any]:
+    """Run a workload and return its figures."""
     with tempfile.TemporaryDirectory() as folder:
-        bench = Bench(plan_of(engines, rate, seconds, out), Path(folder), engines_per_process=4)
-        bench.workers, bench.direct = workers, direct
-        file = anyio.run(bench.play)
-        events = recording.read_recording(file)
-        begin = next(event["at"] for event in events if event["what"] == "begin")
-        found = gaps(events, begin)
-        middle = bench.samples[int(WARM) :]
-        cpu = (middle[-1][0] - middle[0][0]) / max(1, len(middle) - 1)
-        kinds = [event["kind"] for event in events if event["what"] == "answer"]
-        return {
-            "engines": engines,
-            "rate": round(rate - rate / direct if direct else rate, 1),
-            "seconds": seconds,
-            "answer_tokens": out,
-            "through_front": len(found["front"]),
-            "succeeded": kinds.count("succeeded"),
-            "asked": len(kinds),
-            "front_ms": quantiles(found["front"]),
-            "direct_ms": quantiles(found["direct"]) if found["direct"] else {},
-            "cpu_share": round(cpu, 3),
-            "rss_mib": round(middle[-1][1] / (1 << 20), 1),
-            "rss_start_mib": round(middle[0][1] / (1 << 20), 1),
-        }
-
-
-def show(said: dict[str, Any]) -> None:
+        plan = build_plan(engines, rate, seconds, output_tokens)
+        runner = BenchmarkRunner(plan, Path(folder), engines_per_process=4)
+        runner.workers, runner.direct_every = workers, direct_every
+        events = list(recording.read_recording(anyio.run(runner.play)))
+    begin = next(event["at"] for event in events if event["what"] == "begin")
+    times = added_times(events, begin)
+    samples = runner.samples[int(WARM_UP) :]
+    cpu_seconds = samples[-1].cpu_seconds - samples[0].cpu_seconds
+    kinds = [event["kind"] for event in events if event["what"] == "answer"]
+    return {
+        "engines": engines,
+        "rate": round(rate - rate / direct_every if direct_every else rate, 1),
+        "seconds": seconds,
+        "answer_tokens": output_tokens,
+        "through_front": len(times["front"]),
+        "succeeded": kinds.count("succeeded"),
+        "asked": len(kinds),
+        "front_ms": quantiles(times["front"]),
+        "direct_ms": quantiles(times["direct"]) if times["direct"] else {},
+        "cpu_share": round(cpu_seconds / max(1, len(samples) - 1), 3),
+        "rss_mib": samples[-1].resident_mib,
+        "rss_start_mib": samples[0].resident_mib,
+    }
+
+
+def show(figures: dict[str, Any]) -> None:
+    """Print the figures of one run as a short table."""
     print(
-        f"{said['rate']:g}/s through the front, {said['engines']} engines, "
-        f"{said['answer_tokens']} tokens each: {said['succeeded']} of {said['asked']} succeeded, "
-        f"front CPU {said['cpu_share']:.0%}, {said['rss_mib']} MiB"
+        f"{figures['rate']:g}/s through the front, {figures['engines']} engines, "
+        f"{figures['answer_tokens']} tokens each: {figures['succeeded']} of {figures['asked']} succeeded, "
+        f"front CPU {figures['cpu_share']:.0%}, {figures['rss_mib']} MiB"
     )
     for way in ("front", "direct"):
-        times = said[f"{way}_ms"]
+        times = figures[f"{way}_ms"]
         if times:
             print(f"  {way:7}" + "".join(f"{name} {value:7.1f} ms  " for name, value in times.items()))
 
 
-async def worker(plan_file: str, at: int, of: int, start: int, direct: int, out: str) -> None:
-    plan = msgspec.json.decode(Path(plan_file).read_bytes(), type=ScenarioPlan)
-    requests = [request for number, request in enumerate(draw_workload(plan)) if number % of == at]
+async def run_worker(
+    plan_file: str, index: int, workers: int, start: int, direct_every: int, recording_file: str
+) -> None:
+    """Send every request of a plan whose number falls to this worker."""
+    plan: ScenarioPlan = msgspec.json.decode(Path(plan_file).read_bytes(), type=ScenarioPlan)
+    requests = [request for number, request in enumerate(draw_workload(plan)) if number % workers == index]
     load_balancer = LoadBalancer([("127.0.0.1", plan.fronts[0].port)], ["a"], [True])
-    clients = Half(plan, load_balancer, Recorder(Path(out)), direct)
+    clients = ComparingClients(plan, load_balancer, Recorder(Path(recording_file)), direct_every)
     await clients.run(requests, start)
 
 
-class Crowded(Bench):
-    """Holds many queries at once: first waiting for their first token, then as open streams."""
+def measure_most(options: argparse.Namespace) -> list[dict[str, Any]]:
+    """One run for each rate; one request in eight goes directly, so that both ways are seen in one run."""
+    runs = []
+    for rate in options.rates.split(","):
+        figures = measure(
+            options.engines, float(rate) * 8 / 7, options.seconds, options.tokens, options.workers, 8
+        )
+        show(figures)
+        runs.append(figures)
+    return runs
 
-    queries = 400
-    found: dict[str, float]
 
-    async def run_workload(self, requests: list[PlannedRequest]) -> None:
-        child = self.fleet.fronts[0].child
-        assert child is not None
-        clients = WorkloadClients(self.plan, self.fleet.load_balancer, Recorder(None))
-        before = usage(child.pid)[1]
-        for at in range(len(self.fleet.engines)):
-            await self.fleet.send_fault(at, "hang", on=True)
-        async with anyio.create_task_group() as tasks:
-            for number in range(self.queries):
-                request = PlannedRequest(
-                    f"m{number}",
-                    0,
-                    0,
-                    0,
-                    0,
-                    f"s{number}",
-                    [(f"text{number}", 500)],
-                    "",
-                    0,
-                    500,
-                    400,
-                    True,
-                    600_000,
-                    600_000,
-                    0,
-                    0,
-                )
-                tasks.start_soon(clients.attempt, request, 1, 600_000)
-            await anyio.sleep(5)
-            waiting = usage(child.pid)[1]
-            for at in range(len(self.fleet.engines)):
-                await self.fleet.send_fault(at, "hang", on=False)
-            await anyio.sleep(6)
-            streaming = usage(child.pid)[1]
-            tasks.cancel_scope.cancel()
-        self.found = {
-            "kib_a_waiting_query": (waiting - before) / self.queries / 1024,
-            "kib_an_open_stream": (streaming - before) / self.queries / 1024,
-        }
+def measure_memory(options: argparse.Namespace) -> dict[str, Any]:
+    """The front's memory with many requests open."""
+    with tempfile.TemporaryDirectory() as folder:
+        runner = MemoryRunner(build_plan(options.engines, 1, 1, options.tokens), Path(folder))
+        runner.request_count = options.queries
+        anyio.run(runner.play)
+    print("\n".join(f"{name}: {value:.1f}" for name, value in runner.figures.items()))
+    return {"requests": options.queries, **runner.figures}
+
+
+def measure_soak(options: argparse.Namespace) -> dict[str, Any]:
+    """The front's memory over a long run, in ten parts."""
+    with tempfile.TemporaryDirectory() as folder:
+        plan = build_plan(options.engines, options.rate, options.minutes * 60, options.tokens)
+        runner = BenchmarkRunner(plan, Path(folder))
+        runner.workers, runner.direct_every = options.workers, 0
+        started_at = time.time()
+        anyio.run(runner.play)
+    sizes = [sample.resident_bytes / (1 << 20) for sample in runner.samples]
+    tenth = max(1, len(sizes) // 10)
+    parts = [round(statistics.mean(sizes[at : at + tenth]), 1) for at in range(0, len(sizes), tenth)]
+    print("resident MiB over time, ten parts:", parts)
+    minutes = round((time.time() - started_at) / 60, 1)
+    return {"minutes": minutes, "rate": options.rate, "rss_mib": parts}
 
 
 def main() -> None:
+    """Run the benchmark that the command line names."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -318,41 +403,26 @@
     parser.add_argument("--tokens", type=int, default=40)
     parser.add_argument("--workers", type=int, default=4)
     parser.add_argument("--queries", type=int, default=400)
-    said = parser.parse_args()
-    if said.what == "worker":
-        file, at, of, start, direct, out = said.rest
-        anyio.run(worker, file, int(at), int(of), int(start), int(direct), out)
+    options = parser.parse_args()
+    if options.what == "worker":
+        plan_file, index, workers, start, direct_every, recording_file = options.rest
+        anyio.run(
+            run_worker, plan_file, int(index), int(workers), int(start), int(direct_every), recording_file
+        )
         return
     result: Any
-    if said.what == "added":
-        result = measure(said.engines, 2 * said.rate, said.seconds, said.tokens, said.workers, 2)
-        show(result)
-    elif said.what == "most":
-        result = []
-        for rate in said.rates.split(","):
-            # One query in eight goes directly, so that both ways are seen in one run.
-            result.append(
-                measure(said.engines, float(rate) * 8 / 7, said.seconds, said.tokens, said.workers, 8)
+    match options.what:
+        case "added":
+            result = measure(
+                options.engines, 2 * options.rate, options.seconds, options.tokens, options.workers, 2
             )
-            show(result[-1])
-    elif said.what == "memory":
-        with tempfile.TemporaryDirectory() as folder:
-            crowded = Crowded(plan_of(said.engines, 1, 1, said.tokens), Path(folder))
-            crowded.queries = said.queries
-            anyio.run(crowded.play)
-            result = {"queries": said.queries, **crowded.found}
-            print("\n".join(f"{name}: {value:.1f}" for name, value in crowded.found.items()))
-    else:
-        with tempfile.TemporaryDirectory() as folder:
-            bench = Bench(plan_of(said.engines, said.rate, said.minutes * 60, said.tokens), Path(folder))
-            bench.workers, bench.direct = said.workers, 0
-            begun = time.time()
-            anyio.run(bench.play)
-            sizes = [size / (1 << 20) for _, size in bench.samples]
-            tenth = max(1, len(sizes) // 10)
-            parts = [round(statistics.mean(sizes[at : at + tenth]), 1) for at in range(0, len(sizes), tenth)]
-            result = {"minutes": round((time.time() - begun) / 60, 1), "rate": said.rate, "rss_mib": parts}
-            print("resident MiB over time, ten parts:", parts)
+            show(result)
+        case "most":
+            result = measure_most(options)
+        case "memory":
+            result = measure_memory(options)
+        case _:
+            result = measure_soak(options)
     print(json.dumps(result))
 
 
