--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -1,13 +1,13 @@
-"""What cells are worth and what they cost; loopback days are simulated, the rest is computed.
+"""What cells protect and what they cost; loopback scenarios are simulated, the rest is computed.
 
-    python benchmarks/cells.py flood  --seeds 1,2,3,4,5  # gain of the others while one tenant sends six times
+    python benchmarks/cells.py flood  --seeds 1,2,3,4,5  # value served to the others while one tenant floods
     python benchmarks/cells.py full   --seeds 1,2,3      # a cell whose every engine is full for 10 s
-    python benchmarks/cells.py poison --seeds 1          # one tenant's queries bring engines down
+    python benchmarks/cells.py poison --seeds 1          # one tenant's requests bring engines down
     python benchmarks/cells.py release --seeds 1         # one cell's engines get a bad release
-    python benchmarks/cells.py radius                    # who is hurt by one poisonous tenant, on paper
-    python benchmarks/cells.py cost                      # a cell decision beside the module's own
+    python benchmarks/cells.py radius                    # who is affected by one poisonous tenant, computed
+    python benchmarks/cells.py cost                      # a cell decision beside the scheduler's own
 
-Each pair has the same crowd but for the flood, so the difference is the flood's.
+Each pair has the same workload but for the fault, so the difference is the fault's.
 Prints a table and a JSON line.
 """
 
@@ -19,6 +19,7 @@
 import tempfile
 import time
 from collections import Counter
+from collections.abc import Callable, Mapping, Set
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -31,50 +32,62 @@
 from runspool.config import parse_config
 from runspool.lab import recording
 from runspool.lab.audit import judge, read_history
+from runspool.lab.audit.history import ClientAttemptRecord
 from runspool.lab.cell_plans import bad_release, flood, full_cell, poisoned
 from runspool.lab.front_configuration import front_configuration
 from runspool.lab.plan import ScenarioPlan
+from runspool.lab.recording import Event
 from runspool.lab.report import share_of_value
 from runspool.lab.scenario_runner import ScenarioRunner
 from runspool.runtime.scheduler_driver import SchedulerDriver
-from runspool.scheduling.settings import RoutingSettings
 from runspool.scheduling.types import EndpointUpdate, EngineRecord, EngineState, Request, Role
+from runspool.units import UNITS_PER_SECOND
 
-STUDENT = {2: 12.706, 3: 4.303, 4: 3.182, 5: 2.776, 6: 2.571, 8: 2.365, 10: 2.262}  # two-sided, 95%
+FAULTY_TENANT = "tenant-0"  # the one whose requests or cell have the fault
+STUDENT_T = {2: 12.706, 3: 4.303, 4: 3.182, 5: 2.776, 6: 2.571, 8: 2.365, 10: 2.262}  # two-sided, 95%
 
 
-def played(plan: ScenarioPlan) -> list[dict[str, Any]]:
+PlacedCells = Mapping[str, Set[str]]  # cell: names of its engines
+
+
+def play(plan: ScenarioPlan) -> list[Event]:
+    """Play a scenario and return its recording."""
     with tempfile.TemporaryDirectory() as folder:
         return list(recording.read_recording(anyio.run(ScenarioRunner(plan, Path(folder)).play)))
 
 
-def gains(events: list[dict[str, Any]], start: float = 0, end: float = 1e9) -> dict[str, tuple[float, float]]:
-    """Gain served in time and gain asked, by tenant, of queries first asked from `start` to `end` seconds."""
-    found = read_history(events)
+def values_by_tenant(
+    events: list[Event], start: float = 0, end: float = 1e9
+) -> dict[str, tuple[float, float]]:
+    """Value served in time and value asked for, by tenant, of requests first sent from `start` to `end` s."""
+    history = read_history(events)
     begin = next(event["at"] for event in events if event["what"] == "begin")
-    gain = {row.name: row.priority_weight for row in found.plan.request_classes}
-    items: dict[str, list[Any]] = {}
-    for seen in found.client_attempts.values():
-        items.setdefault(seen.asked["item"], []).append(seen)
-    sums: dict[str, tuple[float, float]] = {}
-    for tries in items.values():
-        asked = tries[0].asked
-        if not start <= (asked["t"] - begin) / 10_000 < end:
+    weights = {row.name: row.priority_weight for row in history.plan.request_classes}
+    by_request: dict[str, list[ClientAttemptRecord]] = {}
+    for attempt in history.client_attempts.values():
+        by_request.setdefault(attempt.asked["item"], []).append(attempt)
+    values: dict[str, tuple[float, float]] = {}
+    for attempts in by_request.values():
+        asked = attempts[0].asked
+        if not start <= (asked["t"] - begin) / UNITS_PER_SECOND < end:
             continue
-        if any(seen.answer and seen.answer["kind"] == "left" for seen in tries):
+        if any(attempt.answer and attempt.answer["kind"] == "left" for attempt in attempts):
             continue
-        got, of = sums.get(asked["tenant"], (0.0, 0.0))
-        part = max(share_of_value(found.plan, tries[0], seen) for seen in tries)
-        sums[asked["tenant"]] = (got + gain[asked["tariff"]] * part, of + gain[asked["tariff"]])
-    return sums
+        served, wanted = values.get(asked["tenant"], (0.0, 0.0))
+        share = max(share_of_value(history.plan, attempts[0], attempt) for attempt in attempts)
+        weight = weights[asked["tariff"]]
+        values[asked["tenant"]] = (served + weight * share, wanted + weight)
+    return values
 
 
-def others(sums: dict[str, tuple[float, float]], but: str) -> float:
-    got = sum(got for name, (got, _) in sums.items() if name != but)
-    return got / max(1e-9, sum(of for name, (_, of) in sums.items() if name != but))
+def share_of_others(values: dict[str, tuple[float, float]], tenant: str) -> float:
+    """The share of the value that all tenants but one were served."""
+    served = sum(served for name, (served, _) in values.items() if name != tenant)
+    return served / max(1e-9, sum(wanted for name, (_, wanted) in values.items() if name != tenant))
 
 
-def broken(events: list[dict[str, Any]]) -> int:
+def count_violations(events: list[Event]) -> int:
+    """How often the five rules were broken."""
     return sum(rule.broken for rule in judge(read_history(events)).values())
 
 
@@ -84,87 +97,100 @@
         return values[0], float("nan")
     return (
         statistics.mean(values),
-        STUDENT.get(len(values), 2.0) * statistics.stdev(values) / len(values) ** 0.5,
+        STUDENT_T.get(len(values), 2.0) * statistics.stdev(values) / len(values) ** 0.5,
     )
 
 
-def flooded(seeds: list[int]) -> dict[str, Any]:
+def _served_share(values: dict[str, tuple[float, float]], tenant: str) -> float:
+    served, wanted = values[tenant]
+    return served / wanted
+
+
+def measure_flood(seeds: list[int]) -> dict[str, Any]:
+    """Value served to the other tenants while one floods, with cells and without, against a calm run."""
     rows = []
     for seed in seeds:
         row: dict[str, Any] = {"seed": seed, "broken": 0}
         for cells, flooding in ((False, True), (True, True), (True, False)):
-            events = played(flood(seed, cells, flooding))
+            events = play(flood(seed, cells, flooding))
             key = ("cells" if cells else "none") + ("_flood" if flooding else "_calm")
-            # The same queries of the others in both: those asked while it floods.
-            sums = gains(events, 4, 34)
-            row[key] = round(others(sums, "tenant-0"), 4)
-            row[key + "_own"] = round(sums["tenant-0"][0] / sums["tenant-0"][1], 4)
-            row["broken"] += broken(events)
+            # The same requests of the others in both: those sent during the flood.
+            values = values_by_tenant(events, 4, 34)
+            row[key] = round(share_of_others(values, FAULTY_TENANT), 4)
+            row[key + "_own"] = round(_served_share(values, FAULTY_TENANT), 4)
+            row["broken"] += count_violations(events)
             print(key, row[key], row[key + "_own"], flush=True)
         print(row, flush=True)
         rows.append(row)
-    said: dict[str, Any] = {"seeds": len(seeds), "rows": rows}
+    result: dict[str, Any] = {"seeds": len(seeds), "rows": rows}
     for key in ("cells", "none"):
         mean, half = interval([row[f"{key}_flood"] / row["cells_calm"] - 1 for row in rows])
-        said[key] = {"change": round(mean, 4), "half_interval": round(half, 4)}
-        print(f"gain in time of the other three, {key}: {mean:+.2%} by the flood, 95% interval {half:.2%}")
-    return said
+        result[key] = {"change": round(mean, 4), "half_interval": round(half, 4)}
+        print(f"value in time of the other three, {key}: {mean:+.2%} by the flood, 95% interval {half:.2%}")
+    return result
 
 
-def hurt(seeds: list[int], day: Any) -> dict[str, Any]:
-    """Gain of the other three tenants in a trouble of one, with cells and without, against the calm day."""
+def measure_fault(seeds: list[int], scenario: Callable[[int, bool, bool], ScenarioPlan]) -> dict[str, Any]:
+    """Value served to the other tenants under a fault of one, with cells and without, against a calm run."""
     rows = []
     for seed in seeds:
         row: dict[str, Any] = {"seed": seed, "broken": 0}
         for cells in (True, False):
-            for trouble in (False, True):
-                events = played(day(seed, cells, trouble))
-                key = ("cells" if cells else "none") + ("_trouble" if trouble else "_calm")
-                sums = gains(events, 4)
-                row[key] = round(others(sums, "tenant-0"), 4)
-                row[key + "_own"] = round(sums["tenant-0"][0] / sums["tenant-0"][1], 4)
+            for with_fault in (False, True):
+                events = play(scenario(seed, cells, with_fault))
+                key = ("cells" if cells else "none") + ("_trouble" if with_fault else "_calm")
+                values = values_by_tenant(events, 4)
+                row[key] = round(share_of_others(values, FAULTY_TENANT), 4)
+                row[key + "_own"] = round(_served_share(values, FAULTY_TENANT), 4)
                 row[key + "_fell"] = sum(event["what"] == "fell" for event in events)
-                row["broken"] += broken(events)
+                row["broken"] += count_violations(events)
         print(row, flush=True)
         rows.append(row)
     return {"rows": rows}
 
 
-def full(seeds: list[int]) -> dict[str, Any]:
+def measure_full_cell(seeds: list[int]) -> dict[str, Any]:
+    """Value served to the neighbours of a cell whose engines are full, and when its own are rejected."""
     rows = []
     for seed in seeds:
         row: dict[str, Any] = {"seed": seed, "broken": 0}
-        for on in (False, True):
-            events = played(full_cell(seed, on))
-            key = "full" if on else "calm"
-            row[f"others_{key}"] = round(others(gains(events, 8, 18), "tenant-0"), 4)
-            after = gains(events, 20, 28)["tenant-0"]
-            row[f"own_2s_after_{key}"] = round(after[0] / after[1], 4)
-            row["broken"] += broken(events)
-            if on:
-                found = read_history(events)
-                begin = next(event["at"] for event in events if event["what"] == "begin")
-                early = [
-                    (seen.answer["at"] - seen.asked["t"]) / seen.asked["due"]
-                    for seen in found.client_attempts.values()
-                    if seen.answer
-                    and seen.answer["kind"] == "dismissed"
-                    and seen.asked["tenant"] == "tenant-0"
-                    and 80_000 <= seen.asked["t"] - begin < 180_000
-                ]
-                row["dismissals"] = len(early)
-                row["dismissed_at_median_of_due"] = round(statistics.median(early), 3) if early else None
+        for is_full in (False, True):
+            events = play(full_cell(seed, is_full))
+            key = "full" if is_full else "calm"
+            row[f"others_{key}"] = round(share_of_others(values_by_tenant(events, 8, 18), FAULTY_TENANT), 4)
+            row[f"own_2s_after_{key}"] = round(
+                _served_share(values_by_tenant(events, 20, 28), FAULTY_TENANT), 4
+            )
+            row["broken"] += count_violations(events)
+            if is_full:
+                times = _rejection_times(events)
+                row["dismissals"] = len(times)
+                row["dismissed_at_median_of_due"] = round(statistics.median(times), 3) if times else None
         print(row, flush=True)
         rows.append(row)
     changes = [row["others_full"] / row["others_calm"] - 1 for row in rows]
     mean, half = interval(changes)
-    print(f"gain in time of the neighbours: {mean:+.2%}, 95% interval {half:.2%}")
+    print(f"value in time of the neighbours: {mean:+.2%}, 95% interval {half:.2%}")
     return {"rows": rows, "change": round(mean, 4), "half_interval": round(half, 4)}
 
 
-def fleet(many: int) -> list[EnginePlace]:
-    """Half readers, three eighths writers, an eighth mixed, over four zones."""
-    kinds = [
+def _rejection_times(events: list[Event]) -> list[float]:
+    """When the full cell's requests were rejected, as a fraction of their first-token objective."""
+    history = read_history(events)
+    begin = next(event["at"] for event in events if event["what"] == "begin")
+    return [
+        (attempt.answer["at"] - attempt.asked["t"]) / attempt.asked["due"]
+        for attempt in history.client_attempts.values()
+        if attempt.answer
+        and attempt.answer["kind"] == "dismissed"
+        and attempt.asked["tenant"] == FAULTY_TENANT
+        and 8 * UNITS_PER_SECOND <= attempt.asked["t"] - begin < 18 * UNITS_PER_SECOND
+    ]
+
+
+def build_fleet(count: int) -> list[EnginePlace]:
+    """Half prefill engines, three eighths decode, an eighth mixed, over four zones."""
+    roles = [
         Role.PREFILL,
         Role.DECODE,
         Role.PREFILL,
@@ -174,73 +200,104 @@
         Role.PREFILL,
         Role.DECODE,
     ]
-    return [EnginePlace(f"engine-{at}", kinds[at % 8], f"zone-{at // 8 % 4}", at // 16) for at in range(many)]
+    return [
+        EnginePlace(f"engine-{index}", roles[index % 8], f"zone-{index // 8 % 4}", index // 16)
+        for index in range(count)
+    ]
 
 
-def charts(many: int) -> dict[str, CellMap]:
-    """Maps of like size: a cell or shard has about eight engines."""
-    count = max(2, many // 8)
-    # As many shards as the map may have pays: two tenants then seldom share one.
+def cell_maps(engine_count: int) -> dict[str, CellMap]:
+    """Maps of like size by the way that they place tenants: a cell or shard has about eight engines."""
+    count = max(2, engine_count // 8)
+    cells = {f"cell-{index}": Cell() for index in range(count)}
+    # As many shards as the map may have: two tenants then seldom share one.
+    shards = Shards(count=min(256, 16 * count), readers=4, writers=3, mixed=1)
     return {
         "no cells": CellMap(version=1, way="fixed"),
-        "cells": CellMap(version=1, way="rendezvous", cells={f"cell-{at}": Cell() for at in range(count)}),
-        "shuffle shards": CellMap(
-            version=1, way="shuffle", shards=Shards(count=min(256, 16 * count), readers=4, writers=3, mixed=1)
-        ),
+        "cells": CellMap(version=1, way="rendezvous", cells=cells),
+        "shuffle shards": CellMap(version=1, way="shuffle", shards=shards),
     }
 
 
-def radius(tenants: int, folder: Path | None, seed: int = 1) -> list[dict[str, Any]]:
-    """One poisonous tenant at a time takes down all engines it can reach; a tenant is hurt where it loses all
-    readers or all writers, and touched where it loses any. Loads: a Pareto draw for each tenant."""
-    rng = Random(seed)
-    names = [f"tenant-{at}" for at in range(tenants)]
-    load = {name: rng.paretovariate(1.2) for name in names}
+def measure_radius(tenants: int, folder: Path | None, seed: int = 1) -> list[dict[str, Any]]:
+    """One poisonous tenant at a time takes down all engines that it can reach.
+
+    A tenant is hurt where it loses all engines that prefill or all that decode, and touched where it loses
+    any. Loads are a Pareto draw for each tenant. Nothing is played: all is computed.
+    """
+    random = Random(seed)
+    names = [f"tenant-{index}" for index in range(tenants)]
+    load = {name: random.paretovariate(1.2) for name in names}
     rows = []
-    for many in (16, 64, 256):
-        engines = fleet(many)
-        for way, chart in charts(many).items():
-            placed = place_engines(chart, engines).cells
-            where = {name: placed[home_cell(chart, name, None)] for name in names}
-            roles = {one.name: one.role for one in engines}
-            able = {
-                cell: (
-                    frozenset(e for e in there if roles[e] is not Role.DECODE),
-                    frozenset(e for e in there if roles[e] is not Role.PREFILL),
-                )
-                for cell, there in placed.items()
-            }
-            members = Counter(home_cell(chart, name, None) for name in names)
-            hurt = touched = 0.0
-            for poison, count in members.items():
-                gone = placed[poison]
-                for cell, there in members.items():
-                    part = count * there / tenants / tenants
-                    hurt += part * any(not side - gone for side in able[cell])
-                    touched += part * bool(placed[cell] & gone)
-            on: Counter[str] = Counter()
-            for name in names:
-                for engine in where[name]:
-                    on[engine] += load[name] / len(where[name])  # type: ignore[assignment]
-            mean = sum(on.values()) / many
-            moved = []
-            for change in range(8):
-                less = [one for at, one in enumerate(engines) if at != change * many // 8]
-                after = place_engines(chart, less).cells
-                out = engines[change * many // 8].name
-                moved.append(sum(len((placed[cell] - {out}) ^ after[cell]) for cell in placed) / 2)
+    for engine_count in (16, 64, 256):
+        engines = build_fleet(engine_count)
+        for way, cell_map in cell_maps(engine_count).items():
+            placed = place_engines(cell_map, engines).cells
+            hurt, touched = _affected_shares(cell_map, names, engines, placed)
+            loads = _engine_loads(cell_map, load, placed)
+            mean_load = sum(loads.values()) / engine_count
             rows.append(
                 {
-                    "engines": many,
+                    "engines": engine_count,
                     "way": way,
                     "cells": len(placed),
                     "hurt": round(hurt, 4),
                     "touched": round(touched, 4),
-                    "imbalance": round(max(on[one.name] for one in engines) / mean, 2),
-                    "idle": sum(not on[one.name] for one in engines),
-                    "moved_by_one": round(statistics.mean(moved), 2),
+                    "imbalance": round(max(loads.get(e.name, 0) for e in engines) / mean_load, 2),
+                    "idle": sum(not loads.get(e.name) for e in engines),
+                    "moved_by_one": round(statistics.mean(_engines_moved(cell_map, engines, placed)), 2),
                 }
             )
+    _print_radius(rows)
+    if folder is not None:
+        plot_radius(rows, folder / "blast-radius.svg")
+    return rows
+
+
+def _affected_shares(
+    cell_map: CellMap, names: list[str], engines: list[EnginePlace], placed: PlacedCells
+) -> tuple[float, float]:
+    """Shares of the tenants that are hurt and touched, over every poisonous tenant in turn."""
+    roles = {engine.name: engine.role for engine in engines}
+    capable = {
+        cell: (
+            frozenset(name for name in members if roles[name] is not Role.DECODE),
+            frozenset(name for name in members if roles[name] is not Role.PREFILL),
+        )
+        for cell, members in placed.items()
+    }
+    tenant_counts = Counter(home_cell(cell_map, name, None) for name in names)
+    hurt = touched = 0.0
+    for poisoned_cell, poisonous in tenant_counts.items():
+        lost = placed[poisoned_cell]
+        for cell, count in tenant_counts.items():
+            share = poisonous * count / len(names) / len(names)
+            hurt += share * any(not side - lost for side in capable[cell])
+            touched += share * bool(placed[cell] & lost)
+    return hurt, touched
+
+
+def _engine_loads(cell_map: CellMap, load: dict[str, float], placed: PlacedCells) -> dict[str, float]:
+    """Each tenant's load, spread evenly over the engines of its cell."""
+    loads: dict[str, float] = {}
+    for tenant, amount in load.items():
+        members = placed[home_cell(cell_map, tenant, None)]
+        for engine in members:
+            loads[engine] = loads.get(engine, 0) + amount / len(members)
+    return loads
+
+
+def _engines_moved(cell_map: CellMap, engines: list[EnginePlace], placed: PlacedCells) -> list[float]:
+    """How many engines change their cell as one is removed, for eight of them in turn."""
+    moved = []
+    for step in range(8):
+        removed = engines[step * len(engines) // 8]
+        after = place_engines(cell_map, [engine for engine in engines if engine is not removed]).cells
+        moved.append(sum(len((placed[cell] - {removed.name}) ^ after[cell]) for cell in placed) / 2)
+    return moved
+
+
+def _print_radius(rows: list[dict[str, Any]]) -> None:
     print("| engines | way | cells | hurt | touched | most loaded / mean | idle | moved by one leaving |")
     print("| ---: | --- | ---: | ---: | ---: | ---: | ---: | ---: |")
     for row in rows:
@@ -248,12 +305,10 @@
             f"| {row['engines']} | {row['way']} | {row['cells']} | {row['hurt']:.2%} | "
             f"{row['touched']:.2%} | {row['imbalance']} | {row['idle']} | {row['moved_by_one']} |"
         )
-    if folder is not None:
-        plot(rows, folder / "blast-radius.svg")
-    return rows
 
 
-def plot(rows: list[dict[str, Any]], file: Path) -> None:
+def plot_radius(rows: list[dict[str, Any]], file: Path) -> None:
+    """Write the shares of affected tenants as a picture."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -262,16 +317,16 @@
     pyplot.rcParams.update({"svg.hashsalt": "runspool", "svg.fonttype": "none"})
     figure, axes = pyplot.subplots(figsize=(6, 3.6))
     for way in ("no cells", "cells", "shuffle shards"):
-        mine = [row for row in rows if row["way"] == way]
+        of_way = [row for row in rows if row["way"] == way]
         (line,) = axes.plot(
-            [row["engines"] for row in mine],
-            [max(row["hurt"], 1e-4) for row in mine],
+            [row["engines"] for row in of_way],
+            [max(row["hurt"], 1e-4) for row in of_way],
             marker="o",
             label=f"{way}: cut off",
         )
         axes.plot(
-            [row["engines"] for row in mine],
-            [row["touched"] for row in mine],
+            [row["engines"] for row in of_way],
+            [row["touched"] for row in of_way],
             marker="x",
             linestyle="--",
             color=line.get_color(),
@@ -292,84 +347,80 @@
     figure.savefig(file, metadata={"Date": None})
 
 
-def cost(queries: int = 3000) -> dict[str, Any]:
-    """Microseconds a query: letting in and ending by cells, beside the module's picks, at 64 engines."""
-    engines = fleet(64)
-    tenants = [f"tenant-{at}" for at in range(1000)]
-    said: dict[str, Any] = {}
-    for way, chart in charts(64).items():
-        router = CellRouter(chart, 10_000, 1 << 30, Random(1).random)
+def measure_cost(request_count: int = 3000) -> dict[str, Any]:
+    """Microseconds a request at 64 engines: admission and finish by cells, beside the scheduler's selection."""
+    engines = build_fleet(64)
+    tenants = [f"tenant-{index}" for index in range(1000)]
+    result: dict[str, Any] = {}
+    for way, cell_map in cell_maps(64).items():
+        router = CellRouter(cell_map, 10_000, 1 << 30, Random(1).random)
         router.update_engines(engines, set())
-        rng = Random(2)
-        asked = [
-            AdmissionRequest(tenants[rng.randrange(1000)], None, None, False, 0, 1000, str(at))
-            for at in range(queries)
+        random = Random(2)
+        requests = [
+            AdmissionRequest(tenants[random.randrange(1000)], None, None, False, 0, 1000, str(index))
+            for index in range(request_count)
         ]
-        begun = time.perf_counter()
-        admissions = [router.admit(at, 1, one) for at, one in enumerate(asked)]
+        started_at = time.perf_counter()
+        admissions = [router.admit(index, 1, request) for index, request in enumerate(requests)]
         for admission in admissions:
             assert isinstance(admission, CellAdmission)
             router.finish(0, admission, False)
-        spent = (time.perf_counter() - begun) / queries * 1e6
-        begun = time.perf_counter()
+        request_us = (time.perf_counter() - started_at) / request_count * 1e6
+        started_at = time.perf_counter()
         router.update_engines(engines, set())
-        placing = (time.perf_counter() - begun) * 1e3
-        many = len(next(iter(router.placement.cells.values())))
-        row = {
-            "a_query_us": round(spent, 1),
-            "a_list_ms": round(placing, 2),
-            "module_us": round(module(engines, many, queries), 1),
+        placement_ms = (time.perf_counter() - started_at) * 1e3
+        cell_size = len(next(iter(router.placement.cells.values())))
+        result[way] = {
+            "a_request_us": round(request_us, 1),
+            "a_list_ms": round(placement_ms, 2),
+            "scheduler_us": round(scheduler_cost(engines[:cell_size], request_count), 1),
         }
-        said[way] = row
         print(
-            f"{way}: {row['a_query_us']} us a query by cells, {row['module_us']} us by the module with "
-            f"{many} engines, {row['a_list_ms']} ms to place the list"
+            f"{way}: {result[way]['a_request_us']} us a request by cells, {result[way]['scheduler_us']} us "
+            f"by the scheduler with {cell_size} engines, {result[way]['a_list_ms']} ms to place the list"
         )
-    return said
-
-
-class _Out:
-    def __init__(self) -> None:
-        self.sent: list[tuple[int, int]] = []
-
-    def start_attempt(self, request: int, engine: int, timeout: int) -> None:
-        self.sent.append((request, engine))
-
-    def nothing(self, *said: Any) -> None:
-        return
-
-    reject = fail_indeterminate = release_state = migrate_stream = nothing
-    subscribe_to_endpoints = set_timer = log_message = forget_request = nothing
-
-
-def module(engines: list[EnginePlace], many: int, queries: int) -> float:
-    """Microseconds that one query's arrival costs the module with `many` of the engines."""
-    plan = flood(1)
-    house: RoutingSettings = parse_config(
-        front_configuration(plan, 0, 1, Path("/nowhere"))
-    ).routing_settings()
-    out = _Out()
-    desk = SchedulerDriver(house, 1, out, 0)
-    kinds = {Role.PREFILL: "prefill", Role.DECODE: "decode", Role.MIXED: "mixed"}
-    names = list(parse_config(front_configuration(plan, 0, 1, Path("/nowhere"))).house.kinds)
-    desk.update_endpoints(
-        0,
-        EndpointUpdate(
-            True,
-            [
-                EngineRecord(at, names.index(kinds[one.role]), 0, one.rack, 0, EngineState.READY, at)
-                for at, one in enumerate(engines[:many])
-            ],
-        ),
-    )
-    begun = time.perf_counter()
-    for index in range(queries):
-        desk.submit(index * 100, Request(index, 0, 0, index, None, 500, 0, 100, 50, 60_000, False, False))
-        desk.client_disconnected(index * 100, index)
-    return (time.perf_counter() - begun) / queries * 1e6
+    return result
+
+
+class IgnoringHandler:
+    """Takes the scheduler driver's actions and carries nothing out."""
+
+    def ignore(self, *details: object) -> None:
+        """Do nothing."""
+
+    start_attempt = reject = fail_indeterminate = release_state = migrate_stream = ignore
+    subscribe_to_endpoints = set_timer = log_message = forget_request = ignore
+
+
+def scheduler_cost(engines: list[EnginePlace], request_count: int) -> float:
+    """Microseconds that one request's submission costs the scheduler with these engines."""
+    config = parse_config(front_configuration(flood(1), 0, 1, Path("/nowhere")))
+    driver = SchedulerDriver(config.routing_settings(), 1, IgnoringHandler(), 0)
+    type_names = {Role.PREFILL: "prefill", Role.DECODE: "decode", Role.MIXED: "mixed"}
+    type_indices = list(config.house.kinds)
+    records = [
+        EngineRecord(
+            index,
+            type_indices.index(type_names[engine.role]),
+            0,
+            engine.rack,
+            0,
+            EngineState.READY,
+            index,
+        )
+        for index, engine in enumerate(engines)
+    ]
+    driver.update_endpoints(0, EndpointUpdate(True, records))
+    started_at = time.perf_counter()
+    for index in range(request_count):
+        request = Request(index, 0, 0, index, None, 500, 0, 100, 50, 60_000, False, False)
+        driver.submit(index * 100, request)
+        driver.client_disconnected(index * 100, index)
+    return (time.perf_counter() - started_at) / request_count * 1e6
 
 
 def main() -> None:
+    """Run the benchmark that the command line names."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -377,23 +428,23 @@
     parser.add_argument("--seeds", default="1,2,3,4,5")
     parser.add_argument("--tenants", type=int, default=1000)
     parser.add_argument("--out", type=Path, help="A folder for the plot.")
-    said = parser.parse_args()
-    seeds = [int(seed) for seed in said.seeds.split(",")]
-    found: Any
-    match said.what:
+    options = parser.parse_args()
+    seeds = [int(seed) for seed in options.seeds.split(",")]
+    result: Any
+    match options.what:
         case "flood":
-            found = flooded(seeds)
+            result = measure_flood(seeds)
         case "full":
-            found = full(seeds)
+            result = measure_full_cell(seeds)
         case "poison":
-            found = hurt(seeds, poisoned)
+            result = measure_fault(seeds, poisoned)
         case "release":
-            found = hurt(seeds, bad_release)
+            result = measure_fault(seeds, bad_release)
         case "radius":
-            found = radius(said.tenants, said.out)
+            result = measure_radius(options.tenants, options.out)
         case _:
-            found = cost()
-    print(json.dumps(found))
+            result = measure_cost()
+    print(json.dumps(result))
 
 
 if __name__ == "__main__":
