--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -348,7 +348,7 @@
 
 
 def measure_cost(request_count: int = 3000) -> dict[str, Any]:
-    """Microseconds a request at 64 engines: admission and finish by cells, beside the scheduler's selection."""
+    """Microseconds a request at 64 engines: admission and finish by cells, beside the scheduler."""
     engines = build_fleet(64)
     tenants = [f"tenant-{index}" for index in range(1000)]
     result: dict[str, Any] = {}
