--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -1,4 +1,4 @@
-"""Engines of long prompts: what is read where, what a rate is learned from, which reads are let in."""
+"""Prefill of long prompts: at which engine, what its rate is estimated from, which prefills are admitted."""
 
 from __future__ import annotations
 
@@ -11,73 +11,71 @@
 def test_a_prompt_found_cached_does_not_make_a_mixed_engine_look_fast() -> None:
     host = FakeHost([MIXED], terms(front_count=50))
     for _ in range(4):
-        one = host.ask(6_000)
-        host.begin(one, took=500)
-        host.end(one, AttemptStatus.SUCCEEDED, over=True, took=5_000, kept=5_500)
+        request = host.ask(6_000)
+        host.begin(request, took=500)
+        host.end(request, AttemptStatus.SUCCEEDED, over=True, took=5_000, kept=5_500)
     assert host.desk.scheduler.prefill_rates[Role.MIXED] <= 1.0
-    one = host.ask(6_000)
-    host.begin(one, took=2_000)
-    # before its end nothing is known of what was cached
+    request = host.ask(6_000)
+    host.begin(request, took=2_000)
+    # until it ends nothing is known of cached tokens
     assert host.desk.scheduler.prefill_rates[Role.MIXED] <= 1.0
-    host.end(one, AttemptStatus.SUCCEEDED, over=True, took=5_000, kept=0)
+    host.end(request, AttemptStatus.SUCCEEDED, over=True, took=5_000, kept=0)
     assert host.desk.scheduler.prefill_rates[Role.MIXED] == 3.0
 
 
 @pytest.mark.parametrize("cached", [-1_000_000_000, 9_000_000])
-def test_a_cached_count_that_cannot_be_makes_no_engine_look_fast(cached: int) -> None:
+def test_an_impossible_cached_count_makes_no_engine_look_fast(cached: int) -> None:
     host = FakeHost([READER, MIXED], terms(front_count=50))
-    rules = host.desk.scheduler
-    rules.engines[1].prefill_tokens = 9_000  # so that the reader reads
-    one = host.ask(6_000)
-    host.end(one, AttemptStatus.PREFILL_COMPLETE, took=6_000, kept=cached)
-    host.begin(one)
-    host.end(one, AttemptStatus.SUCCEEDED, over=True, took=5_000, kept=cached)
-    rules.engines[1].prefill_tokens, rules.engines[0].prefill_tokens = 0, 9_000
-    two = host.ask(6_000)
-    assert host.at(two) == 1
-    host.begin(two, took=6_000)
-    host.end(two, AttemptStatus.SUCCEEDED, over=True, took=5_000, kept=cached)
-    assert rules.prefill_rates[Role.PREFILL] <= 1.0
-    assert rules.prefill_rates[Role.MIXED] <= 1.0
-    assert 0 <= rules.request_classes[0].cached_fraction <= 1
+    scheduler = host.desk.scheduler
+    scheduler.engines[1].prefill_tokens = 9_000  # so that the prefill engine is chosen
+    request = host.ask(6_000)
+    host.end(request, AttemptStatus.PREFILL_COMPLETE, took=6_000, kept=cached)
+    host.begin(request)
+    host.end(request, AttemptStatus.SUCCEEDED, over=True, took=5_000, kept=cached)
+    scheduler.engines[1].prefill_tokens, scheduler.engines[0].prefill_tokens = 0, 9_000
+    second_request = host.ask(6_000)
+    assert host.at(second_request) == 1
+    host.begin(second_request, took=6_000)
+    host.end(second_request, AttemptStatus.SUCCEEDED, over=True, took=5_000, kept=cached)
+    assert scheduler.prefill_rates[Role.PREFILL] <= 1.0
+    assert scheduler.prefill_rates[Role.MIXED] <= 1.0
+    assert 0 <= scheduler.request_classes[0].cached_fraction <= 1
 
 
-def test_one_slow_answer_leaves_room_in_the_pace_and_many_do_not() -> None:
+def test_one_slow_response_leaves_time_per_output_token_and_many_do_not() -> None:
     host = FakeHost([READER, MIXED], terms(front_count=50))
-    reader = host.desk.scheduler.engines[0]
-    places = []
+    prefill_engine = host.desk.scheduler.engines[0]
+    chosen = []
     for _ in range(8):
-        reader.prefill_tokens = 500
-        one = host.ask(200)
-        reader.prefill_tokens = 0
-        places.append(host.at(one))
-        if places[-1] == 0:
-            host.end(one, AttemptStatus.PREFILL_COMPLETE)
-        host.begin(one)
+        prefill_engine.prefill_tokens = 500
+        request = host.ask(200)
+        prefill_engine.prefill_tokens = 0
+        chosen.append(host.at(request))
+        if chosen[-1] == 0:
+            host.end(request, AttemptStatus.PREFILL_COMPLETE)
+        host.begin(request)
         host.end(
-            one, AttemptStatus.SUCCEEDED, over=True, took=15_000
+            request, AttemptStatus.SUCCEEDED, over=True, took=15_000
         )  # 50 tokens, for which 25,000 are allowed
-    assert places[:2] == [1, 1], places
-    assert places[-1] == 0, places
+    assert chosen[:2] == [1, 1], chosen
+    assert chosen[-1] == 0, chosen
 
 
-def test_a_stream_from_a_reader_teaches_nothing_of_how_fast_its_writer_reads() -> None:
+def test_a_stream_after_a_remote_prefill_leaves_the_prefill_rate_of_its_engine() -> None:
     host = FakeHost([READER, MIXED], terms(front_count=50))
-    host.desk.scheduler.engines[1].prefill_tokens = 9_000  # so that the reader reads
-    one = host.ask(4_000)
-    host.end(one, AttemptStatus.PREFILL_COMPLETE)
-    host.begin(one, took=100)
-    host.end(one, AttemptStatus.SUCCEEDED, over=True, took=5_000)
+    host.desk.scheduler.engines[1].prefill_tokens = 9_000  # so that the prefill engine is chosen
+    request = host.ask(4_000)
+    host.end(request, AttemptStatus.PREFILL_COMPLETE)
+    host.begin(request, took=100)
+    host.end(request, AttemptStatus.SUCCEEDED, over=True, took=5_000)
     assert host.desk.scheduler.prefill_rates[Role.MIXED] == 1.0
 
 
-def test_a_read_that_is_in_time_with_its_own_reading_is_let_in() -> None:
+def test_a_prefill_is_admitted_if_it_ends_in_time_with_the_usual_queueing() -> None:
     host = FakeHost([READER, WRITER], terms(front_count=50))
     host.luck = 0.5
-    rules = host.desk.scheduler
-    rules.usual_queueing_delays[Role.PREFILL].time, rules.usual_queueing_delays[Role.PREFILL].updated_at = (
-        2_200.0,
-        host.now,
-    )
-    assert host.of(host.ask(4_000)) == ["send"]  # 0.4 s of reading and 0.22 s of others' in 1 s
-    assert host.of(host.ask(9_000)) == ["dismiss"]  # 0.9 s of reading, and as much of others'
+    queueing_delay = host.desk.scheduler.usual_queueing_delays[Role.PREFILL]
+    queueing_delay.time = 2_200.0
+    queueing_delay.updated_at = host.now
+    assert host.of(host.ask(4_000)) == ["send"]  # 0.4 s of prefill and 0.22 s of queueing in 1 s
+    assert host.of(host.ask(9_000)) == ["dismiss"]  # 0.9 s of prefill, and the same queueing
