--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -15,8 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A test function by its path and name (all its parameters are meant), why it fails, and where that is
-    worked on."""
+    """A test function by its path and name, with all its parameters.
+
+    It has the cause of the failure, and the issue that works on it.
+    """
 
     test: str
     cause: str
--- a/tests/simulation/fronts.py
+++ b/tests/simulation/fronts.py
@@ -86,7 +86,7 @@
         self.initial_list = initial_list
         plan = context.plan.fronts[index]
         self.name = plan.name
-        config = parse_config(front_configuration(context.plan, index, RUN_NUMBER, Path(".")))
+        config = parse_config(front_configuration(context.plan, index, RUN_NUMBER, Path()))
         self.front = Front(config, seed=context.seed * SEEDS_PER_SIMULATION + seed_number)
         self.front.engine_client = cast(Any, SimulatedEngineClient(context, engines, plan.source_address))
         log = cast(Any, _ErrorLog(context))
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -88,7 +88,7 @@
     async def start(self) -> None:
         """Start the process; returns when it is ready, or when it never will be."""
         command = ["-m", "tests.soak.sabotage", self.sabotage] if self.sabotage else ["-m", "runspool.node"]
-        variables = os.environ | {"BALANCER_CONFIG": str(self.write_config()), "PYTHONPATH": os.getcwd()}
+        variables = os.environ | {"BALANCER_CONFIG": str(self.write_config()), "PYTHONPATH": str(Path.cwd())}
         if self.preload:
             variables |= {"LD_PRELOAD": self.preload, "SOAK_CLOCK": str(self.folder / "clock")}
         began = asyncio.get_running_loop().time()
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import os
 from pathlib import Path
 
 import pytest
@@ -78,7 +77,7 @@
             client = await platform.client()
             client.send(post(f"q{index}"))
             responses.append((client, await client.read_head()))
-            most_open = max(most_open, len(os.listdir(descriptors)))
+            most_open = max(most_open, sum(1 for _ in descriptors.iterdir()))
         proceed.set()
         assert {response.status for _, response in responses} == {200, 503}
         for client, response in responses:
--- a/tests/test_node_state_release.py
+++ b/tests/test_node_state_release.py
@@ -113,8 +113,10 @@
 
 
 async def test_a_release_call_goes_on_until_the_next_prefill_has_been_answered(tmp_path: Path) -> None:
-    """Not only until its last byte is sent, which does not show that it has arrived. After the response the
-    call would release the new state too: what it was for is owed from then on."""
+    """Not only until its last byte is sent, which does not show that it has arrived.
+
+    After the response the call would release the new state too: what it was for is owed from then on.
+    """
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
         node = running.executor
--- a/tests/test_timer_queue.py
+++ b/tests/test_timer_queue.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import anyio
+import anyio.lowlevel
 import pytest
 
 from runspool.service.clock import now
@@ -23,7 +24,7 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(timers.run)
         timers.schedule(now() + 600, "third")
-        await anyio.sleep(0)
+        await anyio.lowlevel.checkpoint()
         timers.schedule(now() + 100, "first")
         timers.schedule(now() + 300, "second")
         with anyio.fail_after(10):
