--- a/tests/soak/environment.py
+++ b/tests/soak/environment.py
@@ -29,7 +29,7 @@
 
 Event = dict[str, Any]
 KINDS = ("prefill", "decode", "mixed")
-MIXED_ENGINES = 3
+PREFILL_ENGINES, DECODE_ENGINES, MIXED_ENGINES = 8, 7, 3  # in a soak
 
 
 @dataclass
@@ -217,13 +217,13 @@
 class Environment:
     """All engines of a soak, their states, and the endpoint list."""
 
-    def __init__(self, seed: int, prefill: int = 8, decode: int = 7, mixed: int = MIXED_ENGINES) -> None:
+    def __init__(self, seed: int, mixed_engines: int = MIXED_ENGINES) -> None:
         self.seed = seed
         self.recording = Recording()
         self.record = self.recording.record
         self.states: dict[str, State] = {}
         self.engines: dict[str, SoakEngine] = {}
-        for kind, count in zip(KINDS, (prefill, decode, mixed), strict=True):
+        for kind, count in zip(KINDS, (PREFILL_ENGINES, DECODE_ENGINES, mixed_engines), strict=True):
             for index in range(count):
                 name = f"{kind}-{index}"
                 self.engines[name] = SoakEngine(self, name, kind)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -16,7 +16,7 @@
 from runspool.lab.audit import RuleVerdict
 from tests.soak.client_workload import DISCONNECTING_SHARE, ClientWorkload
 from tests.soak.edges import Edge
-from tests.soak.environment import MIXED_ENGINES, Environment, Event
+from tests.soak.environment import DECODE_ENGINES, MIXED_ENGINES, PREFILL_ENGINES, Environment, Event
 from tests.soak.faults import Fault, FaultInjector, schedule
 from tests.soak.judge import judge
 from tests.soak.nodes import SoakNode
@@ -64,27 +64,35 @@
 
 
 def conditions_for(rule: str, nodes: int) -> RuleConditions:
-    """Return the conditions for one rule, in a soak of so many nodes."""
+    """Return the conditions for one rule, in a soak of so many nodes.
+
+    Where a violation shows only behind a prefill, or as a decode goes wrong, there is no mixed engine: those
+    serve a request in one attempt, and on a slow machine hardly any other would be left to judge.
+    """
     all_nodes = tuple(range(nodes))
-    prefill = tuple(f"prefill-{index}" for index in range(8))
-    decode = tuple(f"decode-{index}" for index in range(5))
-    kind, engines = {
-        "held": ("silence", decode),
-        "gone": ("slow", prefill),
-        "drain": ("drain", prefill[:2]),
-        "twice": ("failing", decode),
-    }.get(rule, ("silence", decode[:2]))
-    fault = Fault(0.5, kind, 4.0, engines, all_nodes)
-    if rule == "gone":
-        # An attempt after a disconnect shows only behind a prefill; a mixed engine needs no further attempt.
-        return RuleConditions(fault, mixed_engines=0, disconnecting_share=0.5)
-    return RuleConditions(fault)
+    prefill = tuple(f"prefill-{index}" for index in range(PREFILL_ENGINES))
+    decode = tuple(f"decode-{index}" for index in range(DECODE_ENGINES))
+
+    def fault(kind: str, engines: tuple[str, ...]) -> Fault:
+        return Fault(0.5, kind, 4.0, engines, all_nodes)
+
+    match rule:
+        case "lost" | "held":
+            return RuleConditions(fault("silence", decode), mixed_engines=0)
+        case "twice":
+            return RuleConditions(fault("failing", decode), mixed_engines=0)
+        case "gone":
+            return RuleConditions(fault("slow", prefill), mixed_engines=0, disconnecting_share=0.5)
+        case "drain":
+            return RuleConditions(fault("drain", prefill[:2]))
+        case _:
+            return RuleConditions(fault("silence", decode[:2]))
 
 
 async def play(soak: Soak, folder: Path) -> Result:
     """Start everything, inject the faults under load, end everything, judge."""
     conditions = conditions_for(soak.sabotage, soak.nodes) if soak.sabotage else None
-    environment = Environment(soak.seed, mixed=conditions.mixed_engines if conditions else MIXED_ENGINES)
+    environment = Environment(soak.seed, conditions.mixed_engines if conditions else MIXED_ENGINES)
     await environment.start()
     nodes = [
         SoakNode(environment, f"n{index}", folder, soak.sabotage, soak.preload) for index in range(soak.nodes)
