--- a/tests/node_platform/client.py
+++ b/tests/node_platform/client.py
@@ -36,11 +36,6 @@
     body: bytes
     complete: bool  # ended as its head said
 
-    @property
-    def whole(self) -> bool:
-        """The same as `complete`, for tests/test_scale.py, which still has this name."""
-        return self.complete
-
 
 class Client:
     """One raw connection."""
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -76,7 +76,7 @@
         snapshots = [target for target in platform.lists if AFTER not in target]
         assert len(snapshots) <= 6  # not one every tenth of a second, each making the others slower
         platform.tell(r="active")
-        assert (await platform.ask(post("q1"))).whole
+        assert (await platform.ask(post("q1"))).complete
 
 
 async def test_list_is_requested_again_from_an_agent_that_stops_in_the_middle(tmp_path: Path) -> None:
@@ -101,7 +101,7 @@
             await asyncio.sleep(1.0)
             assert process.returncode is None
         await platform._answers()
-        assert (await platform.ask(post("q1"))).whole
+        assert (await platform.ask(post("q1"))).complete
         process.terminate()
         assert await asyncio.wait_for(process.wait(), WAIT) == 0
 
@@ -117,7 +117,7 @@
         await asyncio.sleep(0.8)
         file.write_bytes(complete)
         await platform._answers()
-        assert (await platform.ask(post("q1"))).whole
+        assert (await platform.ask(post("q1"))).complete
         process.terminate()
         assert await asyncio.wait_for(process.wait(), WAIT) == 0
 
@@ -176,7 +176,7 @@
     async with platform.inside() as server:
         monkeypatch.setattr(tcp, "next_connection", fail)
         await connect_until(platform, lambda: not failures)
-        assert (await platform.ask(post("q1"))).whole
+        assert (await platform.ask(post("q1"))).complete
         assert not platform.run.done() and server.port == platform.port
 
 
@@ -223,7 +223,7 @@
     async with platform.inside():
         monkeypatch.setattr("runspool.engines.connection_pool.connect", fail_once)
         answer = await platform.ask(post("q1", "book"))  # an effect that must not happen twice
-        assert failed and answer.whole and answer.status == 200
+        assert failed and answer.complete and answer.status == 200
 
 
 async def test_background_task_that_fails_again_and_again_is_restarted_slowly(
@@ -241,6 +241,6 @@
         task = asyncio.ensure_future(server._keep_running(fail))
         await asyncio.sleep(1.0)
         assert 3 <= failures <= 10
-        assert (await platform.ask(post("q1"))).whole
+        assert (await platform.ask(post("q1"))).complete
         task.cancel()
     assert node_server.RESTART_DELAY_SECONDS < node_server.MAX_RESTART_DELAY_SECONDS
