--- a/tests/fleet/real_nodes.py
+++ b/tests/fleet/real_nodes.py
@@ -4,7 +4,6 @@
 
 import asyncio
 import json
-import os
 import resource
 import sys
 import time
@@ -15,6 +14,7 @@
 from tests.fleet.plan import NodesReport, Told
 from tests.node_platform.ports import free_port
 from tests.node_platform.settings import SETTINGS
+from tests.process_environment import PROCESS_ENVIRONMENT
 
 STARTED_AT_ONCE = 20
 START_INTERVAL = 0.5  # seconds between two such groups
@@ -56,7 +56,7 @@
                 "-m",
                 "runspool.node",
                 stderr=file,
-                env=os.environ | {"BALANCER_CONFIG": str(config)},
+                env=PROCESS_ENVIRONMENT | {"BALANCER_CONFIG": str(config)},
             )
         self.processes.append((agent_port, process, log))
 
--- a/tests/fleet/trial.py
+++ b/tests/fleet/trial.py
@@ -14,6 +14,7 @@
 
 from tests.fleet.plan import AgentsReport, Change, Listening, NodesReport, Plan, Sent, Told
 from tests.fleet.real_nodes import RealNodes
+from tests.process_environment import PROCESS_ENVIRONMENT
 
 NODES_A_PROCESS = 26
 SETTLING_TIME = 2.5  # seconds from the start of the nodes to that of the plan
@@ -112,6 +113,7 @@
         "-m",
         module,
         *arguments,
+        env=PROCESS_ENVIRONMENT,
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
         limit=REPORT_LIMIT,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,6 +13,7 @@
 
 import pytest
 
+from tests.process_environment import PROCESS_ENVIRONMENT
 from tests.soak.judge import RULES
 from tests.soak.verdict import read_verdict
 
@@ -28,6 +29,7 @@
     """Run one soak; returns cases and violations by rule, and the output."""
     process = subprocess.run(
         [sys.executable, "-m", "tests.soak.run", *options],
+        env=PROCESS_ENVIRONMENT,
         capture_output=True,
         text=True,
         timeout=TIMEOUT,
