--- a/runspool/cells/__init__.py
+++ b/runspool/cells/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants confined to parts of the fleet: the map, the placing of engines, moves, a front's rulings."""
+"""Cells confine tenants to parts of the fleet: the cell map, engine placement, migration and admission."""
--- a/runspool/cells/admission_policy.py
+++ b/runspool/cells/admission_policy.py
@@ -1,6 +1,7 @@
-"""A front's admission decisions for its cells: budgets, overflow, panic and poisonous requests.
+"""Admission policies of a front for its cells: budgets, overflow, panic mode and poisonous requests.
 
-Free of I/O. Times are in tenths of a millisecond. Each front decides alone, by what it has seen itself.
+The module does no I/O. Times are in tenths of a millisecond. Each front decides independently, based on its
+own observations.
 """
 
 from __future__ import annotations
@@ -13,28 +14,36 @@
 from runspool.cells.cell_map import CellMap
 from runspool.units import tenths
 
-OUTCOME_HALF_LIFE = 20_000  # tenths of a millisecond after which an outcome counts half
-MIN_OUTCOMES = 4.0  # decayed outcomes needed to judge a cell: under 1.4 a second nothing is concluded
-GUARANTEED_SHARE = 0.6  # of a front's limits that is guaranteed to cells; the rest is open to all
-OVERFLOW_STEP = 0.1  # by which the overflow share grows at each settling time
-MAX_FINGERPRINTS = 2_000  # fingerprints of requests remembered
-FINGERPRINT_TTL = 600_000  # tenths of a millisecond after which a fingerprint is forgotten
+OUTCOME_HALF_LIFE = 20_000  # half-life of a recorded request outcome, in tenths of a millisecond
+# The rejected share of a cell counts as 0 while the decayed number of its outcomes is below this number. With
+# the half-life above, it is reached at about 1.4 requests per second.
+MIN_OUTCOMES = 4.0
+GUARANTEED_SHARE = 0.6  # fraction of a front's limit that is guaranteed to cells; all cells share the rest
+OVERFLOW_STEP = 0.1  # increase of a cell's overflow share after each settling time
+MAX_FINGERPRINTS = 2_000  # request fingerprints remembered; the oldest are dropped
+FINGERPRINT_TTL = 600_000  # lifetime of a request fingerprint, in tenths of a millisecond
 
 
 class BudgetDecision(Enum):
-    """Whether a budget has room for a cell's request."""
+    """The result of checking a request against a budget."""
 
     ADMITTED = auto()
-    CELL_FULL = auto()  # over the cell's budget while others' guarantees need the rest
-    FRONT_FULL = auto()
+    CELL_FULL = auto()  # over the cell's guarantee, and the rest is used by or guaranteed to other cells
+    FRONT_FULL = auto()  # over the limit of the whole front
 
 
 @dataclass(slots=True)
 class Budget:
-    """A front's limit on one resource (requests or bytes), shared out to cells.
+    """A front's limit on one resource (requests or bytes), divided among cells.
 
-    Each cell is guaranteed a part by weight; what no guarantee needs is open to all. An overloaded cell gets
-    its guarantee and the open part, never another cell's guarantee.
+    Each cell is guaranteed a part in proportion to its weight. All cells share the part that is not
+    guaranteed. An overloaded cell can use its guarantee and the shared part, but not another cell's
+    guarantee.
+
+    Attributes:
+        limit: the amount that all cells together can use.
+        weights: the weight of each cell.
+        used: the amount that each cell uses; cells that use nothing are absent.
     """
 
     limit: int
@@ -42,12 +51,12 @@
     used: dict[str, int] = field(default_factory=dict)
 
     def guarantee(self, cell: str) -> int:
-        """The amount that a cell can use whatever the other cells do."""
+        """Return the amount that a cell can use regardless of the other cells."""
         total = sum(self.weights.values()) or 1.0
         return int(self.limit * GUARANTEED_SHARE * self.weights.get(cell, 0.0) / total)
 
     def check(self, cell: str, amount: int = 1) -> BudgetDecision:
-        """Whether `amount` more would be admitted for a cell; nothing is reserved."""
+        """Return whether a cell may use `amount` more; nothing is reserved."""
         used = self.used.get(cell, 0)
         if sum(self.used.values()) + amount > self.limit:
             return BudgetDecision.FRONT_FULL
@@ -61,11 +70,11 @@
         return BudgetDecision.CELL_FULL
 
     def acquire(self, cell: str, amount: int = 1) -> None:
-        """Counts `amount` as used by a cell, unchecked."""
+        """Count `amount` as used by a cell, without a check."""
         self.used[cell] = self.used.get(cell, 0) + amount
 
     def release(self, cell: str, amount: int = 1) -> None:
-        """Gives back what acquire() counted; a cell that uses nothing is dropped."""
+        """Release an amount that `acquire` has counted."""
         remaining = self.used.get(cell, 0) - amount
         if remaining > 0:
             self.used[cell] = remaining
@@ -75,18 +84,28 @@
 
 @dataclass(slots=True)
 class CellOverflowState:
-    """One cell's recent outcomes and its overflow, as this front sees them."""
+    """The recent outcomes of one cell's requests and its overflow, as observed by this front.
+
+    Attributes:
+        rejected: the decayed number of requests that the cell could not serve.
+        finished: the decayed number of all requests that ended in the cell.
+        updated_at: the time up to which the two numbers are decayed; 0 before the first update.
+        overflowing: whether the cell sends requests to the reserve.
+        overflow_share: the fraction of the cell's new requests that go to the reserve.
+        last_step_at: the time of the last increase of `overflow_share`.
+        requests_at_reserve: the number of the cell's requests in progress at the reserve.
+    """
 
-    rejected: float = 0.0  # decayed count of requests that the cell could not serve
-    finished: float = 0.0  # decayed count of all its requests
-    updated_at: int = 0  # when the counts were decayed last
+    rejected: float = 0.0
+    finished: float = 0.0
+    updated_at: int = 0
     overflowing: bool = False
-    overflow_share: float = 0.0  # of its new requests that go to the reserve
+    overflow_share: float = 0.0
     last_step_at: int = 0
     requests_at_reserve: int = 0
 
     def decay(self, now: int) -> None:
-        """Decays the counts up to `now`."""
+        """Decay the numbers of outcomes up to `now`."""
         factor = exp2((self.updated_at - now) / OUTCOME_HALF_LIFE) if self.updated_at else 1.0
         self.rejected *= factor
         self.finished *= factor
@@ -94,29 +113,29 @@
 
     @property
     def rejected_share(self) -> float:
-        """The share of recent requests that the cell rejected; 0 while there are too few to judge."""
+        """The fraction of recent requests that the cell rejected; 0 below `MIN_OUTCOMES` requests."""
         return self.rejected / self.finished if self.finished >= MIN_OUTCOMES else 0.0
 
 
 @dataclass(slots=True)
 class OverflowPolicy:
-    """Decides when a cell's requests go to the reserve, and how many.
+    """Decides which requests of a cell go to the reserve.
 
-    A cell begins to overflow when its rejected share is over one threshold and ends when it is under a lower
-    one (hysteresis). The overflow share grows by steps and is halved when the reserve rejects too, so that
-    one cell's trouble takes what the reserve can spare and no more. Requests at the reserve are capped for
-    each cell.
+    A cell starts to overflow when its rejected share exceeds one threshold, and stops when the share falls
+    below a lower threshold (hysteresis). The overflow share grows in steps and is halved each time the
+    reserve rejects a request, so that one overloaded cell does not overload the reserve. The number of
+    requests at the reserve is limited per cell.
     """
 
     cell_map: CellMap
     states: dict[str, CellOverflowState] = field(default_factory=dict)
 
     def state(self, cell: str) -> CellOverflowState:
-        """The state of a cell, a new one where it has none yet."""
+        """Return the state of a cell; create it if there is none."""
         return self.states.setdefault(cell, CellOverflowState())
 
     def record_outcome(self, now: int, cell: str, rejected: bool, overflowed: bool) -> None:
-        """Counts a finished request of a cell; `overflowed` where it was at the reserve."""
+        """Record the end of a request of a cell; `overflowed` is true if the reserve served it."""
         state = self.state(cell)
         if overflowed:
             state.requests_at_reserve = max(0, state.requests_at_reserve - 1)
@@ -126,25 +145,26 @@
         state.decay(now)
         state.finished += 1
         state.rejected += rejected
-        self._step(now, state)
+        self._update_share(now, state)
 
     def use_reserve(self, now: int, cell: str, random_draw: float) -> bool:
-        """Whether a new request of a cell goes to the reserve; if so it is counted there.
+        """Return whether a new request of a cell goes to the reserve, and count it there if so.
 
-        `random_draw` is one draw from 0 to 1.
+        `random_draw` is a random number between 0 and 1.
         """
         rules = self.cell_map.overflow
         if self.cell_map.reserve is None or cell == self.cell_map.reserve:
             return False
         state = self.state(cell)
         state.decay(now)
-        self._step(now, state)
+        self._update_share(now, state)
         if random_draw >= state.overflow_share or state.requests_at_reserve >= rules.most_queries:
             return False
         state.requests_at_reserve += 1
         return True
 
-    def _step(self, now: int, state: CellOverflowState) -> None:
+    def _update_share(self, now: int, state: CellOverflowState) -> None:
+        """Start or end the overflow of a cell, and increase its overflow share after each settling time."""
         rules = self.cell_map.overflow
         settle_time = tenths(rules.settle_ms)
         if not state.overflowing and state.rejected_share > rules.from_turned_away:
@@ -159,28 +179,34 @@
 
 
 def is_panicking(cell_map: CellMap, available: int, configured: int) -> bool:
-    """Whether a cell has lost so many engines that the rest cannot serve as a cell.
+    """Return whether a cell has too few available engines to serve its requests.
 
-    That is when fewer engines are available than the map's panic share of those configured. Its requests
-    then go to the reserve as if that were their home.
+    This is the case if fewer than the map's fraction `panic_under` of its configured engines are available.
+    The reserve then serves all requests of the cell.
     """
     return configured > 0 and available < cell_map.panic_under * configured
 
 
 @dataclass(slots=True)
 class PoisonDetector:
-    """Finds requests that bring down each engine they meet, by a fingerprint of tenant and prompt.
+    """Finds poisonous requests, which bring down every engine that executes them.
+
+    A request is identified by a fingerprint of its tenant and prompt. The loss of one engine is attributed to
+    the engine. If `loss_threshold` different engines were lost while they executed the same request, the loss
+    is attributed to the request. It is then not sent to any engine again, neither in this try nor in a later
+    one.
 
-    A loss at one engine is the engine's fault; losses of the same request at `loss_threshold` different
-    engines are the request's. Such a request is sent nowhere any more, this time or the next.
+    Attributes:
+        loss_threshold: the number of lost engines from which on a request counts as poisonous.
+        losses: for each fingerprint, the time of the last loss and the lost engines; the fingerprint that
+            was updated least recently comes first.
     """
 
     loss_threshold: int
-    # By fingerprint, the longest unchanged first: when an engine was lost last, and which ones were
     losses: OrderedDict[str, tuple[int, frozenset[int]]] = field(default_factory=OrderedDict)
 
     def record_loss(self, now: int, fingerprint: str, engine: int) -> bool:
-        """Counts an engine lost while it had this request; True where the request now counts as poisonous."""
+        """Record an engine lost while it executed a request; return whether the request is now poisonous."""
         engines = self._lost_engines(now, fingerprint) | {engine}
         self.losses[fingerprint] = (now, engines)
         self.losses.move_to_end(fingerprint)
@@ -189,11 +215,11 @@
         return len(engines) >= self.loss_threshold
 
     def record_success(self, fingerprint: str) -> None:
-        """Forgets the losses of a request that was answered: it did not cause them."""
+        """Remove the losses of a request that was served: it did not cause them."""
         self.losses.pop(fingerprint, None)
 
     def is_poisonous(self, now: int, fingerprint: str) -> bool:
-        """Whether a request has lost enough engines to be sent nowhere any more."""
+        """Return whether a request is poisonous and must not be sent to any engine."""
         return len(self._lost_engines(now, fingerprint)) >= self.loss_threshold
 
     def _lost_engines(self, now: int, fingerprint: str) -> frozenset[int]:
--- a/runspool/cells/cell_map.py
+++ b/runspool/cells/cell_map.py
@@ -1,8 +1,11 @@
-"""The cell map: which tenants belong to which cells, and how cells are made up. Types and their checks only.
+"""The schema of the cell map, which assigns engines and tenants to cells.
 
-A map is a versioned document that every front holds for itself; two fronts may hold different versions at one
-time. Nothing in it names a front, so the same file serves all. It is written by operators and stored, so the
-fields keep their names; an unknown field or a contradiction raises pydantic's ValidationError.
+A cell is a group of engines that serves a part of the tenants, so that a fault or an overload caused by one
+tenant does not reach the others. The map is a versioned document. Every front keeps its own copy, and two
+fronts may hold different versions at the same time. The map names no front, so one file serves all of them.
+
+Operators write the map and it is stored on disk, so the field names are part of its format. An unknown field
+or a contradiction raises pydantic's ValidationError.
 """
 
 from __future__ import annotations
@@ -12,37 +15,51 @@
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$")]
-Pattern = Annotated[str, Field(min_length=1, max_length=128)]
-Share = Annotated[float, Field(ge=0, le=1)]
+EnginePattern = Annotated[str, Field(min_length=1, max_length=128)]
+Fraction = Annotated[float, Field(ge=0, le=1)]
 Milliseconds = Annotated[float, Field(ge=0, le=86_400_000)]
 
 MAX_CELLS = 256
 MAX_TENANTS = 100_000
 MAX_MOVES = 1_000
-WHOLE_FLEET = "whole"  # the name of the one cell where a map has none
-SPREAD = "*"  # as a tenant's cell: its sessions are spread over the cells, each session in one
+WHOLE_FLEET = "whole"  # the name of the single cell that a map without cells stands for
+SPREAD = "*"  # in place of a tenant's cell: its sessions are spread over all cells, each session in one cell
 
 AssignmentMethod = Literal["fixed", "shuffle", "rendezvous"]
 MoveStep = Literal["planned", "done", "turned_back"]
 
 
 class MapSection(BaseModel):
-    """A part of the map: immutable, strictly typed, without unknown fields."""
+    """Base class of the sections of the map: immutable, strictly typed, without unknown fields."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
 class Cell(MapSection):
-    """One cell. `engines` are name patterns, for fixed cells only; the counts are minima of each role."""
+    """One named cell.
+
+    Attributes:
+        weight: the share of the engines that the cell receives, relative to the weights of the other cells.
+        readers: the minimum number of engines that can run prefill; fewer are reported as a shortage.
+        writers: the minimum number of engines that can run decode; fewer are reported as a shortage.
+        engines: shell-style patterns of engine names, for the assignment method "fixed" only.
+    """
 
     weight: Annotated[float, Field(gt=0, le=1000)] = 1.0
     readers: Annotated[int, Field(ge=1, le=10_000)] = 1
     writers: Annotated[int, Field(ge=1, le=10_000)] = 1
-    engines: list[Pattern] = []
+    engines: list[EnginePattern] = []
 
 
 class Shards(MapSection):
-    """Shuffle sharding: how many shards there are, and how many engines of each role one has."""
+    """Settings of shuffle sharding.
+
+    Attributes:
+        count: the number of shards.
+        readers: the number of prefill engines per shard.
+        writers: the number of decode engines per shard.
+        mixed: the number of mixed engines per shard.
+    """
 
     count: Annotated[int, Field(ge=1, le=MAX_CELLS)] = 16
     readers: Annotated[int, Field(ge=1, le=1000)] = 2
@@ -51,31 +68,43 @@
 
 
 class Overflow(MapSection):
-    """When a cell may send part of its requests to the reserve, and how many at once.
-
-    The thresholds are shares of the cell's requests that it rejected; `most_share` is the largest share of
-    its new requests sent to the reserve, `most_queries` the most there at one time.
+    """Limits on the requests that an overloaded cell sends to the reserve cell.
+
+    Attributes:
+        from_turned_away: overflow starts when the cell rejects more than this fraction of its requests.
+        until_turned_away: overflow ends when the cell rejects less than this fraction of its requests.
+        most_queries: the maximum number of the cell's requests at the reserve at the same time, per front.
+        most_share: the maximum fraction of the cell's new requests that are sent to the reserve.
+        settle_ms: the time in milliseconds between two increases of the fraction.
     """
 
-    from_turned_away: Share = 0.3
-    until_turned_away: Share = 0.05
+    from_turned_away: Fraction = 0.3
+    until_turned_away: Fraction = 0.05
     most_queries: Annotated[int, Field(ge=0, le=1_000_000)] = 50
-    most_share: Share = 0.5
+    most_share: Fraction = 0.5
     settle_ms: Milliseconds = 1000
 
     @model_validator(mode="after")
     def check_thresholds(self) -> Self:
-        """Raises ValueError unless overflow ends under the share at which it begins."""
+        """Raise ValueError unless the threshold that ends overflow is below the one that starts it."""
         if self.until_turned_away >= self.from_turned_away:
-            raise ValueError("until_turned_away must be under from_turned_away, or overflow would flap")
+            raise ValueError("until_turned_away must be below from_turned_away, or overflow would flap")
         return self
 
 
 class Move(MapSection):
-    """One tenant's move.
-
-    From `starts_unix_ms` on new requests go to the target cell; a move that was undone (`turned_back`) sends
-    them to the source again from `turned_unix_ms` on.
+    """The migration of one tenant from one cell to another.
+
+    Attributes:
+        id: the identifier that operators use for the move.
+        tenant: the tenant that moves.
+        source: the cell that the tenant leaves.
+        target: the cell that the tenant moves to.
+        step: "planned" until the move is finished ("done") or undone ("turned_back").
+        starts_unix_ms: from this time on, new requests go to the target cell; milliseconds since the epoch.
+        turned_unix_ms: for an undone move, from this time on new requests go to the source cell again;
+            milliseconds since the epoch.
+        warm: asks the target cell to prefill the tenant's sessions before the move starts.
     """
 
     id: Name
@@ -89,7 +118,21 @@
 
 
 class CellMap(MapSection):
-    """The whole map. An empty one (no cells, way fixed) means one cell that holds the whole fleet."""
+    """The complete map. Without named cells or shards, one cell contains the whole fleet.
+
+    Attributes:
+        version: increases by one with every change; a front adopts a map only if its version is higher.
+        way: the method that assigns engines to cells; see `runspool.cells.engine_placement`.
+        cells: the named cells; must be empty for shuffle sharding, where the shards are numbered.
+        shards: the settings of shuffle sharding; ignored by the other methods.
+        tenants: the home cell of each tenant, or "*" to spread the tenant's sessions over the cells.
+        reserve: the cell that takes the overflow of the other cells; it is no tenant's home.
+        overflow: limits on the requests that overflow to the reserve.
+        panic_under: a cell that has fewer than this fraction of its engines left sends all requests to the
+            reserve.
+        poison_after: a request is rejected once it has brought down this many engines.
+        moves: migrations of tenants that are planned, finished or undone.
+    """
 
     version: Annotated[int, Field(ge=0)]
     way: AssignmentMethod = "rendezvous"
@@ -98,69 +141,69 @@
     tenants: Annotated[dict[Name, Name | Literal["*"]], Field(max_length=MAX_TENANTS)] = {}
     reserve: Name | None = None
     overflow: Overflow = Overflow()
-    panic_under: Share = 0.34
+    panic_under: Fraction = 0.34
     poison_after: Annotated[int, Field(ge=1, le=64)] = 2
     moves: Annotated[list[Move], Field(max_length=MAX_MOVES)] = []
 
     @model_validator(mode="after")
     def check_consistency(self) -> Self:
-        """Raises ValueError with every contradiction in the map."""
+        """Raise ValueError with a list of all contradictions in the map."""
         known_cells = self.names()
-        faults = [
-            *self._faults_of_tenants(known_cells),
-            *self._faults_of_reserve(),
-            *self._faults_of_cells(),
-            *self._faults_of_moves(known_cells),
+        errors = [
+            *self._check_tenants(known_cells),
+            *self._check_reserve(),
+            *self._check_cells(),
+            *self._check_moves(known_cells),
         ]
-        if faults:
-            raise ValueError("; ".join(faults))
+        if errors:
+            raise ValueError("; ".join(errors))
         return self
 
-    def _faults_of_tenants(self, known_cells: list[str]) -> list[str]:
+    def _check_tenants(self, known_cells: list[str]) -> list[str]:
         return [
-            f"tenants.{tenant}: no cell {home!r}"
+            f"tenants.{tenant}: there is no cell {home!r}"
             for tenant, home in self.tenants.items()
             if home != SPREAD and home not in known_cells
         ]
 
-    def _faults_of_reserve(self) -> list[str]:
-        faults = []
+    def _check_reserve(self) -> list[str]:
+        errors = []
         if self.reserve is not None and self.reserve not in self.cells:
-            faults.append(f"reserve: no cell {self.reserve!r}")
+            errors.append(f"reserve: there is no cell {self.reserve!r}")
         if self.reserve is not None and self.reserve in self.tenants.values():
-            faults.append(f"reserve: {self.reserve!r} is a tenant's home; a reserve stands empty")
-        return faults
+            errors.append(f"reserve: {self.reserve!r} is a tenant's home, but a reserve must have no tenants")
+        return errors
 
-    def _faults_of_cells(self) -> list[str]:
-        faults = []
+    def _check_cells(self) -> list[str]:
+        errors = []
         if self.way == "shuffle" and self.cells:
-            faults.append("cells: shuffle shards are numbered, not named")
+            errors.append("cells: must be empty for shuffle sharding, whose shards are numbered")
         for name, cell in self.cells.items():
             if cell.engines and self.way != "fixed":
-                faults.append(f"cells.{name}.engines: patterns are for fixed cells")
+                errors.append(f"cells.{name}.engines: patterns are allowed for way 'fixed' only")
             if not cell.engines and self.way == "fixed" and len(self.cells) > 1:
-                faults.append(f"cells.{name}.engines: a fixed cell names its engines")
-        return faults
+                errors.append(f"cells.{name}.engines: must not be empty; a fixed cell names its engines")
+        return errors
 
-    def _faults_of_moves(self, known_cells: list[str]) -> list[str]:
-        faults = []
+    def _check_moves(self, known_cells: list[str]) -> list[str]:
+        errors = []
         moving_tenants: set[str] = set()
         for index, move in enumerate(self.moves):
             if move.source == move.target:
-                faults.append(f"moves.{index}: from {move.source!r} to itself")
+                errors.append(f"moves.{index}: moves the tenant from {move.source!r} to itself")
             if move.step != "planned":
                 continue
             if move.tenant in moving_tenants:
-                faults.append(f"moves.{index}: {move.tenant!r} is already being moved")
+                errors.append(f"moves.{index}: {move.tenant!r} is already being moved")
             moving_tenants.add(move.tenant)
             if move.target not in known_cells:
-                faults.append(f"moves.{index}: no cell {move.target!r}")
+                errors.append(f"moves.{index}: there is no cell {move.target!r}")
         if len({move.id for move in self.moves}) < len(self.moves):
-            faults.append("moves: an id stands twice")
-        return faults
+            errors.append("moves: two moves have the same id")
+        return errors
 
     def names(self) -> list[str]:
-        """Every cell's name, the reserve's included; WHOLE_FLEET alone where the map has no cells."""
+        """Return the names of all cells, including the reserve; only WHOLE_FLEET if the map has no cells."""
         if self.way == "shuffle":
             return [f"shard-{index}" for index in range(self.shards.count)]
         return list(self.cells) or [WHOLE_FLEET]
--- a/runspool/cells/cell_router.py
+++ b/runspool/cells/cell_router.py
@@ -1,8 +1,10 @@
-"""A front's cells: which cell serves a request, whether it is admitted, and each cell's present engines.
+"""Admit requests to cells at one front, and track which engines each cell has.
 
-Free of I/O; times in tenths of a millisecond, moments in Unix milliseconds. It puts together what the map
-says (cell_map, engine_placement, tenant_migration) and what this front has seen (admission_policy). It picks
-no engine: the scheduler does.
+The router combines the cell map (`cell_map`, `engine_placement`, `tenant_migration`) with the front's own
+observations (`admission_policy`). It does not select engines; the scheduler of each cell does.
+
+The module does no I/O. `now` is the front's clock in tenths of a millisecond; `unix_ms` is the wall clock in
+milliseconds since the epoch.
 """
 
 from __future__ import annotations
@@ -25,20 +27,28 @@
 
 
 class AdmissionRefusal(Enum):
-    """Why a request is not admitted. Nothing has been done for it."""
+    """The reason why a request is not admitted. A refused request has not been sent to any engine."""
 
-    CELL_FULL = auto()
-    FRONT_FULL = auto()
-    POISONOUS = auto()  # it brought down each engine that it met
-    EARLIER_CELL_UNKNOWN = auto()  # a retry whose first attempt may have executed in another cell
+    CELL_FULL = auto()  # over its home cell's budget
+    FRONT_FULL = auto()  # over the limit of the whole front
+    POISONOUS = auto()  # every engine that executed it went down, up to the map's limit
+    EARLIER_CELL_UNKNOWN = auto()  # a client retry whose earlier try may have executed in another cell
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """What of a request matters for its cell.
-
-    `ticket` is given only where its repeats are dropped by a group smaller than all; `binding_time` then says
-    for how long: the deduplication window and the longest deadline together.
+    """The properties of a request that its admission depends on.
+
+    Attributes:
+        tenant: the tenant's name, if known.
+        session: the session's name, if known.
+        ticket: the idempotency key, if its deduplication scope is smaller than the whole fleet; otherwise
+            None, because then any cell drops a duplicate.
+        is_retry: whether the client has sent the request before.
+        binding_time: how long the idempotency key binds retries to the cell, in tenths of a millisecond: the
+            deduplication window plus the longest deadline.
+        size_bytes: the memory that the front holds for the request until it ends.
+        fingerprint: a hash of the tenant and the prompt, the same for every repetition of the request.
     """
 
     tenant: str | None
@@ -46,13 +56,19 @@
     ticket: str | None
     is_retry: bool
     binding_time: int
-    size_bytes: int  # held at the front until it ends
+    size_bytes: int
     fingerprint: str
 
 
 @dataclass(frozen=True, slots=True)
 class CellAdmission:
-    """An admitted request: the cell that serves it, to its end, and the cell in whose budget it counts."""
+    """An admitted request.
+
+    Attributes:
+        cell: the cell that serves the request until it ends.
+        home_cell: the cell in whose budget the request counts.
+        request: the properties that the admission was based on.
+    """
 
     cell: str
     home_cell: str
@@ -60,15 +76,22 @@
 
     @property
     def overflowed(self) -> bool:
-        """Whether it is served at the reserve for its home cell."""
+        """Whether the reserve serves the request in place of its home cell."""
         return self.cell != self.home_cell
 
 
 @dataclass
 class CellRouter:
-    """A front's admission to cells under its map.
-
-    `draw_random` is a bound method of the front's seeded random numbers, from 0 to 1.
+    """Admits a front's requests to cells.
+
+    Attributes:
+        cell_map: the map that the front has adopted.
+        max_requests: the maximum number of requests in progress at the front.
+        max_bytes: the maximum memory for requests in progress at the front.
+        draw_random: returns a number from the front's seeded random generator, between 0 and 1.
+        adopted_unix_ms: when the front adopted the map, in milliseconds since the epoch.
+        placement: the engines of each cell, without the unavailable ones.
+        panicking_cells: the cells that have lost so many engines that the reserve serves their requests.
     """
 
     cell_map: CellMap
@@ -90,16 +113,17 @@
         self._update_weights()
 
     def adopt(self, cell_map: CellMap, unix_ms: int) -> bool:
-        """Takes a newer map; False, with nothing changed, for an older one or the same.
+        """Adopt a map if its version is higher than the current one; return whether it was adopted.
 
-        Admitted requests stay where they are.
+        Requests that were admitted before stay in their cells.
         """
         if not self.migrations.adopt(cell_map, unix_ms):
             return False
         self.cell_map = self.overflow_policy.cell_map = cell_map
         self.adopted_unix_ms = unix_ms
         self.poison_detector.loss_threshold = cell_map.poison_after
-        # A removed cell cannot overflow; its state is kept while it has requests at the reserve.
+        # A removed cell can no longer overflow, but requests of it that are still at the reserve must be
+        # counted until they end.
         for name in self.overflow_policy.states.keys() - set(cell_map.names()):
             if not self.overflow_policy.states[name].requests_at_reserve:
                 del self.overflow_policy.states[name]
@@ -108,10 +132,11 @@
         return True
 
     def update_engines(self, engines: list[EnginePlace], unavailable: set[str]) -> Placement:
-        """Places the engines of a list in the cells.
+        """Assign the available engines to the cells, and return the placement.
 
-        Those in `unavailable` are drained or gone: they only tell the former size of a cell. A cell takes no
-        unavailable engine: its place goes to another, so that every role stays served.
+        `engines` also lists those in `unavailable`, which are draining or have disappeared. A cell receives
+        other engines in their place, so that every role stays served. They count only in the comparison
+        of a cell's engines with its configured engines, which decides whether the cell panics.
         """
         self.engines = engines
         self.unavailable = unavailable
@@ -126,18 +151,18 @@
         return self.placement
 
     def cells_per_engine(self) -> float:
-        """In how many cells an engine is on average, 1 where cells are disjoint.
+        """Return the average number of cells that an engine belongs to; 1 if the cells are disjoint.
 
-        Each cell's scheduler must count the others as so many more fronts, or engines in two cells would be
-        filled twice.
+        The scheduler of each cell multiplies the number of fronts by it. Otherwise an engine that belongs to
+        two cells would receive the load that is intended for one engine twice.
         """
         count = Counter(engine for members in self.placement.cells.values() for engine in members)
         return max(1.0, count.total() / len(count)) if count else 1.0
 
     def admit(self, now: int, unix_ms: int, request: AdmissionRequest) -> CellAdmission | AdmissionRefusal:
-        """The cell that serves a request, or why none does.
+        """Admit a request to a cell, or return the reason why it is refused.
 
-        An admitted request counts in its home cell's budget until finish().
+        An admitted request counts in its home cell's budget until `finish` is called.
         """
         if self.poison_detector.is_poisonous(now, request.fingerprint):
             return AdmissionRefusal.POISONOUS
@@ -158,10 +183,10 @@
         return CellAdmission(cell, home, request)
 
     def finish(self, now: int, admission: CellAdmission, rejected: bool | None) -> None:
-        """Ends an admission; to be called once for each.
+        """Record that an admitted request has ended; must be called exactly once per admission.
 
-        `rejected` tells whether its cell could not serve it; None where that is not known, as with one whose
-        client disconnected.
+        `rejected` is true if the cell could not serve the request, and None if that is unknown, for example
+        because the client disconnected.
         """
         home = admission.home_cell
         self.request_budget.release(home)
@@ -175,11 +200,17 @@
             self.poison_detector.record_success(admission.request.fingerprint)
 
     def record_engine_loss(self, now: int, admission: CellAdmission, engine: int) -> bool:
-        """Records that an engine went down with the request; True where it may be sent nowhere any more."""
+        """Record that an engine went down while it executed the request.
+
+        Return true if the request now counts as poisonous and must not be sent to another engine.
+        """
         return self.poison_detector.record_loss(now, admission.request.fingerprint, engine)
 
     def _home_cell(self, now: int, unix_ms: int, request: AdmissionRequest) -> str | None:
-        """The cell in whose budget a request counts; None where an earlier try may be in a cell not known."""
+        """Return the cell in whose budget a request counts.
+
+        Return None for a client retry whose earlier try may have executed in a cell that is not known.
+        """
         choice = self.migrations.choose_cell(
             now,
             unix_ms,
@@ -193,14 +224,18 @@
             return None
         if choice.cell in self.cell_map.names():
             return choice.cell
-        # Its cell is no longer in the map: a retry of a ticketed request may have executed there.
+        # The cell has been removed from the map. The earlier try of a retry may have executed there, and no
+        # other cell would recognize the idempotency key.
         if request.ticket is not None and request.is_retry:
             return None
         return self.migrations.home_cell(unix_ms, request.tenant, request.session)
 
     def _home_or_reserve(self, now: int, home: str, reserve: str, request: AdmissionRequest) -> str:
-        """The cell that serves a request; makes one random draw unless the answer does not depend on it."""
-        # A retry of a ticketed request stays with the engines that know its ticket.
+        """Return the cell that serves a request.
+
+        Draw one random number if there is a choice between the home cell and the reserve.
+        """
+        # Only the engines of the home cell can recognize a retry by its idempotency key.
         if request.ticket is not None and request.is_retry:
             return home
         if home in self.panicking_cells or self.overflow_policy.use_reserve(now, home, self.draw_random()):
--- a/runspool/cells/cell_store.py
+++ b/runspool/cells/cell_store.py
@@ -1,7 +1,8 @@
-"""Cell maps on disk: the map that all fronts watch, its move log, and the map that each front adopted.
+"""Store cell maps on disk: the published map that all fronts watch, its change log, and adopted maps.
 
-Every file is replaced atomically. The map files carry one checksum, the log one for each line. A line of the
-log is a change with the map that it led to, so that the map can be restored from the log's last intact line.
+Every file is replaced atomically. A map file starts with one checksum; the log has one checksum per line.
+Each log line describes one change and contains the complete map after it, so that the map can be restored
+from the last intact line of the log. A front stores the map that it adopted in a file of its own.
 """
 
 from __future__ import annotations
@@ -19,15 +20,15 @@
 from runspool.cells.tenant_migration import MigrationRefusedError
 from runspool.storage.atomic_file import CorruptFileError, add_checksum, read_checked, replace_file
 
-MAX_LOGGED_CHANGES = 1_000  # lines kept in a move log; older ones are dropped
+MAX_LOGGED_CHANGES = 1_000  # lines kept in a change log; older lines are dropped
 
 
 class AdoptedMap(msgspec.Struct, frozen=True):
-    """A map as a front adopted it.
+    """The file content for the map that a front adopted.
 
     Attributes:
-        adopted_unix_ms: when, milliseconds since the epoch.
-        cell_map: the map as JSON ("chart" in the file).
+        adopted_unix_ms: when the front adopted the map, in milliseconds since the epoch.
+        cell_map: the map as JSON (key "chart" in the file).
     """
 
     adopted_unix_ms: int
@@ -35,13 +36,13 @@
 
 
 class MapChange(msgspec.Struct, frozen=True):
-    """One line of a move log.
+    """One line of a change log.
 
     Attributes:
-        unix_ms: when the change was made, milliseconds since the epoch.
-        description: the command that made it ("what" in the file).
-        version: the version of the map that it led to.
-        cell_map: that map as JSON ("chart" in the file).
+        unix_ms: when the change was made, in milliseconds since the epoch.
+        description: the command that made the change (key "what" in the file).
+        version: the version of the map after the change.
+        cell_map: the map after the change, as JSON (key "chart" in the file).
     """
 
     unix_ms: int
@@ -51,7 +52,9 @@
 
 
 def write_checked(path: Path, body: bytes) -> None:
-    """Replaces a checked file atomically and syncs its directory, so that this survives a power loss.
+    """Replace a file atomically, with a checksum before `body`, and sync its directory.
+
+    Without the sync of the directory, a power loss could undo the replacement.
 
     Raises:
         OSError: the file could not be written.
@@ -65,31 +68,31 @@
 
 
 def encode_map(cell_map: CellMap) -> bytes:
-    """Returns a map as JSON."""
+    """Return a map as JSON."""
     return cell_map.model_dump_json().encode()
 
 
 def decode_map(raw: bytes, source: str) -> CellMap:
-    """Parses a map.
+    """Parse and validate a map.
 
     Args:
         raw: the map as JSON.
-        source: the file it comes from, for the error.
+        source: the file that contains the map, for the error message.
 
     Raises:
-        CorruptFileError: the map is invalid; the reason lists every fault with its path in the map.
+        CorruptFileError: the map is invalid; the reason lists every error with its path in the map.
     """
     try:
         return CellMap.model_validate_json(raw)
-    except ValidationError as fault:
+    except ValidationError as error:
         reason = "; ".join(
-            f"{'.'.join(map(str, each['loc'])) or '(top)'}: {each['msg']}" for each in fault.errors()
+            f"{'.'.join(map(str, details['loc'])) or '(top)'}: {details['msg']}" for details in error.errors()
         )
         raise CorruptFileError(source, reason) from None
 
 
 def load_map(path: Path) -> CellMap | None:
-    """Reads the map in a file; None if there is no file.
+    """Read and validate the map in a file; return None if the file does not exist.
 
     Raises:
         CorruptFileError: the file is damaged or holds no valid map.
@@ -99,16 +102,19 @@
 
 
 def save_adopted_map(path: Path, cell_map: CellMap, adopted_unix_ms: int) -> None:
-    """Stores the map that a front adopted, and when (milliseconds since the epoch).
+    """Store the map that a front adopted and the time of adoption, in milliseconds since the epoch.
 
     Raises:
-        OSError: the file could not be written; the previous one is untouched.
+        OSError: the file could not be written.
     """
     write_checked(path, msgspec.json.encode(AdoptedMap(adopted_unix_ms, msgspec.Raw(encode_map(cell_map)))))
 
 
 def load_adopted_map(path: Path) -> tuple[CellMap, int] | None:
-    """Reads the map that a front adopted last, and when (milliseconds since the epoch); None if absent.
+    """Read the map that a front adopted last.
+
+    Returns:
+        The map and the time of its adoption in milliseconds since the epoch, or None if there is no file.
 
     Raises:
         CorruptFileError: the file is damaged or holds no valid map.
@@ -118,20 +124,21 @@
         return None
     try:
         adopted: AdoptedMap = msgspec.json.decode(body, type=AdoptedMap)
-    except msgspec.DecodeError as fault:
-        raise CorruptFileError(path, str(fault)) from None
+    except msgspec.DecodeError as error:
+        raise CorruptFileError(path, str(error)) from None
     return decode_map(bytes(adopted.cell_map), str(path)), adopted.adopted_unix_ms
 
 
 def log_path(path: Path) -> Path:
-    """Returns the path of a map's move log."""
+    """Return the path of the change log that belongs to the map at `path`."""
     return path.with_name(path.name + ".log")
 
 
 def read_changes(path: Path) -> list[MapChange]:
-    """Reads a map's move log, oldest change first.
+    """Read a map's change log, oldest change first; return an empty list if there is no log.
 
-    Reading ends at the first line that does not match its checksum: what follows it is not trusted.
+    Reading stops at the first line that does not match its checksum, because the lines after a damaged line
+    cannot be trusted.
     """
     changes: list[MapChange] = []
     try:
@@ -148,17 +155,18 @@
 
 @contextmanager
 def exclusive_change(path: Path) -> Iterator[None]:
-    """Holds a map's lock file, so that two operators cannot change the map at the same time.
+    """Hold a map's lock file, so that two operators cannot change the map at the same time.
 
     Raises:
-        MigrationRefusedError: the lock file exists.
+        MigrationRefusedError: the lock file already exists.
     """
     lock_path = path.with_name(path.name + ".lock")
     try:
         lock = os.open(lock_path, os.O_CREAT | os.O_EXCL | os.O_WRONLY)
     except FileExistsError:
         raise MigrationRefusedError(
-            f"{lock_path} is there: another change is under way, or died; if so remove it"
+            f"{lock_path} exists: another change is in progress, or an earlier command was killed; "
+            "if no command is running, remove the file"
         ) from None
     try:
         yield
@@ -168,32 +176,36 @@
 
 
 def record_change(path: Path, description: str, cell_map: CellMap, unix_ms: int) -> None:
-    """Logs a change, then replaces the map; if killed between the two, `recover_map` completes it.
+    """Append a change to the log, then replace the map.
+
+    If the process is killed between the two steps, the next `recover_map` completes the change.
 
     Args:
         path: the map's file.
         description: the command that makes the change.
-        cell_map: the map that it leads to.
-        unix_ms: when, milliseconds since the epoch.
+        cell_map: the map after the change.
+        unix_ms: the time of the change, in milliseconds since the epoch.
 
     Raises:
         OSError: a file could not be written.
     """
-    earlier = read_changes(path)
+    earlier_changes = read_changes(path)
     change = MapChange(unix_ms, description, cell_map.version, msgspec.Raw(encode_map(cell_map)))
-    lines = [msgspec.json.encode(each) for each in [*earlier[-MAX_LOGGED_CHANGES + 1 :], change]]
+    lines = [msgspec.json.encode(entry) for entry in [*earlier_changes[-MAX_LOGGED_CHANGES + 1 :], change]]
     replace_file(log_path(path), b"".join(b"%08x %b\n" % (crc32(line), line) for line in lines))
     write_checked(path, encode_map(cell_map))
 
 
 def recover_map(path: Path) -> CellMap | None:
-    """Returns the newest map of the file and its log, and writes it to the file if that is older or damaged.
+    """Return the newest map found in a map file and its change log.
+
+    If the file is damaged or older than the last log line, the map from the log is written to the file.
 
     Returns:
-        None if neither holds a map.
+        The map, or None if neither the file nor the log contains one.
 
     Raises:
-        CorruptFileError: the log's last map is needed and is invalid.
+        CorruptFileError: the map in the last log line is needed and is invalid.
         OSError: the file could not be written.
     """
     try:
--- a/runspool/cells/engine_placement.py
+++ b/runspool/cells/engine_placement.py
@@ -1,11 +1,17 @@
-"""Which engines make up which cell, and which cell a tenant belongs to.
-
-Free of I/O and of chance: the same list and map give the same cells. There are three methods. *Fixed*: by
-name patterns. *Rendezvous*: each engine has a pseudo-random affinity to each cell (weighted rendezvous
-hashing); a cell takes its quota of each role by affinity, so an engine that comes or goes moves few others.
-*Shuffle*: each shard takes the engines of each role to which it has the highest affinity, whatever others
-take, so two shards share few. Rendezvous and shuffle spread over zones first; where a role is missing, the
-placement says so with the reason.
+"""Assign engines to cells, and tenants to their home cells.
+
+The functions do no I/O and use no random numbers: the same engines and the same map give the same cells. The
+map selects one of three assignment methods:
+
+- fixed: each cell lists patterns of engine names.
+- rendezvous: weighted rendezvous hashing gives each engine a pseudo-random affinity to each cell. A cell
+  receives its quota of each role in the order of affinity, so that adding or removing an engine moves few
+  others.
+- shuffle: each shard takes the engines of each role with the highest affinity to it, regardless of the other
+  shards. An engine may belong to several shards, but two shards have few engines in common.
+
+Rendezvous and shuffle distribute a cell's engines over the zones. Cells that lack engines of a role are
+reported as shortages with the reason.
 """
 
 from __future__ import annotations
@@ -21,12 +27,12 @@
 from runspool.scheduling.types import Role
 
 ROLES = (Role.PREFILL, Role.DECODE, Role.MIXED)
-HASH_RANGE = float(1 << 64)
+HASH_RANGE = float(1 << 64)  # number of values of the 64-bit hash
 
 
 @dataclass(frozen=True, slots=True)
 class EnginePlace:
-    """What the placement needs to know of an engine."""
+    """The properties of an engine that its placement depends on."""
 
     name: str
     role: Role
@@ -36,23 +42,29 @@
 
 @dataclass(slots=True)
 class Placement:
-    """The names of each cell's engines, and what is missing where, for people to read."""
+    """An assignment of engines to cells.
+
+    Attributes:
+        cells: the names of the engines of each cell.
+        shortages: a message for each cell that has too few engines of a role, or all of them in one zone.
+    """
 
     cells: dict[str, frozenset[str]]
     shortages: list[str] = field(default_factory=list)
 
 
 def affinity(engine: str, cell: str, weight: float = 1.0) -> float:
-    """A pseudo-random number from the two names alone; the highest wins.
+    """Return the affinity of an engine to a cell: a positive pseudo-random number.
 
-    Weighted rendezvous hashing: -weight / ln(hash), with the hash scaled to between 0 and 1.
+    It depends on the two names and the weight only. As weighted rendezvous hashing defines it, it is
+    -weight / ln(hash), where the hash is scaled to between 0 and 1, exclusive.
     """
     scaled_hash = (xxhash.xxh64_intdigest(f"{cell}\0{engine}".encode()) + 1) / (HASH_RANGE + 2)
     return -weight / log(scaled_hash)
 
 
 def place_engines(cell_map: CellMap, engines: list[EnginePlace]) -> Placement:
-    """The cells of a map over a list of engines; the order of the list does not matter."""
+    """Assign engines to the cells of a map; the order of the engines does not matter."""
     if cell_map.way == "shuffle":
         cells = _shuffle_shards(cell_map, engines)
     elif cell_map.way == "fixed" or not cell_map.cells:
@@ -68,7 +80,12 @@
 
 
 def home_cell(cell_map: CellMap, tenant: str | None, session: str | None) -> str:
-    """The cell of a tenant, or of a session where its tenant is spread or has no cell in the map."""
+    """Return the home cell of a tenant or of one of its sessions.
+
+    A tenant without a cell in the map is assigned by the hash of its name. The sessions of a spread tenant,
+    and sessions without a tenant, are each assigned by the hash of the session. The reserve is no one's home
+    unless it is the only cell.
+    """
     cell = cell_map.tenants.get(tenant) if tenant is not None else None
     if cell is not None and cell != SPREAD:
         return cell
@@ -87,16 +104,18 @@
     cells: dict[str, set[str]] = {name: set() for name in cell_map.cells}
     for role in ROLES:
         candidates = [engine for engine in engines if engine.role is role]
-        # Mixed engines serve for a role that the pure ones cannot fill, so cells short of one come first.
-        first = _cells_without_a_role(cells, engines) if role is Role.MIXED else set()
-        _assign_by_affinity(cell_map, candidates, _quotas(cell_map, len(candidates), first), cells)
+        # A mixed engine can replace a missing prefill or decode engine, so cells without one come first.
+        incomplete = _find_incomplete_cells(cells, engines) if role is Role.MIXED else set()
+        _assign_by_affinity(
+            cell_map, candidates, _compute_quotas(cell_map, len(candidates), incomplete), cells
+        )
     return {name: frozenset(members) for name, members in cells.items()}
 
 
 def _assign_by_affinity(
     cell_map: CellMap, candidates: list[EnginePlace], quotas: dict[str, int], cells: dict[str, set[str]]
 ) -> None:
-    """Adds engines of one role to the cells up to their quotas, the highest affinity first."""
+    """Add engines of one role to the cells up to their quotas, in descending order of affinity."""
     zone_count = len({engine.zone for engine in candidates}) or 1
     pairs = sorted(
         (
@@ -108,40 +127,48 @@
         reverse=True,
     )
     assigned: set[str] = set()
-    by_zone: Counter[tuple[str, str]] = Counter()
-    count: Counter[str] = Counter()
-    for spread_zones in (True, False):  # first with zones kept apart, then whatever is left
+    zone_counts: Counter[tuple[str, str]] = Counter()  # engines by cell and zone
+    counts: Counter[str] = Counter()  # engines by cell
+    # The first pass limits how many of a cell's engines are in one zone; the second pass fills what is left.
+    for spread_zones in (True, False):
         for _, engine_name, cell, zone in pairs:
-            if engine_name in assigned or count[cell] >= quotas[cell]:
+            if engine_name in assigned or counts[cell] >= quotas[cell]:
                 continue
-            if spread_zones and by_zone[cell, zone] >= ceil(quotas[cell] / zone_count):
+            if spread_zones and zone_counts[cell, zone] >= ceil(quotas[cell] / zone_count):
                 continue
             assigned.add(engine_name)
-            count[cell] += 1
-            by_zone[cell, zone] += 1
+            counts[cell] += 1
+            zone_counts[cell, zone] += 1
             cells[cell].add(engine_name)
 
 
-def _quotas(cell_map: CellMap, engine_count: int, first: set[str]) -> dict[str, int]:
-    """How many of the engines each cell gets: one each for `first`, then by weight, largest remainder."""
+def _compute_quotas(cell_map: CellMap, engine_count: int, prioritized: set[str]) -> dict[str, int]:
+    """Return how many of `engine_count` engines of one role each cell receives.
+
+    Each prioritized cell receives one engine first. The others are divided in proportion to the weights by
+    the largest-remainder method.
+    """
     quotas = dict.fromkeys(cell_map.cells, 0)
-    by_weight = sorted(first, key=lambda name: (-cell_map.cells[name].weight, name))
+    by_weight = sorted(prioritized, key=lambda name: (-cell_map.cells[name].weight, name))
     for name in by_weight[:engine_count]:
         quotas[name] = 1
     remaining = engine_count - sum(quotas.values())
     total_weight = sum(cell.weight for cell in cell_map.cells.values())
-    exact = {name: remaining * cell.weight / total_weight for name, cell in cell_map.cells.items()}
+    exact_shares = {name: remaining * cell.weight / total_weight for name, cell in cell_map.cells.items()}
     for name in quotas:
-        quotas[name] += int(exact[name])
+        quotas[name] += int(exact_shares[name])
     leftover = engine_count - sum(quotas.values())
-    # A cell with none of them goes before one with the larger remainder: each should have its own.
-    order = sorted(quotas, key=lambda name: (quotas[name] > 0, int(exact[name]) - exact[name], name))
+    # A cell that has no engine yet precedes those with larger remainders: each cell should have its own.
+    order = sorted(
+        quotas, key=lambda name: (quotas[name] > 0, int(exact_shares[name]) - exact_shares[name], name)
+    )
     for name in order[:leftover]:
         quotas[name] += 1
     return quotas
 
 
-def _cells_without_a_role(cells: dict[str, set[str]], engines: list[EnginePlace]) -> set[str]:
+def _find_incomplete_cells(cells: dict[str, set[str]], engines: list[EnginePlace]) -> set[str]:
+    """Return the cells that have no prefill engine or no decode engine."""
     roles = {engine.name: engine.role for engine in engines}
     incomplete = set()
     for name, members in cells.items():
@@ -165,46 +192,52 @@
 
 
 def _choose_for_shard(shard: str, candidates: list[EnginePlace], wanted: int) -> list[str]:
-    """The `wanted` engines with the highest affinity to a shard, taken from each zone in turn.
+    """Return the names of `wanted` engines, or of all candidates if there are fewer.
 
-    The zone of the best engine comes first: a shard should not be in one zone alone.
+    Engines are taken from the zones in turn, so that a shard is not confined to one zone. Within a zone they
+    are ordered by affinity; the zone that contains the engine with the highest affinity comes first.
     """
     by_zone: defaultdict[str, list[EnginePlace]] = defaultdict(list)
     for engine in sorted(candidates, key=lambda engine: (-affinity(engine.name, shard), engine.name)):
         by_zone[engine.zone].append(engine)
     zones = sorted(by_zone.values(), key=lambda zone: (-affinity(zone[0].name, shard), zone[0].name))
     chosen: list[str] = []
-    depth = 0
-    while len(chosen) < wanted and any(depth < len(zone) for zone in zones):
-        chosen += [zone[depth].name for zone in zones if depth < len(zone)]
-        depth += 1
+    rank = 0  # of an engine within its zone
+    while len(chosen) < wanted and any(rank < len(zone) for zone in zones):
+        chosen += [zone[rank].name for zone in zones if rank < len(zone)]
+        rank += 1
     return chosen[:wanted]
 
 
 def _find_shortages(
     cell_map: CellMap, cells: dict[str, frozenset[str]], engines: dict[str, EnginePlace]
 ) -> list[str]:
+    """Return a message for each cell that lacks engines of a role, or has all its engines in one zone.
+
+    `plan_move` and the command `runspool cells adopt` recognize a cell without any engine of a role by the
+    text ": 0 of" after the cell's name.
+    """
     shortages = []
-    total = Counter(engine.role for engine in engines.values())
+    fleet_count = Counter(engine.role for engine in engines.values())
     zone_count = len({engine.zone for engine in engines.values()})
     for name, members in cells.items():
         count = Counter(engines[engine].role for engine in members)
         minimum = cell_map.cells.get(name)
-        for role, word, wanted in (
+        for role, role_name, wanted in (
             (Role.PREFILL, "reader", minimum.readers if minimum else 1),
             (Role.DECODE, "writer", minimum.writers if minimum else 1),
         ):
             present = count[role] + count[Role.MIXED]
             if present >= wanted:
                 continue
-            able = total[role] + total[Role.MIXED]
+            capable = fleet_count[role] + fleet_count[Role.MIXED]
             reason = (
-                f"the list has {able} that can"
-                if able < wanted * len(cells)
-                else "its patterns or weight leave it no more"
+                f"the endpoint list has only {capable} for all cells"
+                if capable < wanted * len(cells)
+                else "its patterns or its weight assign it no more"
             )
-            shortages.append(f"{name}: {present} of {wanted} {word}s: {reason}")
+            shortages.append(f"{name}: {present} of {wanted} {role_name}s: {reason}")
         zones = {engines[engine].zone for engine in members}
         if len(members) > 1 and len(zones) < 2 and zone_count > 1:
-            shortages.append(f"{name}: stands in zone {min(zones)} alone")
+            shortages.append(f"{name}: zone {min(zones)} contains all its engines")
     return shortages
--- a/runspool/cells/tenant_migration.py
+++ b/runspool/cells/tenant_migration.py
@@ -1,15 +1,18 @@
-"""Live migration of tenants: which cell admits a request while its tenant may be moving. Free of I/O.
-
-What keeps the guarantees without any communication among fronts: a request belongs to one cell from its
-admission to its end. A move changes only where *new* requests are admitted, at a moment that the map states,
-so a front needs no message to begin or end one; one that was killed restarts and finds the same answer in
-map and clock. What was in flight ends where it is: an exclusive request that may have executed is never sent
-in the new cell, since no attempt of it ever leaves the old. Two fronts with different maps admit a tenant's
-requests to different cells for a while, each request whole.
-
-One thing does reach over requests: a retry of a ticketed request, whose repeat only the deduplication group
-that has seen its ticket would drop. Such retries go to the cell where the ticket was seen, until nothing of
-it can bind any more.
+"""Live migration of tenants between cells: select the cell for a request, and plan, undo and finish moves.
+
+Fronts keep the guarantees during a move without communicating with each other. A request belongs to one cell
+from its admission to its end. A move only changes the cell that admits *new* requests, from a time that the
+map states, so a front needs no message to start or end a move. A front that was killed derives the same state
+from the map and the clock after its restart. Requests in flight end in the cell where they started; in
+particular, a request that must execute at most once never has an attempt in the new cell. Two fronts with
+different maps admit a tenant's requests to different cells for a while, but never divide one request.
+
+The exception to the independence of requests is a client retry with an idempotency key, because only the
+deduplication scope that has seen the key drops a duplicate. Such retries go to the cell where the key was
+seen, for as long as that cell may still remember the key or execute the earlier try.
+
+The module does no I/O. `now` and `binding_time` are in tenths of a millisecond; `unix_ms` is the wall clock
+in milliseconds since the epoch.
 """
 
 from __future__ import annotations
@@ -22,25 +25,28 @@
 from runspool.cells.engine_placement import home_cell
 from runspool.errors import RunspoolError
 
-MAX_TICKETS = 50_000
-MAX_CACHED_HOMES = 20_000  # home cells, of sessions mostly; the cache is emptied when full
+MAX_TICKETS = 50_000  # idempotency keys remembered; the key that was used least recently is dropped first
+MAX_CACHED_HOMES = 20_000  # cached home cells, mostly of sessions; the cache is emptied when it is full
 TENTHS_PER_MS = 10
 
 
 class MigrationStage(Enum):
-    """Where a move stands at this front."""
+    """The progress of a move at one front."""
 
-    AHEAD = auto()  # its moment has not come
-    SETTLING = auto()  # new requests go to the new cell, old ones or tickets still bind the old
-    SETTLED = auto()  # nothing binds the old cell any more
-    BACK = auto()  # undone: new requests go to the old cell again
+    AHEAD = auto()  # the move has not started
+    SETTLING = auto()  # new requests go to the target; requests or idempotency keys remain at the source
+    SETTLED = auto()  # no request and no idempotency key remains at the source
+    BACK = auto()  # undone: new requests go to the source again
 
 
 @dataclass(frozen=True, slots=True)
 class CellChoice:
     """The cell that admits a request.
 
-    `earlier_cell_unknown` marks a retry whose ticket this front has not seen while its tenant moves.
+    Attributes:
+        cell: the name of the cell.
+        earlier_cell_unknown: whether the request is a client retry whose earlier try may have been admitted
+            to another cell, because its tenant moves and this front has not seen its idempotency key.
     """
 
     cell: str
@@ -49,21 +55,28 @@
 
 @dataclass(slots=True)
 class TenantMigrations:
-    """A front's moves under its map; times in tenths of a millisecond, moments in Unix milliseconds."""
+    """Selects the cells of requests at one front while tenants move.
+
+    Attributes:
+        cell_map: the map that the front has adopted.
+        adopted_unix_ms: when the front adopted the map, in milliseconds since the epoch.
+        in_flight: the number of requests that have not ended, by tenant and cell.
+        tickets: for each idempotency key, its cell and the time until which retries go to that cell; the key
+            that was used least recently comes first.
+        home_cache: home cells without regard to moves, by tenant and session.
+    """
 
     cell_map: CellMap
     adopted_unix_ms: int = 0
-    # (tenant, cell): requests that have not ended
     in_flight: Counter[tuple[str, str]] = field(default_factory=Counter)
-    # By ticket, the longest unused first: its cell, and until when it binds
     tickets: OrderedDict[str, tuple[str, int]] = field(default_factory=OrderedDict)
     home_cache: dict[tuple[str | None, str | None], str] = field(default_factory=dict)
 
     def adopt(self, cell_map: CellMap, unix_ms: int) -> bool:
-        """Takes a newer map; False, with nothing changed, for an older one or the same.
+        """Adopt a map if its version is higher than the current one; return whether it was adopted.
 
-        The moment must be stored with the map: a front that has just learned of an old move has itself just
-        moved.
+        The caller must store the time of adoption with the map. A front that learns late of a move has
+        admitted the tenant's requests to the old cell until the adoption, not until the start of the move.
         """
         if cell_map.version <= self.cell_map.version:
             return False
@@ -73,7 +86,7 @@
         return True
 
     def home_cell(self, unix_ms: int, tenant: str | None, session: str | None) -> str:
-        """The cell that admits new requests of a tenant at a moment."""
+        """Return the cell that admits new requests of a tenant at the given time."""
         cell = self._home_without_moves(tenant, session)
         for move in self.cell_map.moves:
             if move.tenant == tenant:
@@ -82,7 +95,11 @@
         return cell
 
     def _home_without_moves(self, tenant: str | None, session: str | None) -> str:
-        """The map's home cell, cached: among 128 shards it cost as much as all the scheduler's picks."""
+        """Return the home cell without regard to moves.
+
+        The result is cached, because with 128 shards the computation took as much time as all engine
+        selections of the scheduler.
+        """
         session_matters = tenant is None or self.cell_map.tenants.get(tenant) == SPREAD
         key = (tenant, session if session_matters else None)
         found = self.home_cache.get(key)
@@ -102,13 +119,22 @@
         is_retry: bool,
         binding_time: int,
     ) -> CellChoice:
-        """The cell that admits a request. Changes nothing.
-
-        `ticket` is given only for request classes whose repeats are dropped by a group smaller than all. A
-        retry with a ticket seen here goes where it was seen. One whose ticket this front has not seen is of
-        unknown place while a move of its tenant began less than `binding_time` ago: it may have executed in
-        either cell. `binding_time` is the deduplication window and the longest deadline together: a request
-        admitted just before a move may be sent up to its deadline, and is remembered for a window from then.
+        """Return the cell that admits a request; nothing is recorded.
+
+        A retry goes to the cell where this front has seen its idempotency key. If the front has not seen the
+        key and a move of the tenant started less than `binding_time` ago, the earlier try may have executed
+        in either cell, and the result is marked accordingly.
+
+        Args:
+            now: the front's clock, in tenths of a millisecond.
+            unix_ms: the wall clock, in milliseconds since the epoch.
+            tenant: the tenant's name, if known.
+            session: the session's name, if known.
+            ticket: the idempotency key, if its deduplication scope is smaller than the whole fleet.
+            is_retry: whether the client has sent the request before.
+            binding_time: the deduplication window plus the longest deadline, in tenths of a millisecond. A
+                request that is admitted just before a move may be sent to an engine up to its deadline, and
+                its key is remembered for the window from then on.
         """
         cell = self.home_cell(unix_ms, tenant, session)
         if ticket is None:
@@ -125,7 +151,7 @@
     def record_admission(
         self, now: int, tenant: str | None, cell: str, ticket: str | None, binding_time: int
     ) -> None:
-        """Counts a request as in flight in a cell and binds its ticket, if any, to that cell."""
+        """Count a request as in flight in a cell and bind its idempotency key, if any, to that cell."""
         self.in_flight[tenant or "", cell] += 1
         if ticket is not None:
             self.tickets[ticket] = (cell, now + binding_time)
@@ -134,14 +160,14 @@
                 self.tickets.popitem(last=False)
 
     def record_finish(self, tenant: str | None, cell: str) -> None:
-        """Counts a request recorded by record_admission() as ended; its ticket still binds."""
+        """Count a request that `record_admission` has recorded as ended; its idempotency key stays bound."""
         key = (tenant or "", cell)
         self.in_flight[key] -= 1
         if self.in_flight[key] <= 0:
             del self.in_flight[key]
 
     def stage(self, now: int, unix_ms: int, move: Move) -> MigrationStage:
-        """Where a move stands at this front."""
+        """Return the progress of a move at this front."""
         if move.step == "turned_back" and unix_ms >= move.turned_unix_ms:
             return MigrationStage.BACK
         if unix_ms < move.starts_unix_ms:
@@ -152,86 +178,103 @@
         return MigrationStage.SETTLING if bound else MigrationStage.SETTLED
 
     def _moved_within(self, unix_ms: int, tenant: str | None, binding_time: int) -> bool:
-        """Whether new requests of the tenant may have changed cells here less than `binding_time` ago.
+        """Return whether the tenant's home cell may have changed here less than `binding_time` ago.
 
-        That is by a moment of its moves, or because this front took a new map, which may have dropped the
-        moves of the old one.
+        It changes when one of the tenant's moves starts or is undone, and it may change when this front
+        adopts a map, because the new map may lack moves of the old one.
         """
-        moments = [
+        change_times = [
             self.adopted_unix_ms,
             *(
-                moment
+                time_ms
                 for move in self.cell_map.moves
                 if move.tenant == tenant
-                for moment in (move.starts_unix_ms, move.turned_unix_ms)
+                for time_ms in (move.starts_unix_ms, move.turned_unix_ms)
             ),
         ]
-        return any(0 <= unix_ms - moment < binding_time // TENTHS_PER_MS for moment in moments if moment)
+        return any(
+            0 <= unix_ms - time_ms < binding_time // TENTHS_PER_MS for time_ms in change_times if time_ms
+        )
 
 
 class MigrationRefusedError(RunspoolError):
-    """A change of the map that must not be made; the message says why."""
+    """A change of the map that is not allowed; the message gives the reason."""
 
 
 def plan_move(cell_map: CellMap, move: Move, shortages: list[str]) -> CellMap:
-    """The next map with a move planned. `shortages` are those of the placement under the present map.
+    """Return the next version of the map, with a move added.
+
+    Args:
+        cell_map: the current map.
+        move: the move to add.
+        shortages: the shortages of the engine placement under the current map.
 
-    Raises MigrationRefusedError where the tenant is being moved already, or where the target does not exist,
-    is the reserve, lacks a role or is the source.
+    Raises:
+        MigrationRefusedError: the tenant is already being moved, or the target does not exist, is the
+            reserve, has no engine of a role or is the source.
     """
     if any(other.tenant == move.tenant and other.step == "planned" for other in cell_map.moves):
-        raise MigrationRefusedError(f"{move.tenant} is already being moved; finish or undo that first")
+        raise MigrationRefusedError(f"{move.tenant} is already being moved; finish or undo that move first")
     names = cell_map.names()
     if move.target not in names:
         raise MigrationRefusedError(f"there is no cell {move.target}; there are {', '.join(names)}")
     if move.target == cell_map.reserve:
         raise MigrationRefusedError(
-            f"{move.target} is the reserve: a tenant there would leave overflow no room"
+            f"{move.target} is the reserve, which must stay free for overflow from other cells"
         )
     missing = [shortage for shortage in shortages if shortage.startswith(f"{move.target}: 0 of")]
     if missing:
         raise MigrationRefusedError(f"{move.target} lacks a role: {missing[0]}")
     if move.source == move.target:
         raise MigrationRefusedError(f"{move.tenant} is in {move.target} already")
-    # A move that was finished or undone before has no effect any more once another is planned.
+    # The tenant's finished and undone moves are dropped, because the new move replaces their effect.
     return _next_version(
         cell_map, [*(other for other in cell_map.moves if other.tenant != move.tenant), move]
     )
 
 
 def undo_move(cell_map: CellMap, move_id: str, unix_ms: int) -> CellMap:
-    """The next map with a move undone from a moment on.
+    """Return the next version of the map, in which a move is undone from `unix_ms` on.
 
-    Raises MigrationRefusedError where there is no such move or it is not under way.
+    Raises:
+        MigrationRefusedError: the move does not exist, or has been finished or undone before.
     """
-    found = _move_under_way(cell_map, move_id)
+    found = _find_planned_move(cell_map, move_id)
     undone = found.model_copy(update={"step": "turned_back", "turned_unix_ms": unix_ms})
     return _next_version(cell_map, [undone if move is found else move for move in cell_map.moves])
 
 
 def finish_move(cell_map: CellMap, move_id: str, unix_ms: int, binding_time: int) -> CellMap:
-    """The next map with a move folded into the tenants' homes.
+    """Return the next version of the map, in which the target of a move is the tenant's home cell.
 
-    Raises MigrationRefusedError where it is not under way, or began less than `binding_time` (tenths of a
-    millisecond) ago: its tickets still bind the old cell.
+    Raises:
+        MigrationRefusedError: the move does not exist, has been finished or undone before, or started less
+            than `binding_time` ago, so that idempotency keys may still be bound to the source cell.
     """
-    found = _move_under_way(cell_map, move_id)
+    found = _find_planned_move(cell_map, move_id)
     remaining_ms = found.starts_unix_ms + binding_time // TENTHS_PER_MS - unix_ms
     if remaining_ms > 0:
         raise MigrationRefusedError(
-            f"{move_id} can be finished in {remaining_ms} ms, when no ticket binds {found.source} any more"
+            f"{move_id} can be finished in {remaining_ms} ms, when {found.source} has no bound idempotency keys"
         )
     finished = found.model_copy(update={"step": "done"})
     moves = [finished if move is found else move for move in cell_map.moves]
     return _next_version(cell_map, moves, cell_map.tenants | {found.tenant: found.target})
 
 
-def _move_under_way(cell_map: CellMap, move_id: str) -> Move:
+def _find_planned_move(cell_map: CellMap, move_id: str) -> Move:
+    """Return the planned move with an identifier.
+
+    Raises:
+        MigrationRefusedError: the move does not exist, or has been finished or undone.
+    """
     found = next((move for move in cell_map.moves if move.id == move_id), None)
     if found is None:
         raise MigrationRefusedError(f"there is no move {move_id}")
     if found.step != "planned":
-        raise MigrationRefusedError(f"{move_id} is {found.step}; plan a move the other way")
+        raise MigrationRefusedError(
+            f"{move_id} is {found.step} and cannot be changed; plan a move in the other direction"
+        )
     return found
 
 
--- a/tests/test_engine_placement.py
+++ b/tests/test_engine_placement.py
@@ -115,7 +115,7 @@
     [
         ({"tenants": {"t": "nowhere"}}, "no cell"),
         ({"reserve": "nowhere"}, "reserve"),
-        ({"reserve": "a", "tenants": {"t": "a"}}, "stands empty"),
+        ({"reserve": "a", "tenants": {"t": "a"}}, "must have no tenants"),
         ({"way": "shuffle"}, "numbered"),
         ({"way": "fixed"}, "names its engines"),
         ({"overflow": {"from_turned_away": 0.1, "until_turned_away": 0.2}}, "flap"),
