--- a/examples/house.jsonnet
+++ b/examples/house.jsonnet
@@ -1,4 +1,5 @@
-// A small house with one front. `runspool terms check examples/house.jsonnet`
+// The configuration of a small deployment with one front. Validate it with
+// `runspool terms check examples/house.jsonnet`.
 local runspool = import 'runspool.libsonnet';
 {
   house: runspool.house {
--- a/runspool/cells/tenant_migration.py
+++ b/runspool/cells/tenant_migration.py
@@ -255,7 +255,7 @@
     remaining_ms = found.starts_unix_ms + binding_time // TENTHS_PER_MS - unix_ms
     if remaining_ms > 0:
         raise MigrationRefusedError(
-            f"{move_id} can be finished in {remaining_ms} ms, when {found.source} has no bound idempotency keys"
+            f"{move_id} can be finished in {remaining_ms} ms, when {found.source} holds no idempotency keys"
         )
     finished = found.model_copy(update={"step": "done"})
     moves = [finished if move is found else move for move in cell_map.moves]
--- a/runspool/config/__init__.py
+++ b/runspool/config/__init__.py
@@ -1,4 +1,4 @@
-"""A front's configuration: Jsonnet templates, evaluated, checked, turned into the scheduler's settings."""
+"""A front's configuration: evaluate Jsonnet templates, validate them, derive the scheduler's settings."""
 
 from runspool.config.loader import ConfigFault, InvalidConfigError, load_config, parse_config
 from runspool.config.schema import (
--- a/runspool/config/library/runspool.libsonnet
+++ b/runspool/config/library/runspool.libsonnet
@@ -1,6 +1,8 @@
-// Building blocks for a front's terms. Units stand in the names; every default here can be overridden with `+:`.
+// Building blocks for the configuration of a front. The units are part of the field names. Every default can
+// be overridden with `+:`. The fields are documented in runspool/config/schema.py.
 {
-  // A tariff with the given due time; `effect` is 'rerunnable', 'ticketed' or 'exclusive'.
+  // A request class. `due_ms` is the first-token objective, `limit_ms` the default deadline. `effect` is
+  // 'rerunnable' (idempotent), 'ticketed' (idempotent by key) or 'exclusive' (executed at most once).
   tariff(due_ms, limit_ms, pace_ms_per_token, effect='rerunnable', gain=1):: {
     due_ms: due_ms,
     due_per_1000_tokens_ms: 0,
@@ -64,7 +66,7 @@
 
   list(host, port):: { host: host, port: port, quiet_ms: 5000, retry_ms: 200, line_bytes: 4194304 },
 
-  // A house: what every front of it shares.
+  // The settings that all fronts of a deployment share.
   house:: {
     fronts: 1,
     zones: [],
@@ -77,7 +79,7 @@
     over_share: 0.1,
   },
 
-  // One front: where it stands, what it listens on, what it bears.
+  // The settings of one front: its zone, its listener, its limits and its files.
   front(name, zone, port, list):: {
     name: name,
     number: 0,
--- a/runspool/config/loader.py
+++ b/runspool/config/loader.py
@@ -1,4 +1,4 @@
-"""Loads a front's configuration from a Jsonnet file and reports every fault of it at once."""
+"""Load a front's configuration from a Jsonnet file and report all its errors at once."""
 
 from __future__ import annotations
 
@@ -15,13 +15,19 @@
 from runspool.config.schema import FrontConfig
 from runspool.errors import RunspoolError
 
-LIBRARY_DIRECTORY = Path(__file__).parent / "library"  # where templates' imports are found
-MAX_QUOTED_CHARACTERS = 80  # of a value in a fault
+LIBRARY_DIRECTORY = Path(__file__).parent / "library"  # searched for the files that templates import
+MAX_QUOTED_CHARACTERS = 80  # length of a value quoted in an error message; longer values are shortened
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigFault:
-    """One fault of a configuration: where it is, the value found there, and what is allowed."""
+    """One error in a configuration.
+
+    Attributes:
+        path: the field with the error, as a path of keys separated by dots.
+        value: the value of the field, as JSON.
+        allowed: what the field may contain.
+    """
 
     path: str
     value: str
@@ -32,19 +38,30 @@
 
 
 class InvalidConfigError(RunspoolError):
-    """A configuration that cannot be used; `faults` lists all that is wrong in `source`."""
+    """A configuration cannot be used.
+
+    Attributes:
+        source: the file or other origin of the configuration.
+        faults: all errors that were found in it.
+    """
 
     def __init__(self, source: str, faults: list[ConfigFault]) -> None:
-        header = f"{source}: {len(faults)} fault(s)"
+        header = f"{source}: {len(faults)} error(s)"
         super().__init__("\n".join([header, *(f"  {fault}" for fault in faults)]))
         self.source = source
         self.faults = faults
 
 
 def evaluate(path: Path, variables: Mapping[str, str] | None = None) -> dict[str, Any]:
-    """Return the object that a Jsonnet file evaluates to; `variables` are its external ones (std.extVar).
+    """Return the object that a Jsonnet file evaluates to.
+
+    Args:
+        path: the Jsonnet file.
+        variables: external variables, which the file reads with std.extVar.
 
-    Raises InvalidConfigError with the evaluator's own message, which names file, line and column.
+    Raises:
+        InvalidConfigError: the file cannot be evaluated, or its value is not an object. The message of the
+            Jsonnet evaluator names the file, the line and the column.
     """
     try:
         text = _jsonnet.evaluate_file(
@@ -52,40 +69,56 @@
         )
     except (RuntimeError, OSError) as error:
         message = " ".join(str(error).split())
-        fault = ConfigFault("(template)", message, "a Jsonnet file that evaluates")
+        fault = ConfigFault("(template)", message, "must be a Jsonnet file without errors")
         raise InvalidConfigError(str(path), [fault]) from None
     data = json.loads(text)
     if not isinstance(data, dict):
-        fault = ConfigFault("(top)", type(data).__name__, "an object with house and front")
+        fault = ConfigFault("(top)", type(data).__name__, "must be an object with house and front")
         raise InvalidConfigError(str(path), [fault])
     return data
 
 
 def parse_config(data: Mapping[str, Any], source: str = "terms") -> FrontConfig:
-    """Check plain data and return the configuration; raise InvalidConfigError with all faults."""
+    """Validate plain data and return it as a configuration.
+
+    Args:
+        data: the configuration as JSON-like data.
+        source: the origin of the data, for the error message.
+
+    Raises:
+        InvalidConfigError: the data is not a valid configuration.
+    """
     try:
         return FrontConfig.model_validate(data)
     except ValidationError as error:
-        raise InvalidConfigError(source, [_fault(details) for details in error.errors()]) from None
+        raise InvalidConfigError(source, [_to_config_fault(details) for details in error.errors()]) from None
 
 
 def load_config(path: Path, variables: Mapping[str, str] | None = None) -> FrontConfig:
-    """Evaluate and check a Jsonnet file; raise InvalidConfigError with all faults."""
+    """Evaluate a Jsonnet file and return it as a validated configuration.
+
+    Args:
+        path: the Jsonnet file.
+        variables: external variables, which the file reads with std.extVar.
+
+    Raises:
+        InvalidConfigError: the file cannot be evaluated or is not a valid configuration.
+    """
     return parse_config(evaluate(path, variables), str(path))
 
 
-def _fault(details: ErrorDetails) -> ConfigFault:
-    # "[key]" is pydantic's step to the key of a mapping, which the step before names already.
-    path = ".".join(str(step) for step in details["loc"] if step != "[key]") or "(top)"
+def _to_config_fault(details: ErrorDetails) -> ConfigFault:
+    # For an invalid key of a mapping, pydantic appends "[key]" after the key itself.
+    path = ".".join(str(part) for part in details["loc"] if part != "[key]") or "(top)"
     value = details.get("input")
     if details["type"] == "extra_forbidden":
-        return ConfigFault(path, _quoted(value), "no such field")
+        return ConfigFault(path, _shorten_json(value), "no such field")
     if details["type"] == "missing":
         return ConfigFault(path, "missing", "must be given")
-    return ConfigFault(path, _quoted(value), str(details["msg"]).removeprefix("Value error, "))
+    return ConfigFault(path, _shorten_json(value), str(details["msg"]).removeprefix("Value error, "))
 
 
-def _quoted(value: object) -> str:
+def _shorten_json(value: object) -> str:
     text = json.dumps(value, default=str)
     if len(text) <= MAX_QUOTED_CHARACTERS:
         return text
