--- a/runspool/cli/__init__.py
+++ b/runspool/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: thin, with exit codes that mean something."""
+"""The command line interface of the package."""
--- a/runspool/cli/cell_output.py
+++ b/runspool/cli/cell_output.py
@@ -1,4 +1,4 @@
-"""What the commands for cells print: a map with its engines, what a change changes, where fronts stand."""
+"""Output of the commands `runspool cells`: cell maps, differences between maps, and the status of fronts."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from runspool.cells.tenant_migration import TenantMigrations
 from runspool.scheduling.types import Role
 
-MAX_TENANTS_SHOWN = 4  # of each cell; of the others only the number is shown
-AFTER_ALL_MOVES = 1 << 60  # Unix milliseconds after every moment that a map states
+MAX_TENANTS_SHOWN = 4  # tenants of a cell shown by name; the others are counted only
+AFTER_ALL_MOVES = 1 << 60  # milliseconds since the epoch; later than any time in a map
 
 out = Console(highlight=False, soft_wrap=True)
 
 
 def print_map(cell_map: CellMap, engines: list[EnginePlace]) -> None:
-    """Prints the cells with their engines and tenants, what they lack, and the moves."""
-    placed = place_engines(cell_map, engines)
+    """Print the cells with their engines and tenants, the missing engines, and the moves."""
+    placement = place_engines(cell_map, engines)
     table = Table(
         "cell",
         "readers",
@@ -31,24 +31,24 @@
         "tenants",
         title=f"version {cell_map.version}, {cell_map.way}, {len(engines)} engines",
     )
-    places = {one.name: one for one in engines}
-    for name, members in placed.cells.items():
+    places = {engine.name: engine for engine in engines}
+    for name, members in placement.cells.items():
         table.add_row(*_cell_row(cell_map, name, [places[engine] for engine in members]))
     out.print(table)
-    for shortage in placed.shortages:
+    for shortage in placement.shortages:
         out.print(f"lacks: {shortage}")
     for move in cell_map.moves:
         out.print(f"move {move.id}: {move.tenant} from {move.source} to {move.target}, {move.step}")
 
 
 def print_differences(before: CellMap | None, after: CellMap, engines: list[EnginePlace]) -> None:
-    """Prints the engines and the tenants that change their cells; `before` is None where there was no map."""
+    """Print the engines and tenants whose cells differ between two maps; without a map, `before` is None."""
     _print_engine_differences(before, after, engines)
     _print_tenant_differences(before, after)
 
 
 def print_replies(replies: dict[str, dict[str, Any] | str]) -> None:
-    """Prints, for each front, its status page in one line, or why there is none."""
+    """Print one line for each front: a summary of its status page, or the message why there is none."""
     for front, reply in replies.items():
         if isinstance(reply, str):
             out.print(f"{front}: {reply}")
@@ -71,17 +71,17 @@
 
 
 def _print_engine_differences(before: CellMap | None, after: CellMap, engines: list[EnginePlace]) -> None:
-    old = place_engines(before, engines).cells if before is not None else {}
+    old_cells = place_engines(before, engines).cells if before is not None else {}
     changed = 0
     for name, members in place_engines(after, engines).cells.items():
-        old_members = old.get(name, frozenset())
+        old_members = old_cells.get(name, frozenset())
         changed += _print_engines(members - old_members, f"now in {name}")
         changed += _print_engines(old_members - members, f"no longer in {name}")
     out.print(f"{changed} changes of engines in {len(engines)}")
 
 
 def _print_engines(names: Iterable[str], change: str) -> int:
-    """Prints a line for each engine in the order of their names; returns how many there are."""
+    """Print a line for each engine, sorted by name; return the number of engines."""
     ordered = sorted(names)
     for engine in ordered:
         out.print(f"engine {engine}: {change}")
@@ -91,12 +91,12 @@
 def _print_tenant_differences(before: CellMap | None, after: CellMap) -> None:
     tenants = {*after.tenants, *(move.tenant for move in after.moves), *(before.tenants if before else ())}
     for tenant in sorted(tenants):
-        was = _final_cell(before, tenant) if before else "nowhere"
-        will = _final_cell(after, tenant)
-        if was != will:
-            out.print(f"tenant {tenant}: from {was} to {will}")
+        old_cell = _final_cell(before, tenant) if before else "nowhere"
+        new_cell = _final_cell(after, tenant)
+        if old_cell != new_cell:
+            out.print(f"tenant {tenant}: from {old_cell} to {new_cell}")
 
 
 def _final_cell(cell_map: CellMap, tenant: str) -> str:
-    """The tenant's cell once all moves of the map have begun."""
+    """Return the tenant's cell after all moves of the map have started."""
     return TenantMigrations(cell_map).home_cell(AFTER_ALL_MOVES, tenant, None)
--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -1,4 +1,4 @@
-"""`runspool cells`: shows the cell map, plans, makes, watches and undoes moves of tenants."""
+"""The commands `runspool cells`: show and replace the cell map; plan, make, watch and undo tenant moves."""
 
 from __future__ import annotations
 
@@ -21,32 +21,36 @@
 from runspool.config.loader import evaluate
 from runspool.service.clock import unix_ms
 
-EXIT_NOT_SETTLED = 3
-STATUS_TIMEOUT_SECONDS = 5
-POLL_SECONDS = 1.0  # between two looks at the fronts
-ENDED_STAGES = ("settled", "back")  # of a move, on a front's status page
+EXIT_NOT_SETTLED = 3  # exit status for a move that did not settle at every front in time
+STATUS_TIMEOUT_SECONDS = 5  # for the status page of one front
+POLL_SECONDS = 1.0  # between two requests for the fronts' status pages
+ENDED_STAGES = ("settled", "back")  # stages of a move, as a status page writes them, in which it has ended
 
-app = typer.Typer(no_args_is_help=True, help="Show the cell map; plan, make, watch, undo moves of tenants.")
+app = typer.Typer(
+    no_args_is_help=True, help="Show the cell map; plan, make, watch and undo moves of tenants."
+)
 
-TermsFile = Annotated[Path, typer.Argument(help="A front's terms; they name cells_file and memory_file.")]
+TermsFile = Annotated[
+    Path, typer.Argument(help="The configuration of a front, with cells_file and memory_file.")
+]
 Tenant = Annotated[str, typer.Argument(help="The tenant to move.")]
 Target = Annotated[str, typer.Argument(help="The cell to move it to.")]
-StartsIn = Annotated[int, typer.Option(min=0, help="Milliseconds until new queries go to the new cell.")]
-Warm = Annotated[bool, typer.Option(help="Have the new cell read the sessions' texts ahead, at its cost.")]
-ReallyDo = Annotated[bool, typer.Option("--yes", help="Do it; without, only show what would change.")]
+StartsIn = Annotated[int, typer.Option(min=0, help="Milliseconds until new requests go to the target cell.")]
+Warm = Annotated[bool, typer.Option(help="Prefill the tenant's sessions in the target cell before the move.")]
+Confirmed = Annotated[bool, typer.Option("--yes", help="Make the change; without this option, only show it.")]
 
 
 @app.command(
     epilog="Example: runspool cells adopt front.jsonnet cells.jsonnet --yes   (exit 0: done or "
-    "shown, 1: refused, 2: bad terms)"
+    "shown, 1: refused, 2: invalid configuration)"
 )
 def adopt(
     file: TermsFile,
     source: Annotated[Path, typer.Argument(help="A Jsonnet file with a cell map.")],
-    yes: ReallyDo = False,
+    yes: Confirmed = False,
     var: ExternalVariables = None,
 ) -> None:
-    """Put a map written by hand in place, as the next version. Moves under way must be finished first."""
+    """Publish a hand-written map as the next version. Planned moves must be finished or undone first."""
     front_files = FrontFiles(file, var)
     with refusals_reported():
         before = cell_store.recover_map(front_files.path)
@@ -56,12 +60,12 @@
         engines = front_files.engines()
         _check_roles_served(after, engines)
         print_differences(before, after, engines)
-        _write(front_files, yes, f"adopt {source.name}", before, after)
+        _publish(front_files, yes, f"adopt {source.name}", before, after)
 
 
 @app.command(epilog="Example: runspool cells show front.jsonnet")
 def show(file: TermsFile, var: ExternalVariables = None) -> None:
-    """Print the cells with their engines, what they lack, tenants and moves."""
+    """Print the cells with their engines, missing engines and tenants, and the moves."""
     front_files = FrontFiles(file, var)
     with refusals_reported():
         cell_map, engines = front_files.cell_map(), front_files.engines()
@@ -77,8 +81,8 @@
     warm: Warm = False,
     var: ExternalVariables = None,
 ) -> None:
-    """Show what a move would change, by engine and tenant, or why it would be refused. Changes nothing."""
-    _move(file, tenant, target, starts_in_ms, warm, False, var)
+    """Show which engines and tenants a move would affect, or why it would be refused. Change nothing."""
+    _plan_and_publish_move(file, tenant, target, starts_in_ms, warm, False, var)
 
 
 @app.command(epilog="Example: runspool cells move front.jsonnet stol-razem cell-b --yes")
@@ -88,45 +92,48 @@
     target: Target,
     starts_in_ms: StartsIn = 2000,
     warm: Warm = False,
-    yes: ReallyDo = False,
+    yes: Confirmed = False,
     var: ExternalVariables = None,
 ) -> None:
-    """Move a tenant while it is served. From the stated moment its new queries go to the new cell."""
-    _move(file, tenant, target, starts_in_ms, warm, yes, var)
+    """Move a tenant without interrupting it: after a delay, its new requests go to the target cell."""
+    _plan_and_publish_move(file, tenant, target, starts_in_ms, warm, yes, var)
 
 
 @app.command(epilog="Example: runspool cells undo front.jsonnet m-7 --yes")
-def undo(file: TermsFile, move_id: str, yes: ReallyDo = False, var: ExternalVariables = None) -> None:
-    """Turn a move back: new queries go to the old cell again. What is in the new cell ends there."""
+def undo(file: TermsFile, move_id: str, yes: Confirmed = False, var: ExternalVariables = None) -> None:
+    """Undo a move: new requests go to the source cell again. Requests in the target cell end there."""
     front_files = FrontFiles(file, var)
     with refusals_reported():
         before = front_files.cell_map()
         after = tenant_migration.undo_move(before, move_id, unix_ms())
         print_differences(before, after, front_files.engines())
-        _write(front_files, yes, f"undo {move_id}", before, after)
+        _publish(front_files, yes, f"undo {move_id}", before, after)
 
 
 @app.command(epilog="Example: runspool cells finish front.jsonnet m-7 --yes")
-def finish(file: TermsFile, move_id: str, yes: ReallyDo = False, var: ExternalVariables = None) -> None:
-    """Make a settled move the tenant's home. Refused while a ticket may still bind the old cell."""
+def finish(file: TermsFile, move_id: str, yes: Confirmed = False, var: ExternalVariables = None) -> None:
+    """Make the target of a settled move the tenant's home cell.
+
+    This is refused while idempotency keys may still bind retries to the source cell.
+    """
     front_files = FrontFiles(file, var)
     with refusals_reported():
         before = front_files.cell_map()
         after = tenant_migration.finish_move(before, move_id, unix_ms(), front_files.binding_time())
         print_differences(before, after, front_files.engines())
-        _write(front_files, yes, f"finish {move_id}", before, after)
+        _publish(front_files, yes, f"finish {move_id}", before, after)
 
 
 @app.command(
     epilog="Example: runspool cells watch 127.0.0.1:8080 127.0.0.1:8081 --until-settled m-7   "
-    "(exit 0: settled everywhere, 3: not in time)"
+    "(exit 0: settled at every front, 3: not settled in time)"
 )
 def watch(
-    fronts: Annotated[list[str], typer.Argument(help="host:port of fronts.")],
-    until_settled: Annotated[str, typer.Option(help="A move to wait for.")] = "",
-    patience_s: Annotated[float, typer.Option(help="Seconds to wait at most.")] = 60.0,
+    fronts: Annotated[list[str], typer.Argument(help="The fronts, as host:port.")],
+    until_settled: Annotated[str, typer.Option(help="The id of a move to wait for.")] = "",
+    patience_s: Annotated[float, typer.Option(help="Maximum time to wait, in seconds.")] = 60.0,
 ) -> None:
-    """Print where each front stands: its map's version, its moves and what they still wait for."""
+    """Print each front's map version, and the stage and remaining requests of its moves."""
     end = time.monotonic() + patience_s
     while True:
         replies = {front: _fetch_status(front) for front in fronts}
@@ -140,14 +147,23 @@
 
 
 def _read_next_map(source: Path, before: CellMap | None) -> CellMap:
-    """The map in the file, with the version that follows that of `before`."""
+    """Return the map in a Jsonnet file, with the version that follows that of `before`.
+
+    Raises:
+        InvalidConfigError: the file cannot be evaluated.
+        CorruptFileError: the value is not a valid map.
+    """
     fields = evaluate(source)
     fields["version"] = (before.version if before else 0) + 1
     return cell_store.decode_map(json.dumps(fields).encode(), str(source))
 
 
 def _check_roles_served(cell_map: CellMap, engines: list[EnginePlace]) -> None:
-    """Raises MigrationRefusedError where a cell would have no engine of a role; not where none is known."""
+    """Check that every cell of a map has an engine for each role; skip the check if no engines are known.
+
+    Raises:
+        MigrationRefusedError: a cell has no engine of a role.
+    """
     if not engines:
         return
     missing = [shortage for shortage in place_engines(cell_map, engines).shortages if ": 0 of" in shortage]
@@ -156,7 +172,7 @@
 
 
 def _is_settled(move_id: str, replies: dict[str, dict[str, Any] | str], front_count: int) -> bool:
-    """Whether each of the fronts has answered, knows the move, and shows that it has ended."""
+    """Return whether all fronts have replied and report that the move has ended."""
     stages = [
         move["stage"]
         for reply in replies.values()
@@ -167,14 +183,15 @@
     return len(stages) == front_count and all(stage in ENDED_STAGES for stage in stages)
 
 
-def _move(
+def _plan_and_publish_move(
     file: Path, tenant: str, target: str, starts_in_ms: int, warm: bool, yes: bool, var: list[str] | None
 ) -> None:
+    """Print what a move of a tenant changes and, with `yes`, publish the map with the move."""
     front_files = FrontFiles(file, var)
     with refusals_reported():
         before = front_files.cell_map()
         if tenant not in front_files.terms.house.tenants:
-            raise MigrationRefusedError(f"{tenant} is none of the house's tenants")
+            raise MigrationRefusedError(f"{tenant} is not in house.tenants of the configuration")
         now_unix_ms = unix_ms()
         source = TenantMigrations(before).home_cell(now_unix_ms, tenant, None)
         engines = front_files.engines()
@@ -188,29 +205,38 @@
         )
         after = tenant_migration.plan_move(before, new_move, place_engines(before, engines).shortages)
         print_differences(before, after, engines)
-        _write(front_files, yes, f"move {tenant} {source} {target}", before, after)
+        _publish(front_files, yes, f"move {tenant} {source} {target}", before, after)
         if yes:
-            out.print(f"move {new_move.id}: new queries go to {target} in {starts_in_ms} ms")
+            out.print(f"move {new_move.id}: new requests go to {target} in {starts_in_ms} ms")
+
 
+def _publish(
+    front_files: FrontFiles, yes: bool, description: str, before: CellMap | None, after: CellMap
+) -> None:
+    """Publish the map `after` in place of `before`; without `yes`, print that nothing was changed.
 
-def _write(front_files: FrontFiles, yes: bool, what: str, before: CellMap | None, after: CellMap) -> None:
-    """Puts the map `after` in place of `before`, which must still be there; without `yes` only says so."""
+    Raises:
+        MigrationRefusedError: another change is in progress, or the published map is no longer `before`.
+        OSError: a file could not be written.
+    """
     if not yes:
-        out.print("nothing is changed; --yes does it")
+        out.print("nothing was changed; use --yes to make the change")
         return
     with cell_store.exclusive_change(front_files.path):
         current = cell_store.recover_map(front_files.path)
         if (current and current.version) != (before and before.version):
-            raise MigrationRefusedError("the map has been changed meanwhile; look again")
-        cell_store.record_change(front_files.path, what, after, unix_ms())
+            raise MigrationRefusedError(
+                "the map was changed by another command in the meantime; run this command again"
+            )
+        cell_store.record_change(front_files.path, description, after, unix_ms())
     out.print(f"{front_files.path}: version {after.version}")
 
 
 def _fetch_status(front: str) -> dict[str, Any] | str:
-    """The front's status page, or why there is none."""
+    """Return the content of a front's status page, or a message if it could not be read."""
     try:
         with urllib.request.urlopen(f"http://{front}/cells", timeout=STATUS_TIMEOUT_SECONDS) as response:
             status: dict[str, Any] = json.load(response)
             return status
-    except (urllib.error.URLError, OSError, ValueError) as fault:
-        return f"not reached: {fault}"
+    except (urllib.error.URLError, OSError, ValueError) as error:
+        return f"status page not available: {error}"
--- a/runspool/cli/front_files.py
+++ b/runspool/cli/front_files.py
@@ -1,4 +1,4 @@
-"""The files that a front's terms name, as the commands for its cells read them, and how they refuse."""
+"""Access to the files of a front for the commands of `runspool cells`, and reporting of refused changes."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from runspool.discovery import snapshot
 from runspool.units import tenths
 
-EXIT_REFUSED = 1  # a change that is not allowed, or a damaged file
+EXIT_REFUSED = 1  # exit status for a change that is not allowed, or for a damaged file
 
 
 @contextmanager
 def refusals_reported() -> Iterator[None]:
-    """A refusal or a damaged file ends in one line on standard error and exit 1."""
+    """Report a refused change or an unusable file in one line on standard error, and exit with status 1."""
     try:
         yield
     except (
@@ -31,51 +31,76 @@
         cell_store.CorruptFileError,
         snapshot.CorruptFileError,
         InvalidConfigError,
-    ) as fault:
-        typer.echo(f"refused: {fault}", err=True)
+    ) as error:
+        typer.echo(f"refused: {error}", err=True)
         raise typer.Exit(EXIT_REFUSED) from None
 
 
 class FrontFiles:
-    """The files that a front's terms name, and the engines that it last knew.
+    """The cell map and the last endpoint list of a front, found through its configuration.
 
-    Made from terms without cells_file, it ends the command with exit 2.
+    Attributes:
+        terms: the front's configuration.
+        path: the file with the cell map.
     """
 
     def __init__(self, file: Path, var: list[str] | None) -> None:
+        """Load a front's configuration.
+
+        Args:
+            file: the configuration file.
+            var: external variables as NAME=VALUE.
+
+        Raises:
+            typer.Exit: the configuration is invalid or does not set cells_file; the exit status is 2.
+        """
         self.terms: FrontConfig = load_or_exit(file, var)
         if self.terms.front.cells_file is None:
-            typer.echo(f"{file}: front.cells_file is not set; this front has no cells", err=True)
+            typer.echo(f"{file}: front.cells_file is not set, so this front has no cells", err=True)
             raise typer.Exit(EXIT_INVALID)
         self.path = Path(self.terms.front.cells_file)
 
     def cell_map(self) -> CellMap:
-        """The published map, mended from its log where needed; raises MigrationRefusedError where none is."""
+        """Return the published map, restored from its change log if necessary.
+
+        Raises:
+            MigrationRefusedError: there is no map.
+            CorruptFileError: the map in the log is needed and is invalid.
+            OSError: the restored map could not be written.
+        """
         cell_map = cell_store.recover_map(self.path)
         if cell_map is None:
             raise tenant_migration.MigrationRefusedError(
-                f"{self.path}: there is no map yet; `runspool cells adopt` makes one"
+                f"{self.path}: there is no map yet; create one with `runspool cells adopt`"
             )
         return cell_map
 
     def engines(self) -> list[EnginePlace]:
-        """The ready engines of the front's last endpoint list, none where it has no list."""
+        """Return the ready engines of the endpoint list that the front saved last; none if there is no list.
+
+        Raises:
+            CorruptFileError: the file of the endpoint list is damaged.
+        """
         last = snapshot.load_snapshot(Path(self.terms.front.memory_file or ""))
         kinds = self.terms.house.kinds
         return [
-            EnginePlace(one.engine, ROLES[kinds[one.engine_type].role], one.zone, one.rack)
-            for one in (last.engines if last else [])
-            if one.state == "on" and one.engine_type in kinds
+            EnginePlace(entry.engine, ROLES[kinds[entry.engine_type].role], entry.zone, entry.rack)
+            for entry in (last.engines if last else [])
+            if entry.state == "on" and entry.engine_type in kinds
         ]
 
     def binding_time(self) -> int:
-        """The longest that a ticket can bind, in tenths of a millisecond."""
+        """Return the longest time for which an idempotency key can bind retries to a cell.
+
+        It is in tenths of a millisecond: the deduplication window plus the longest deadline. Keys whose scope
+        is the whole fleet bind to no cell.
+        """
         limit = self.terms.front.bounds.longest_limit_ms
         return max(
             (
-                tenths(row.window_ms + limit)
-                for row in self.terms.house.tariffs.values()
-                if row.effect == "ticketed" and row.group != "all"
+                tenths(request_class.window_ms + limit)
+                for request_class in self.terms.house.tariffs.values()
+                if request_class.effect == "ticketed" and request_class.group != "all"
             ),
             default=0,
         )
--- a/runspool/cli/lab.py
+++ b/runspool/cli/lab.py
@@ -1,4 +1,4 @@
-"""`runspool lab`: plays scenarios with stand-in engines, audits recordings, replays recorded events."""
+"""The commands `runspool lab`: play scenarios with stand-in engines, audit recordings, replay events."""
 
 from __future__ import annotations
 
@@ -24,35 +24,42 @@
 from runspool.lab.scenario_runner import ScenarioRunner
 from runspool.lab.simulator_days import UnplayableDayError, from_simulator_day
 
-EXIT_BROKEN = 1  # a rule is broken, was never at stake where all must be, or a replay differs
-EXIT_INVALID = 2  # an argument or a file that cannot be used
-EXIT_NOT_PLAYED = 3
+EXIT_BROKEN = 1  # exit status if a rule was violated, a required rule was not exercised, or a replay differs
+EXIT_INVALID = 2  # exit status for an argument or a file that cannot be used
+EXIT_NOT_PLAYED = 3  # exit status if a scenario could not be played to its end
 
-# The only scenario that puts every rule at stake.
+# The only scenario that exercises every rule of the audit.
 SCENARIO_WITH_ALL_RULES = "bad-night"
 
-SEEDS_PER_PLAN = 1_000  # seeds of engines that one seed of a plan stands for
+# An engine's seed is derived from the seed of the scenario, the engine's index and its number of starts. The
+# seeds are distinct for up to 100 engines with fewer than 10 starts each.
+SEEDS_PER_PLAN = 1_000
 SEEDS_PER_ENGINE = 10
 
 HOST = "127.0.0.1"
 
-app = typer.Typer(no_args_is_help=True, help="The laboratory: stand-ins on loopback, scripted days, audits.")
+app = typer.Typer(
+    no_args_is_help=True, help="Test fronts with stand-in engines: scripted scenarios, audits, replays."
+)
 
-OutputFolder = Annotated[Path, typer.Option("--out", help="Folder for recording, verdict and report.")]
+OutputFolder = Annotated[
+    Path, typer.Option("--out", help="Folder for the recording, the verdict and the report.")
+]
 RecordEvents = Annotated[
-    bool, typer.Option("--tapes/--no-tapes", help="Also record what each front's decisions heard and asked.")
+    bool,
+    typer.Option("--tapes/--no-tapes", help="Also record the events and actions of each front's scheduler."),
 ]
 
 
 def _run_scenario_epilog(command: str) -> str:
     return (
         f"Example: runspool lab {command} bad-night --seed 3 --out /tmp/night   "
-        "(exit 0: every rule kept and at stake, 1: not so, 2: bad input, 3: not played)"
+        "(exit 0: every rule kept and, in bad-night, exercised, 1: not so, 2: invalid input, 3: not played)"
     )
 
 
 def _replay_events_epilog(command: str) -> str:
-    return f"Example: runspool lab {command} /tmp/night/front-0.1.tape   (exit 0: the same, 1: not)"
+    return f"Example: runspool lab {command} /tmp/night/front-0.1.tape   (exit 0: identical, 1: different)"
 
 
 @app.command("run-scenario", epilog=_run_scenario_epilog("run-scenario"))
@@ -63,22 +70,24 @@
     output_folder: OutputFolder = Path("runspool-day"),
     record_events: RecordEvents = False,
 ) -> None:
-    """Play a scripted day through real fronts and judge it from what passed on the sockets."""
+    """Play a scripted scenario with real fronts, and audit it from the recorded socket traffic."""
     if name not in SCENARIOS:
-        _fail(f"no day {name!r}; there are {', '.join(SCENARIOS)}")
+        _fail(f"there is no scenario {name!r}; known are {', '.join(SCENARIOS)}")
     _play(SCENARIOS[name](seed), output_folder, record_events, all_rules=name == SCENARIO_WITH_ALL_RULES)
 
 
 @app.command(epilog="Example: runspool lab replay day.json --fronts 3 --engines 12 --out /tmp/replay")
 def replay(
-    file: Annotated[Path, typer.Argument(help="What the bench's draw printed.")],
+    file: Annotated[Path, typer.Argument(help="The day that the benchmark's draw printed, as JSON.")],
     fronts: Annotated[int, typer.Option(min=1, max=32)] = 3,
     engines: Annotated[int, typer.Option(min=3, max=64)] = 12,
-    scale: Annotated[float, typer.Option(help="Multiple of the load that fits the size.")] = 1.0,
+    scale: Annotated[
+        float, typer.Option(help="Load, as a multiple of what suits the number of engines.")
+    ] = 1.0,
     output_folder: OutputFolder = Path("runspool-replay"),
     record_events: RecordEvents = False,
 ) -> None:
-    """Play a bench day's kinds of trouble, at their times and sizes, through real fronts."""
+    """Play the faults of a benchmark day, at their times and sizes, with real fronts."""
     try:
         plan = from_simulator_day(json.loads(file.read_text()), fronts, engines, scale)
     except (OSError, ValueError, UnplayableDayError) as error:
@@ -86,9 +95,11 @@
     _play(plan, output_folder, record_events, all_rules=False)
 
 
-@app.command(epilog="Example: runspool lab audit /tmp/night   (exit 0: kept, 1: broken, 2: unreadable)")
-def audit(folder: Annotated[Path, typer.Argument(help="A folder with wire.jsonl, or that file.")]) -> None:
-    """Check the five rules from a recording alone."""
+@app.command(epilog="Example: runspool lab audit /tmp/night   (exit 0: rules kept, 1: broken, 2: unreadable)")
+def audit(
+    folder: Annotated[Path, typer.Argument(help="A recording wire.jsonl, or the folder that contains it.")],
+) -> None:
+    """Check the five rules of the audit against a recording."""
     file = folder / "wire.jsonl" if folder.is_dir() else folder
     try:
         verdicts = auditing.audit(recording.read_recording(file))
@@ -104,8 +115,10 @@
 
 @app.command("replay-events", epilog=_replay_events_epilog("replay-events"))
 @app.command("retrace", hidden=True, epilog=_replay_events_epilog("retrace"))
-def replay_events(tapes: Annotated[list[Path], typer.Argument(help="Tapes that fronts recorded.")]) -> None:
-    """Play fronts' tapes through fresh decisions: same news, same asks."""
+def replay_events(
+    tapes: Annotated[list[Path], typer.Argument(help="Event recordings (tapes) of fronts.")],
+) -> None:
+    """Replay recorded events with a new scheduler, and compare its actions with the recorded ones."""
     differs = False
     for file in tapes:
         try:
@@ -119,19 +132,21 @@
 
 def _describe_match(file: Path, result: event_replay.ReplayResult) -> str:
     if not result.events:
-        return f"{file}: nothing on it, nothing shown"
-    return f"{file}: {result.events} news, {result.actions} asks, all the same"
+        return f"{file}: no events, nothing compared"
+    return f"{file}: {result.events} events, {result.actions} actions, all identical"
 
 
 @app.command(epilog="Example: runspool lab engine plan.json --at 0 --out engine.jsonl < /dev/zero")
 def engine(
-    plan: Annotated[Path, typer.Argument(help="A day's plan.json.")],
-    indices: Annotated[list[int], typer.Option("--at", min=0, help="Which of its engines; may be repeated.")],
-    recording_file: Annotated[Path | None, typer.Option("--out", help="Where to record.")] = None,
+    plan: Annotated[Path, typer.Argument(help="The plan.json of a scenario.")],
+    indices: Annotated[
+        list[int], typer.Option("--at", min=0, help="Index of an engine in the plan; may be repeated.")
+    ],
+    recording_file: Annotated[Path | None, typer.Option("--out", help="File to record in.")] = None,
     start_number: Annotated[int, typer.Option("--life")] = 1,
     cold: bool = False,
 ) -> None:
-    """Run one stand-in engine until standard input ends; faults come there as JSON lines."""
+    """Run stand-in engines until standard input ends. Read faults to inject from it as JSON lines."""
     try:
         scenario: ScenarioPlan = msgspec.json.decode(plan.read_bytes(), type=ScenarioPlan)
         engine_plans = {index: scenario.engines[index] for index in indices}
@@ -151,19 +166,20 @@
 
 
 async def _run_engines(engines: dict[int, StandInEngine], engine_plans: dict[int, EnginePlan]) -> None:
-    """Serve with the engines, by their index in the plan, and pass them faults from standard input."""
+    """Run the engines, which are keyed by their index in the plan, and inject faults from standard input."""
     async with anyio.create_task_group() as tasks:
         for index, stand_in in engines.items():
             await tasks.start(stand_in.run, HOST, engine_plans[index].port)
         while line := await anyio.to_thread.run_sync(sys.stdin.buffer.readline, abandon_on_cancel=True):
             try:
-                _switch_fault(engines, line)
+                _inject_fault(engines, line)
             except (ValueError, KeyError, TypeError) as error:
-                typer.echo(f"fault not played: {error!r}", err=True)
+                typer.echo(f"fault not injected: {error!r}", err=True)
         tasks.cancel_scope.cancel()
 
 
-def _switch_fault(engines: dict[int, StandInEngine], line: bytes) -> None:
+def _inject_fault(engines: dict[int, StandInEngine], line: bytes) -> None:
+    """Inject the fault that a JSON line describes into the engine that it names."""
     settings = json.loads(line)
     stand_in = engines[settings.pop("at")]
     name = settings.pop("fault")
@@ -173,7 +189,7 @@
 def _play(plan: ScenarioPlan, folder: Path, record_events: bool, all_rules: bool) -> NoReturn:
     """Play a scenario, write and print its report, and exit.
 
-    The exit status is 0 where every rule is kept and, with `all_rules`, none was never at stake.
+    The exit status is 0 if no rule was violated and, with `all_rules`, every rule was exercised.
     """
     folder.mkdir(parents=True, exist_ok=True)
     file = _play_with_progress(plan, folder, record_events)
@@ -189,10 +205,10 @@
     with Progress(console=Console(stderr=True), transient=True) as progress:
         task = progress.add_task(f"{plan.name} {plan.seed}", total=1.0)
 
-        def show(part: float) -> None:
-            progress.update(task, completed=min(1.0, part))
+        def show_progress(fraction: float) -> None:
+            progress.update(task, completed=min(1.0, fraction))
 
-        runner = ScenarioRunner(plan, folder, record_events, show)
+        runner = ScenarioRunner(plan, folder, record_events, show_progress)
         try:
             return anyio.run(runner.play)
         except ScenarioFailedError as error:
@@ -201,10 +217,11 @@
             failures = group.subgroup(ScenarioFailedError)
             if failures is None:
                 raise
-            _fail(str(_first_leaf(failures)), EXIT_NOT_PLAYED)
+            _fail(str(_first_exception(failures)), EXIT_NOT_PLAYED)
 
 
-def _first_leaf(error: BaseException) -> BaseException:
+def _first_exception(error: BaseException) -> BaseException:
+    """Return the first exception in nested exception groups."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
--- a/runspool/cli/main.py
+++ b/runspool/cli/main.py
@@ -1,4 +1,4 @@
-"""The command `runspool`: its sub-commands and its entry point."""
+"""The entry point of the command `runspool`, which registers its subcommands."""
 
 from __future__ import annotations
 
@@ -14,36 +14,38 @@
 from runspool.logs import start_logs
 from runspool.service.front_server import run_front
 
-# Measured on the benchmark of a front: a sixth less CPU than with the loop of the standard library.
+# In the benchmark of a front, uvloop needed a sixth less CPU time than the standard library's event loop.
 EVENT_LOOP_OPTIONS = {"use_uvloop": True}
 
 EXIT_ADDRESS_UNAVAILABLE = 3
 
-# What the extra [lab] installs; without it there is no sub-command `lab`.
+# The packages that the extra [lab] installs. Without them, the subcommand `lab` is not available.
 LAB_PACKAGES = frozenset({"xxhash", "jinja2", "hdrh", "numpy"})
 
 app = typer.Typer(
     no_args_is_help=True,
     pretty_exceptions_enable=False,
-    help="A router for language-model serving with readers and writers on separate engines.",
+    help="A router for language-model serving with prefill and decode on separate engines.",
 )
 app.add_typer(terms_commands.app, name="terms")
 app.add_typer(cells_commands.app, name="cells")
 
 
 @app.command(
-    epilog="Example: runspool front examples/house.jsonnet   (exit 0: stopped in order, "
-    "2: bad terms, 3: address not to be had)"
+    epilog="Example: runspool front examples/house.jsonnet   (exit 0: shut down after SIGTERM, "
+    "2: invalid configuration, 3: address not available)"
 )
 def front(
     file: terms_commands.ConfigFile,
     var: terms_commands.ExternalVariables = None,
-    seed: Annotated[int | None, typer.Option(help="Seed of its chance, in place of the terms'.")] = None,
+    seed: Annotated[
+        int | None, typer.Option(help="Seed of the random number generators; overrides the configuration.")
+    ] = None,
     recording: Annotated[
-        Path | None, typer.Option("--tape", help="Record what the decisions hear and ask, here.")
+        Path | None, typer.Option("--tape", help="File to record the scheduler's events and actions in.")
     ] = None,
 ) -> None:
-    """Run one front until SIGTERM. Logs are JSON lines on standard error."""
+    """Run one front until SIGTERM. Write logs as JSON lines to standard error."""
     config = terms_commands.load_or_exit(file, var)
     start_logs(config.front.log_level)
     try:
@@ -54,7 +56,7 @@
 
 
 def run() -> None:
-    """Run the command line; the sub-command `lab` is there where its packages are installed."""
+    """Run the command line, with the subcommand `lab` if its packages are installed."""
     try:
         from runspool.cli import lab
     except ImportError as error:
--- a/tests/test_cell_commands.py
+++ b/tests/test_cell_commands.py
@@ -56,7 +56,7 @@
     planned = run_command("plan", front_config, "one", "b")
     assert "tenant one: from a to b" in planned and "0 changes of engines in 6" in planned
     for arguments, reason in (
-        (["nobody", "b"], "none of the house"),
+        (["nobody", "b"], "not in house.tenants"),
         (["one", "c"], "no cell c"),
         (["one", "a"], "already"),
         (["one", "spare"], "reserve"),
--- a/tests/test_lab_commands.py
+++ b/tests/test_lab_commands.py
@@ -82,7 +82,7 @@
 def test_an_unknown_scenario_is_refused_in_the_same_words() -> None:
     result = both("run-scenario", "no-such-day")
     assert (result.exit_code, result.stdout) == (2, "")
-    assert result.stderr.startswith("no day 'no-such-day'; there are bad-night, quiet, ")
+    assert result.stderr.startswith("there is no scenario 'no-such-day'; known are bad-night, quiet, ")
 
 
 @pytest.mark.parametrize("recording", RECORDED_EVENTS, ids=lambda file: str(file.name))
@@ -92,7 +92,7 @@
     events.write_bytes(b"\n".join(lines))
     same = both("replay-events", str(events))
     assert same.exit_code == 0
-    assert same.stdout.startswith(f"{events}: ") and same.stdout.endswith(" asks, all the same\n")
+    assert same.stdout.startswith(f"{events}: ") and same.stdout.endswith(" actions, all identical\n")
     events.write_bytes(b"\n".join([lines[0], *lines[2:]]))
     other = both("replay-events", str(events))
     assert other.exit_code == 1
@@ -104,4 +104,4 @@
     empty = tmp_path / "empty.tape"
     empty.write_bytes(b"")
     result = both("replay-events", str(empty))
-    assert (result.exit_code, result.stdout) == (0, f"{empty}: nothing on it, nothing shown\n")
+    assert (result.exit_code, result.stdout) == (0, f"{empty}: no events, nothing compared\n")
