--- a/runspool/cli/cell_output.py
+++ b/runspool/cli/cell_output.py
@@ -31,7 +31,7 @@
         "tenants",
         title=f"version {cell_map.version}, {cell_map.way}, {len(engines)} engines",
     )
-    places = {engine.name: engine for engine in engines}
+    places = {place.name: place for place in engines}
     for name, members in placement.cells.items():
         table.add_row(*_cell_row(cell_map, name, [places[engine] for engine in members]))
     out.print(table)
--- a/runspool/simulator_adapter/__init__.py
+++ b/runspool/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The bench adapter: many isolated fronts on one pair of pipes."""
+"""Adapter that runs many isolated schedulers in one process under the benchmark's fleet simulator."""
--- a/runspool/simulator_adapter/__main__.py
+++ b/runspool/simulator_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the router under the simulator: many isolated fronts on standard input and standard output."""
+"""Run many isolated fronts for the simulator, over standard input and standard output."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from runspool.simulator_adapter.host import Host
 from runspool.simulator_adapter.wire import MalformedLineError
 
-EXIT_MALFORMED_INPUT = 2
+EXIT_MALFORMED_INPUT = 2  # exit status for a line that the protocol does not allow
 
 
 def main() -> int:
-    """Serve the simulator until its input ends; return the exit code, 2 after a malformed line."""
+    """Serve the simulator until the input ends, and return the exit status."""
     host = Host(sys.stdin.buffer, sys.stdout.buffer)
     try:
         host.serve()
--- a/runspool/simulator_adapter/host.py
+++ b/runspool/simulator_adapter/host.py
@@ -1,8 +1,8 @@
-"""Hosts many simulated fronts on one pair of pipes.
+"""Run many simulated fronts over one pair of pipes.
 
-The fronts are isolated: they share nothing but the lists of engines that the simulator sends once for all.
-The simulator sends batches that begin with `tick` and end with `eof_batch`; each batch is answered by the
-lines its events caused, in their order, and a closing `done`.
+The fronts are isolated from each other, except that they share the endpoint lists, which the simulator sends
+only once. The simulator sends batches of lines that start with `tick` and end with `eof_batch`. The reply to
+a batch consists of the lines that its events caused, in the order of the events, and a final line `done`.
 """
 
 from __future__ import annotations
@@ -29,38 +29,55 @@
     WireLine,
 )
 
-MAX_INTERNED_NAMES = 200_000  # sessions and prefixes one front remembers before it forgets the oldest
-STATE_MISSING_DETAIL = 1  # an overload with this detail means that the engine lacks the prefill state
+MAX_INTERNED_NAMES = 200_000  # names of sessions and prefixes per front; the oldest are dropped
+STATE_MISSING_DETAIL = 1  # an overload with this detail means that the engine has lost the prefill state
 UNKNOWN_ENGINE_TYPE = -1
 UNKNOWN_ZONE = -2
 UNKNOWN_RACK = -1
-NO_LIST_ID = -1
+NO_LIST_ID = -1  # stands for an endpoint list that the simulator never sent, that is, an empty one
 
-# Whether each kind of endpoint update is a snapshot. `cached` is the list as last known to the platform.
+# Whether a kind of endpoint update is a complete snapshot. `cached` is the last list that the platform knew,
+# which may be outdated.
 SNAPSHOT_BY_KIND = {"delta": False, "full": True, "cached": True}
 
 
-def _read_settings(text: str) -> PlatformSettings:
+def _parse_settings(text: str) -> PlatformSettings:
+    """Return the settings in a front's `profile-data`.
+
+    Raises:
+        MalformedLineError: the text is not JSON, or the settings are invalid.
+    """
     try:
         return PlatformSettings(json.loads(text))
     except ValueError as error:
-        raise MalformedLineError(f"profile-data is no JSON: {error}") from None
+        raise MalformedLineError(f"profile-data is not JSON: {error}") from None
     except InvalidSettingsError as error:
         raise MalformedLineError(f"profile-data: {error}") from None
 
 
 class SimulatedFront:
-    """One front: its scheduler, the simulator's names for its requests and engines, and its replies.
+    """One front: its scheduler, and the mapping between the simulator's names and the scheduler's indices.
 
-    It handles the scheduler's actions (`runspool.runtime.scheduler_driver.ActionHandler`) by appending lines
-    to the batch's `reply`. Handlers of events take the time in tenths of a millisecond and the event's line,
-    and raise MalformedLineError for a line that cannot be read. An event of a request that is no longer known
-    is ignored.
+    The front carries out the scheduler's actions (`runspool.runtime.scheduler_driver.ActionHandler`) by
+    appending lines to the reply. The handlers of events take the time in tenths of a millisecond and the line
+    of the event. They raise MalformedLineError for an invalid line and ignore events of requests that are no
+    longer known.
     """
 
     def __init__(self, name: str, line: WireLine, now: int, reply: list[str]) -> None:
+        """Create a front and its scheduler.
+
+        Args:
+            name: the simulator's name for the front.
+            line: the event `attach` with the settings and the random seed.
+            now: the time in tenths of a millisecond.
+            reply: the list that lines of the reply are appended to.
+
+        Raises:
+            MalformedLineError: the settings are invalid.
+        """
         self.name = name
-        self.settings = _read_settings(line.text("profile-data"))
+        self.settings = _parse_settings(line.text("profile-data"))
         self.reply = reply
         self.engine_names: list[str] = []
         self.engine_interner = Interner()
@@ -71,19 +88,19 @@
         seed = line.integer("random-seed", 0)
         self.driver = SchedulerDriver(self.settings.routing, seed, self, now)
 
-    def _reply(self, word: str, rest: str = "") -> None:
-        self.reply.append(f"{word} front={self.name}{rest}")
+    def _reply(self, line_name: str, fields: str = "") -> None:
+        self.reply.append(f"{line_name} front={self.name}{fields}")
 
     def start_attempt(self, request: int, engine: int, timeout: int) -> None:
-        """Send a request to an engine; a timeout of 0 leaves the attempt without a limit of its own."""
+        """Send a request to an engine, with a timeout for this attempt unless `timeout` is 0."""
         limit = f" cap-us={timeout * UNIT_US}" if timeout else ""
         request_name = self.request_names[request]
         self._reply("transmit", f" req={request_name} engine={self.engine_names[engine]}{limit}")
 
     def reject(self, request: int, retry_after: int) -> None:
-        """Reject a request; a `retry_after` of 0 is not sent."""
-        later = f" hold-off-us={retry_after * UNIT_US}" if retry_after else ""
-        self._reply("not_now", f" req={self.request_names[request]}{later}")
+        """Reject a request, with a delay for the client's retry unless `retry_after` is 0."""
+        delay = f" hold-off-us={retry_after * UNIT_US}" if retry_after else ""
+        self._reply("not_now", f" req={self.request_names[request]}{delay}")
 
     def fail_indeterminate(self, request: int) -> None:
         """Fail a request that may have been executed."""
@@ -94,15 +111,15 @@
         self._reply("release", f" req={self.request_names[request]}")
 
     def migrate_stream(self, request: int) -> None:
-        """Stop a request's stream so that it goes on elsewhere."""
+        """Stop a request's stream so that another engine can resume it."""
         self._reply("shift", f" req={self.request_names[request]}")
 
     def subscribe_to_endpoints(self) -> None:
-        """Subscribe to the list of engines."""
+        """Subscribe to the endpoint list."""
         self._reply("observe", " enable=1")
 
     def set_timer(self, token: str, at: int) -> None:
-        """Set a timer."""
+        """Set a timer that fires at a time in tenths of a millisecond."""
         self._reply("wake_at", f" token={token} fire-at-us={at * UNIT_US}")
 
     def log_message(self, text: str) -> None:
@@ -110,7 +127,7 @@
         self._reply("journal_line", f" reason-text={text}")
 
     def forget_request(self, request: int) -> None:
-        """Drop the name of a request that is over; the same name may be used again."""
+        """Remove a request that has ended; the simulator may use its name again."""
         self.request_indices.pop(self.request_names.pop(request), None)
 
     def request_received(self, now: int, line: WireLine) -> None:
@@ -126,7 +143,7 @@
         request_class = self.settings.request_classes.get(line.text("qos"))
         expected_output_tokens = self._expected_output_tokens(request_class, line)
         session, prefix = line.optional_text("thread"), line.optional_text("prefix-id")
-        # Sessions and prefixes share one interner; their first letter keeps the two apart.
+        # Sessions and prefixes share one interner; the prefixed letter prevents collisions between them.
         return Request(
             index=index,
             request_class=request_class,
@@ -145,7 +162,10 @@
         )
 
     def _expected_output_tokens(self, request_class: int | None, line: WireLine) -> int:
-        """Tokens that the client's hint, a duration, stands for at its class's pace; 0 where it has none."""
+        """Return the expected number of output tokens, or 0 if it is unknown.
+
+        The client's hint is a duration, which is divided by the class's objective for the time per token.
+        """
         hint = line.duration("hint-us", 0)
         if request_class is None:
             return 0
@@ -153,7 +173,7 @@
         return hint // time_per_token if time_per_token else 0
 
     def stream_started(self, now: int, line: WireLine) -> None:
-        """Report the first token of an attempt (`under_way`)."""
+        """Report the first token of an attempt to the scheduler (`under_way`)."""
         index = self.request_indices.get(line.text("req"))
         if index is not None:
             # The simulator numbers a request's attempts from 0, the scheduler from 1.
@@ -161,7 +181,7 @@
             self.driver.stream_started(now, index, attempt, line.duration("delay-seen-us", 0))
 
     def attempt_ended(self, now: int, line: WireLine) -> None:
-        """Report the end of an attempt (`closed_attempt`)."""
+        """Report the end of an attempt to the scheduler (`closed_attempt`)."""
         index = self.request_indices.get(line.text("req"))
         status = line.choice("ending", STATUSES)
         detail = line.integer("detail", 0)
@@ -174,17 +194,17 @@
         self.driver.attempt_ended(now, index, line.integer("leg") + 1, outcome, line.flag("complete"))
 
     def client_disconnected(self, now: int, line: WireLine) -> None:
-        """Report that a request's client is gone (`withdrawn`)."""
+        """Report to the scheduler that a request's client has disconnected (`withdrawn`)."""
         index = self.request_indices.get(line.text("req"))
         if index is not None:
             self.driver.client_disconnected(now, index)
 
     def timer_fired(self, now: int, line: WireLine) -> None:
-        """Report that a timer is due (`bell`)."""
+        """Report to the scheduler that a timer has fired (`bell`)."""
         self.driver.timer_fired(now, line.text("token"))
 
     def endpoints_updated(self, now: int, line: WireLine, entries: list[WireLine]) -> None:
-        """Pass on an update of the list of engines (`registry`), or that the subscription failed."""
+        """Report an update of the endpoint list, or the loss of the subscription (`registry`)."""
         if line.text("kind") == "failed":
             self.driver.subscription_lost(now)
             return
@@ -220,7 +240,16 @@
 
 
 class Host:
-    """Reads the simulator's batches, passes their events to the fronts, and writes the fronts' replies."""
+    """Reads the simulator's batches, dispatches their events to the fronts, and writes the replies.
+
+    Attributes:
+        source: the stream that batches are read from.
+        sink: the stream that replies are written to.
+        fronts: the attached fronts by name.
+        endpoint_lists: the endpoint lists by the simulator's identifier.
+        reply: the lines of the reply to the current batch.
+        failed: the names of the fronts whose scheduler has raised an exception.
+    """
 
     def __init__(self, source: BinaryIO, sink: BinaryIO) -> None:
         self.source = source
@@ -231,13 +260,17 @@
         self.failed: set[str] = set()
 
     def serve(self) -> None:
-        """Answer batches until the input ends; raise MalformedLineError for input that cannot be read."""
+        """Answer batches until the input ends.
+
+        Raises:
+            MalformedLineError: the input violates the protocol.
+        """
         while (text := self._next_text()) is not None:
             if not text:
                 continue
             tick = WireLine(text)
             if tick.name != "tick":
-                raise MalformedLineError(f"a batch starts with tick, not {text[:QUOTED_LENGTH]!r}")
+                raise MalformedLineError(f"a batch must start with tick, not {text[:QUOTED_LENGTH]!r}")
             self._serve_batch(tick.duration("time-us"))
             self.reply.append(f"done seq={tick.integer('seq')}\n")
             self.sink.write("\n".join(self.reply).encode())
@@ -251,7 +284,7 @@
         try:
             return raw.decode().rstrip("\r\n")
         except UnicodeDecodeError as error:
-            raise MalformedLineError(f"a line is not UTF-8: {error}") from None
+            raise MalformedLineError(f"a line is not valid UTF-8: {error}") from None
 
     def _next_line(self) -> WireLine:
         text = self._next_text()
@@ -270,11 +303,17 @@
     def _next_entry(self) -> WireLine:
         entry = self._next_line()
         if entry.name != "engine":
-            raise MalformedLineError(f"a list line is missing, there is {entry.raw[:QUOTED_LENGTH]!r}")
+            raise MalformedLineError(
+                f"expected an engine of an endpoint list, got {entry.raw[:QUOTED_LENGTH]!r}"
+            )
         return entry
 
     def _handle_event(self, now: int, name: str, line: WireLine) -> None:
-        """Handle one event; a front whose scheduler fails is reported, then ignored until attached again."""
+        """Handle one event of a front.
+
+        If the scheduler raises an exception, report it to the simulator and ignore further events of the
+        front until it is attached again.
+        """
         try:
             if line.name == "attach":
                 self.failed.discard(name)
@@ -282,18 +321,18 @@
             elif line.name == "teardown":
                 self.fronts.pop(name, None)
             elif name not in self.failed:
-                self._pass_to_front(now, name, line)
+                self._dispatch(now, name, line)
         except MalformedLineError:
             raise
-        except Exception as error:  # noqa: BLE001 - whatever the scheduler raises must reach the simulator
+        except Exception as error:  # noqa: BLE001 - any exception of the scheduler must be reported
             self.failed.add(name)
-            text = " ".join(f"{type(error).__name__}: {error}".split())
-            self.reply.append(f"bail_out front={name} reason-text={text}")
+            reason = " ".join(f"{type(error).__name__}: {error}".split())
+            self.reply.append(f"bail_out front={name} reason-text={reason}")
 
-    def _pass_to_front(self, now: int, name: str, line: WireLine) -> None:
+    def _dispatch(self, now: int, name: str, line: WireLine) -> None:
         front = self.fronts.get(name)
         if front is None:
-            raise MalformedLineError(f"{line.name} for {name}, which has not been attached")
+            raise MalformedLineError(f"{line.name} is for the front {name}, which has not been attached")
         if line.name == "registry":
             entries = self.endpoint_lists.get(line.integer("roster-id", NO_LIST_ID), [])
             front.endpoints_updated(now, line, entries)
--- a/runspool/simulator_adapter/wire.py
+++ b/runspool/simulator_adapter/wire.py
@@ -1,7 +1,7 @@
-"""The simulator's line protocol: parsing of its lines, and the table of its words.
+"""Parser for the lines of the simulator's protocol.
 
-A line is a word and then `name=value` fields, separated by single spaces. The words are the simulator's and
-stay as they are; STATUSES and STATES say which of the router's types they stand for.
+A line consists of a name and `key=value` fields, separated by single spaces. The simulator defines the names
+and keys. STATUSES and STATES map its words for statuses and states to the router's types.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 Value = TypeVar("Value")
 
-# Fields whose value is the whole rest of the line, spaces included.
+# Fields whose value extends to the end of the line and may contain spaces.
 TEXT_FIELDS = frozenset({"profile-data", "reason-text"})
 
-QUOTED_LENGTH = 200  # characters of a line that an error message quotes
-TOKENS_PER_THOUSAND = 1000  # the load report's `x1` counts thousands of tokens
+QUOTED_LENGTH = 200  # maximum length of the part of a line that an error message quotes, in characters
+TOKENS_PER_THOUSAND = 1000  # the field `x1` of a load report is in thousands of tokens
 
 STATUSES = {
     "completed": AttemptStatus.SUCCEEDED,
@@ -35,46 +35,58 @@
 
 
 class MalformedLineError(RunspoolError):
-    """A line that the protocol does not allow; the connection to the simulator ends with it."""
+    """A line violates the protocol; the adapter then stops reading from the simulator."""
 
 
 class WireLine:
-    """One parsed line: its first word as `name`, its fields by name, and `raw`, the line itself.
+    """One parsed line. Every accessor of a field raises MalformedLineError for a value that is invalid.
 
-    Unknown fields are kept and ignored. Every accessor raises MalformedLineError for a value it cannot read.
+    Attributes:
+        raw: the unparsed line.
+        name: the first word of the line.
+        fields: the values of the fields by key, including unknown fields.
     """
 
     __slots__ = ("fields", "name", "raw")
 
     def __init__(self, raw: str) -> None:
+        """Parse a line.
+
+        Raises:
+            MalformedLineError: the line is empty, starts with a space or contains a part without a key and
+                an equals sign.
+        """
         self.raw = raw
         self.name, _, rest = raw.partition(" ")
         self.fields: dict[str, str] = {}
         if not self.name:
-            raise MalformedLineError("an empty line inside a batch")
+            raise MalformedLineError("a line inside a batch is empty or starts with a space")
         while rest:
             part, _, after = rest.partition(" ")
             key, equals, value = part.partition("=")
             if not equals or not key:
-                raise MalformedLineError(f"no name=value in {part!r} of {raw[:QUOTED_LENGTH]!r}")
+                raise MalformedLineError(f"{part!r} is not key=value in {raw[:QUOTED_LENGTH]!r}")
             if key in TEXT_FIELDS:
                 value, after = rest[len(key) + 1 :], ""
             self.fields[key] = value
             rest = after
 
     def text(self, key: str) -> str:
-        """Return a field that must be there."""
+        """Return the value of a required field."""
         value = self.fields.get(key)
         if value is None:
             raise MalformedLineError(f"{key} is missing in {self._quoted()}")
         return value
 
     def optional_text(self, key: str) -> str | None:
-        """Return a field, or None where the line does not have it."""
+        """Return the value of a field, or None if the line does not contain the field."""
         return self.fields.get(key)
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """Return a whole number, cut towards zero; a field without a default must be there."""
+        """Return the value of a field as an integer; a fraction is truncated towards zero.
+
+        The field is required unless there is a default.
+        """
         value = self.fields.get(key)
         if value is None:
             if default is None:
@@ -86,43 +98,48 @@
             try:
                 return int(float(value))
             except (ValueError, OverflowError):
-                raise MalformedLineError(f"{key} is no number in {self._quoted()}") from None
+                raise MalformedLineError(f"{key} is not a number in {self._quoted()}") from None
 
     def duration(self, key: str, default_us: int | None = None) -> int:
-        """Return a time in tenths of a millisecond; the field and its default are in microseconds."""
+        """Return the value of a field in microseconds, converted to tenths of a millisecond and rounded down.
+
+        The default is in microseconds too; the field is required unless there is a default.
+        """
         return self.integer(key, default_us) // UNIT_US
 
     def flag(self, key: str) -> bool:
-        """Return whether a field is 1; it is 0 where it is absent."""
+        """Return whether the value of a field is 1; false if the field is absent."""
         value = self.fields.get(key, "0")
         if value not in ("0", "1"):
             raise MalformedLineError(f"{key} is neither 1 nor 0 in {self._quoted()}")
         return value == "1"
 
     def choice(self, key: str, values: dict[str, Value]) -> Value:
-        """Return what the field's word stands for in `values`."""
+        """Return the entry of `values` for the word in a required field."""
         word = self.text(key)
         if word not in values:
             raise MalformedLineError(f"{key}={word} is unknown in {self._quoted()}")
         return values[word]
 
     def load_report(self) -> LoadReport | None:
-        """Return the engine's load report (`gauge=name:number,...`), or None where there is none."""
+        """Return the engine's load report (`gauge=name:number,...`), or None if the line contains none."""
         gauge = self.fields.get("gauge")
         if not gauge:
             return None
-        figures: dict[str, float] = {}
+        metrics: dict[str, float] = {}
         for pair in gauge.split(","):
-            key, _, figure = pair.partition(":")
+            key, _, value = pair.partition(":")
             try:
-                figures[key] = float(figure)
+                metrics[key] = float(value)
             except ValueError:
-                raise MalformedLineError(f"gauge holds {pair!r} in {self._quoted()}") from None
-        queued_thousands = figures.get("x1")
+                raise MalformedLineError(
+                    f"gauge contains the invalid pair {pair!r} in {self._quoted()}"
+                ) from None
+        queued_thousands = metrics.get("x1")
         return LoadReport(
-            requests_in_flight=figures.get("busy_reqs"),
-            slot_utilization=figures.get("cpu_share"),
-            memory_utilization=figures.get("x0"),
+            requests_in_flight=metrics.get("busy_reqs"),
+            slot_utilization=metrics.get("cpu_share"),
+            memory_utilization=metrics.get("x0"),
             queued_prompt_tokens=None if queued_thousands is None else queued_thousands * TOKENS_PER_THOUSAND,
         )
 
