--- a/runspool/scheduling/__init__.py
+++ b/runspool/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a front and the types through which a front and its decisions meet."""
+"""Scheduling decisions of a front, free of I/O, and the types that connect them to the rest of the front."""
--- a/runspool/scheduling/actions.py
+++ b/runspool/scheduling/actions.py
@@ -1,7 +1,10 @@
-"""What the scheduler asks of the driver that runs its generators.
+"""Actions that the scheduler's generators yield to the driver that runs them.
 
-A generator yields one of these and is resumed with its result; where none is named it is resumed at once with
-None. Times are tenths of a millisecond on the clock that the driver sets before each step.
+The driver carries out each action and resumes the generator with its result. An action whose docstring names
+no result is carried out at once, and the generator is resumed with None.
+
+All times and durations are tenths of a millisecond; points in time are on the clock that the driver sets
+before each step.
 """
 
 from __future__ import annotations
@@ -13,8 +16,11 @@
 class StartAttempt:
     """Send the request to an engine.
 
-    Resumed with the attempt's `AttemptOutcome`; where a stream starts, first with status STREAM_STARTED.
-    `timeout` runs to the end of a prefill or to the first token; 0 sets none but the client's deadline.
+    The generator is resumed with the attempt's `AttemptOutcome`. If a stream starts, it is resumed with
+    status STREAM_STARTED and has to yield `AwaitCompletion` to receive the final outcome.
+
+    `timeout` limits the time until the prefill ends or the first token arrives. With 0 only the client's
+    deadline applies.
     """
 
     engine: int
@@ -23,21 +29,21 @@
 
 @dataclass(slots=True)
 class AwaitCompletion:
-    """Wait for the end of a stream that has started; resumed with its `AttemptOutcome`."""
+    """Wait until a started stream ends; the generator is resumed with the stream's `AttemptOutcome`."""
 
 
 @dataclass(slots=True)
 class Sleep:
-    """Resumed at the time named, sooner if the client disconnects."""
+    """Wait until the time `until`, or until the client disconnects if that comes first."""
 
     until: int
 
 
 @dataclass(slots=True)
 class Reject:
-    """The final response: not executed, a retry is harmless.
+    """Send the final response that the request was not executed and may be retried safely.
 
-    `retry_after` is how long the client is told to wait first; 0 says nothing.
+    `retry_after` is how long the client is asked to wait before it retries; with 0 the response does not say.
     """
 
     retry_after: int = 0
@@ -45,29 +51,29 @@
 
 @dataclass(slots=True)
 class FailIndeterminate:
-    """The final response: failed, and the request may or may not have been executed."""
+    """Send the final response that the request failed and may or may not have been executed."""
 
 
 @dataclass(slots=True)
 class ReleaseState:
-    """Have the engines release all that is reserved for the request and that no attempt waits for."""
+    """Ask the engines to release the request's reserved state, except where an attempt waits for it."""
 
 
 @dataclass(slots=True)
 class MigrateStream:
-    """Stop another request's stream, so that its client continues it at another engine."""
+    """Stop the stream of another request, so that its client resumes it on another engine."""
 
     request: int
 
 
 @dataclass(slots=True)
 class SubscribeToEndpoints:
-    """Ask for the endpoint list and its changes, where discovery does not send them by itself."""
+    """Subscribe to the endpoint list and its changes; needed where discovery does not push them unasked."""
 
 
 @dataclass(slots=True)
 class LogMessage:
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/runspool/scheduling/engine_index.py
+++ b/runspool/scheduling/engine_index.py
@@ -1,9 +1,12 @@
-"""The ready engines by role, and those that one request's decisions look at.
+"""Index of the ready engines by role, and samples of them for single scheduling decisions.
 
-A selection that looks at every engine costs time by the size of the fleet, while a front's traffic does not
-grow with it. Up to `SAMPLE_SIZE` engines of a role all are looked at. Beyond that a request sees a sample: a
-run of engines from an order of this front's own, another run for each look, beside those that its texts or
-its state give a reason to look at. Free of I/O and of random draws.
+A decision that examined every engine would cost time in proportion to the size of the fleet, although a
+front's share of the traffic does not grow with it. For roles with up to `SAMPLE_SIZE` ready engines, a
+decision examines all of them. For larger roles it examines a sample: consecutive engines of an order that is
+specific to this front, from another offset for each decision. The callers add engines that a prompt's cached
+texts or its prefill state favour.
+
+The module does no I/O and draws no random numbers.
 """
 
 from __future__ import annotations
@@ -16,37 +19,40 @@
 
 from runspool.scheduling.types import Role
 
-SAMPLE_SIZE = 96  # engines of a role that one request looks at
-HASH_MASK = 0xFFFFFFFF  # the largest stable hash
-HASH_MULTIPLIER = 2_654_435_761  # 2^32 by the golden ratio, a prime: spreads close numbers over all hashes
+# Engines of a role that one scheduling decision examines at most.
+SAMPLE_SIZE = 96
+# The largest value of a stable hash, which has 32 bits.
+HASH_MASK = 0xFFFFFFFF
+# A prime near 2^32 divided by the golden ratio (Fibonacci hashing): it distributes close numbers evenly.
+HASH_MULTIPLIER = 2_654_435_761
 
 
 class IndexedEngine(Protocol):
-    """What the index reads of an engine."""
+    """The attributes of an engine that the index reads."""
 
     @property
     def stable_hash(self) -> int:
-        """The same at every front, from 0 to `HASH_MASK`."""
+        """A hash from 0 to `HASH_MASK` that is the same at every front."""
         ...
 
     @property
     def role(self) -> Role:
-        """What the engine does."""
+        """The stages that the engine carries out."""
         ...
 
     @property
     def rack(self) -> int:
-        """The rack it is in."""
+        """The index of the engine's rack."""
         ...
 
     @property
     def memory_tokens(self) -> int:
-        """Tokens that its memory holds; 0 where it is not known."""
+        """Tokens that fit in its memory; 0 where the capacity is not known."""
         ...
 
     @property
     def ready(self) -> bool:
-        """Whether it takes requests."""
+        """Whether the engine accepts new requests."""
         ...
 
 
@@ -54,10 +60,10 @@
 
 
 class EngineIndex(Generic[EngineT]):
-    """The ready engines by role; built anew when the list of engines has changed."""
+    """The ready engines by role; created anew whenever the list of engines changes."""
 
     def __init__(self, engines: Iterable[EngineT], seed: int) -> None:
-        """`seed` is this front's own: it orders the samples that its requests see."""
+        """Index the ready ones of `engines`; `seed`, unique to this front, determines its sample order."""
         self.seed = seed & HASH_MASK
         self.ready: dict[Role, list[EngineT]] = {role: [] for role in Role}
         for engine in engines:
@@ -70,21 +76,26 @@
         self._racks: dict[Role, dict[int, list[EngineT]]] = {}
 
     def decode_capable(self) -> list[EngineT]:
-        """All engines that answer: the mixed ones, then the decode engines."""
+        """Return all ready engines that can decode: the mixed engines, then the decode engines."""
         return self.ready[Role.MIXED] + self.ready[Role.DECODE]
 
     def peer_count(self, role: Role) -> int:
-        """How many engines do the work of a role: prefill engines, or all that answer."""
+        """Return how many engines share the work of a role: the prefill engines, or all that can decode."""
         if role is Role.PREFILL:
             return len(self.ready[Role.PREFILL])
         return len(self.ready[Role.MIXED]) + len(self.ready[Role.DECODE])
 
     def is_large(self, role: Role) -> bool:
-        """Whether there are more engines of a role than one request looks at."""
+        """Return whether a role has more ready engines than one decision examines."""
         return len(self.ready[role]) > SAMPLE_SIZE
 
     def sample(self, role: Role, turn: int) -> list[EngineT]:
-        """Engines of a role for one look: all, or a run of this front's order, another for each turn."""
+        """Return the engines of a role that one decision examines.
+
+        These are all, or `SAMPLE_SIZE` consecutive ones, starting at an offset that `turn` determines, of an
+        order that is specific to this front. Successive values of `turn` give offsets that are spread over
+        it.
+        """
         engines = self.ready[role]
         if len(engines) <= SAMPLE_SIZE:
             return list(engines)
@@ -96,9 +107,10 @@
         return _cyclic_slice(self._sample_orders[role], start, SAMPLE_SIZE)
 
     def ring(self, role: Role, text_hash: int, span: int, within: int) -> list[EngineT]:
-        """Engines of a role that every front finds alike for a text: the `span` that follow its hash.
+        """Return the engines on a hash ring of a role that follow the hash of a text.
 
-        Where these are more than one request looks at, the ones of them that the hash `within` points to.
+        Every front gets the same engines. The `span` engines after `text_hash` are eligible. If these are
+        more than `SAMPLE_SIZE`, the hash `within` selects that many consecutive ones among them.
         """
         engines = self.ready[role]
         if role not in self._rings:
@@ -111,7 +123,7 @@
         return _cyclic_slice(order, start + offset, min(span, SAMPLE_SIZE))
 
     def in_rack(self, role: Role, rack: int) -> list[EngineT]:
-        """Engines of a role in a rack, no more than one request looks at."""
+        """Return the engines of a role in a rack, at most `SAMPLE_SIZE` of them."""
         if role not in self._racks:
             racks = self._racks[role] = defaultdict(list)
             for engine in self.ready[role]:
@@ -120,7 +132,7 @@
 
 
 def _cyclic_slice(order: list[EngineT], start: int, count: int) -> list[EngineT]:
-    """`count` engines of an order from a place on, beginning anew at its end."""
+    """Return `count` engines of `order` from index `start` on, wrapping around at its end."""
     start %= max(1, len(order))
     found = order[start : start + count]
     return found + order[: count - len(found)]
--- a/runspool/scheduling/engine_state.py
+++ b/runspool/scheduling/engine_state.py
@@ -1,4 +1,4 @@
-"""What one front knows of each engine and of each request class. Times are tenths of a millisecond."""
+"""What one front knows about each engine and each request class. Times are tenths of a millisecond."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 @dataclass(slots=True)
 class DecayingEstimate:
-    """A time learned from attempts, which decays to what is usual while nothing new is measured."""
+    """A duration learned from attempts. Without new samples it decays to the peers' estimate, or to 0."""
 
     time: float = 0.0
     updated_at: int = 0
 
 
 class QueuedPrefill(NamedTuple):
-    """A prefill of this front at an engine."""
+    """A prefill that this front has sent to an engine and that has not ended."""
 
     sent_at: int
     tokens: int
-    """Prompt tokens that it is expected to compute."""
+    """Prompt tokens that the engine is expected to compute, without those it has cached."""
     cumulative_tokens: int
-    """Its tokens and those of all earlier prefills of this front in the engine's queue."""
+    """Its tokens plus those of all earlier prefills of this front in the engine's queue."""
 
 
 NO_PREFILL = QueuedPrefill(0, 0, 0)
@@ -32,34 +32,37 @@
 
 @dataclass(slots=True, eq=False)
 class Engine:
-    """One engine: its record on the endpoint list, this front's work there, and what was learned of it.
+    """One engine: its record on the endpoint list, this front's requests there and learned estimates.
 
-    The dicts by request index keep the order of sending, so the first entry is the oldest.
+    The dicts keyed by request index are in the order of sending: the first entry is the oldest.
     """
 
     id: int
-    stable_hash: int  # the same at every front
+    # Hash of the engine's name, which is the same at every front.
+    stable_hash: int
     role: Role
     zone: int
     rack: int
-    memory_tokens: int  # 0 where it is not known
-    started_at: int  # 0 where it is not known
+    memory_tokens: int  # 0 where the capacity is not known
+    started_at: int  # 0 where the start time is not known
     ready: bool = True
     prefills: dict[int, QueuedPrefill] = field(default_factory=dict)
-    """By request index."""
-    prefill_tokens: int = 0  # the sum over `prefills`
+    """Unfinished prefills of this front, by request index."""
+    prefill_tokens: int = 0  # sum of the tokens of `prefills`
     waiting_decodes: dict[int, int] = field(default_factory=dict)
-    """Request index: time sent, for requests to be answered here whose first token has not come."""
+    """Send times, by request index, of decodes on this engine that wait for their first token."""
     streams: dict[int, int] = field(default_factory=dict)
-    """Request index: tokens in memory, for all requests to be answered here, started or not."""
-    stream_tokens: int = 0  # the sum over `streams`
+    """Expected memory in tokens, by request index, of this front's decodes here, whether or not they
+    stream yet."""
+    stream_tokens: int = 0  # sum of the tokens of `streams`
     queueing_delay: DecayingEstimate = field(default_factory=DecayingEstimate)
-    """A prefill's time beyond its own tokens and those known to be ahead of it."""
+    """Time that a prefill takes beyond computing its own tokens and those known to be ahead of it."""
     decode_wait: DecayingEstimate = field(default_factory=DecayingEstimate)
-    """From the send of a decode to its first token."""
-    observed_capacity: int = 0  # stream tokens at which it refused a request; 0 where it never did
+    """Time from sending a decode to its first token."""
+    observed_capacity: int = 0  # stream tokens at which the engine refused a request; 0 if it never did
     cached_tokens: dict[int, int] = field(default_factory=dict)
-    """Text key (see prefix_affinity.record_cached_texts): its tokens; the text used last comes last."""
+    """Cached tokens by text key (see `prefix_affinity.record_cached_texts`), the least recently used text
+    first."""
     load_report: LoadReport | None = None
     load_reported_at: int = 0
     consecutive_failures: int = 0
@@ -67,7 +70,7 @@
 
 
 def move_attempt(request_index: int, source: Engine, target: Engine) -> None:
-    """Count a request's attempt at another record of its engine."""
+    """Move a request's attempt from the replaced record of an engine to its new one."""
     if request_index in source.prefills:
         prefill = source.prefills.pop(request_index)
         source.prefill_tokens -= prefill.tokens
@@ -84,8 +87,9 @@
 
 @dataclass(slots=True)
 class RequestClassState:
-    """A request class: its settings, and what this front has learned of its requests."""
+    """The settings of a request class and what this front has learned about its requests."""
 
     settings: RequestClassSettings
-    cached_fraction: float = 0.0  # of a prompt, found cached at its session's first candidate
+    # Mean fraction of a prompt that its first affinity candidate had cached.
+    cached_fraction: float = 0.0
     mean_output_tokens: float = 0.0
--- a/runspool/scheduling/front_state.py
+++ b/runspool/scheduling/front_state.py
@@ -1,7 +1,7 @@
-"""What one front knows: its settings, the engines, and what it has learned of them and of its traffic.
+"""State of one front: its settings, its engines, and what it has learned about them and about its traffic.
 
-The modules of this package are functions over a `FrontState`; only the scheduler's driver sets its clock.
-Times are tenths of a millisecond.
+The modules of this package are functions that operate on a `FrontState`. Only the scheduler driver sets its
+clock. Times are tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -17,23 +17,26 @@
 from runspool.scheduling.time_units import SECOND
 from runspool.scheduling.types import Request, Role
 
-INITIAL_PREFILL_RATE = 1.0  # tokens a tenth of a millisecond, before any prefill has been timed
-INITIAL_RETRY_BUDGET = 2.0  # repeated prefills
-RACK_BALANCE_INTERVAL = SECOND  # in a large fleet, between two counts of the racks' decode capacity
+# Assumed prefill rate until a prefill has been timed, in tokens per tenth of a millisecond.
+INITIAL_PREFILL_RATE = 1.0
+# Repeated prefills that a front may send before any prefill has succeeded.
+INITIAL_RETRY_BUDGET = 2.0
+# Minimum time between two computations of the rack balance in a large fleet.
+RACK_BALANCE_INTERVAL = SECOND
 
 
 class QueuePosition(NamedTuple):
-    """A request's place in the prefill queue; the least goes first."""
+    """The sort key of a request in the prefill queue; the request with the smallest key goes first."""
 
     is_over_share: bool
-    """Whether its tenant sends more than its share."""
+    """Whether the request's tenant sends more than its share of the traffic."""
     priority_time: int
-    """The sooner its first token is due, and the higher its priority, the earlier."""
+    """A time that is earlier the sooner the first token is due and the higher the class's priority."""
     request_index: int
 
 
 class TenantArrivals(NamedTuple):
-    """How many requests of a tenant have come of late."""
+    """The exponentially decayed number of requests that a tenant has sent."""
 
     decayed_count: float = 0.0
     updated_at: int = 0
@@ -41,7 +44,7 @@
 
 @dataclass(slots=True, eq=False)
 class OpenAttempt:
-    """A request's attempt that has not ended, or the stream that it has become."""
+    """A request's attempt that has not ended; `is_streaming` once its stream has started."""
 
     engine: Engine
     sent_at: int
@@ -49,10 +52,10 @@
 
 
 class FrontState:
-    """The state that all decisions of one front share."""
+    """The state that all scheduling decisions of one front share."""
 
     def __init__(self, settings: RoutingSettings, seed: int) -> None:
-        """`seed` is this front's own: it starts its random draws and orders its samples of a large fleet."""
+        """Create the state; `seed`, unique to this front, seeds its random draws and engine samples."""
         self.settings = settings
         self.random = Random(seed).random
         self.now = 0
@@ -62,42 +65,47 @@
         its load, and go with its record."""
         self.seed = seed
         self.engine_index: EngineIndex[Engine] = EngineIndex((), seed)
-        self.sample_count = 0  # samples of a large fleet that requests have looked at
-        self.active_engines: dict[int, Engine] = {}  # those with a request of this front
+        self.sample_count = 0  # engine samples that requests have drawn from a large fleet
+        self.active_engines: dict[int, Engine] = {}  # those that have requests of this front, by id
         self.reserved_prefill_engine: Engine | None = None
         self.reserved_decode_engine: Engine | None = None
         self.is_subscribed = False
 
         self.request_classes = [RequestClassState(row) for row in settings.request_classes]
         self.tenant_arrivals = [TenantArrivals()] * len(settings.tenants)
-        self.recent_prefixes: list[int] = []  # of the last requests that have one
-        self.prefill_queue: list[QueuePosition] = []  # the most pressing first
-        self.retry_budget = INITIAL_RETRY_BUDGET  # repeated prefills that are allowed now
+        self.recent_prefixes: list[int] = []  # prefixes of the latest requests that have one
+        self.prefill_queue: list[QueuePosition] = []  # sorted, the next request first
+        # Repeated prefills that are allowed now; a fraction, which each successful prefill increases.
+        self.retry_budget = INITIAL_RETRY_BUDGET
 
-        self.prefill_rates = dict.fromkeys(Role, INITIAL_PREFILL_RATE)  # tokens a tenth of a millisecond
+        # Tokens per tenth of a millisecond, by role.
+        self.prefill_rates = dict.fromkeys(Role, INITIAL_PREFILL_RATE)
         self.usual_queueing_delays = {role: DecayingEstimate() for role in Role}
         self.usual_decode_waits = {role: DecayingEstimate() for role in Role}
         self.rack_transfer_delays: defaultdict[int, DecayingEstimate] = defaultdict(DecayingEstimate)
         """Rack: what a transfer of state out of it adds to the wait for a first token."""
         self.usual_transfer_delay = DecayingEstimate()
-        self.mixed_answer_time = 0.0  # decayed sum of answers' times at mixed engines
-        self.mixed_answer_time_allowed = 0.0  # the same of what their classes allow
+        # Decayed sum of the durations of responses from mixed engines.
+        self.mixed_answer_time = 0.0
+        # Decayed sum of the durations that the output-token objectives allowed for these responses.
+        self.mixed_answer_time_allowed = 0.0
 
         self.fleet_statistics_at = -1
-        self.mean_streams = 0.0  # this front's, over the decode engines
-        self.mean_memory_use = 0.0  # this front's fraction of the decode engines' memory
+        self.mean_streams = 0.0  # this front's streams per engine that can decode
+        # Fraction of the decode memory of the whole fleet that this front's streams take.
+        self.mean_memory_use = 0.0
         self.rack_balance: dict[int, float] = {}
         """Rack: its decode engines with room for each prefill engine; 1 is the fleet's mean."""
         self.rack_balance_at = -RACK_BALANCE_INTERVAL
 
     def class_state(self, request: Request) -> RequestClassState:
-        """The request's class; the first one where it has none that is known."""
+        """Return the state of the request's class, or of the first class where its class is unknown."""
         return self.request_classes[request.request_class or 0]
 
     def ready_engines(self, role: Role) -> list[Engine]:
-        """All ready engines of a role; not to be changed."""
+        """Return all ready engines of a role, as a list that the caller must not change."""
         return self.engine_index.ready[role]
 
     def shortest_objective(self) -> int:
-        """The first token objective of the class in the most hurry."""
+        """Return the shortest first-token objective of all request classes, in tenths of a millisecond."""
         return min(row.settings.first_token_objective for row in self.request_classes)
--- a/runspool/scheduling/settings.py
+++ b/runspool/scheduling/settings.py
@@ -1,9 +1,9 @@
-"""What the platform's settings tell the scheduler, read once when a front starts.
+"""The routing settings of the platform, which the scheduler reads once when a front starts.
 
-Times and durations are whole tenths of a millisecond; `price` fields are in units of a request's priority
-weight.
-The settings readers (`runspool.runtime.platform_settings`, `runspool.config.schema`) hold the names that the
-platform gives these figures.
+Times and durations are whole tenths of a millisecond. `price` fields are in the unit of `priority_weight`.
+
+The names that the platform gives these settings are mapped in `runspool.runtime.platform_settings` and
+`runspool.config.schema`.
 """
 
 from __future__ import annotations
@@ -15,11 +15,15 @@
 
 @dataclass(slots=True)
 class RequestClassSettings:
-    """Objectives and retry rules of one class of requests.
+    """Objectives and retry rules of one request class.
+
+    `priority_weight` is the value of a response that meets its objectives, `late_value` the fraction of that
+    value that a late response still has. The first-token objective of a request is `first_token_objective`
+    plus `first_token_objective_per_1000_tokens` for every 1000 prompt tokens.
 
-    `priority_weight` is what a response within its objectives is worth, `late_value` the part of it that
-    a late
-    one still is. `first_token_objective` grows by `first_token_objective_per_1000_tokens` with the prompt.
+    `idempotency` says whether a request may be repeated after it may have been executed. Where engines
+    deduplicate requests, they do so within `deduplication_scope` and for `deduplication_window` after the
+    first attempt.
     """
 
     first_token_objective: int
@@ -34,14 +38,14 @@
 
 @dataclass(slots=True)
 class TenantSettings:
-    """A tenant's quota over the whole fleet of fronts."""
+    """A tenant's quota, which applies to all fronts together."""
 
     requests_per_second: float
 
 
 @dataclass(slots=True)
 class EngineTypeSettings:
-    """What engines of one type do, and how many tokens their memory holds (0: not told)."""
+    """Role and memory of one engine type; `memory_tokens` is 0 where the capacity is not known."""
 
     role: Role
     memory_tokens: int
@@ -49,12 +53,15 @@
 
 @dataclass(slots=True)
 class RoutingSettings:
-    """The limits, rights and prices that all fronts of a deployment share.
+    """Limits, permissions and prices that all fronts of a deployment share, and this front's own index.
+
+    Requests and engine records refer to `request_classes`, `tenants` and `engine_types` by list index.
+
+    A newly started engine has the fraction `slow_start_initial_fraction` of its full capacity, which grows to
+    1 over `slow_start_duration`. It fails if within `slow_start_overload_window` it receives more than
+    `slow_start_overload_multiple` times its current capacity.
 
-    `request_classes`, `tenants` and `engine_types` are indexed by the small integers that requests and engine
-    records carry. A cold engine serves `slow_start_initial_fraction` of its capacity at its start, which
-    grows to all of it over `slow_start_duration`; it fails where it gets over `slow_start_overload_multiple`
-    times its present capacity within `slow_start_overload_window`. A timeout of 0 means that none is set.
+    A timeout of 0 means that no timeout applies.
     """
 
     front_index: int
--- a/runspool/scheduling/time_units.py
+++ b/runspool/scheduling/time_units.py
@@ -1,4 +1,4 @@
-"""The scheduler's unit of time: whole tenths of a millisecond."""
+"""Time units of the scheduler, whose times and durations are whole tenths of a millisecond."""
 
 from __future__ import annotations
 
--- a/runspool/scheduling/types.py
+++ b/runspool/scheduling/types.py
@@ -1,11 +1,12 @@
-"""What the scheduler is told: requests, engines, load reports and the outcomes of attempts.
+"""Inputs of the scheduler: requests, engines, load reports and the outcomes of attempts.
 
 Times and durations are whole tenths of a millisecond. Requests, engines, request classes, tenants, sessions
-and shared prefixes are small integers that `runspool.runtime.interning` hands out; `stable_hash` fields are
-drawn from the name alone, so that every front draws the same.
+and shared prefixes are identified by small integers, which `runspool.runtime.interning` assigns.
+`stable_hash` and the other hash fields are computed from the name alone, so that every front has the same
+value.
 
-The numbers of `Idempotency`, `DeduplicationScope` and `Role` and the words of `EngineState` stand in stored
-recordings (`runspool.service.recording_format`): they stay.
+The numbers of `Idempotency`, `DeduplicationScope` and `Role` and the strings of `EngineState` are written to
+recordings (`runspool.service.recording_format`) and must not change.
 """
 
 from __future__ import annotations
@@ -15,18 +16,19 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request would do."""
+    """The effect of executing a request a second time."""
 
     IDEMPOTENT = 1
-    """It has no further effect."""
+    """A second execution has no further effect."""
     KEYED = 2
-    """Engines drop it by its idempotency key, within a `DeduplicationScope` and for a window of time."""
+    """Engines drop a repeat by its idempotency key, within a `DeduplicationScope` and for a limited time."""
     AT_MOST_ONCE = 3
-    """It has its effect a second time: such a request is never repeated once it may have executed."""
+    """A second execution takes effect again, so the request is never repeated once it may have been
+    executed."""
 
 
 class DeduplicationScope(Enum):
-    """The engines among which repeats of a keyed request are recognized."""
+    """The engines among which a repeat of a keyed request is recognized."""
 
     ALL = 1
     ZONE = 2
@@ -34,7 +36,7 @@
 
 
 class Role(IntEnum):
-    """What an engine does."""
+    """The stages that an engine carries out."""
 
     PREFILL = 1
     DECODE = 2
@@ -42,7 +44,7 @@
 
 
 class EngineState(Enum):
-    """What discovery says of an engine: new work goes to ready ones only."""
+    """The state of an engine in discovery; only ready engines receive new requests."""
 
     READY = "on"
     DRAINING = "draining"
@@ -56,19 +58,19 @@
     PREFILL_COMPLETE = 2
     STREAM_STARTED = 3
     OVERLOADED = 4
-    """The engine's word that it has no capacity and did nothing."""
+    """The engine reported that it has no capacity and has done nothing."""
     STATE_MISSING = 5
-    """The engine's word that the prefill's state is gone, and that it did nothing."""
+    """The engine reported that the prefill's state no longer exists and that it has done nothing."""
     CONNECT_FAILED = 6
-    """No connection, or it broke before the engine had the whole request."""
+    """No connection was made, or it broke before the engine had the whole request."""
     NOT_SENT = 7
-    """Given up by this front before the last byte was sent."""
+    """This front gave up the attempt before it sent the last byte."""
     SERVER_ERROR = 8
     TIMED_OUT = 9
     CONNECTION_LOST = 10
-    """The connection broke after the request had been sent."""
+    """The connection broke after the whole request had been sent."""
     CANCELLED = 11
-    """Ended by this front after the request had been sent."""
+    """This front ended the attempt after the whole request had been sent."""
 
 
 NOT_EXECUTED = frozenset(
@@ -85,7 +87,7 @@
 
 @dataclass(slots=True)
 class EngineRecord:
-    """One engine on the endpoint list; `started_at` is 0 where its start is not known."""
+    """One engine on the endpoint list; `started_at` is 0 where its start time is not known."""
 
     engine: int
     engine_type: int
@@ -98,7 +100,7 @@
 
 @dataclass(slots=True)
 class EndpointUpdate:
-    """A change of the endpoint list: every engine on it, or only those that changed."""
+    """A change of the endpoint list: a snapshot lists every engine, other updates only the changed ones."""
 
     is_snapshot: bool
     engines: list[EngineRecord] = field(default_factory=list)
@@ -106,13 +108,15 @@
 
 @dataclass(slots=True)
 class Request:
-    """One client request, as far as decisions depend on it.
+    """The part of a client request on which scheduling decisions depend.
 
-    `expected_output_tokens` is the client's own guess, 0 where it gave none. `time_budget` is what is left of
-    the client's time when the request is submitted. `is_client_retry` marks a repeated request,
-    `is_continuation` one for the rest of a stream that was stopped. The driver sets `finished` once nothing
-    more is owed to the client. `request_draw` and `affinity_candidates` belong to the scheduler: its one
-    random draw for the request, and the prefill engines that are assumed to have cached its prompt.
+    `expected_output_tokens` is the client's own estimate, 0 where it gave none. `time_budget` is the time
+    that the client still waits when the request is submitted. `is_client_retry` marks a request that its
+    client repeats, `is_continuation` one for the rest of an interrupted stream. The driver sets `finished`
+    once the client has its final response or has disconnected.
+
+    The scheduler sets `request_draw`, the request's only random draw, and `affinity_candidates`, the ids of
+    the prefill engines that are expected to have its prompt cached, the most likely first.
     """
 
     index: int
@@ -136,7 +140,7 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """An engine's own figures; None where it does not report one. Utilizations are fractions of 1."""
+    """Load as an engine reports it; a figure is None if not reported. Utilizations are fractions of 1."""
 
     requests_in_flight: float | None = None
     slot_utilization: float | None = None
@@ -148,9 +152,13 @@
 class AttemptOutcome:
     """How an attempt ended, or that its stream has started.
 
-    `duration` runs from the send. `reached_engine`: the engine is known to have had the attempt; where it is
-    not, the time limit of a state that waited for the attempt has gone on. `state_released`: that state has
-    been released meanwhile, unless the attempt had reached its engine without a response.
+    `duration` is measured from the time the attempt was sent.
+
+    `reached_engine` says that the engine is known to have received the attempt. If it is False, the time
+    limit of the prefill state that the attempt was to use has kept running.
+
+    `state_released` says that this state was released during the attempt. It stays False if the attempt had
+    reached its engine without a response.
     """
 
     status: AttemptStatus
