--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -1,7 +1,8 @@
-"""Mechanism 3, the prefill queue: which requests wait at the front, in what order, and which are rejected.
+"""The prefill queue (mechanism 3 of docs/design.md): which requests wait at the front or are rejected.
 
-Prefills wait while the best engine's queue is long, or all decode engines are full; beyond a tenant's share
-they wait sooner. They are rejected once they cannot begin in time.
+A request for a prefill waits at the front while the queue of the best engine is too long or all decode
+engines are full; beyond its tenant's share it waits already behind a shorter queue. It is rejected once it
+cannot start in time.
 """
 
 from __future__ import annotations
@@ -25,35 +26,51 @@
 from runspool.scheduling.time_units import MILLISECOND, SECOND
 from runspool.scheduling.types import Request, Role
 
-RETRY_INTERVAL = 25 * MILLISECOND  # between looks for an engine while none can be had
-DEADLINE_MARGIN = 15 * MILLISECOND  # kept before the client's limit
-SHORTEST_SPARE_TIME = 150 * MILLISECOND  # a shorter wait rejects nothing
-QUEUE_LIMIT = 0.2  # of the shortest objective: behind a longer queue requests in a hurry are late
-OVER_SHARE_QUEUE_LIMIT = 0.1  # the same for requests beyond their tenant's share
-PATIENCE = 0.6  # of the time to the due time: a first token foreseen later is not waited for
-BLIND_PATIENCE = 0.45  # the same where no own streams tell anything of the engines
-CLIENT_RETRY_PATIENCE = 0.3  # of it, for a client's later try: part of its time has gone before it came
-SMALLEST_WEIGHT = 0.1  # that a class's priority counts with
-SHORTEST_RETRY_AFTER = 200 * MILLISECOND
-RETRY_AFTER_FACTOR = 4  # times the soonest first token that a rejected client is told to stay away for
-SHARE_HALF_LIFE_SECONDS = 2  # of a tenant's counted arrivals
+# Time between two engine selections for a request while no engine is available.
+RETRY_INTERVAL = 25 * MILLISECOND
+# Time before the client's time limit at which the scheduler stops starting anything for a request.
+DEADLINE_MARGIN = 15 * MILLISECOND
+# A predicted wait shorter than this never rejects a request.
+MIN_SPARE_TIME = 150 * MILLISECOND
+# Longest queue of a prefill engine to which a prefill is sent, as a fraction of the shortest first-token
+# objective. Behind a longer queue, requests with that objective miss it.
+QUEUE_LIMIT_FRACTION = 0.2
+# The same limit for requests that exceed their tenant's share.
+OVER_SHARE_QUEUE_LIMIT_FRACTION = 0.1
+# Longest predicted wait that a request accepts, as a fraction of the time until its first token is due.
+MAX_WAIT_FRACTION = 0.6
+# The same fraction for a front that has no streams of its own as evidence of the engines' load.
+MAX_WAIT_FRACTION_WITHOUT_STREAMS = 0.45
+# Factor on this fraction for a request that its client repeats: part of the client's time has already passed.
+CLIENT_RETRY_WAIT_FACTOR = 0.3
+# Lower bound on a class's priority weight where queue positions are computed.
+MIN_PRIORITY_WEIGHT = 0.1
+# Shortest time after which a rejected client is asked to retry.
+MIN_RETRY_AFTER = 200 * MILLISECOND
+# Time after which a rejected client is asked to retry, as a multiple of the soonest predicted first token.
+RETRY_AFTER_FACTOR = 4
+# Half-life of a tenant's decayed count of arrivals.
+ARRIVAL_HALF_LIFE_SECONDS = 2
 LN_2 = 0.693
-SHARE_TOLERANCE = 1.3  # times its share that a tenant may come to
-SHARE_BURST = 2  # requests that it may have over that
+# Factor by which a tenant may exceed its share of the request rate.
+SHARE_TOLERANCE = 1.3
+# Requests that a tenant may have counted in addition.
+SHARE_BURST_REQUESTS = 2
 
 
 def begin_request(front: FrontState, request: Request) -> RequestProgress:
-    """Draw for a request, find where its prompt may be cached, and fix its limits."""
+    """Draw a request's random number, find where its prompt may be cached, and determine its limits."""
     request.request_draw = front.random()
     request.affinity_candidates = affinity_candidates(front, request)
     class_state = front.class_state(request)
     deadline = front.now + request.time_budget - DEADLINE_MARGIN
     due = _first_token_due(front, request, deadline)
-    patience = _patience(front, request)
+    patience = _max_wait_fraction(front, request)
     is_over_share = _is_over_share(front, request)
-    queue_limit = OVER_SHARE_QUEUE_LIMIT if is_over_share else QUEUE_LIMIT
-    # Priority brings a request forward; time spent waiting does too, so that no class starves.
-    weight = max(class_state.settings.priority_weight, SMALLEST_WEIGHT)
+    queue_limit = OVER_SHARE_QUEUE_LIMIT_FRACTION if is_over_share else QUEUE_LIMIT_FRACTION
+    # A higher priority weight gives an earlier queue position. So does a longer wait, so that no class
+    # starves.
+    weight = max(class_state.settings.priority_weight, MIN_PRIORITY_WEIGHT)
     priority_time = front.now + int((due - front.now) * (not request.is_continuation) / weight)
     return RequestProgress(
         request=request,
@@ -64,14 +81,14 @@
         latest_queueing=front.now + int((due - front.now) * patience),
         queue_limit=int(front.shortest_objective() * queue_limit),
         queue_position=QueuePosition(is_over_share, priority_time, request.index),
-        # Where the platform grants no time of its own, as long as the request has.
+        # Without a release timeout of the platform, state may stay reserved for the request's time budget.
         reservation_duration=reservation_time(front.settings.state_release_timeout, request.time_budget),
     )
 
 
 def _first_token_due(front: FrontState, request: Request, deadline: int) -> int:
-    """The time by which a request's first token is worth having."""
-    # The rest of a stream is not given up before the deadline: its beginning would be lost too.
+    """Return the time after which a request's first token is too late to be useful."""
+    # A continuation is not given up before its deadline, because the part already streamed would be lost too.
     if request.is_continuation:
         return deadline
     settings = front.class_state(request).settings
@@ -79,79 +96,87 @@
     return min(deadline, front.now + settings.first_token_objective + for_prompt)
 
 
-def _patience(front: FrontState, request: Request) -> float:
-    """The part of the time to a request's due time that a foreseen wait may take."""
+def _max_wait_fraction(front: FrontState, request: Request) -> float:
+    """Return the fraction of the time until a request's first token is due that a predicted wait may take."""
     refresh_fleet_statistics(front)
-    # A front that sees little of the queues relies less on its estimates.
+    # A front that has few streams, and so knows little about the queues, relies less on its predictions.
     evidence = front.mean_streams / (EVIDENCE_STREAMS + front.mean_streams)
-    patience = BLIND_PATIENCE + (PATIENCE - BLIND_PATIENCE) * evidence
-    return patience * (CLIENT_RETRY_PATIENCE if request.is_client_retry else 1)
+    patience = (
+        MAX_WAIT_FRACTION_WITHOUT_STREAMS + (MAX_WAIT_FRACTION - MAX_WAIT_FRACTION_WITHOUT_STREAMS) * evidence
+    )
+    return patience * (CLIENT_RETRY_WAIT_FACTOR if request.is_client_retry else 1)
 
 
 def _is_over_share(front: FrontState, request: Request) -> bool:
-    """Whether a request's tenant sends more than its share to this front; counts the request."""
+    """Count the request for its tenant, and return whether the tenant exceeds its share at this front."""
     if request.tenant is None:
         return False
     count, updated_at = front.tenant_arrivals[request.tenant]
-    count = count * decay(front, updated_at, SHARE_HALF_LIFE_SECONDS * SECOND) + 1
+    count = count * decay(front, updated_at, ARRIVAL_HALF_LIFE_SECONDS * SECOND) + 1
     front.tenant_arrivals[request.tenant] = TenantArrivals(count, front.now)
     rate = front.settings.tenants[request.tenant].requests_per_second
-    # What a decayed count of arrivals at that rate comes to in the long run.
-    usual = rate / front.settings.front_count * SHARE_HALF_LIFE_SECONDS / LN_2
-    return 0 < SHARE_TOLERANCE * usual + SHARE_BURST < count
+    # The decayed count to which arrivals at the tenant's share of the rate converge.
+    usual = rate / front.settings.front_count * ARRIVAL_HALF_LIFE_SECONDS / LN_2
+    return 0 < SHARE_TOLERANCE * usual + SHARE_BURST_REQUESTS < count
 
 
 def must_wait_in_queue(front: FrontState, progress: RequestProgress) -> bool:
-    """Whether more pressing requests are queued here; queues this one if so."""
+    """Return whether a request has to wait behind others in the prefill queue, and queue it if so."""
     queue = front.prefill_queue
     if progress.prefill_engine or not queue or front.now >= progress.latest_queueing:
         return False
     if queue[0] >= progress.queue_position:
         return False
-    # Only the foremost looks at the engines, which saves CPU time.
+    # Only the first request in the queue evaluates the engines, which saves CPU time.
     _enter_queue(front, progress)
     return True
 
 
 def _enter_queue(front: FrontState, progress: RequestProgress) -> None:
-    """Queue a request for prefill, once."""
+    """Add a request to the prefill queue unless it is queued already."""
     if progress.queue_position not in front.prefill_queue:
         insort(front.prefill_queue, progress.queue_position)
 
 
 def leave_queue(front: FrontState, progress: RequestProgress) -> None:
-    """Take a request out of the queue for prefill."""
+    """Remove a request from the prefill queue."""
     front.prefill_queue = [other for other in front.prefill_queue if other != progress.queue_position]
 
 
 def admit_prefill(front: FrontState, progress: RequestProgress, engine: Engine) -> Engine | None:
-    """The engine if its queue is short enough for this request, else None; may give the request up."""
+    """Return the engine if its queue is short enough for this request, else None.
+
+    If the request cannot start in time on any engine, it is marked as given up.
+    """
     request = progress.request
     decode_capable = engines_in_view(front, request, Role.MIXED)
     decode_capable += engines_in_view(front, request, Role.DECODE)
     own_time = tokens_to_prefill(front, engine, request) / prefill_rate(front, engine)
     shortest_decode_wait = min((decode_wait(front, e) for e in decode_capable), default=0)
     wait = predicted_first_token_time(front, engine, request) - own_time + shortest_decode_wait
-    # Patience differs by chance, or all fronts would reject, and admit, everything at one time.
+    # The random factor varies the decision between requests; otherwise all fronts would reject, or admit,
+    # everything at the same time.
     left = (progress.first_token_due - front.now - own_time) * progress.patience
-    spare = max(SHORTEST_SPARE_TIME, left)
+    spare = max(MIN_SPARE_TIME, left)
     if not progress.attempts and wait * (0.5 + request.request_draw) > spare:
         progress.is_given_up = True
         return None
     if queue_time(front, engine) > progress.queue_limit:
         return None
-    # States computed ahead of full decode engines only wait, or are given up and computed again.
+    # While all decode engines are full, a completed prefill would only wait, or be given up and computed
+    # again.
     if min((decode_cost(front, e, request) for e in decode_capable), default=0.0) > 1:
         return None
     return engine
 
 
 def next_look(front: FrontState, progress: RequestProgress) -> int | None:
-    """When to look for an engine again; None once the first token is due."""
+    """Return when to select an engine again, or None once the first token is due."""
     is_prefill = not progress.prefill_engine
     if is_prefill:
         _enter_queue(front, progress)
-    # In a long queue each request past its latest time looks by itself: rarer looks save CPU time.
+    # Past their `latest_queueing` time, requests evaluate the engines even if others are ahead of them. In a
+    # long queue each of them does so less often, which saves CPU time.
     intervals = 1
     if is_prefill and front.prefill_queue[0] != progress.queue_position:
         intervals = max(1, len(front.prefill_queue) // 4)
@@ -162,14 +187,14 @@
 
 
 def retry_time(front: FrontState, end: int) -> int:
-    """One retry interval from now, but no later than `end`."""
+    """Return the time one retry interval from now, but no later than `end`."""
     return min(front.now + RETRY_INTERVAL, end)
 
 
 def retry_after(front: FrontState, request: Request) -> int:
-    """How long a rejected client is told to wait; 0 where nothing is said."""
+    """Return how long a rejected client is asked to wait before it retries; 0 if it is not told."""
     engines = engines_in_view(front, request, Role.PREFILL)
     soonest = min((predicted_first_token_time(front, e, request) for e in engines), default=0)
-    # Clients that come back within the jam that turned them away only add to it.
-    wait = max(SHORTEST_RETRY_AFTER, RETRY_AFTER_FACTOR * soonest)
+    # Clients that retry during the congestion that caused their rejection would only add to it.
+    wait = max(MIN_RETRY_AFTER, RETRY_AFTER_FACTOR * soonest)
     return min(front.settings.max_retry_after, wait) if front.settings.may_send_retry_after else 0
--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -1,4 +1,4 @@
-"""What this front has at each engine, and what the end of an attempt teaches of it."""
+"""Accounting of this front's attempts on each engine, and the learning from how they end."""
 
 from __future__ import annotations
 
@@ -14,14 +14,16 @@
 )
 from runspool.scheduling.types import AttemptOutcome, AttemptStatus, Request, Role
 
-SUCCESSFUL = (AttemptStatus.PREFILL_COMPLETE, AttemptStatus.STREAM_STARTED, AttemptStatus.SUCCEEDED)
-NOT_THE_ENGINES_FAULT = (AttemptStatus.STATE_MISSING, AttemptStatus.NOT_SENT, AttemptStatus.CANCELLED)
-RUNNING_MEAN = 16  # samples that a running mean goes back over
-ANSWER_TIMES = 32  # answers that the sums of answers' times go back over
+SUCCESS_STATUSES = (AttemptStatus.PREFILL_COMPLETE, AttemptStatus.STREAM_STARTED, AttemptStatus.SUCCEEDED)
+NEUTRAL_STATUSES = (AttemptStatus.STATE_MISSING, AttemptStatus.NOT_SENT, AttemptStatus.CANCELLED)
+# Number of samples over which a running mean is taken.
+RUNNING_MEAN_SAMPLES = 16
+# Number of responses over which the decayed sums of response times are taken.
+RESPONSE_TIME_SAMPLES = 32
 
 
 def record_start(front: FrontState, request: Request, engine: Engine, prefill_engine: Engine | None) -> None:
-    """Enter an attempt at its engine; `prefill_engine` holds the state of a decode attempt."""
+    """Count an attempt on its engine; `prefill_engine` holds the prefill state that a decode attempt uses."""
     front.open_attempts[request.index] = OpenAttempt(engine, front.now)
     front.active_engines[engine.id] = engine
     if prefill_engine is None:
@@ -40,11 +42,11 @@
     outcome: AttemptOutcome,
     prefill_engine: Engine | None,
 ) -> None:
-    """Take an attempt off its engine, all but a stream that has started, and learn from its outcome."""
+    """Remove an attempt from its engine unless its stream has started, and learn from its outcome."""
     status = outcome.status
     attempt = front.open_attempts[request.index]
     engine = attempt.engine
-    _take_load_report(front, engine, outcome)
+    _record_load_report(front, engine, outcome)
     if prefill_engine and prefill_engine.rack != engine.rack:
         _learn_transfer_delay(front, engine, outcome, prefill_engine)
     engine.waiting_decodes.pop(request.index, None)
@@ -52,23 +54,23 @@
     tokens = prefill.tokens
     engine.prefill_tokens -= tokens
     is_local_decode = prefill_engine is not None and prefill_engine.rack == engine.rack
-    if status in SUCCESSFUL:
+    if status in SUCCESS_STATUSES:
         engine.consecutive_failures = engine.ejected_until = 0
         if tokens:
             _learn_from_prefill(front, request, engine, outcome, prefill)
         elif is_local_decode:
             _learn_decode_wait(front, engine, outcome)
     elif status is AttemptStatus.OVERLOADED:
-        _learn_from_refusal(front, request, engine, outcome, tokens)
-    elif status not in NOT_THE_ENGINES_FAULT:
+        _learn_from_overload(front, request, engine, outcome, tokens)
+    elif status not in NEUTRAL_STATUSES:
         _learn_from_failure(front, engine, outcome, tokens, is_local_decode)
     attempt.is_streaming = status is AttemptStatus.STREAM_STARTED
     if not attempt.is_streaming:
-        _forget_attempt(front, request)
-    _forget_if_idle(front, engine)
+        _remove_attempt(front, request)
+    _deactivate_if_idle(front, engine)
 
 
-def _take_load_report(front: FrontState, engine: Engine, outcome: AttemptOutcome) -> None:
+def _record_load_report(front: FrontState, engine: Engine, outcome: AttemptOutcome) -> None:
     if outcome.load_report:
         engine.load_report, engine.load_reported_at = outcome.load_report, front.now
 
@@ -76,7 +78,7 @@
 def _learn_transfer_delay(
     front: FrontState, engine: Engine, outcome: AttemptOutcome, prefill_engine: Engine
 ) -> None:
-    """What a decode's wait was over that of one without a transfer."""
+    """Learn how much longer a decode waited than one that needs no transfer between racks."""
     if outcome.status in (AttemptStatus.STREAM_STARTED, AttemptStatus.TIMED_OUT):
         usual = front.usual_decode_waits[engine.role]
         extra = outcome.duration - value_at(front, engine.decode_wait, usual)
@@ -95,14 +97,14 @@
     outcome: AttemptOutcome,
     prefill: QueuedPrefill,
 ) -> None:
-    """Learn from a finished prefill, entered in the engine's queue as `prefill`."""
+    """Learn from a completed prefill, which was queued at the engine as `prefill`."""
     queued_tokens = prefill.cumulative_tokens
     if outcome.status is AttemptStatus.PREFILL_COMPLETE:
         cached = reported_cached_tokens(request, outcome)
         if request.affinity_candidates and engine.id == request.affinity_candidates[0]:
             class_state = front.class_state(request)
             fraction = cached / max(1, request.prompt_tokens)
-            class_state.cached_fraction += (fraction - class_state.cached_fraction) / RUNNING_MEAN
+            class_state.cached_fraction += (fraction - class_state.cached_fraction) / RUNNING_MEAN_SAMPLES
         queued_tokens += max(1, request.prompt_tokens - cached) - prefill.tokens
     if outcome.status is not AttemptStatus.STREAM_STARTED:
         record_prefill_rate(front, engine, queued_tokens, outcome.duration)
@@ -111,12 +113,13 @@
     record_cached_texts(engine, request)
 
 
-def _learn_from_refusal(
+def _learn_from_overload(
     front: FrontState, request: Request, engine: Engine, outcome: AttemptOutcome, tokens: int
 ) -> None:
-    """Learn from an engine's word that it is full."""
+    """Learn from an engine's report that it is overloaded."""
     if tokens:
-        # Hundreds of fronts must not ask it again: its queue cannot be read in time.
+        # The engine cannot compute its queue in time. The delay recorded here keeps hundreds of fronts from
+        # sending to it again at once.
         delay = max(outcome.duration, front.class_state(request).settings.first_token_objective)
         update(front, engine.queueing_delay, front.usual_queueing_delays[engine.role], delay)
     if engine.role is not Role.PREFILL and not engine.observed_capacity:
@@ -127,72 +130,74 @@
 def _learn_from_failure(
     front: FrontState, engine: Engine, outcome: AttemptOutcome, tokens: int, is_local_decode: bool
 ) -> None:
-    """Learn from an attempt that failed or timed out there."""
+    """Learn from an attempt that failed or timed out on the engine."""
     is_late = outcome.status is AttemptStatus.TIMED_OUT
     if is_late and tokens:
-        # Else only attempts in time would tell how long one takes.
+        # Without this sample only attempts that finished in time would determine the estimate.
         update(front, engine.queueing_delay, front.usual_queueing_delays[engine.role], outcome.duration)
     elif is_late and is_local_decode:
         _learn_decode_wait(front, engine, outcome)
     if not is_late or engine.consecutive_failures:
         record_failure(front, engine)
-    # One late attempt may be a jam, which an ejection would only move elsewhere.
+    # A single timeout may be due to congestion, which an ejection would only move to other engines.
     engine.consecutive_failures = max(engine.consecutive_failures, 1)
 
 
 def record_stream_end(
     front: FrontState, request: Request, outcome: AttemptOutcome, prefill_duration: int
 ) -> None:
-    """Take a stream off its engine; `prefill_duration` is 0 where another engine prefilled it."""
+    """Remove a stream from its engine; `prefill_duration` is 0 if another engine prefilled it."""
     engine = front.open_attempts[request.index].engine
-    _take_load_report(front, engine, outcome)
-    _forget_attempt(front, request)
+    _record_load_report(front, engine, outcome)
+    _remove_attempt(front, request)
     if outcome.status is AttemptStatus.SUCCEEDED:
-        _learn_from_answer(front, request, engine, outcome, prefill_duration)
+        _learn_from_response(front, request, engine, outcome, prefill_duration)
     elif outcome.status is AttemptStatus.CONNECTION_LOST:
         record_failure(front, engine)
 
 
-def _learn_from_answer(
+def _learn_from_response(
     front: FrontState, request: Request, engine: Engine, outcome: AttemptOutcome, prefill_duration: int
 ) -> None:
-    """Learn from a whole answer: the engine's prefill rate, its pace, the answer's length."""
+    """Learn from a complete response: the engine's prefill rate, its speed, and the output length."""
     if prefill_duration:
-        # A prompt found cached must not pass for one read fast: only the end of an answer tells.
-        read_tokens = request.prompt_tokens - reported_cached_tokens(request, outcome)
-        record_prefill_rate(front, engine, read_tokens, prefill_duration)
+        # Cached tokens must not count as tokens that were computed fast. Only the end of a response reports
+        # how many were cached.
+        computed_tokens = request.prompt_tokens - reported_cached_tokens(request, outcome)
+        record_prefill_rate(front, engine, computed_tokens, prefill_duration)
     class_state = front.class_state(request)
     time_per_token = class_state.settings.time_per_output_token
     if request.expected_output_tokens and engine.role is Role.MIXED:
-        # A client's guess is rough: what is allowed begins twice as long, or one answer would decide.
+        # The client's estimate of the output length is rough. The sum of allowed times therefore starts at
+        # twice its first value; otherwise a single response would determine the ratio of the two sums.
         allowed = request.expected_output_tokens * time_per_token
         total = front.mixed_answer_time_allowed
-        front.mixed_answer_time_allowed += allowed - total / ANSWER_TIMES if total else 2 * allowed
-        front.mixed_answer_time += outcome.duration - front.mixed_answer_time / ANSWER_TIMES
+        front.mixed_answer_time_allowed += allowed - total / RESPONSE_TIME_SAMPLES if total else 2 * allowed
+        front.mixed_answer_time += outcome.duration - front.mixed_answer_time / RESPONSE_TIME_SAMPLES
     tokens = request.expected_output_tokens or outcome.duration / max(1, time_per_token)
     mean = class_state.mean_output_tokens
-    class_state.mean_output_tokens = tokens if not mean else mean + (tokens - mean) / RUNNING_MEAN
+    class_state.mean_output_tokens = tokens if not mean else mean + (tokens - mean) / RUNNING_MEAN_SAMPLES
 
 
 def forget_request(front: FrontState, request: Request) -> None:
-    """Take all of a request off its engine, whatever it had there.
+    """Remove all entries of a request from its engine.
 
-    An entry that nobody ends would make its engine look ever more overdue.
+    An entry that is never removed would make its engine look more overdue as time passes.
     """
     if request.index in front.open_attempts:
-        _forget_attempt(front, request)
+        _remove_attempt(front, request)
 
 
-def _forget_attempt(front: FrontState, request: Request) -> None:
+def _remove_attempt(front: FrontState, request: Request) -> None:
     engine = front.open_attempts.pop(request.index).engine
     engine.waiting_decodes.pop(request.index, None)
     engine.prefill_tokens -= engine.prefills.pop(request.index, NO_PREFILL).tokens
     engine.stream_tokens -= engine.streams.pop(request.index, 0)
-    _forget_if_idle(front, engine)
+    _deactivate_if_idle(front, engine)
 
 
-def _forget_if_idle(front: FrontState, engine: Engine) -> None:
-    """Take an engine off the active ones once nothing of this front is left there."""
+def _deactivate_if_idle(front: FrontState, engine: Engine) -> None:
+    """Remove an engine from the active ones once it has no requests of this front."""
     is_idle = not (engine.prefills or engine.waiting_decodes or engine.streams)
     if is_idle and front.active_engines.get(engine.id) is engine:
         del front.active_engines[engine.id]
--- a/runspool/scheduling/decode_selection.py
+++ b/runspool/scheduling/decode_selection.py
@@ -1,4 +1,4 @@
-"""Which engine answers a request whose prefill's state is ready."""
+"""Selection of the engine that decodes a request whose prefill is complete."""
 
 from __future__ import annotations
 
@@ -18,10 +18,17 @@
     failed: list[int],
     first_executed: Engine | None,
 ) -> Engine | None:
-    """The engine to answer a request, None if none can.
+    """Return the engine to decode a request, or None if no engine can.
 
-    Mixed engines below the packing threshold are filled one after the other, which leaves the others free for
-    prefills; a decode engine goes first where it costs less.
+    Mixed engines below the packing threshold are filled one after the other, which keeps the others free for
+    prefills. A decode engine is preferred where it costs less.
+
+    Args:
+        front: The front's state.
+        request: The request to decode.
+        prefill_engine: The engine that holds the prefill's state.
+        failed: Ids of engines to avoid while others are available.
+        first_executed: The engine of the first attempt that may have been executed, if any.
     """
     mixed, decode = (
         eligible_engines(
@@ -32,8 +39,8 @@
     cost = {
         e.id: decode_cost(front, e, request) + transfer_cost(front, e, prefill_engine) for e in mixed + decode
     }
-    roomy = [e for e in mixed if decode_cost(front, e, request) < PACKING_THRESHOLD]
-    best = _fullest(front, request, prefill_engine, roomy)
+    with_room = [e for e in mixed if decode_cost(front, e, request) < PACKING_THRESHOLD]
+    best = _most_loaded(front, request, prefill_engine, with_room)
     cheapest = min(
         (e for e in decode if decode_cost(front, e, request) < PACKING_THRESHOLD),
         default=None,
@@ -43,18 +50,18 @@
         return cheapest
     return (
         best
-        or _soonest_without_streams(front, request, roomy)
+        or _soonest_without_streams(front, request, with_room)
         or min(mixed + decode, default=None, key=lambda e: (cost[e.id], front.random()))
     )
 
 
-def _fullest(
-    front: FrontState, request: Request, prefill_engine: Engine, roomy: list[Engine]
+def _most_loaded(
+    front: FrontState, request: Request, prefill_engine: Engine, with_room: list[Engine]
 ) -> Engine | None:
-    """The most loaded of the mixed engines in use, the one reserved for streams first in its rack."""
+    """Return the most loaded mixed engine in use; the reserved one is preferred if in the prefill's rack."""
     reserved = front.reserved_decode_engine
     return max(
-        (e for e in roomy if carries_streams(front, e) or e is reserved),
+        (e for e in with_room if carries_streams(front, e) or e is reserved),
         default=None,
         key=lambda e: (
             e is reserved and e.rack == prefill_engine.rack,
@@ -64,10 +71,10 @@
     )
 
 
-def _soonest_without_streams(front: FrontState, request: Request, roomy: list[Engine]) -> Engine | None:
-    """The mixed engine without streams that has the least to prefill."""
+def _soonest_without_streams(front: FrontState, request: Request, with_room: list[Engine]) -> Engine | None:
+    """Return the mixed engine without streams that can start a prefill soonest, or None."""
     reserved = front.reserved_prefill_engine
-    free = [e for e in roomy if not carries_streams(front, e) and e is not reserved]
+    free = [e for e in with_room if not carries_streams(front, e) and e is not reserved]
     return min(
         free,
         default=None,
--- a/runspool/scheduling/endpoint_updates.py
+++ b/runspool/scheduling/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Takes changes of the endpoint list into what a front knows of its engines."""
+"""Application of endpoint list changes to a front's engine records."""
 
 from __future__ import annotations
 
@@ -8,28 +8,30 @@
 from runspool.scheduling.settings import EngineTypeSettings
 from runspool.scheduling.types import EndpointUpdate, EngineRecord, EngineState, Role
 
-DEPARTED_ENGINES_KEPT = 50  # of which what was learned is kept should they come back
+# Engines that have left the list whose learned estimates are kept, in case they return.
+DEPARTED_ENGINES_KEPT = 50
 
 
 def apply_endpoint_update(front: FrontState, update: EndpointUpdate) -> None:
-    """Add, change and remove engines, and build their index anew."""
+    """Add, change and remove engines, and create a new index of them."""
     listed = {record.engine for record in update.engines}
     for record in update.engines:
         _apply_record(front, record)
     if update.is_snapshot:
         for engine in front.engines.values():
             engine.ready = engine.ready and engine.id in listed
-    _forget_departed_engines(front)
+    _remove_departed_engines(front)
     front.engine_index = EngineIndex(front.engines.values(), front.seed)
     _reserve_engines(front)
 
 
 def _apply_record(front: FrontState, record: EngineRecord) -> None:
-    """Take one engine's record in; one that has been started anew, or has another role, begins afresh."""
+    """Apply one engine's record; an engine that restarted or changed its role gets a new `Engine`."""
     engine = front.engines.get(record.engine)
     known_types = front.settings.engine_types[record.engine_type : record.engine_type + 1]
     engine_type = known_types[0] if known_types else EngineTypeSettings(Role.MIXED, 0)
-    # A record older than what is known must not make a busy engine look idle, or a cold one warm.
+    # A record older than the known one is not taken as a restart: it must not make a busy engine look idle,
+    # or a cold one warm.
     if engine is None or engine.started_at < record.started_at or engine.role is not engine_type.role:
         replaced = engine
         engine = Engine(
@@ -49,9 +51,10 @@
 
 
 def _carry_over_attempts(front: FrontState, replaced: Engine, engine: Engine) -> None:
-    """Count at the new record what was sent since the engine started: it runs there.
+    """Move attempts that were sent after the engine's new start to its new record, since they run there.
 
-    The list tells of a start seconds later. What was sent before it ran in a process that is gone.
+    The endpoint list reports a start with a delay of seconds. Attempts sent before the start ran in a process
+    that no longer exists.
     """
     at_engine = replaced.prefills.keys() | replaced.streams.keys()
     for index in sorted(at_engine, key=lambda index: front.open_attempts[index].sent_at):
@@ -63,8 +66,8 @@
         move_attempt(index, replaced, engine)
 
 
-def _forget_departed_engines(front: FrontState) -> None:
-    """Drop engines that left, all but the last: over weeks they would add up."""
+def _remove_departed_engines(front: FrontState) -> None:
+    """Remove all but the latest departed engines, whose records would otherwise accumulate over weeks."""
     departed = [e.id for e in front.engines.values() if not (e.ready or e.prefills or e.streams)]
     for engine_id in departed[: max(0, len(departed) - DEPARTED_ENGINES_KEPT)]:
         del front.engines[engine_id]
@@ -73,7 +76,7 @@
 
 
 def _reserve_engines(front: FrontState) -> None:
-    """Keep one engine for prefills and one for streams, as long as they are ready."""
+    """Reserve one engine for prefills and one for streams, and keep both as long as they are ready."""
     prefill = front.ready_engines(Role.PREFILL) or front.ready_engines(Role.MIXED)
     if front.reserved_prefill_engine not in prefill:
         front.reserved_prefill_engine = _least_loaded(front, prefill, None)
@@ -83,6 +86,6 @@
 
 
 def _least_loaded(front: FrontState, engines: list[Engine], other: Engine | None) -> Engine | None:
-    """The engine with the fewest of this front's tokens, another than `other` if there is one."""
+    """Return the engine with the fewest tokens of this front, other than `other` if there is another."""
     able = [e for e in engines if e is not other] or engines
     return min(able, key=lambda e: (e.prefill_tokens + e.stream_tokens, front.random()), default=None)
--- a/runspool/scheduling/engine_eligibility.py
+++ b/runspool/scheduling/engine_eligibility.py
@@ -1,4 +1,4 @@
-"""Which engines one request may look at, and which of them it may be sent to."""
+"""The engines that a scheduling decision for a request examines, and those the request may be sent to."""
 
 from __future__ import annotations
 
@@ -8,20 +8,25 @@
 from runspool.scheduling.slow_start import admits_during_slow_start
 from runspool.scheduling.types import DeduplicationScope, Idempotency, Request, Role
 
-CANDIDATES_LOOKED_AT = 8  # in a large fleet, of a prompt's affinity candidates
+# Affinity candidates of a prompt that one decision examines in a large fleet.
+MAX_AFFINITY_CANDIDATES = 8
 
 
 def engines_in_view(
     front: FrontState, request: Request, role: Role, prefill_engine: Engine | None = None
 ) -> list[Engine]:
-    """Ready engines of a role that one look for a request takes in: all, unless the fleet is large."""
+    """Return the ready engines of a role that one decision examines: all, or a sample of a large fleet.
+
+    In a large fleet the sample is extended by affinity candidates for a prefill, by engines in the rack of
+    `prefill_engine` for a decode, and by engines that have requests of this front.
+    """
     index = front.engine_index
     if not index.is_large(role):
         return list(index.ready[role])
     front.sample_count += 1
     found = {e.id: e for e in index.sample(role, front.sample_count)}
     if role is Role.PREFILL:
-        candidates = request.affinity_candidates[:CANDIDATES_LOOKED_AT]
+        candidates = request.affinity_candidates[:MAX_AFFINITY_CANDIDATES]
         found |= {at: front.engines[at] for at in candidates if at in front.engines}
     elif prefill_engine is not None:
         found |= {e.id: e for e in index.in_rack(role, prefill_engine.rack)}
@@ -36,10 +41,15 @@
     failed: list[int],
     first_executed: Engine | None,
 ) -> list[Engine]:
-    """Those of the engines that a request may be sent to now.
+    """Return those of the engines that a request may be sent to now.
 
-    `failed` are ids avoided while others are left; `first_executed` is the engine that a repeat has to reach
-    within the class's deduplication scope.
+    Args:
+        front: The front's state.
+        request: The request to send.
+        engines: The engines to choose from.
+        failed: Ids of engines to avoid while others are available.
+        first_executed: The engine of the first attempt that may have been executed. A repeat has to reach an
+            engine that shares its deduplication scope.
     """
     if first_executed:
         engines = _in_deduplication_scope(front, request, engines, first_executed)
@@ -57,7 +67,7 @@
 def _in_deduplication_scope(
     front: FrontState, request: Request, engines: list[Engine], first_executed: Engine
 ) -> list[Engine]:
-    """The engines that recognize a repeat of an attempt that another one may have executed."""
+    """Return the engines that recognize a repeat of an attempt that `first_executed` may have executed."""
     settings = front.class_state(request).settings
     scope = settings.deduplication_scope
     if settings.idempotency is not Idempotency.KEYED or scope is DeduplicationScope.ALL:
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -1,4 +1,4 @@
-"""How loaded the engines that answer are, and what this front's own traffic tells of the whole fleet."""
+"""Load of the engines that can decode, and fleet-wide estimates from this front's own traffic."""
 
 from __future__ import annotations
 
@@ -11,24 +11,34 @@
 from runspool.scheduling.time_units import MILLISECOND, SECOND
 from runspool.scheduling.types import Request, Role
 
-PACKING_THRESHOLD = 0.8  # fraction of a mixed engine's capacity up to which streams are packed on it
-EVIDENCE_STREAMS = 4  # own streams that weigh as much, of what others have there, as the fleet's mean
-FULL_LOAD_WAIT = SECOND  # wait for a first token, or for a rack's link, that counts as a full load
-LARGEST_RACK_BALANCE = 1.6  # times its usual part that a prefill engine takes in a rack with spare decode
-SMALLEST_RACK_BALANCE = 0.2  # the same where its rack has no spare decode capacity
-LARGEST_BALANCE_EXPONENT = 1.5  # where transfers between racks are the only delay
-TRANSFER_JAM = 300 * MILLISECOND  # delay beside which, and queueing, transfer delay weighs in the balance
+# Load of a mixed engine, as a fraction of its capacity, up to which streams are packed onto it.
+PACKING_THRESHOLD = 0.8
+# Own streams on an engine at which the estimate of other fronts' streams there relies on them as much as on
+# the fleet's mean.
+EVIDENCE_STREAMS = 4
+# Wait for a first token, or for a rack's link, that costs as much as a fully loaded engine.
+FULL_LOAD_WAIT = SECOND
+# Upper bound on a rack's spare decode capacity per prefill engine, relative to the fleet's mean.
+MAX_RACK_BALANCE = 1.6
+# Lower bound on the same ratio, for racks without spare decode capacity.
+MIN_RACK_BALANCE = 0.2
+# Exponent of the rack balance in the limit where transfers between racks are the only delay.
+MAX_RACK_BALANCE_EXPONENT = 1.5
+# Added to the transfer and queueing delays in the exponent of the rack balance: a transfer delay much shorter
+# than this has little influence.
+RACK_BALANCE_REFERENCE_DELAY = 300 * MILLISECOND
 
 
 def memory_weight(front: FrontState, request: Request) -> int:
-    """Tokens that a request will hold in a decode engine's memory, as foreseen."""
+    """Return the tokens that a request is expected to occupy in a decode engine's memory."""
     return request.prompt_tokens + int(front.class_state(request).mean_output_tokens)
 
 
 def load(front: FrontState, engine: Engine, request: Request | None = None) -> float:
-    """An engine's load, 1 for full: this front's streams, those of the others, and a request to come.
+    """Return an engine's load, where 1 is full capacity.
 
-    An engine's own report counts where it says more.
+    The load counts this front's streams, the estimated streams of other fronts and, if given, a further
+    request. If the engine itself reports a higher utilization, that is used.
     """
     own = engine.stream_tokens + (memory_weight(front, request) if request else 0)
     capacity = engine.observed_capacity or engine.memory_tokens
@@ -42,10 +52,11 @@
 
 
 def tokens_of_other_fronts(front: FrontState, engine: Engine) -> float:
-    """Stream tokens of the other fronts there, taken to be like this front's own.
+    """Estimate the stream tokens that other fronts have on an engine from this front's own streams.
 
-    By this engine's streams as far as they are evidence, else by the fleet's: otherwise one stream of a
-    hundred fronts' would look like a full engine.
+    The estimate uses this front's streams on this engine as far as they are sufficient evidence, and its mean
+    over the fleet otherwise. From the streams on the engine alone, a single stream at one of a hundred fronts
+    would be extrapolated to a full engine.
     """
     refresh_fleet_statistics(front)
     usual = front.mean_memory_use * (engine.memory_tokens or 1)
@@ -53,35 +64,39 @@
     estimated = (front.settings.front_count - 1) * usual * evidence / (EVIDENCE_STREAMS + front.mean_streams)
     if front.mean_streams >= 1 or not engine.memory_tokens:
         return estimated
-    # A front of several times the mean traffic must not take all engines for full: with so few streams it
-    # knows nothing of the rest, and only an engine's own report says that it is over.
+    # A front with several times the mean traffic must not consider all engines full. With so few streams it
+    # knows nothing about the other fronts, and only an engine's own report can say that it is above the
+    # threshold.
     return min(estimated, PACKING_THRESHOLD * (engine.observed_capacity or engine.memory_tokens))
 
 
 def decode_cost(front: FrontState, engine: Engine, request: Request) -> float:
-    """Load, and the wait for a first token there: a hung or jammed engine must not look roomy."""
+    """Return the load plus the cost of the wait for a first token, so that a hung engine looks expensive."""
     return load(front, engine, request) + decode_wait(front, engine) / FULL_LOAD_WAIT
 
 
 def carries_streams(front: FrontState, engine: Engine) -> bool:
-    """Whether streams run on an engine, or may without this front's knowing."""
+    """Return whether an engine has streams, or may have some that this front cannot know of."""
     return has_active_streams(front, engine) or has_no_fleet_signal(front)
 
 
 def has_active_streams(front: FrontState, engine: Engine) -> bool:
-    """Whether streams are known to run on an engine."""
+    """Return whether an engine is known to have streams."""
     report = current_load_report(front, engine)
     return bool(engine.streams or (report and report.requests_in_flight))
 
 
 def has_no_fleet_signal(front: FrontState) -> bool:
-    """Whether this front has under one stream a decode engine: none at one says nothing of the others'."""
+    """Return whether this front has less than one stream per engine that can decode.
+
+    The absence of own streams on an engine then does not show that other fronts have none there.
+    """
     refresh_fleet_statistics(front)
     return front.settings.front_count > 1 > front.mean_streams
 
 
 def refresh_fleet_statistics(front: FrontState) -> None:
-    """Bring the figures over all engines up to date, once a moment: a burst would cost too much CPU time."""
+    """Update the statistics over all engines, once per clock time: a burst would cost too much CPU time."""
     if front.fleet_statistics_at == front.now:
         return
     front.fleet_statistics_at = front.now
@@ -96,18 +111,20 @@
 
 
 def _rack_balance(front: FrontState) -> dict[int, float]:
-    """Rack: its decode engines with room for each prefill engine, the fleet's mean being 1.
+    """Return, by rack, the decode engines with spare capacity per prefill engine, 1 being the fleet's mean.
 
-    The more transfers between racks are the bottleneck, the more the balance differs from 1.
+    The more transfers between racks are the bottleneck, the further the values deviate from 1.
     """
-    roomy = Counter(e.rack for e in front.engine_index.decode_capable() if load(front, e) < PACKING_THRESHOLD)
+    with_room = Counter(
+        e.rack for e in front.engine_index.decode_capable() if load(front, e) < PACKING_THRESHOLD
+    )
     prefill = Counter(e.rack for e in front.ready_engines(Role.PREFILL))
-    usual = max(1, roomy.total()) / max(1, prefill.total())
+    usual = max(1, with_room.total()) / max(1, prefill.total())
     usual_transfer, usual_queueing = front.usual_transfer_delay, front.usual_queueing_delays[Role.PREFILL]
     transfer = usual_transfer.time * decay(front, usual_transfer.updated_at)
     queueing = usual_queueing.time * decay(front, usual_queueing.updated_at)
-    exponent = LARGEST_BALANCE_EXPONENT * transfer / (transfer + queueing + TRANSFER_JAM)
+    exponent = MAX_RACK_BALANCE_EXPONENT * transfer / (transfer + queueing + RACK_BALANCE_REFERENCE_DELAY)
     return {
-        rack: min(max(roomy[rack] / count / usual, SMALLEST_RACK_BALANCE), LARGEST_RACK_BALANCE) ** exponent
+        rack: min(max(with_room[rack] / count / usual, MIN_RACK_BALANCE), MAX_RACK_BALANCE) ** exponent
         for rack, count in prefill.items()
     }
--- a/runspool/scheduling/front_state.py
+++ b/runspool/scheduling/front_state.py
@@ -61,8 +61,8 @@
         self.now = 0
         self.engines: dict[int, Engine] = {}
         self.open_attempts: dict[int, OpenAttempt] = {}
-        """By request index. Whatever is owed for a request is found here: an engine's own entries only count
-        its load, and go with its record."""
+        """By request index. Releases and other obligations of a request are looked up here: the entries in
+        an engine's own dicts only count its load, and are dropped with its record."""
         self.seed = seed
         self.engine_index: EngineIndex[Engine] = EngineIndex((), seed)
         self.sample_count = 0  # engine samples that requests have drawn from a large fleet
@@ -83,7 +83,7 @@
         self.usual_queueing_delays = {role: DecayingEstimate() for role in Role}
         self.usual_decode_waits = {role: DecayingEstimate() for role in Role}
         self.rack_transfer_delays: defaultdict[int, DecayingEstimate] = defaultdict(DecayingEstimate)
-        """Rack: what a transfer of state out of it adds to the wait for a first token."""
+        """By rack: the time that a state transfer out of the rack adds to the wait for a first token."""
         self.usual_transfer_delay = DecayingEstimate()
         # Decayed sum of the durations of responses from mixed engines.
         self.mixed_answer_time = 0.0
@@ -95,7 +95,7 @@
         # Fraction of the decode memory of the whole fleet that this front's streams take.
         self.mean_memory_use = 0.0
         self.rack_balance: dict[int, float] = {}
-        """Rack: its decode engines with room for each prefill engine; 1 is the fleet's mean."""
+        """By rack: decode engines with spare capacity per prefill engine, relative to the fleet's mean."""
         self.rack_balance_at = -RACK_BALANCE_INTERVAL
 
     def class_state(self, request: Request) -> RequestClassState:
--- a/runspool/scheduling/latency_estimator.py
+++ b/runspool/scheduling/latency_estimator.py
@@ -1,7 +1,7 @@
-"""When an engine would give a first token, as far as this front can foresee.
+"""Prediction of first-token times on an engine.
 
-Mechanism 1, overdue age: the age of the oldest unanswered attempt is a floor under an engine's predicted
-wait.
+Overdue age (mechanism 1 of docs/design.md): the predicted wait on an engine is at least the age of its oldest
+attempt that has not been answered.
 """
 
 from __future__ import annotations
@@ -15,52 +15,64 @@
 from runspool.scheduling.time_units import MILLISECOND, SECOND
 from runspool.scheduling.types import LoadReport, Request
 
-LOAD_REPORT_VALIDITY = 2 * SECOND  # an older report says nothing of now
-ESTIMATE_HALF_LIFE = 12 * SECOND  # of what was learned from an engine that is not heard of
-SAMPLE_HALF_LIFE = 3 * SECOND  # of a queue: older samples weigh little beside a new one
-OUTLIER_ALLOWANCE = 600 * MILLISECOND  # over three times what is usual, up to which a sample counts for peers
-SMALLEST_PEER_WEIGHT = 1 / 8  # of a sample in the estimate over its engine's peers
-LARGEST_PEER_WEIGHT = 1 / 4
-SMALLEST_OWN_WEIGHT = 1 / 4  # of a sample in its engine's own estimate
-PREFILL_RATE_SAMPLES = 16  # that a rate falls over to slower ones
-PREFILL_RATE_FLOOR = 0.01  # tokens a tenth of a millisecond
+# Age at which a load report no longer describes the engine's present load.
+LOAD_REPORT_VALIDITY = 2 * SECOND
+# Half-life of a learned estimate without new samples from its engine.
+ESTIMATE_HALF_LIFE = 12 * SECOND
+# Half-life of queue samples: older samples weigh little against a new one.
+SAMPLE_HALF_LIFE = 3 * SECOND
+# A sample counts for the estimate over all peers up to this time above three times that estimate.
+OUTLIER_ALLOWANCE = 600 * MILLISECOND
+# Bounds on the weight of a sample in the estimate over its engine's peers.
+MIN_PEER_WEIGHT = 1 / 8
+MAX_PEER_WEIGHT = 1 / 4
+# Lower bound on the weight of a sample in its own engine's estimate.
+MIN_OWN_WEIGHT = 1 / 4
+# Number of samples over which the prefill rate falls towards slower ones.
+PREFILL_RATE_SAMPLES = 16
+# Lower bound on the prefill rate, in tokens per tenth of a millisecond.
+MIN_PREFILL_RATE = 0.01
 
 
 def decay(front: FrontState, since: int, half_life: int = ESTIMATE_HALF_LIFE) -> float:
-    """The fraction left of what was learned at a time."""
+    """Return the remaining weight, from 1 to 0, of what was learned at the time `since`."""
     return exp2((since - front.now) / half_life)
 
 
 def value_at(front: FrontState, own: DecayingEstimate, peers: DecayingEstimate) -> float:
-    """An engine's estimate now: its own decays to its peers', and that to 0."""
+    """Return an engine's estimate now: it decays to its peers' estimate, and that decays to 0."""
     usual = peers.time * decay(front, peers.updated_at)
     return usual + (own.time - usual) * decay(front, own.updated_at)
 
 
 def update(front: FrontState, own: DecayingEstimate, peers: DecayingEstimate, time: float) -> None:
-    """Take a measured time into an engine's estimate and into its peers'."""
+    """Update an engine's estimate and its peers' estimate with a measured time."""
     usual, before = peers.time * decay(front, peers.updated_at), value_at(front, own, peers)
-    # A sample weighs the more the older what it meets: a front that measures one prefill in some seconds
-    # must not go on in a jam by what was so before it.
-    part = 1 - decay(front, peers.updated_at, SAMPLE_HALF_LIFE)
-    own_part = 1 - decay(front, own.updated_at, SAMPLE_HALF_LIFE)
-    # One sample counts so far only: a few engines that hang must not make all look slow.
+    # The older the estimates, the more the new sample weighs. A front that measures only one prefill every
+    # few seconds must not rely during congestion on what it learned before.
+    sample_weight = 1 - decay(front, peers.updated_at, SAMPLE_HALF_LIFE)
+    own_sample_weight = 1 - decay(front, own.updated_at, SAMPLE_HALF_LIFE)
+    # The sample is capped in the peers' estimate: a few engines that hang must not make all look slow.
     sample = min(time, 3 * usual + OUTLIER_ALLOWANCE)
-    peers.time = usual + (sample - usual) * max(SMALLEST_PEER_WEIGHT, min(LARGEST_PEER_WEIGHT, part))
-    own.time = before + (time - before) * max(SMALLEST_OWN_WEIGHT, own_part)
+    peers.time = usual + (sample - usual) * max(MIN_PEER_WEIGHT, min(MAX_PEER_WEIGHT, sample_weight))
+    own.time = before + (time - before) * max(MIN_OWN_WEIGHT, own_sample_weight)
     peers.updated_at = own.updated_at = front.now
 
 
 def queueing_delay(front: FrontState, engine: Engine) -> float:
-    """What other fronts' prefills, or slowness, add there; an engine not heard of counts as its peers."""
-    # A starting engine's queue began with its start: jammed peers must not make it look jammed too.
+    """Return the predicted delay of a prefill due to other fronts' prefills or a slow engine.
+
+    An engine without recent samples is assumed to behave like its peers.
+    """
+    # The queue of a starting engine is as young as the engine, so congested peers must not make it look
+    # congested.
     is_warm = warmup_fraction(front, engine) == 1.0
     peers = front.usual_queueing_delays[engine.role] if is_warm else DecayingEstimate()
     return value_at(front, engine.queueing_delay, peers)
 
 
 def decode_wait(front: FrontState, engine: Engine) -> int:
-    """From the send of a decode to its first token there, as foreseen."""
+    """Return the predicted time from sending a decode to an engine until its first token."""
     waiting = engine.waiting_decodes
     oldest = next(iter(waiting.values())) if waiting else front.now
     expected = value_at(front, engine.decode_wait, front.usual_decode_waits[engine.role])
@@ -68,41 +80,42 @@
 
 
 def prefill_rate(front: FrontState, engine: Engine) -> float:
-    """Tokens a tenth of a millisecond that an engine reads now."""
+    """Return an engine's current prefill rate, in tokens per tenth of a millisecond."""
     return front.prefill_rates[engine.role] * warmup_fraction(front, engine)
 
 
 def record_prefill_rate(front: FrontState, engine: Engine, tokens: int, duration: int) -> None:
-    """Take a timed prefill into its role's rate.
+    """Update the prefill rate of an engine's role with a measured prefill.
 
-    The rate is the best seen of late, as unseen waits only slow a prefill; the rest is queueing delay.
+    The rate is the highest seen recently, since waits that this front cannot see only make a prefill slower.
+    They are accounted for as queueing delay.
     """
     rate, seen = front.prefill_rates[engine.role], max(1, tokens) / max(1, duration)
     front.prefill_rates[engine.role] = max(
-        seen, rate + (seen - rate) / PREFILL_RATE_SAMPLES, PREFILL_RATE_FLOOR
+        seen, rate + (seen - rate) / PREFILL_RATE_SAMPLES, MIN_PREFILL_RATE
     )
 
 
 def predicted_first_token_time(front: FrontState, engine: Engine, request: Request) -> int:
-    """How long a prefill sent now would take there."""
+    """Return how long a prefill that is sent to an engine now would take."""
     own_time = tokens_to_prefill(front, engine, request) / prefill_rate(front, engine)
     return queue_time(front, engine) + int(own_time + queueing_delay(front, engine))
 
 
 def queue_time(front: FrontState, engine: Engine) -> int:
-    """How long the prefills known to be ahead there take."""
+    """Return how long an engine needs for the prefills that are known to be in its queue."""
     report = current_load_report(front, engine)
     reported = 0.0
     if report:
-        # What a report saw queued is read meanwhile: an old one must not make an engine look full.
-        read_since = prefill_rate(front, engine) * (front.now - engine.load_reported_at)
-        reported = (report.queued_prompt_tokens or 0) - read_since
+        # The engine has worked on the reported queue since then: an old report must not make it look full.
+        computed_since = prefill_rate(front, engine) * (front.now - engine.load_reported_at)
+        reported = (report.queued_prompt_tokens or 0) - computed_since
     ahead = engine.prefill_tokens + max(0.0, reported)
     oldest = next(iter(engine.prefills.values())).sent_at if engine.prefills else front.now
     return max(int(ahead / prefill_rate(front, engine)), front.now - oldest)
 
 
 def current_load_report(front: FrontState, engine: Engine) -> LoadReport | None:
-    """An engine's last load report, if it is not too old."""
+    """Return an engine's last load report, or None if there is none or it is too old."""
     is_current = engine.load_report and front.now - engine.load_reported_at < LOAD_REPORT_VALIDITY
     return engine.load_report if is_current else None
--- a/runspool/scheduling/outlier_detection.py
+++ b/runspool/scheduling/outlier_detection.py
@@ -1,6 +1,6 @@
-"""Mechanism 2, outlier ejection: failures eject an engine for a doubling time.
+"""Outlier ejection (mechanism 2 of docs/design.md): failures eject an engine for a time that doubles.
 
-Then it is tried with one attempt at a time, until one succeeds.
+After an ejection the engine gets one attempt at a time until one succeeds.
 """
 
 from __future__ import annotations
@@ -9,20 +9,24 @@
 from runspool.scheduling.front_state import FrontState
 from runspool.scheduling.time_units import MILLISECOND, SECOND
 
-SHORTEST_EJECTION = 200 * MILLISECOND
-LONGEST_EJECTION = 6 * SECOND
-MOST_DOUBLINGS = 10
+MIN_EJECTION = 200 * MILLISECOND  # duration of the first ejection
+MAX_EJECTION = 6 * SECOND
+# Bound on the exponent, beyond which the duration has long reached its maximum.
+MAX_DOUBLINGS = 10
 
 
 def record_failure(front: FrontState, engine: Engine) -> None:
-    """Eject an engine, for the longer the more failures came in a row."""
-    doublings = min(engine.consecutive_failures, MOST_DOUBLINGS)
-    engine.ejected_until = front.now + min(LONGEST_EJECTION, SHORTEST_EJECTION << doublings)
+    """Eject an engine; the duration doubles with every consecutive failure."""
+    doublings = min(engine.consecutive_failures, MAX_DOUBLINGS)
+    engine.ejected_until = front.now + min(MAX_EJECTION, MIN_EJECTION << doublings)
     engine.consecutive_failures += 1
 
 
 def without_outliers(front: FrontState, engines: list[Engine]) -> list[Engine]:
-    """The engines that are not ejected, without those being tried again, unless no other is left."""
+    """Return the engines that are not ejected.
+
+    Engines that have an attempt in progress after an ejection are left out as well, unless no others remain.
+    """
     now = front.now
     trusted = [
         e
