--- a/runspool/runtime/__init__.py
+++ b/runspool/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""The mechanics of one front, free of I/O: the scheduler driver, interned names, platform settings."""
+"""Runtime of one front, free of I/O: the scheduler driver, interned names and platform settings."""
--- a/runspool/runtime/interning.py
+++ b/runspool/runtime/interning.py
@@ -1,4 +1,4 @@
-"""Turns names given by clients and platforms into small integers, which the scheduler works with."""
+"""Interning of names from clients and platforms as the small integers that the scheduler works with."""
 
 from __future__ import annotations
 
@@ -6,28 +6,34 @@
 
 
 def stable_hash(name: str) -> int:
-    """A 32-bit number derived from a name; every front process derives the same one."""
+    """Return a 32-bit hash of a name that is the same in every front process."""
     return crc32(name.encode())
 
 
 class Interner:
     """Assigns each name an index, counted up from 0 and never reused.
 
-    A name that has not been seen for longer than `max_age` is forgotten, and so are the names unseen for
-    longest once there are `max_names`. Both happen only while a new name is added.
+    A name that has not been seen for longer than `max_age` is dropped, and so is the name unseen for longest
+    if there would be more than `max_names`. Names are dropped only while a new one is added.
     """
 
     def __init__(self, max_names: int = 0, max_age: int = 0) -> None:
-        """0 sets no bound; `max_age` is in the unit of the times that intern() is given."""
+        """Create an empty interner.
+
+        Args:
+            max_names: Maximum number of names; 0 for no limit.
+            max_age: Maximum time since a name was last seen, in the unit of the times that `intern` gets.
+                0 for no limit.
+        """
         self._max_names = max_names
         self._max_age = max_age
         self._next = 0
-        # Each name's index and the time it was last seen. The dict's order is that of the last sight, the
-        # oldest first.
+        # Each name's index and the time it was last seen. The names are in the order in which they were last
+        # seen, the oldest first.
         self._indices: dict[str, tuple[int, int]] = {}
 
     def intern(self, name: str, now: int = 0) -> int:
-        """The index of a name, assigned if it has none, and marks the name as seen at `now`."""
+        """Return the index of a name, assigning one if necessary, and mark the name as seen at `now`."""
         index, _ = self._indices.pop(name, (None, 0))
         if index is None:
             index = self._next
@@ -40,11 +46,11 @@
         return index
 
     def lookup(self, name: str) -> int | None:
-        """The index of a name, or None; does not mark the name as seen."""
+        """Return the index of a name, or None if it has none; does not mark the name as seen."""
         return self._indices.get(name, (None, 0))[0]
 
     def forget(self, name: str) -> None:
-        """Removes a name, if known. Interned again, it gets another index."""
+        """Remove a name, if known. It gets another index if it is interned again."""
         self._indices.pop(name, None)
 
     def __len__(self) -> int:
--- a/runspool/runtime/platform_settings.py
+++ b/runspool/runtime/platform_settings.py
@@ -1,7 +1,7 @@
-"""Reads the settings that the platform gives a front at its start into RoutingSettings.
+"""Conversion of the settings that the platform gives a front at its start to `RoutingSettings`.
 
-The simulator sends this JSON object in its first message, and a node finds it in its configuration file. The
-object's keys are the platform's; this module holds the table from them to the names used in the code.
+The settings are a JSON object. The simulator sends it in its first message, and a node reads it from its
+configuration file. The platform defines its keys, which this module maps to the names used in the code.
 """
 
 from __future__ import annotations
@@ -19,8 +19,10 @@
 
 T = TypeVar("T")
 
-UNIT_US = 100  # microseconds in a tenth of a millisecond, the unit of durations inside the program
-NUMBER_LIMIT = 1e15  # exclusive, on the absolute value of any number in the settings
+# Microseconds per tenth of a millisecond, the unit of durations inside the program.
+UNIT_US = 100
+# Exclusive bound on the absolute value of any number in the settings.
+NUMBER_LIMIT = 1e15
 
 IDEMPOTENCY = {
     "idempotent": Idempotency.IDEMPOTENT,
@@ -36,9 +38,10 @@
 
 
 class InvalidSettingsError(RunspoolError):
-    """A value in the settings is not usable.
+    """A value in the settings is invalid.
 
-    `key` is the path of the value, as in `classes[2].aim-us`, and `problem` says what is wrong with it.
+    `key` is the path of the value, such as `classes[2].aim-us`, and `problem` describes what is wrong with
+    it.
     """
 
     def __init__(self, key: str, problem: str) -> None:
@@ -48,84 +51,88 @@
 
 
 class SettingsSection:
-    """A JSON object inside the settings, with the path that leads to it.
+    """A JSON object in the settings, with its path.
 
-    The accessors take a key of the object. They raise InvalidSettingsError, with the full path as its key,
-    where the value has the wrong type or is out of range. Except for choice(), null counts as absent.
+    The accessors take a key of the object. They raise InvalidSettingsError, with the full path of the value,
+    if the value has the wrong type or is out of range. Except in choice(), null is treated as absent.
     """
 
     def __init__(self, value: object, path: str) -> None:
-        """`value` is decoded JSON; None is read as an empty object. The path of the outermost is empty."""
+        """Wrap the decoded JSON `value`, where None is an empty object; `path` is empty for the root.
+
+        Raises:
+            InvalidSettingsError: `value` is not an object.
+        """
         if value is None:
             value = {}
         if not isinstance(value, dict):
-            raise InvalidSettingsError(path or "settings", "no object")
+            raise InvalidSettingsError(path or "settings", "is not an object")
         self.values: dict[str, Any] = value
         self.path = path
 
     def path_of(self, key: str) -> str:
-        """The path of a key of this object, from the outermost object on."""
+        """Return the path of a key of this object, from the root on."""
         return f"{self.path}.{key}" if self.path else key
 
     def section(self, key: str) -> SettingsSection:
-        """The object at `key`; an empty one where absent."""
+        """Return the object at `key`; an empty one if absent."""
         return SettingsSection(self.values.get(key), self.path_of(key))
 
     def items(self, key: str) -> list[Any]:
-        """The list at `key`, its items unchecked; empty where absent."""
+        """Return the list at `key` with unchecked items; an empty one if absent."""
         rows = self.values.get(key)
         if rows is None:
             return []
         if not isinstance(rows, list):
-            raise InvalidSettingsError(self.path_of(key), "no list")
+            raise InvalidSettingsError(self.path_of(key), "is not a list")
         return rows
 
     def sections(self, key: str) -> list[SettingsSection]:
-        """The list of objects at `key`; empty where absent."""
+        """Return the list of objects at `key`; an empty one if absent."""
         path = self.path_of(key)
         return [SettingsSection(row, f"{path}[{index}]") for index, row in enumerate(self.items(key))]
 
     def numbers(self, key: str) -> list[float]:
-        """The list of numbers at `key`; empty where absent."""
+        """Return the list of numbers at `key`; an empty one if absent."""
         path = self.path_of(key)
         return [_check_number(row, f"{path}[{index}]") for index, row in enumerate(self.items(key))]
 
     def number(self, key: str, default: float) -> float:
-        """The number at `key`, or `default` where absent."""
+        """Return the number at `key`, or `default` if absent."""
         value = self.values.get(key)
         return default if value is None else _check_number(value, self.path_of(key))
 
     def integer(self, key: str, default: int) -> int:
-        """The number at `key` cut to an integer, or `default` where absent."""
+        """Return the number at `key` truncated to an integer, or `default` if absent."""
         return int(self.number(key, default))
 
     def duration(self, key: str, default_us: int = 0) -> int:
-        """The duration at `key`, given in microseconds, in whole tenths of a millisecond."""
+        """Return the duration at `key`, given in microseconds, in whole tenths of a millisecond."""
         microseconds = self.number(key, default_us)
         if microseconds < 0:
-            raise InvalidSettingsError(self.path_of(key), f"{microseconds:.0f} is no time")
+            raise InvalidSettingsError(self.path_of(key), f"{microseconds:.0f} is negative")
         return int(microseconds) // UNIT_US
 
     def flag(self, key: str) -> bool:
-        """The truth of the value at `key`; False where absent."""
+        """Return the truth value of the value at `key`; False if absent."""
         return bool(self.values.get(key, False))
 
     def choice(self, key: str, choices: dict[str, T], default: str) -> T:
-        """What `choices` has for the text at `key`, or for `default` where the key is missing."""
+        """Return the entry of `choices` for the string at `key`, or for `default` if the key is absent."""
         value = self.values.get(key, default)
         if not isinstance(value, str) or value not in choices:
-            raise InvalidSettingsError(self.path_of(key), f"{value!r} is none of {', '.join(choices)}")
+            raise InvalidSettingsError(self.path_of(key), f"{value!r} is not one of {', '.join(choices)}")
         return choices[value]
 
 
 def _check_number(value: object, path: str) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) < NUMBER_LIMIT:
-        raise InvalidSettingsError(path, f"{value!r} is no number that can be")
+        raise InvalidSettingsError(path, f"{value!r} is not a number below {NUMBER_LIMIT:g} in magnitude")
     return float(value)
 
 
 class PlatformSettings:
-    """The settings a platform gives a front; raises InvalidSettingsError.
+    """The settings that a platform gives a front.
 
     `request_classes`, `tenants`, `zones` and `engine_types` map the platform's names to the indices that
     `routing` and the requests use. `connect_timeout`, `idle_timeout` and `deadlines` (one per request class,
@@ -133,7 +140,11 @@
     """
 
     def __init__(self, value: object) -> None:
-        """`value` is the decoded JSON object."""
+        """Convert the decoded JSON object `value`.
+
+        Raises:
+            InvalidSettingsError: A value has the wrong type or is out of range.
+        """
         top = SettingsSection(value, "")
         self.request_classes = _indices_by_name(top, "classes")
         self.tenants = _indices_by_name(top, "realms")
@@ -142,7 +153,7 @@
         engines, limits = top.section("family-info"), top.section("limits")
         rules, prices = top.section("rules"), top.section("prices")
         engine_types = _engine_types(engines, len(self.engine_types))
-        # What a front needs for its connections, which the scheduler is not given.
+        # The front's connections use these settings; the scheduler does not get them.
         per_1000_tokens = engines.numbers("aim-us-per-1000-prompt-tokens")
         per_output_token = engines.numbers("token-aim-us")
         self.connect_timeout = limits.duration("dial-timeout-us")
@@ -192,7 +203,10 @@
 
 
 def _engine_types(engines: SettingsSection, count: int) -> list[EngineTypeSettings]:
-    """At least `count` of them: those that the settings do not describe do both stages, in unknown memory."""
+    """Return at least `count` engine types.
+
+    Types that the settings do not describe are mixed, and their memory is unknown.
+    """
     memory_tokens = engines.numbers("memory-tokens")
     types = [
         EngineTypeSettings(
@@ -207,7 +221,7 @@
 
 
 def _duration_at(microseconds: list[float], index: int) -> int:
-    """The entry at `index` in tenths of a millisecond; 0 where the list is shorter."""
+    """Return the entry at `index` in tenths of a millisecond; 0 if the list is shorter."""
     return int(microseconds[index]) // UNIT_US if index < len(microseconds) else 0
 
 
--- a/runspool/runtime/scheduler_driver.py
+++ b/runspool/runtime/scheduler_driver.py
@@ -1,7 +1,7 @@
-"""Runs one scheduler: carries events to its generators, and the actions that they ask for to a handler.
+"""Driver of one scheduler: it passes events to the scheduler's generators and their actions to a handler.
 
-Times are tenths of a millisecond. Requests and engines are named by their indices; a request's attempts are
-numbered from 1, in the order of their start.
+Times are tenths of a millisecond. Requests and engines are identified by their indices. The attempts of a
+request are numbered from 1 in the order of their start.
 """
 
 from __future__ import annotations
@@ -28,23 +28,23 @@
 from runspool.scheduling.settings import RoutingSettings
 from runspool.scheduling.types import AttemptOutcome, AttemptStatus, EndpointUpdate, Request
 
-BACKGROUND_TASK = -1  # in place of a request index
-SHUTDOWN_TASK = -2
+BACKGROUND_TASK = -1  # key of the background task, in place of a request index
+SHUTDOWN_TASK = -2  # key of the shutdown task, in place of a request index
 
 
 class ActionHandler(Protocol):
-    """What carries out the scheduler's actions; none of these may call back into the driver."""
+    """Carries out the scheduler's actions; no method may call back into the driver."""
 
     def start_attempt(self, request_index: int, engine: int, timeout: int) -> None:
-        """Send a request to an engine; `timeout` 0 sets none but the client's deadline."""
+        """Send a request to an engine; with `timeout` 0 only the client's deadline applies."""
         ...
 
     def reject(self, request_index: int, retry_after: int) -> None:
-        """Give the final response: not executed; `retry_after` 0 says nothing of when to come back."""
+        """Send the final response that the request was not executed; `retry_after` 0 names no retry time."""
         ...
 
     def fail_indeterminate(self, request_index: int) -> None:
-        """Give the final response: it may have been executed, or no later try would go better."""
+        """Send the final response that the request may have been executed, or that a retry would fail too."""
         ...
 
     def release_state(self, request_index: int) -> None:
@@ -52,7 +52,7 @@
         ...
 
     def migrate_stream(self, request_index: int) -> None:
-        """Stop a stream, so that its client goes on with it elsewhere."""
+        """Stop a stream, so that its client resumes it on another engine."""
         ...
 
     def subscribe_to_endpoints(self) -> None:
@@ -60,15 +60,15 @@
         ...
 
     def set_timer(self, token: str, at: int) -> None:
-        """Call `timer_fired` with the token at that time; timers are never taken back."""
+        """Call `timer_fired` with the token at the time `at`. Timers are never cancelled."""
         ...
 
     def log_message(self, text: str) -> None:
-        """Log a line."""
+        """Write a line to the log."""
         ...
 
     def forget_request(self, request_index: int) -> None:
-        """The scheduler is done with a request; nothing more is asked for it."""
+        """Drop a request that the scheduler has finished; no further action refers to it."""
         ...
 
 
@@ -77,7 +77,7 @@
 
 
 class SchedulerTask:
-    """A running generator, what it is waiting for, and the request that it serves, if any."""
+    """A running generator, the event that it waits for, and the request that it serves, if any."""
 
     __slots__ = ("attempt_in_progress", "attempts", "request", "steps", "stream_started", "wait_number")
 
@@ -90,24 +90,24 @@
         self.attempt_in_progress = False
         self.stream_started = False
         self.wait_number = 0
-        """Counts the task's waits; a timer belongs to one of them."""
+        """Number of the task's waits so far; each timer belongs to one of them."""
 
     def finish_request(self) -> None:
-        """Note that the client is owed nothing more."""
+        """Record that the client gets no further response."""
         if self.request is not None:
             self.request.finished = True
 
 
 class SchedulerDriver:
-    """Takes events by request index and attempt number, and steps the generators that wait for them.
+    """Passes events, by request index and attempt number, to the generators that wait for them.
 
-    Events about a request or an attempt that is over are ignored, whenever and however often they come. All
-    calls come from the thread that made the driver, none from within a call of the handler; otherwise
-    `ReentrantCallError` is raised before anything is touched.
+    An event about a request or attempt that has ended is ignored, whenever and however often it arrives. All
+    calls have to come from the thread that created the driver, and none from within a call of the handler.
+    Otherwise `ReentrantCallError` is raised before any state is changed.
     """
 
     def __init__(self, settings: RoutingSettings, seed: int, handler: ActionHandler, now: int) -> None:
-        """Start the scheduler's background task; `seed` starts its random draws."""
+        """Create the scheduler and start its background task; `seed` seeds its random draws."""
         self.handler = handler
         self.scheduler = Scheduler(settings, seed)
         self.tasks: dict[int, SchedulerTask] = {}
@@ -118,11 +118,13 @@
 
     @contextmanager
     def _entered(self, now: int) -> Iterator[None]:
-        # Predicted times, loads and active engines are changed in many places of one step: a call in between,
-        # from another thread or from within, would decide by half of it.
+        # One step changes predicted times, loads and active engines in many places. A call in the middle of
+        # it, from another thread or from within the step, would decide on inconsistent state.
         if self.is_stepping or get_ident() != self.thread:
             raise ReentrantCallError(
-                "another step is under way" if self.is_stepping else "not the driver's own thread"
+                "called while another step is in progress"
+                if self.is_stepping
+                else "called from a thread that does not own the driver"
             )
         self.is_stepping = True
         self.scheduler.now = now
@@ -132,17 +134,17 @@
             self.is_stepping = False
 
     def update_endpoints(self, now: int, update: EndpointUpdate) -> None:
-        """Take a change of the endpoint list in."""
+        """Apply a change of the endpoint list."""
         with self._entered(now):
             self.scheduler.update_endpoints(update)
 
     def subscription_lost(self, now: int) -> None:
-        """Have the background task subscribe to the endpoint list again."""
+        """Make the background task subscribe to the endpoint list again."""
         with self._entered(now):
             self.scheduler.is_subscribed = False
 
     def submit(self, now: int, request: Request) -> None:
-        """Start serving a request; one that is being served already goes on as it was."""
+        """Start to serve a request; do nothing if it is being served already."""
         with self._entered(now):
             if request.index in self.tasks:
                 return
@@ -151,7 +153,7 @@
             self._step(request.index, task, None)
 
     def stream_started(self, now: int, request_index: int, attempt: int, duration: int) -> None:
-        """An attempt's first token came, `duration` after its send."""
+        """Report the first token of an attempt, which came `duration` after the attempt was sent."""
         with self._entered(now):
             task = self._task_awaiting(request_index, attempt)
             if task is not None and not task.stream_started:
@@ -161,7 +163,7 @@
     def attempt_ended(
         self, now: int, request_index: int, attempt: int, outcome: AttemptOutcome, is_final: bool
     ) -> None:
-        """An attempt ended; `is_final` where the client is owed nothing more."""
+        """Report the end of an attempt; `is_final` says that the client gets no further response."""
         with self._entered(now):
             task = self._task_awaiting(request_index, attempt)
             if task is None or task.request is None:
@@ -171,7 +173,10 @@
             self._step(request_index, task, outcome)
 
     def client_disconnected(self, now: int, request_index: int) -> None:
-        """A request's client is gone; an attempt in progress still has to be reported as ended."""
+        """Report that a request's client disconnected.
+
+        If an attempt is in progress, its end is still to be reported.
+        """
         with self._entered(now):
             task = self.tasks.get(request_index)
             if task is None or task.request is None:
@@ -181,16 +186,16 @@
                 self._step(request_index, task, None)
 
     def begin_shutdown(self, now: int, deadline: int) -> None:
-        """The process is being stopped on purpose, and may be killed after `deadline`."""
+        """Start the shutdown task; the process may be killed at `deadline`."""
         with self._entered(now):
             task = SchedulerTask(None, self.scheduler.run_shutdown(deadline))
             self.tasks[SHUTDOWN_TASK] = task
             self._step(SHUTDOWN_TASK, task, None)
 
     def abandon(self, now: int, request_index: int) -> bool:
-        """End a task whose decisions failed, and take its request off the engines; False where there is none.
+        """End a task whose generator raised an error, and remove its request from the engines.
 
-        The background task is started anew.
+        If it is the background task, a new one is started. Return False if there is no such task.
         """
         with self._entered(now):
             task = self.tasks.pop(request_index, None)
@@ -204,11 +209,11 @@
             return True
 
     def timer_fired(self, now: int, token: str) -> None:
-        """A timer that the handler was asked for has come to its time."""
+        """Report that a timer which the handler was asked to set has expired."""
         request_index, _, wait_number = token.partition(".")
         with self._entered(now):
             task = self.tasks.get(int(request_index))
-            # Timers cannot be taken back: one that belongs to an earlier wait is ignored.
+            # Timers cannot be cancelled: one that belongs to an earlier wait is ignored.
             if task is not None and int(wait_number) == task.wait_number and not task.attempt_in_progress:
                 self._step(int(request_index), task, None)
 
@@ -218,7 +223,7 @@
         self._step(BACKGROUND_TASK, task, None)
 
     def _task_awaiting(self, request_index: int, attempt: int) -> SchedulerTask | None:
-        """The task that waits for events of this attempt."""
+        """Return the task that waits for events of this attempt, or None."""
         task = self.tasks.get(request_index)
         if task is None or not task.attempt_in_progress or task.attempts != attempt:
             return None
@@ -240,7 +245,7 @@
                 return
 
     def _perform(self, request_index: int, task: SchedulerTask, action: Action) -> bool:
-        """Carry out an action; True where the task now waits for an event."""
+        """Carry out an action; return True if the task now waits for an event."""
         handler = self.handler
         match action:
             case StartAttempt(engine, timeout):
--- a/runspool/scheduling/endpoint_updates.py
+++ b/runspool/scheduling/endpoint_updates.py
@@ -87,5 +87,5 @@
 
 def _least_loaded(front: FrontState, engines: list[Engine], other: Engine | None) -> Engine | None:
     """Return the engine with the fewest tokens of this front, other than `other` if there is another."""
-    able = [e for e in engines if e is not other] or engines
-    return min(able, key=lambda e: (e.prefill_tokens + e.stream_tokens, front.random()), default=None)
+    candidates = [e for e in engines if e is not other] or engines
+    return min(candidates, key=lambda e: (e.prefill_tokens + e.stream_tokens, front.random()), default=None)
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -24,8 +24,8 @@
 MIN_RACK_BALANCE = 0.2
 # Exponent of the rack balance in the limit where transfers between racks are the only delay.
 MAX_RACK_BALANCE_EXPONENT = 1.5
-# Added to the transfer and queueing delays in the exponent of the rack balance: a transfer delay much shorter
-# than this has little influence.
+# Added to the transfer and queueing delays in the denominator of the rack balance's exponent: a transfer
+# delay much shorter than this has little influence.
 RACK_BALANCE_REFERENCE_DELAY = 300 * MILLISECOND
 
 
--- a/runspool/scheduling/latency_estimator.py
+++ b/runspool/scheduling/latency_estimator.py
@@ -23,8 +23,9 @@
 SAMPLE_HALF_LIFE = 3 * SECOND
 # A sample counts for the estimate over all peers up to this time above three times that estimate.
 OUTLIER_ALLOWANCE = 600 * MILLISECOND
-# Bounds on the weight of a sample in the estimate over its engine's peers.
+# Lower bound on the weight of a sample in the estimate over its engine's peers.
 MIN_PEER_WEIGHT = 1 / 8
+# Upper bound on the same weight.
 MAX_PEER_WEIGHT = 1 / 4
 # Lower bound on the weight of a sample in its own engine's estimate.
 MIN_OWN_WEIGHT = 1 / 4
--- a/runspool/scheduling/outlier_detection.py
+++ b/runspool/scheduling/outlier_detection.py
@@ -11,7 +11,7 @@
 
 MIN_EJECTION = 200 * MILLISECOND  # duration of the first ejection
 MAX_EJECTION = 6 * SECOND
-# Bound on the exponent, beyond which the duration has long reached its maximum.
+# Bound on the number of doublings; `MAX_EJECTION` is reached earlier.
 MAX_DOUBLINGS = 10
 
 
--- a/runspool/scheduling/prefill_selection.py
+++ b/runspool/scheduling/prefill_selection.py
@@ -1,7 +1,7 @@
-"""Which engine prefills a request.
+"""Selection of the engine that prefills a request.
 
-Mechanism 4, spill: where the queue of every engine without streams is full, a mixed one that carries streams
-may prefill.
+Spill (mechanism 4 of docs/design.md): where the queue of every engine without streams is full, a mixed engine
+that has streams may prefill as well.
 """
 
 from __future__ import annotations
@@ -26,26 +26,43 @@
 from runspool.scheduling.transfer_cost import placement_cost
 from runspool.scheduling.types import Request, Role
 
-ANSWER_TIME_WITH_ROOM = 0.4  # of the time allowed for their tokens: streams that take less can wait
-SPILL_PREFILL = 0.25  # part of an answer's time that a prefill beside streams may take
-PREFILL_WEIGHT = 3  # times a prefill's own time that its tokens count for
+# Responses of mixed engines that take less than this fraction of the time allowed for their tokens can bear
+# an interruption by a prefill.
+SPARE_RESPONSE_TIME_FRACTION = 0.4
+# Longest prefill on a mixed engine that has streams, as a fraction of the time that the objectives allow for
+# a response of mean length.
+MAX_SPILL_FRACTION = 0.25
+# Factor by which a prefill's own time counts when engines are compared, since it delays all later prefills.
+OWN_PREFILL_WEIGHT = 3
 
 
 def select_prefill(
     front: FrontState, request: Request, failed: list[int], first_executed: Engine | None, queue_limit: int
 ) -> Engine | None:
-    """The engine to prefill a request, which may be a mixed one that answers it too; None if none can."""
+    """Return the engine to prefill a request, or None if no engine can.
+
+    A mixed engine that is selected also decodes the request.
+
+    Args:
+        front: The front's state.
+        request: The request to prefill.
+        failed: Ids of engines to avoid while others are available.
+        first_executed: The engine of the first attempt that may have been executed, if any.
+        queue_limit: A duration. If the wait on the best engine is over twice this, engines that have streams
+            are considered too.
+    """
     mixed, class_state = engines_in_view(front, request, Role.MIXED), front.class_state(request)
-    # A state that no engine can take would only be computed to be released.
+    # Without an engine that can decode, the prefill's state would be computed only to be released.
     can_decode = mixed or front.ready_engines(Role.DECODE)
     engines = engines_in_view(front, request, Role.PREFILL) if can_decode else []
-    # A prefill stops streams that this front may not see: only where answers leave room for it.
-    if _answers_leave_room(front, request) or not has_no_fleet_signal(front):
+    # A prefill interrupts the engine's streams, which this front may not know of. It is therefore allowed
+    # only if responses have time to spare.
+    if _responses_have_spare_time(front, request) or not has_no_fleet_signal(front):
         engines += [e for e in mixed if not has_active_streams(front, e)]
     best = _soonest(front, request, eligible_engines(front, request, engines, failed, first_executed))
     if best and queue_time(front, best) + queueing_delay(front, best) <= 2 * queue_limit:
         return best
-    # A prefill stops the streams beside it: only one short against an answer may join them.
+    # A prefill interrupts the engine's streams, so only one that is short compared with a response may spill.
     time_per_token = class_state.settings.time_per_output_token
     engines += [
         e
@@ -53,7 +70,7 @@
         if carries_streams(front, e)
         and load(front, e, request) < PACKING_THRESHOLD
         and tokens_to_prefill(front, e, request) / prefill_rate(front, e)
-        < SPILL_PREFILL * class_state.mean_output_tokens * time_per_token
+        < MAX_SPILL_FRACTION * class_state.mean_output_tokens * time_per_token
     ]
     if not engines:
         engines = mixed
@@ -62,21 +79,24 @@
     return _soonest(front, request, eligible_engines(front, request, engines, failed, first_executed))
 
 
-def _answers_leave_room(front: FrontState, request: Request) -> bool:
-    """Whether answers at mixed engines are well within the time allowed for their tokens."""
-    allowed = ANSWER_TIME_WITH_ROOM * front.mixed_answer_time_allowed
+def _responses_have_spare_time(front: FrontState, request: Request) -> bool:
+    """Return whether responses from mixed engines take well under the time allowed for their tokens."""
+    allowed = SPARE_RESPONSE_TIME_FRACTION * front.mixed_answer_time_allowed
     return request.expected_output_tokens > 0 and front.mixed_answer_time <= allowed
 
 
 def _soonest(front: FrontState, request: Request, engines: list[Engine]) -> Engine | None:
-    """The engine with the soonest first token; its own prefill weighs more, as it delays all that follow."""
+    """Return the engine with the soonest first token.
+
+    The request's own prefill time counts more than the queue, since it delays all later prefills.
+    """
     reserved, random = front.reserved_prefill_engine, front.random
     return min(
         engines,
         key=lambda e: (
             predicted_first_token_time(front, e, request)
             + placement_cost(front, e)
-            + (PREFILL_WEIGHT - 1) * tokens_to_prefill(front, e, request) / prefill_rate(front, e),
+            + (OWN_PREFILL_WEIGHT - 1) * tokens_to_prefill(front, e, request) / prefill_rate(front, e),
             e is not reserved,
             random(),
         ),
--- a/runspool/scheduling/prefix_affinity.py
+++ b/runspool/scheduling/prefix_affinity.py
@@ -1,7 +1,8 @@
-"""Which prefill engines probably have a prompt cached, and how much of it.
+"""Prediction of which prefill engines have a prompt cached, and how many of its tokens.
 
-One of many fronts has hardly ever sent a text itself, so all fronts suppose a text at the same engines: a
-session at one, a shared prefix at the more the more requests ask for it.
+One of many fronts has hardly ever sent a given text itself. All fronts therefore assume a text to be cached
+at the same engines, which they derive from hashes: a session at one engine, a shared prefix at more engines
+the more requests use it.
 """
 
 from __future__ import annotations
@@ -14,32 +15,38 @@
 from runspool.scheduling.front_state import FrontState
 from runspool.scheduling.types import AttemptOutcome, Request, Role
 
-CACHED_TEXTS = 500  # an engine; what it read that many texts ago it is taken to have evicted
-CANDIDATE_SHARES = 3.0  # fair shares of prefill engines that a popular prefix is spread over
-USUAL_PREFIX_SHARE = 0.015  # of all requests: what a prefix counts for before it has been seen
-CHEAP_PREFIX = 0.17  # of the first token objective: a quicker one gets more candidates before it is popular
-RECENT_PREFIXES = 64  # last requests of which prefixes are counted; the usual share weighs as many
+# Texts that an engine is assumed to keep cached; an older text counts as evicted.
+MAX_CACHED_TEXTS = 500
+# Candidates of a prefix as a multiple of its fair share of the prefill engines.
+CANDIDATES_PER_FAIR_SHARE = 3.0
+# Share of all requests that a prefix is assumed to have before it has been seen.
+PRIOR_PREFIX_SHARE = 0.015
+# Prefill time of a prefix, as a fraction of the first-token objective, up to which it gets several candidates
+# even before it is popular.
+CHEAP_PREFIX_FRACTION = 0.17
+# Latest requests whose prefixes are counted; the assumed share weighs as much as this many requests.
+RECENT_PREFIX_COUNT = 64
 
 
 def affinity_candidates(front: FrontState, request: Request) -> list[int]:
-    """Ids of the prefill engines at which every front supposes a prompt cached, the session's own first.
+    """Return the ids of the prefill engines on which a prompt is assumed to be cached, and count its prefix.
 
-    Counts the request's prefix.
+    The first one is the engine of the request's session. All fronts get the same engines.
     """
     if front.engine_index.is_large(Role.PREFILL):
         return _candidates_in_large_fleet(front, request)
     engines = list(front.ready_engines(Role.PREFILL))
     if request.prefix is not None:
-        # A front that sees little must not infer one candidate, or half of all engines, from a single
-        # request, each front another: all of a prefix's texts would go to one engine, and no session would
-        # find its own again.
+        # The initial share keeps a front with little traffic from inferring a single candidate, or half of
+        # all engines, from a single request, with every front inferring something else. All texts of a prefix
+        # would then go to one engine, and no session would find its cached text again.
         engines.sort(key=lambda e: affinity_rank(front, e, request.prefix_hash))
         engines = engines[: _candidate_count(front, request, len(engines))]
     return _in_session_order(front, engines, request)
 
 
 def _candidates_in_large_fleet(front: FrontState, request: Request) -> list[int]:
-    """The same where not all prefill engines are put in order: those that follow the text's hash."""
+    """Return the same from the hash ring, without sorting all prefill engines."""
     engine_count = len(front.ready_engines(Role.PREFILL))
     if request.prefix is None:
         span, text_hash = engine_count, request.session_hash
@@ -50,32 +57,36 @@
 
 
 def _candidate_count(front: FrontState, request: Request, engine_count: int) -> int:
-    """How many candidates a request's prefix has, by how often it is asked for; counts the request."""
+    """Return how many candidates a request's prefix has, given how often it is used, and count its use."""
     seen = sum(prefix == request.prefix for prefix in front.recent_prefixes)
     prefill_time = request.prefix_tokens / front.prefill_rates[Role.PREFILL]
     objective = front.class_state(request).settings.first_token_objective
-    usual = 0.0 if prefill_time > CHEAP_PREFIX * objective else USUAL_PREFIX_SHARE
-    share = (seen + RECENT_PREFIXES * usual) / (len(front.recent_prefixes) + RECENT_PREFIXES)
-    kept = front.recent_prefixes[1 - RECENT_PREFIXES :]
-    front.recent_prefixes = [*kept, cast(int, request.prefix)]
-    return 1 + int(CANDIDATE_SHARES * share * engine_count)
+    prior = 0.0 if prefill_time > CHEAP_PREFIX_FRACTION * objective else PRIOR_PREFIX_SHARE
+    share = (seen + RECENT_PREFIX_COUNT * prior) / (len(front.recent_prefixes) + RECENT_PREFIX_COUNT)
+    latest = front.recent_prefixes[1 - RECENT_PREFIX_COUNT :]
+    front.recent_prefixes = [*latest, cast(int, request.prefix)]
+    return 1 + int(CANDIDATES_PER_FAIR_SHARE * share * engine_count)
 
 
 def _in_session_order(front: FrontState, engines: list[Engine], request: Request) -> list[int]:
-    """The ids of candidates, the session's own first; sorts `engines`."""
+    """Return the ids of the candidates, that of the session's engine first; sorts `engines` in place."""
     zone = front.settings.zone
     engines.sort(key=lambda e: (e.zone != zone, affinity_rank(front, e, request.session_hash)))
     return [e.id for e in engines]
 
 
 def affinity_rank(front: FrontState, engine: Engine, text_hash: int) -> float:
-    """An engine's rank for a text, the least first: alike at all fronts, weighted by its rack's balance."""
-    drawn = (engine.stable_hash * (2 * text_hash + 1) & HASH_MASK) + 1
-    return -log(drawn / (HASH_MASK + 2)) / front.rack_balance.get(engine.rack, 1.0)
+    """Return an engine's rank for a text; the lowest rank is the best.
+
+    All fronts compute the same random rank from the hashes. It is weighted by the balance of the engine's
+    rack.
+    """
+    mixed_hash = (engine.stable_hash * (2 * text_hash + 1) & HASH_MASK) + 1
+    return -log(mixed_hash / (HASH_MASK + 2)) / front.rack_balance.get(engine.rack, 1.0)
 
 
 def tokens_to_prefill(front: FrontState, engine: Engine, request: Request) -> int:
-    """Prompt tokens that an engine probably has not cached; at least 1."""
+    """Return how many prompt tokens an engine probably does not have cached; at least 1."""
     cached = engine.cached_tokens
     session = cached.get(2 * request.session, 0) if request.session is not None else 0
     shared = cached.get(2 * request.prefix + 1, 0) if request.prefix is not None else 0
@@ -89,17 +100,20 @@
 
 
 def reported_cached_tokens(request: Request, outcome: AttemptOutcome) -> int:
-    """An attempt's cached tokens, within the prompt: an impossible count would spoil what is learned."""
+    """Return an attempt's cached tokens, limited to the prompt: an impossible count would skew estimates."""
     return min(max(0, outcome.cached_tokens), request.prompt_tokens)
 
 
 def record_cached_texts(engine: Engine, request: Request) -> None:
-    """Note that an engine has read a request's prompt: even keys are sessions, odd ones prefixes."""
+    """Record that an engine has computed a request's prompt.
+
+    The key of a session's text is twice the session, that of a prefix twice the prefix plus 1.
+    """
     cached = engine.cached_tokens
     texts = ((request.session, 0, request.prompt_tokens), (request.prefix, 1, request.prefix_tokens))
     for key, parity, length in texts:
         if key is not None:
             cached.pop(2 * key + parity, None)
             cached[2 * key + parity] = length
-    while len(cached) > CACHED_TEXTS:
+    while len(cached) > MAX_CACHED_TEXTS:
         del cached[next(iter(cached))]
--- a/runspool/scheduling/request_lifecycle.py
+++ b/runspool/scheduling/request_lifecycle.py
@@ -1,10 +1,10 @@
-"""What may be done for a request now: attempted, repeated, rejected, released. Free of I/O.
+"""Rules for what may be done with a request: when to attempt, repeat, reject and release it. Free of I/O.
 
-This module alone answers that, for every path through the program, and counts violations. It guards
-against one class of fault: taking what was done locally for what has happened at the engine. What was written
-has not been received, a connection closed here has not ended work there, a sent release is not
-confirmed. So an attempt's stage advances only by what its engine has said, and state that it may reserve
-is owed a release until some engine has confirmed one.
+All code that acts on a request asks this module, which also counts violations of the rules. It prevents one
+class of faults: mistaking a local action for its effect on the engine. Bytes that were written have not
+necessarily been received; closing a connection does not end the work on the engine; a release that was sent
+is not confirmed. An attempt's stage therefore advances only with what its engine has reported, and state that
+an engine may hold has to be released until some engine has confirmed a release.
 
 Times are tenths of a millisecond on the process's monotonic clock.
 """
@@ -25,26 +25,31 @@
     Role,
 )
 
-RELEASE_MARGIN = 150  # before the time by which reserved state must have been released
-RELEASE_TOLERANCE = 3_000  # that the platform allows beyond the settings' release timeout
-MAX_DEADLINE_AGE = 1_000  # of the deadline in an attempt's header when its last byte is sent
-ENDED_LOCALLY = frozenset(
-    {AttemptStatus.TIMED_OUT, AttemptStatus.CANCELLED, AttemptStatus.CONNECTION_LOST}
-)  # by this front: the engine may go on
+# Time before the release timeout at which a release is started, in tenths of a millisecond.
+RELEASE_MARGIN = 150
+# Time after the release timeout that the platform still tolerates, in tenths of a millisecond.
+RELEASE_TOLERANCE = 3_000
+# Maximum age, in tenths of a millisecond, of the deadline in an attempt's header when the attempt's last byte
+# is sent.
+MAX_DEADLINE_AGE = 1_000
+# Statuses of attempts that are known to have ended on this side only: the engine may still run them.
+ENDED_LOCALLY = frozenset({AttemptStatus.TIMED_OUT, AttemptStatus.CANCELLED, AttemptStatus.CONNECTION_LOST})
+# Statuses after which a prefill may still have been computed.
 PREFILL_MAY_HAVE_RUN = ENDED_LOCALLY | {AttemptStatus.SERVER_ERROR}
 
 
 class AttemptStage(Enum):
-    """How far an attempt has come, by what is known of its engine."""
+    """The progress of an attempt as far as its engine's responses show it."""
 
-    STARTED = auto()  # connecting, or handing bytes to the kernel
-    WRITTEN = auto()  # the kernel has all of it; the engine may never get it
+    STARTED = auto()  # connecting, or writing to the socket
+    # The kernel has accepted all of the request; the engine may never receive it.
+    WRITTEN = auto()
     RECEIVED = auto()  # the engine has responded with at least one byte
     ENDED = auto()
 
 
 class DenialReason(Enum):
-    """Why something may not be done now; the value is the reason for logs."""
+    """Why an action is not allowed now; the value is the text for logs."""
 
     ALREADY_ANSWERED = "the request has its final response"
     CLIENT_DISCONNECTED = "its client has disconnected"
@@ -61,34 +66,36 @@
 
 
 class InvariantViolation(Enum):
-    """An invariant that this process violated, or that this module kept it from violating."""
+    """An invariant that this process violated, or that this module prevented it from violating."""
 
-    ATTEMPT_NOT_ALLOWED = "attempt_not_allowed"  # the scheduler asked for an attempt that may not start
-    UNSAFE_REJECTION = "unsafe_rejection"  # a rejection would have promised that nothing was executed
+    # The scheduler requested an attempt that is not allowed.
+    ATTEMPT_NOT_ALLOWED = "attempt_not_allowed"
+    # A rejection would have claimed that the request was not executed, though it may have been.
+    UNSAFE_REJECTION = "unsafe_rejection"
     ANSWERED_TWICE = "answered_twice"
-    STATE_RELEASED_LATE = "state_released_late"  # reserved state was not released in time
-    STREAM_LEFT_OPEN = "stream_left_open"  # decisions did not move a stream before the process may be killed
-    CLOSED_UNANSWERED = (
-        "closed_unanswered"  # a request was read, and its connection closed without a response
-    )
+    # Reserved state was not released in time.
+    STATE_RELEASED_LATE = "state_released_late"
+    # The scheduler did not migrate a stream before the time at which the process may be killed.
+    STREAM_LEFT_OPEN = "stream_left_open"
+    # A request was received, and its connection closed without a response.
+    CLOSED_UNANSWERED = "closed_unanswered"
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptPolicy:
-    """What the settings allow a request: how it may be repeated, and when its state must be released."""
+    """The rules for a request that the settings define: its repeats, and the time limit on reserved state."""
 
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window: int = 0
     max_attempts: int = 1_000
-    state_release_timeout: int = 0  # 0: no timeout is set
-    stream_can_resume: bool = (
-        False  # its client asks for the rest of a stream that ends without its last chunk
-    )
+    state_release_timeout: int = 0  # 0 if there is no timeout
+    # Whether the client requests the rest of a stream that ends without its last chunk.
+    stream_can_resume: bool = False
 
     @classmethod
     def for_class(cls, settings: RoutingSettings, request_class: int) -> AttemptPolicy:
-        """The policy of a class of requests, by its index in the settings."""
+        """Return the policy of a request class, given by its index in the settings."""
         row = settings.request_classes[request_class]
         return cls(
             row.idempotency,
@@ -101,14 +108,17 @@
 
 
 def reservation_time(release_timeout: int, otherwise: int) -> int:
-    """How long state may stay reserved before its release starts; `otherwise` where no timeout is set."""
+    """Return how long state may stay reserved before its release starts.
+
+    `otherwise` is the time limit where `release_timeout` is 0. A margin is subtracted from either.
+    """
     allowed = release_timeout or otherwise
     return allowed - min(RELEASE_MARGIN, allowed // 2)
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptTarget:
-    """An engine as an attempt sees it."""
+    """The engine of an attempt, with what the rules need to know about it."""
 
     engine: int
     role: Role
@@ -118,7 +128,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One attempt at one engine."""
+    """One attempt of a request on one engine."""
 
     number: int
     target: AttemptTarget
@@ -127,36 +137,40 @@
 
     @property
     def is_prefill(self) -> bool:
-        """Whether it only reads the prompt, which has no effect."""
+        """Whether the attempt only computes the prompt's state, which has no effect beyond the engine."""
         return self.target.role is Role.PREFILL
 
     @property
     def in_progress(self) -> bool:
-        """Whether it has not ended here yet."""
+        """Whether the attempt has not yet ended on this side."""
         return self.stage is not AttemptStage.ENDED
 
 
 @dataclass(slots=True)
 class RequestLifecycle:
-    """One request, from its acceptance to the release of the last state that is reserved for it."""
+    """One request, from its acceptance until the last state reserved for it has been released."""
 
     policy: AttemptPolicy = AttemptPolicy()
-    deadline: int = 1 << 62  # when its client stops waiting
+    deadline: int = 1 << 62  # the time at which its client stops waiting
     attempt_count: int = 0
     last_attempt: Attempt | None = None
     answered: bool = False
     client_disconnected: bool = False
     streaming: bool = False
-    possibly_executed: Attempt | None = None  # the first decode attempt that may have had its effect
-    reserved_since: int | None = None  # since when an engine may reserve state that no attempt uses
+    # The first decode attempt that may have been executed.
+    possibly_executed: Attempt | None = None
+    # Start of the time for which an engine may have reserved state that no attempt uses.
+    reserved_since: int | None = None
     release_in_progress: bool = False
-    released_during_attempt: bool = False  # a release was started while the last attempt was in progress
-    remote_end_unknown: bool = False  # an attempt that ended here may go on, and reserve state, at its engine
+    # Whether a release was started while the last attempt was in progress.
+    released_during_attempt: bool = False
+    # Whether an attempt that ended on this side may still run, and reserve state, on its engine.
+    remote_end_unknown: bool = False
 
-    # What may be done.
+    # Decisions
 
     def deny_attempt(self, now: int, target: AttemptTarget) -> DenialReason | None:
-        """Returns why an attempt may not start at an engine now; None where it may."""
+        """Return why an attempt may not be started on an engine now, or None if it may."""
         if self.answered or self.streaming:
             return DenialReason.ALREADY_ANSWERED
         if self.client_disconnected:
@@ -168,9 +182,9 @@
         return self._deny_repeat(now, target)
 
     def deny_last_byte(self, now: int, encoded_at: int) -> DenialReason | None:
-        """Returns why the attempt's last byte may not be sent now; None where it may.
+        """Return why an attempt's last byte may not be sent now, or None if it may.
 
-        `encoded_at` is when the deadline in its header was computed.
+        `encoded_at` is when the deadline in the attempt's header was computed.
         """
         if self.client_disconnected:
             return DenialReason.CLIENT_DISCONNECTED
@@ -183,7 +197,7 @@
         return None
 
     def deny_rejection(self) -> DenialReason | None:
-        """Returns why the client may not be told that a retry is harmless; None where it may."""
+        """Return why the client may not be told that a retry is safe, or None if it may."""
         policy = self.policy
         if self.possibly_executed is None or policy.idempotency is Idempotency.IDEMPOTENT:
             return None
@@ -192,10 +206,10 @@
         return DenialReason.MAY_HAVE_EXECUTED
 
     def deny_staying_open(self, process_ends: bool) -> DenialReason | None:
-        """Returns why the request may not stay open, now that the process may be killed; None where it may.
+        """Return why a request must end now that the process may be killed, or None if it may stay open.
 
-        With `process_ends` the process is about to end by itself. A stream that cannot be resumed may stay
-        until then: to end it would lose what its engine still sends.
+        `process_ends` says that the process is about to exit by itself. Until then a stream that cannot be
+        resumed may stay open, because its client would lose what the engine still sends.
         """
         if self.answered:
             return None
@@ -206,45 +220,45 @@
         return DenialReason.RESUMABLE_AT_KILL if self.policy.stream_can_resume else None
 
     def release_due_at(self) -> int | None:
-        """Returns when the release has to start, unless an engine receives an attempt first.
+        """Return when a release has to start, unless an engine receives an attempt first.
 
-        None where nothing is reserved, a release is in progress, or no timeout is set.
+        None means that nothing is reserved, that a release is in progress, or that there is no timeout.
         """
         if self.reserved_since is None or self.release_in_progress or not self.policy.state_release_timeout:
             return None
         return self.reserved_since + reservation_time(self.policy.state_release_timeout, 0)
 
     def release_is_due(self, now: int) -> bool:
-        """Whether the release has to start now, though an attempt may be in progress."""
+        """Return whether a release has to start now, even if an attempt is in progress."""
         due_at = self.release_due_at()
         return due_at is not None and due_at <= now and not self._attempt_received()
 
-    # What has happened.
+    # Events
 
     def attempt_started(self, now: int, target: AttemptTarget) -> Attempt:
-        """An attempt starts; allowed only where `deny_attempt` returns None."""
+        """Record the start of an attempt, which is allowed only if `deny_attempt` returns None."""
         self.attempt_count += 1
         self.released_during_attempt = False
         self.last_attempt = Attempt(self.attempt_count, target, now)
         return self.last_attempt
 
     def attempt_written(self) -> None:
-        """The kernel has taken the last byte."""
+        """Record that the kernel has accepted the attempt's last byte."""
         if self.last_attempt is not None and self.last_attempt.stage is AttemptStage.STARTED:
             self.last_attempt.stage = AttemptStage.WRITTEN
 
     def attempt_received(self) -> None:
-        """The engine has responded to the attempt that is in progress."""
+        """Record that the engine has responded to the attempt in progress."""
         if self.last_attempt is not None and self.last_attempt.in_progress:
             self.last_attempt.stage = AttemptStage.RECEIVED
 
     def stream_started(self) -> None:
-        """The first event has come: the reserved state has been taken up."""
+        """Record the first event of a stream: the engine has taken over the reserved state."""
         self.streaming = True
         self.reserved_since = None
 
     def attempt_ended(self, now: int, status: AttemptStatus) -> None:
-        """The attempt that was in progress has ended here."""
+        """Record that the attempt in progress has ended on this side."""
         attempt = self.last_attempt
         if attempt is None or not attempt.in_progress:
             return
@@ -256,9 +270,9 @@
             self._decode_ended(now, status, received, attempt)
 
     def release_started(self) -> int | None:
-        """A release of all that is reserved has started.
+        """Record that a release of all reserved state has started.
 
-        Returns since when it has been reserved, to be passed to `release_confirmed`.
+        Return the time since which it has been reserved, to be passed to `release_confirmed`.
         """
         self.release_in_progress = True
         if self.last_attempt is not None and self.last_attempt.in_progress:
@@ -266,38 +280,42 @@
         return self.reserved_since
 
     def release_confirmed(self, now: int, since: int | None) -> bool:
-        """An engine has confirmed the release of what was reserved `since`; returns False if too late."""
+        """Record an engine's confirmation that it released the state reserved since `since`.
+
+        Return False if the release was too late.
+        """
         in_time = since is None or self._released_in_time(now, since)
         if self.reserved_since == since:
             self.reserved_since, self.release_in_progress = None, False
         return in_time
 
     def mark_answered(self) -> bool:
-        """The final response is given; returns False where there already was one."""
+        """Record the final response; return False if the request already had one."""
         if self.answered:
             return False
         self.answered = True
         return True
 
     def mark_client_disconnected(self) -> None:
-        """The client has closed its connection."""
+        """Record that the client has closed its connection."""
         self.client_disconnected = True
 
-    # Helpers.
+    # Helpers
 
     def _decode_ended(self, now: int, status: AttemptStatus, received: bool, attempt: Attempt) -> None:
         if status not in NOT_EXECUTED and self.possibly_executed is None:
             self.possibly_executed = attempt
-        # A release that reaches the engine before the close of this attempt's connection finds the attempt
-        # waiting there.
+        # If the release reached the engine before it noticed that this attempt's connection is closed, it
+        # found the attempt still waiting there.
         used_state = self.released_during_attempt or self.reserved_since is not None
         if used_state and status in ENDED_LOCALLY:
             self.remote_end_unknown = True
         if status is AttemptStatus.STATE_MISSING:
             self.reserved_since = None
         elif self.released_during_attempt or (received and self.reserved_since is not None):
-            # While the attempt was at its engine the time did not run. A release that found it there left the
-            # state that it waited for: reserved from now on, and to be released again.
+            # While the attempt was on its engine, the time limit did not run. A release that found the
+            # attempt there did not free the state that the attempt waited for. That state is reserved from
+            # now on and has to be released again.
             self._reserve(now)
 
     def _prefill_ended(self, now: int, status: AttemptStatus, received: bool) -> None:
@@ -306,12 +324,12 @@
         elif status in PREFILL_MAY_HAVE_RUN:
             if received or self.reserved_since is None:
                 self._reserve(now)
-            # The engine may complete the prefill after the connection was closed here.
+            # The engine may complete the prefill after this side closed the connection.
             if not received:
                 self.remote_end_unknown = True
 
     def _reserve(self, now: int) -> None:
-        """State may be reserved from now on; a release in progress may have come before it."""
+        """Record that state may be reserved from now on, which a release in progress may have missed."""
         self.reserved_since = now
         self.release_in_progress = False
 
@@ -338,12 +356,12 @@
 
 @dataclass(slots=True)
 class InvariantMonitor:
-    """Counts violations; `report` is called with each and its details, and must not raise."""
+    """Counter of violations; it passes each violation and its details to `report`, which must not raise."""
 
     report: Callable[[InvariantViolation, dict[str, object]], None]
     counts: Counter[str] = field(default_factory=Counter)
 
     def record(self, violation: InvariantViolation, **details: object) -> None:
-        """Counts one, with details such as the request's id, the engine and the reason."""
+        """Count a violation and report it with details such as the request's id, the engine or the reason."""
         self.counts[violation.value] += 1
         self.report(violation, details)
--- a/runspool/scheduling/request_progress.py
+++ b/runspool/scheduling/request_progress.py
@@ -1,4 +1,4 @@
-"""How far one request has come on its way through the scheduler."""
+"""Limits and state of one request between its attempts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestProgress:
-    """One request's limits, fixed when it begins, and its state between attempts.
+    """One request's limits, which are set when it begins, and its state between attempts.
 
     Times are tenths of a millisecond on the scheduler's clock.
     """
@@ -19,36 +19,36 @@
     request: Request
     class_state: RequestClassState
     deadline: int
-    """Nothing is started from here on: the client's limit less a margin."""
+    """The client's time limit less a margin; nothing is started after it."""
     first_token_due: int
     patience: float
-    """Fraction of the time to `first_token_due` that a foreseen wait may take."""
+    """Fraction of the time until `first_token_due` that a predicted wait may take."""
     latest_queueing: int
-    """Until then it waits behind the requests ahead of it without looking at the engines."""
+    """Until this time the request waits behind those ahead of it without evaluating engines."""
     queue_limit: int
-    """A prefill engine with a longer queue is not used yet."""
+    """Duration of a prefill engine's queue above which the request waits at the front."""
     queue_position: QueuePosition
     reservation_duration: int
-    """For how long an engine keeps a prefill's state."""
+    """How long an engine keeps a prefill's state reserved."""
     prefill_engine: Engine | None = None
     """The engine that holds the prefill's state."""
     reserved_since: int = 0
     attempts: int = 0
     connect_time_lost: int = 0
-    """Duration of the last decode attempt, where it was never sent."""
+    """Duration of the last decode attempt if it was never sent, else 0."""
     needs_retry_token: bool = False
-    """A prefill timed out or was refused, so the next one counts against the retry budget."""
+    """Whether the next prefill counts against the retry budget, because one timed out or was refused."""
     first_executed: Engine | None = None
     """The engine of the first attempt that may have been executed."""
     first_executed_at: int = 0
-    """When that attempt was sent."""
+    """The time at which that attempt was sent."""
     failed: list[int] = field(default_factory=list)
-    """Ids of engines that failed at this stage."""
+    """Ids of the engines that failed in the current stage, prefill or decode."""
     unreached: list[int] = field(default_factory=list)
-    """Ids of engines that took an attempt without a response."""
+    """Ids of the engines that did not respond to an attempt."""
     is_given_up: bool = False
-    """No engine can start it in time."""
+    """Whether no engine can start the request in time."""
 
     def reservation_ends_before(self, time: int) -> bool:
-        """Whether a prefill's state expires before a time."""
+        """Return whether the prefill's state, if there is any, expires before the given time."""
         return self.prefill_engine is not None and time > self.reserved_since + self.reservation_duration
--- a/runspool/scheduling/retry_policy.py
+++ b/runspool/scheduling/retry_policy.py
@@ -1,7 +1,7 @@
-"""Which attempts may follow another, when one is given up, and what a request without a response is told.
+"""Rules for repeating and abandoning attempts, and the final response of a request that was not completed.
 
-Mechanism 1, overdue age, its other half: an attempt that another may follow is given up past a multiple of
-what was foreseen.
+Overdue age (mechanism 1 of docs/design.md): an attempt that may be repeated is abandoned once it takes a
+multiple of its predicted time.
 """
 
 from __future__ import annotations
@@ -23,16 +23,23 @@
     Role,
 )
 
-NEVER_SENT = frozenset({AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT})  # as if it had not been made
-DECODE_TIMEOUT_PART = 0.8  # of the time left, for a decode attempt after which another may follow
-SHORTEST_TIMEOUT = 300 * MILLISECOND
-TIMEOUT_FACTOR = 4  # times the predicted wait before an attempt counts as hung
-RETRY_TOKENS_PER_PREFILL = 0.3  # repeats for each prefill that ends well, against an overload kept up by them
-LARGEST_RETRY_BUDGET = 10.0
+# Statuses of decode attempts that do not stop the time limit of the prefill's state.
+UNSENT_STATUSES = frozenset({AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT})
+# Timeout of a decode attempt that may be repeated, as a fraction of the time left.
+DECODE_TIMEOUT_FRACTION = 0.8
+# Shortest timeout of an attempt.
+MIN_TIMEOUT = 300 * MILLISECOND
+# Multiple of the predicted wait up to which an attempt does not count as hung.
+TIMEOUT_FACTOR = 4
+# Repeated prefills that each successful prefill adds to the retry budget. The budget prevents repeats from
+# sustaining an overload.
+RETRY_TOKENS_PER_PREFILL = 0.3
+# Upper bound on the retry budget, in prefills.
+MAX_RETRY_BUDGET = 10.0
 
 
 def may_continue(front: FrontState, progress: RequestProgress) -> bool:
-    """Whether another attempt of a request is still wanted and allowed."""
+    """Return whether another attempt of a request is still needed and allowed."""
     if (
         progress.request.finished
         or progress.attempts >= front.settings.max_attempts
@@ -48,16 +55,16 @@
 
 
 def reservation_ends_before_connect(front: FrontState, progress: RequestProgress) -> bool:
-    """Whether a prefill's state may expire while another connection is tried."""
-    # Decode engines to which no connection comes up would pin the state one after the other: the next attempt
-    # may take as long as the last, and the release takes its time too.
+    """Return whether a prefill's state may expire while another connection is tried."""
+    # If connections to one decode engine after another fail, the state stays reserved meanwhile. The next
+    # attempt may take as long as the last one, and the release needs time as well.
     return progress.prefill_engine is not None and (
         front.now + progress.connect_time_lost >= progress.reserved_since + progress.reservation_duration
     )
 
 
 def take_retry_token(front: FrontState, progress: RequestProgress) -> bool:
-    """Charge a repeated prefill to the retry budget; False where that is used up."""
+    """Charge a repeated prefill to the retry budget; return False if the budget is used up."""
     if progress.needs_retry_token:
         if front.retry_budget < 1:
             return False
@@ -67,26 +74,27 @@
 
 
 def attempt_timeout(front: FrontState, progress: RequestProgress, engine: Engine) -> int:
-    """After what time an attempt is given up; 0 for one that no other may follow."""
+    """Return the time after which an attempt is abandoned, or 0 if no other attempt may follow it."""
     request, prefill_engine = progress.request, progress.prefill_engine
-    # Without a repeat what is given up is only wasted.
+    # Without a repeat, abandoning an attempt only wastes its work.
     may_repeat = front.retry_budget >= 1 or prefill_engine or request.is_continuation
     if not may_repeat or progress.attempts >= front.settings.max_attempts:
         return 0
     decodes = engine.role is not Role.PREFILL
     if decodes and progress.class_state.settings.idempotency is not Idempotency.IDEMPOTENT:
         return 0
-    # Work given up may go on there: what is merely slow, as far as foreseen, is left alone; a prefill until
-    # it is due, for in a jam one repeated prefill makes two of one that comes as late.
+    # The engine may go on with an abandoned attempt, so one that is merely slow is not abandoned as far as
+    # that can be predicted. A prefill is kept until its first token is due: during congestion a repeat
+    # doubles the work and finishes no sooner.
     due = progress.first_token_due
-    left = (due if front.now < due - 2 * SHORTEST_TIMEOUT else progress.deadline) - front.now
+    left = (due if front.now < due - 2 * MIN_TIMEOUT else progress.deadline) - front.now
     wait = _predicted_wait(front, progress, engine)
-    part = DECODE_TIMEOUT_PART if decodes else 1
-    return max(SHORTEST_TIMEOUT, int(left * part), TIMEOUT_FACTOR * wait)
+    fraction = DECODE_TIMEOUT_FRACTION if decodes else 1
+    return max(MIN_TIMEOUT, int(left * fraction), TIMEOUT_FACTOR * wait)
 
 
 def _predicted_wait(front: FrontState, progress: RequestProgress, engine: Engine) -> int:
-    """How long an attempt takes to the end of its prefill or to its first token, as foreseen."""
+    """Return the predicted time until an attempt's prefill ends or its first token arrives."""
     prefill_engine = progress.prefill_engine
     if prefill_engine is None:
         return predicted_first_token_time(front, engine, progress.request)
@@ -99,14 +107,14 @@
 def record_attempt(
     front: FrontState, progress: RequestProgress, engine: Engine, outcome: AttemptOutcome, sent_at: int
 ) -> bool:
-    """Take the end of an attempt into its request; True where the prefill's state has to be released."""
+    """Update a request with the end of an attempt; return whether the prefill's state has to be released."""
     must_release = False
     if not (outcome.reached_engine or outcome.status is AttemptStatus.NOT_SENT):
         progress.unreached.append(engine.id)
     if outcome.status is AttemptStatus.PREFILL_COMPLETE:
         progress.prefill_engine, progress.reserved_since = engine, front.now
         progress.failed, progress.connect_time_lost = list(progress.unreached), 0
-        front.retry_budget = min(LARGEST_RETRY_BUDGET, front.retry_budget + RETRY_TOKENS_PER_PREFILL)
+        front.retry_budget = min(MAX_RETRY_BUDGET, front.retry_budget + RETRY_TOKENS_PER_PREFILL)
     elif outcome.status is AttemptStatus.STATE_MISSING:
         progress.prefill_engine = None
     elif outcome.status is not AttemptStatus.SUCCEEDED:
@@ -120,9 +128,9 @@
 def _record_failed_attempt(
     front: FrontState, progress: RequestProgress, engine: Engine, outcome: AttemptOutcome
 ) -> bool:
-    """Take in a failed attempt; True where the prefill's state has to be released."""
-    # A decode attempt without a response has not stopped the state's time limit.
-    progress.connect_time_lost = outcome.duration if outcome.status in NEVER_SENT else 0
+    """Update a request with a failed attempt; return whether the prefill's state has to be released."""
+    # An attempt that did not reach its engine has not stopped the state's time limit.
+    progress.connect_time_lost = outcome.duration if outcome.status in UNSENT_STATUSES else 0
     if outcome.reached_engine:
         progress.reserved_since = front.now
     progress.failed.append(engine.id)
@@ -131,12 +139,13 @@
         and not progress.request.is_continuation
         and outcome.status in (AttemptStatus.TIMED_OUT, AttemptStatus.OVERLOADED)
     )
-    # A released state is gone, or goes with the attempt that it waited for: the rest is released too.
+    # Released state is gone, or is dropped with the attempt that waited for it. Whatever else is reserved for
+    # the request is released too.
     return progress.prefill_engine is not None and outcome.state_released
 
 
 def final_response(front: FrontState, progress: RequestProgress) -> Action:
-    """The response to a request that was not completed: a retry is harmless, or may not be."""
+    """Return the response to a request that was not completed, depending on whether a retry is safe."""
     settings = progress.class_state.settings
     is_retry_harmful = progress.first_executed is not None and (
         settings.idempotency is Idempotency.AT_MOST_ONCE
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -1,11 +1,12 @@
-"""A request's way through one front's decisions: prefill, decode, repeats, final response.
+"""The scheduler of one front: it takes a request through prefill, decode and repeats to its final response.
 
-How to call it: make a Scheduler from the routing settings and a seed; set `now` before each call; give it
-`update_endpoints()`; drive `handle_request()`, `run_background_task()` and `run_shutdown()`, generators that
-yield what they want done (runspool/scheduling/actions.py) and are resumed with its result.
+To use it, create a `Scheduler` from the routing settings and a seed, and set `now` before each call. Pass
+endpoint changes to `update_endpoints()`. Run the generators that `handle_request()`, `run_background_task()`
+and `run_shutdown()` return: they yield actions (runspool/scheduling/actions.py) and are resumed with the
+results.
 
-The modules beside this one hold the decisions, as functions over a `FrontState`; docs/design.md says when
-each mechanism acts. Times are tenths of a millisecond.
+The other modules of this package make the decisions, as functions that operate on a `FrontState`.
+docs/design.md describes when each mechanism takes effect. Times are tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -55,17 +56,17 @@
 from runspool.scheduling.time_units import SECOND
 from runspool.scheduling.types import AttemptOutcome, AttemptStatus, EndpointUpdate, Request
 
-BACKGROUND_INTERVAL = SECOND
+BACKGROUND_INTERVAL = SECOND  # period of the background task
 
 
 class Scheduler(FrontState):
-    """One front's decisions; free of I/O, and of any clock but `now`."""
+    """The decisions of one front; free of I/O, and of any clock other than `now`."""
 
     def handle_request(self, request: Request) -> Generator[Action, Any, None]:
-        """Take one request to its end; however that comes, nothing of it is left in this front's state."""
+        """Take one request to its end; the front's state keeps nothing of it, however the generator ends."""
         try:
             if request.request_class is None or 0 < self.engine_index.largest_memory < request.prompt_tokens:
-                yield FailIndeterminate()  # no later try would go better
+                yield FailIndeterminate()  # A retry would fail as well.
             else:
                 yield from self._serve(begin_request(self, request))
         except BaseException:
@@ -77,12 +78,12 @@
             ]
 
     def _serve(self, progress: RequestProgress) -> Generator[Action, Any, None]:
-        """Take a request through prefill and decode, with repeats, to its final response."""
+        """Take a request through prefill, decode and repeats to its final response."""
         while may_continue(self, progress):
             if reservation_ends_before_connect(self, progress):
                 yield ReleaseState()
                 progress.prefill_engine = None
-                # Without the pause a prefill sent at once would overtake the release.
+                # Without this pause a prefill that is sent at once could arrive before the release.
                 yield Sleep(retry_time(self, progress.deadline))
                 continue
             if must_wait_in_queue(self, progress):
@@ -104,7 +105,7 @@
             yield final_response(self, progress)
 
     def _wait_for_engine(self, progress: RequestProgress) -> Generator[Action, Any, bool]:
-        """Sleep until the next look for an engine; False where the request is given up instead."""
+        """Sleep until an engine is to be selected again; return False if the request is given up instead."""
         if progress.is_given_up:
             return False
         wake_at = next_look(self, progress)
@@ -117,7 +118,10 @@
         return True
 
     def select_engine(self, progress: RequestProgress) -> Engine | None:
-        """The engine for the next attempt, or None while none can be had; may give the request up."""
+        """Return the engine for the next attempt, or None if none is available now.
+
+        May mark the request as given up.
+        """
         request, failed, first_executed = progress.request, progress.failed, progress.first_executed
         if progress.prefill_engine:
             return select_decode(self, request, progress.prefill_engine, failed, first_executed)
@@ -125,7 +129,7 @@
         return admit_prefill(self, progress, engine) if engine else None
 
     def _attempt(self, progress: RequestProgress, engine: Engine) -> Generator[Action, Any, bool]:
-        """Send a request to an engine; True where its stream started, and has ended."""
+        """Send a request to an engine; return True if its stream started, and has ended."""
         request, prefill_engine, sent_at = progress.request, progress.prefill_engine, self.now
         progress.attempts += 1
         timeout = attempt_timeout(self, progress, engine)
@@ -142,21 +146,21 @@
         return False
 
     def run_background_task(self) -> Generator[Action, Any, None]:
-        """Subscribe to the endpoint list and move streams off overloaded engines; never ends."""
+        """Subscribe to the endpoint list, and migrate streams from overloaded engines; never ends."""
         while True:
             if self.settings.must_subscribe and not self.is_subscribed:
                 self.is_subscribed = True
                 yield SubscribeToEndpoints()
             yield Sleep(self.now + BACKGROUND_INTERVAL)
-            # One stream a second is stopped by all fronts together, as far as each can tell.
+            # Each front decides at random, so that all fronts together migrate about one stream per second.
             may_migrate = self.settings.streams_can_resume and self.random() * self.settings.front_count < 1
             if may_migrate and (index := stream_to_migrate(self)) is not None:
                 yield MigrateStream(index)
 
     def run_shutdown(self, deadline: int) -> Generator[Action, Any, None]:
-        """Move this front's streams away before it is killed after `deadline`."""
+        """Migrate this front's streams before the process may be killed at `deadline`."""
         return migrate_before_shutdown(self, deadline)
 
     def update_endpoints(self, update: EndpointUpdate) -> None:
-        """Take a change of the endpoint list in."""
+        """Apply a change of the endpoint list."""
         apply_endpoint_update(self, update)
--- a/runspool/scheduling/slow_start.py
+++ b/runspool/scheduling/slow_start.py
@@ -1,6 +1,7 @@
-"""Mechanism 5, slow start: a starting engine is offered a part of this front's traffic.
+"""Slow start (mechanism 5 of docs/design.md): an engine that is starting gets a part of this front's traffic.
 
-One draw a request decides, so that waiting is not trying again.
+One random draw per request decides this. If each look at an engine drew anew, a request that waits would
+eventually be admitted.
 """
 
 from __future__ import annotations
@@ -8,12 +9,14 @@
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.front_state import FrontState
 
-SLOW_START_SAFETY = 0.4  # fraction of the overload limit that all fronts together offer
-GOLDEN_RATIO_FRACTION = 0.618034  # spreads one draw over many engines
+# Fraction of the overload limit that all fronts together send to a starting engine.
+SLOW_START_LOAD_FRACTION = 0.4
+# Spreads one random draw evenly over many engines.
+GOLDEN_RATIO_FRACTION = 0.618034
 
 
 def warmup_fraction(front: FrontState, engine: Engine) -> float:
-    """The part of its full capacity that an engine has by now."""
+    """Return the fraction of its full capacity that an engine has reached."""
     settings = front.settings
     if not engine.started_at or front.now >= engine.started_at + settings.slow_start_duration:
         return 1.0
@@ -23,13 +26,15 @@
 
 
 def admits_during_slow_start(front: FrontState, engine: Engine, request_draw: float) -> bool:
-    """Whether an engine may be offered a request with this draw.
+    """Return whether a request with this random draw may be sent to an engine.
 
-    All fronts together could overload a cold engine, so each offers a part of what it has.
+    All fronts together could overload a starting engine, so each of them sends a fraction of its requests
+    there.
     """
     warmup = warmup_fraction(front, engine)
     if warmup == 1.0:
-        return True  # counting peers for warm engines too would cost the square of the fleet's size
+        # Counting the peers of warm engines too would take quadratic time in the size of the fleet.
+        return True
     peers = front.engine_index.peer_count(engine.role)
-    part = SLOW_START_SAFETY * front.settings.slow_start_overload_multiple * warmup / max(1, peers)
-    return (request_draw + engine.id * GOLDEN_RATIO_FRACTION) % 1 < part
+    fraction = SLOW_START_LOAD_FRACTION * front.settings.slow_start_overload_multiple * warmup / max(1, peers)
+    return (request_draw + engine.id * GOLDEN_RATIO_FRACTION) % 1 < fraction
--- a/runspool/scheduling/stream_migration.py
+++ b/runspool/scheduling/stream_migration.py
@@ -1,4 +1,4 @@
-"""Which streams are stopped here to go on elsewhere: from an overloaded engine, or before a shutdown."""
+"""Selection of streams to stop here and resume elsewhere, from overloaded engines or before a shutdown."""
 
 from __future__ import annotations
 
@@ -11,13 +11,19 @@
 from runspool.scheduling.time_units import MILLISECOND, SECOND
 from runspool.scheduling.types import Role
 
-OVERLOAD_THRESHOLD = 1.2  # fraction of an engine's capacity above which a stream is stopped
-SHUTDOWN_SPREAD = SECOND  # over which the streams are moved before a shutdown
-SHORTEST_PAUSE = 25 * MILLISECOND  # between two of them
+# Load of an engine, as a fraction of its capacity, above which one of its streams is migrated.
+OVERLOAD_THRESHOLD = 1.2
+# Time before the shutdown deadline over which streams are migrated.
+SHUTDOWN_MIGRATION_PERIOD = SECOND
+# Shortest time between two migrations before a shutdown.
+MIN_MIGRATION_PAUSE = 25 * MILLISECOND
 
 
 def stream_to_migrate(front: FrontState) -> int | None:
-    """The request index of the smallest stream on the most overloaded engine, where a peer has room."""
+    """Return the request index of the smallest stream on the most overloaded engine.
+
+    None if no engine is overloaded, or if no engine of the same role has capacity to spare.
+    """
     engines = [e for e in front.active_engines.values() if e.ready and e.role is not Role.PREFILL]
     overloaded = [e for e in engines if e.streams and load(front, e) > OVERLOAD_THRESHOLD]
     worst = max(overloaded, key=lambda e: load(front, e), default=None)
@@ -30,18 +36,20 @@
 
 
 def migrate_before_shutdown(front: FrontState, deadline: int) -> Generator[Action, Any, None]:
-    """Move this front's streams before it is killed after `deadline`, or they would break.
+    """Migrate this front's streams before the process may be killed at `deadline`.
 
-    As late as can be, for others may be restarting too; the newest first and spread over a second.
+    The streams are migrated as late as possible, since other fronts may be restarting too. The newest goes
+    first, and the migrations are spread over `SHUTDOWN_MIGRATION_PERIOD`.
     """
-    yield Sleep(max(front.now, deadline - SHUTDOWN_SPREAD))
+    yield Sleep(max(front.now, deadline - SHUTDOWN_MIGRATION_PERIOD))
     while front.settings.streams_can_resume:
-        # From the requests: an engine's own list goes with its record once the engine is started anew. Those
-        # at draining engines too: nothing else would end them in time.
+        # Streams are taken from the open attempts because an engine's own entries are dropped with its record
+        # when it restarts. Streams on draining engines are included, since nothing else would end them in
+        # time.
         started = [index for index, attempt in front.open_attempts.items() if attempt.is_streaming]
         is_late = front.now >= deadline
         newest = [max(started)] if started else []
         for index in started if is_late else newest:
             yield MigrateStream(index)
-        pause = max(SHORTEST_PAUSE, (deadline - front.now) // (len(started) + 1))
-        yield Sleep(front.now + SHORTEST_PAUSE if is_late else min(deadline, front.now + pause))
+        pause = max(MIN_MIGRATION_PAUSE, (deadline - front.now) // (len(started) + 1))
+        yield Sleep(front.now + MIN_MIGRATION_PAUSE if is_late else min(deadline, front.now + pause))
--- a/runspool/scheduling/transfer_cost.py
+++ b/runspool/scheduling/transfer_cost.py
@@ -1,4 +1,7 @@
-"""Mechanism 6, distance: leaving a rack or zone counts as wait for prefills, as load for decodes."""
+"""Transfer cost (mechanism 6 of docs/design.md).
+
+Leaving a rack or zone counts as additional wait for prefills, and as additional load for decodes.
+"""
 
 from __future__ import annotations
 
@@ -8,37 +11,46 @@
 from runspool.scheduling.latency_estimator import value_at
 from runspool.scheduling.types import Role
 
-PRICE_WAIT = 4.0  # first token objectives of waiting that a price of one request's weight counts for
-PRICE_LOAD = 12.0  # full loads that it counts for
-CROSS_ZONE_LINK_FACTOR = 2.5  # times a move to another zone weighs beside one to another rack
+# Wait, in first-token objectives, that is equivalent to a price of one request's weight.
+WAIT_OBJECTIVES_PER_PRICE = 4.0
+# Load, in fully loaded engines, that is equivalent to a price of one request's weight.
+LOAD_PER_PRICE = 12.0
+# Cost of a transfer to another zone, relative to one to another rack of the same zone.
+CROSS_ZONE_LINK_FACTOR = 2.5
 
 
 def placement_cost(front: FrontState, engine: Engine) -> float:
-    """What an engine's place adds to a prefill's wait: another zone, and the transfer to come."""
+    """Return what an engine's location adds to a prefill's wait: another zone, and the expected transfer."""
     settings = front.settings
-    objective = front.shortest_objective()  # requests in the most hurry wait behind this one
+    # Requests with the shortest objective wait behind this one.
+    objective = front.shortest_objective()
     refresh_fleet_statistics(front)
-    leaves = 0.0
+    transfer_probability = 0.0
     if engine.role is Role.PREFILL:
-        leaves = max(0.0, 1 - front.rack_balance.get(engine.rack, 1.0))
-    leaves_zone = engine.zone != settings.zone
-    return PRICE_WAIT * objective * settings.cross_zone_price * leaves_zone + leaves * (
-        PRICE_WAIT * objective * settings.cross_rack_price + transfer_delay(front, engine.rack)
+        transfer_probability = max(0.0, 1 - front.rack_balance.get(engine.rack, 1.0))
+    is_other_zone = engine.zone != settings.zone
+    return (
+        WAIT_OBJECTIVES_PER_PRICE * objective * settings.cross_zone_price * is_other_zone
+        + transfer_probability
+        * (
+            WAIT_OBJECTIVES_PER_PRICE * objective * settings.cross_rack_price
+            + transfer_delay(front, engine.rack)
+        )
     )
 
 
 def transfer_delay(front: FrontState, rack: int) -> float:
-    """What a transfer of state out of a rack adds to the wait, as timed of late."""
+    """Return the estimated time that a state transfer out of a rack adds to the wait for a first token."""
     return value_at(front, front.rack_transfer_delays[rack], front.usual_transfer_delay)
 
 
 def transfer_cost(front: FrontState, engine: Engine, prefill_engine: Engine) -> float:
-    """What a transfer of state to a decode engine adds to its load."""
+    """Return what a state transfer to a decode engine adds to its load."""
     settings = front.settings
     price = settings.cross_zone_price * (engine.zone != settings.zone)
     if engine.rack == prefill_engine.rack:
-        return PRICE_LOAD * price
-    # A transfer to another zone holds the link for so much longer.
+        return LOAD_PER_PRICE * price
+    # A transfer to another zone occupies the link for longer by this factor.
     factor = 1.0 if engine.zone == prefill_engine.zone else CROSS_ZONE_LINK_FACTOR
-    price_load = PRICE_LOAD * (price + settings.cross_rack_price * factor)
-    return price_load + transfer_delay(front, prefill_engine.rack) / FULL_LOAD_WAIT
+    location_load = LOAD_PER_PRICE * (price + settings.cross_rack_price * factor)
+    return location_load + transfer_delay(front, prefill_engine.rack) / FULL_LOAD_WAIT
