--- a/runspool/runtime/platform_settings.py
+++ b/runspool/runtime/platform_settings.py
@@ -127,7 +127,7 @@
 
 def _check_number(value: object, path: str) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) < NUMBER_LIMIT:
-        raise InvalidSettingsError(path, f"{value!r} is not a number below {NUMBER_LIMIT:g} in magnitude")
+        raise InvalidSettingsError(path, f"{value!r} is not a number of magnitude below 1e15")
     return float(value)
 
 
