--- a/runspool/__init__.py
+++ b/runspool/__init__.py
@@ -1,1 +1,1 @@
-"""runspool: a router for language-model serving with reading and writing on separate engines."""
+"""runspool: a router for language-model serving with prefill and decode on separate engines."""
--- a/runspool/discovery/__init__.py
+++ b/runspool/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The endpoint list as a front follows it: its tracker, stored snapshot, and the watch that feeds both."""
+"""The endpoint list on the client side: watch, tracker and stored snapshot."""
--- a/runspool/discovery/concurrent_calls.py
+++ b/runspool/discovery/concurrent_calls.py
@@ -1,4 +1,4 @@
-"""Which of several concurrent calls to one peer to give up. Free of I/O."""
+"""Selects which of several concurrent calls to one peer is cancelled. It does no I/O."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 
 
 def age_ratio(made_at: Sequence[int], position: int, now: int) -> float:
-    """Returns by what factor the ages of the calls around one differ.
+    """Return the ratio of the ages of the two calls next to the one at `position`.
 
-    Giving up the call with the lowest ratio leaves calls of growing ages: a fresh one, which meets a peer
-    that has just returned, and old ones, which a slow peer answers in the end.
+    The call with the lowest ratio is the one to cancel. The ages of the remaining calls then grow roughly by
+    a constant factor: the recent calls reach a peer that has just become available again, and the old ones
+    give a slow peer the time to respond.
 
     Args:
-        made_at: when the calls were made, in order, followed by `now` for the one that is to be made.
-        position: the position of a call, neither the first nor the last.
-        now: the present time, in the unit of `made_at`.
+        made_at: Start times of the calls in ascending order, followed by `now` for the next call.
+        position: Index of a call, neither the first nor the last one in `made_at`.
+        now: Current time, in the unit of `made_at`.
     """
     older_age = now - made_at[position - 1]
     newer_age = now - made_at[position + 1]
--- a/runspool/discovery/endpoint_tracker.py
+++ b/runspool/discovery/endpoint_tracker.py
@@ -1,10 +1,10 @@
-"""The endpoint list as known so far, kept from messages that may be late, repeated, out of order, or missing.
+"""Tracks the endpoint list by messages that may be late, repeated, out of order or missing. It does no I/O.
 
-Free of I/O. Every entry carries an engine's complete state, so entries are judged one by one: the highest
-version that named an engine holds. A message ahead of a gap is therefore applied at once, since a drain
-counts from when it was announced; what the gap hides is missed only until the whole list has been requested.
-A list service that lost its version numbers announces another epoch; from then on only a whole list is
-accepted, and it restarts the count.
+An entry holds the complete state of an engine, so for each engine the entry with the highest version applies.
+A message that arrives after a gap in the versions is therefore applied immediately, because a drain takes
+effect when it is announced. Changes hidden by the gap are missing only until the whole list has been
+requested. A list service that has lost its version numbers begins a new epoch. From then on only a whole list
+is accepted, whose version becomes the current one.
 
 Times are in tenths of a millisecond.
 """
@@ -17,20 +17,22 @@
 
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
 
-GAP_TIMEOUT = 2_000  # tenths of a millisecond that missing versions may still arrive by themselves
-MAX_VERSIONS_AHEAD = 256  # versions applied beyond a gap; with more of them the whole list is cheaper
-MAX_ENGINES = 20_000  # entries kept; an engine beyond that is ignored
-MAX_GONE_ENGINES = 1_000  # removed engines still remembered, so that a late message does not bring them back
-NO_VERSION = -1  # below every version
+GAP_TIMEOUT = 2_000  # time for missing versions to arrive late before the whole list is requested
+# Number of versions applied after a gap above which the whole list is requested, as it is cheaper then.
+MAX_VERSIONS_AHEAD = 256
+MAX_ENGINES = 20_000  # maximum number of entries; further engines are ignored
+# Number of removed engines whose versions are kept, so that a late message does not add such an engine again.
+MAX_GONE_ENGINES = 1_000
+NO_VERSION = -1  # lower than every version
 
 
 @dataclass(frozen=True, slots=True)
 class ListRevision:
-    """The state of the list that a decision was taken on.
+    """Identifies the state of the list at the time of a decision.
 
     Attributes:
-        version: every message up to this version had been applied; -1 before the first.
-        confirmed_at: when the service was last heard, tenths of a millisecond; None before the first message.
+        version: Version up to which all messages had been applied; -1 before the first message.
+        confirmed_at: Time of the last message from the list service; None before the first message.
     """
 
     version: int
@@ -39,16 +41,16 @@
 
 @dataclass(slots=True)
 class EndpointTracker:
-    """The endpoint list as known so far.
+    """The known state of the endpoint list.
 
     Attributes:
-        epoch: the epoch that `version` belongs to.
-        version: every message up to this version has been applied; -1 before the first.
-        entries: by engine name, the active and draining engines and some removed ones.
-        last_versions: by engine name, the version that last named it.
-        versions_ahead: versions applied beyond the first missing one.
-        gap_since: when the oldest open gap was noticed, None while no version is missing.
-        confirmed_at: when a message, changes or none, was last applied; None before the first.
+        epoch: Epoch of `version`.
+        version: Version up to which all messages have been applied; -1 before the first message.
+        entries: Entries by engine name: active and draining engines, and recently removed ones.
+        last_versions: Highest version that held an entry of the engine, by engine name.
+        versions_ahead: Versions applied after the first missing version.
+        gap_since: Time at which the oldest gap was detected; None if no version is missing.
+        confirmed_at: Time of the last message, heartbeats included; None before the first message.
     """
 
     epoch: str = ""
@@ -60,19 +62,19 @@
     confirmed_at: int | None = None
 
     def revision(self) -> ListRevision:
-        """Returns what a decision taken now rests on."""
+        """Return the revision that a decision made now is based on."""
         return ListRevision(self.version, self.confirmed_at)
 
     def apply(self, now: int, message: EndpointListMessage) -> list[EndpointEntry]:
-        """Applies a message.
+        """Apply a message.
 
         Args:
-            now: the current time, tenths of a millisecond.
-            message: the message; repeats and older ones change nothing.
+            now: Current time.
+            message: The message. Repeated and outdated messages have no effect on the entries.
 
         Returns:
-            The entries that changed, in the message's order; engines that a whole list leaves out follow,
-            with state "gone".
+            The changed entries in the order of the message, followed by an entry with the state "gone" for
+            each engine that a whole list no longer contains.
         """
         self.confirmed_at = now
         if message.epoch != self.epoch:
@@ -94,20 +96,20 @@
         return changed
 
     def restore(self, entries: list[EndpointEntry]) -> list[EndpointEntry]:
-        """Applies a list stored by an earlier process, as older than anything the service sends.
+        """Apply a list that an earlier process stored. Any message of the service takes precedence over it.
 
         Returns:
-            The entries that changed.
+            The changed entries.
         """
         return [entry for entry in entries if self._apply_entry(entry, NO_VERSION)]
 
     def needs_snapshot(self, now: int) -> bool:
-        """Returns whether a gap has been open for too long, or hides too much, to wait any longer."""
+        """Return whether to request the whole list: a gap exceeds GAP_TIMEOUT or MAX_VERSIONS_AHEAD."""
         timed_out = self.gap_since is not None and now - self.gap_since >= GAP_TIMEOUT
         return timed_out or len(self.versions_ahead) > MAX_VERSIONS_AHEAD
 
     def active_entries(self) -> list[EndpointEntry]:
-        """Returns the entries of all engines that are active or draining."""
+        """Return the entries of all active and draining engines."""
         return [entry for entry in self.entries.values() if entry.state != "gone"]
 
     def _start_epoch(self, epoch: str) -> None:
@@ -116,11 +118,11 @@
 
     def _apply_snapshot(self, message: EndpointListMessage) -> list[EndpointEntry]:
         if message.version < self.version:
-            return []  # a repeat of an older list
-        named = {entry.engine for entry in message.engines}
+            return []  # an outdated list that arrived late
+        listed = {entry.engine for entry in message.engines}
         changed = [entry for entry in message.engines if self._apply_entry(entry, message.version)]
         for entry in self.active_entries():
-            if entry.engine not in named and self.last_versions[entry.engine] <= message.version:
+            if entry.engine not in listed and self.last_versions[entry.engine] <= message.version:
                 gone = msgspec.structs.replace(entry, state="gone")
                 self._apply_entry(gone, message.version)
                 changed.append(gone)
@@ -131,18 +133,18 @@
         return changed
 
     def _apply_entry(self, entry: EndpointEntry, version: int) -> bool:
-        """Takes an entry unless a newer version named its engine; returns whether it changed anything."""
+        """Store an entry unless a newer one is known for its engine; return whether it was a change."""
         if version < self.last_versions.get(entry.engine, NO_VERSION):
             return False
         if entry.engine not in self.entries and len(self.entries) >= MAX_ENGINES:
             return False
-        before = self.entries.get(entry.engine)
+        previous = self.entries.get(entry.engine)
         self.entries[entry.engine] = entry
         self.last_versions[entry.engine] = version
-        return before != entry
+        return previous != entry
 
     def _advance(self, now: int, message: EndpointListMessage) -> None:
-        """Counts a message's version as applied, and with it those before it if none can be missing."""
+        """Record a message's version as applied, and all earlier versions that the message includes."""
         if message.since is not None and message.since <= self.version:
             self.version = message.version - 1
             self._drop_versions_ahead(message.version)
@@ -163,7 +165,7 @@
             self.gap_since = now
 
     def _forget_gone(self) -> None:
-        """Forgets the removed engines named longest ago, beyond `MAX_GONE_ENGINES`."""
+        """Remove the oldest entries of removed engines beyond `MAX_GONE_ENGINES`."""
         gone = [name for name, entry in self.entries.items() if entry.state == "gone"]
         oldest_first = sorted(gone, key=lambda name: self.last_versions[name])
         for name in oldest_first[: max(0, len(gone) - MAX_GONE_ENGINES)]:
--- a/runspool/discovery/snapshot.py
+++ b/runspool/discovery/snapshot.py
@@ -1,6 +1,6 @@
-"""The last known endpoint list on disk, for a front that restarts while the list service is unreachable.
+"""The last known endpoint list, stored on disk for a restart while the list service is unreachable.
 
-The file holds JSON under a checksum (see `runspool.storage.atomic_file`).
+The file holds JSON after a checksum line (see `runspool.storage.atomic_file`).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class EndpointSnapshot(msgspec.Struct, frozen=True):
-    """The stored list: the version it was known at, and the engines that were active or draining then."""
+    """A stored list: its version, and the entries of the active and draining engines."""
 
     version: int
     engines: list[EndpointEntry]
@@ -24,32 +24,32 @@
 
 
 def save_snapshot(path: Path, version: int, engines: list[EndpointEntry]) -> None:
-    """Replaces the stored list atomically.
+    """Replace the stored list atomically.
 
     Raises:
-        OSError: the file could not be written; the previous one is untouched.
+        OSError: The file could not be written; the previous content is unchanged.
     """
     replace_file(path, add_checksum(msgspec.json.encode(EndpointSnapshot(version, engines))))
 
 
 def load_snapshot(path: Path) -> EndpointSnapshot | None:
-    """Reads the stored list.
+    """Read the stored list.
 
     Returns:
-        The list that was saved last, or None if there is no file.
+        The list that was saved last, or None if the file does not exist.
 
     Raises:
-        CorruptFileError: the file is damaged, or holds an address that is not host:port.
+        CorruptFileError: The file is damaged, or holds an address that is not of the form host:port.
     """
     body = read_checked(path)
     if body is None:
         return None
     try:
         snapshot = _decoder.decode(body)
-    except msgspec.DecodeError as fault:
-        raise CorruptFileError(path, str(fault)) from None
+    except msgspec.DecodeError as error:
+        raise CorruptFileError(path, str(error)) from None
     if any(not parse_address(entry.address) for entry in snapshot.engines):
-        raise CorruptFileError(path, "an address that is not host:port")
+        raise CorruptFileError(path, "address not of the form host:port")
     return snapshot
 
 
--- a/runspool/discovery/watch_client.py
+++ b/runspool/discovery/watch_client.py
@@ -1,4 +1,4 @@
-"""The watch on the list service: connects, reads messages by lines, reconnects after an interruption."""
+"""HTTP client for the watch on the list service. It reconnects after an interruption."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 from runspool.errors import RunspoolError
 from runspool.wire.endpoint_list import EndpointEntry, MalformedListLineError, decode_message
 
-RECEIVE_BYTES = 65_536  # read from the socket at once
+RECEIVE_BYTES = 65_536  # maximum size of one read from the socket
 WATCH_PATH = "/v1/engines/watch"
 MS_PER_SECOND = 1_000
 HTTP_OK = 200
-MAX_OPENING_ATTEMPTS = 6  # out at once
+MAX_OPENING_ATTEMPTS = 6  # maximum number of concurrent attempts to open a watch
 
 
 class WatchInterruptedError(RunspoolError):
-    """The watch cannot go on over its connection.
+    """The watch has ended or cannot be continued on its connection.
 
     Attributes:
-        reason: why not.
+        reason: Description of the cause.
     """
 
     def __init__(self, reason: str) -> None:
@@ -36,6 +36,7 @@
         self.reason = reason
 
 
+# Exceptions that end a connection of the watch.
 WATCH_ERRORS = (
     WatchInterruptedError,
     MalformedListLineError,
@@ -49,7 +50,7 @@
 
 @dataclass(slots=True)
 class _OpenWatch:
-    """A watch that has brought its first data."""
+    """A watch whose first data has been received."""
 
     stream: SocketStream
     connection: h11.Connection
@@ -57,52 +58,51 @@
 
 
 class _OpeningAttempts:
-    """The attempts to open a watch that are out, their ages growing.
+    """Concurrent attempts to open a watch. The first one that receives data is used.
 
     Attributes:
-        winner: the first watch that has brought data.
-        fault: the last failure, None before any.
-        out: the attempts that are out and when they were begun, the oldest first.
-        settled: set once there is a winner, or no attempt is out any more.
+        winner: The watch that received data first; None if there is none yet.
+        last_error: The last failure; None before the first one.
+        pending: Cancel scope and start time of each pending attempt, the oldest first.
+        settled: Set once there is a winner or no attempt is pending.
     """
 
     def __init__(self) -> None:
         self.winner: _OpenWatch | None = None
-        self.fault: Exception | None = None
-        self.out: list[tuple[anyio.CancelScope, int]] = []
+        self.last_error: Exception | None = None
+        self.pending: list[tuple[anyio.CancelScope, int]] = []
         self.settled = anyio.Event()
 
     def begin(self, now: int) -> anyio.CancelScope:
-        """Returns the scope of a new attempt; where too many are out, one is cancelled."""
-        if len(self.out) >= MAX_OPENING_ATTEMPTS:
-            made_at = [*(begun_at for _, begun_at in self.out), now]
-            inner = range(1, len(self.out))
-            self.out.pop(min(inner, key=lambda position: age_ratio(made_at, position, now)))[0].cancel()
+        """Register a new attempt and return its cancel scope; cancel another one if too many are pending."""
+        if len(self.pending) >= MAX_OPENING_ATTEMPTS:
+            made_at = [*(started_at for _, started_at in self.pending), now]
+            inner = range(1, len(self.pending))
+            self.pending.pop(min(inner, key=lambda position: age_ratio(made_at, position, now)))[0].cancel()
         scope = anyio.CancelScope()
-        self.out.append((scope, now))
+        self.pending.append((scope, now))
         return scope
 
     def opened(self, watch: _OpenWatch) -> bool:
-        """Takes the first watch that has brought data; False for a later one, which its caller closes."""
+        """Store the first open watch; return False for a later one, which the caller must close."""
         if self.winner is not None:
             return False
         self.winner = watch
         self.settled.set()
         return True
 
-    def failed(self, scope: anyio.CancelScope, fault: Exception) -> None:
-        """Notes that an attempt has failed."""
-        self.fault = fault
-        self.out = [(other, begun_at) for other, begun_at in self.out if other is not scope]
-        if not self.out:
+    def failed(self, scope: anyio.CancelScope, error: Exception) -> None:
+        """Record the failure of an attempt."""
+        self.last_error = error
+        self.pending = [(other, started_at) for other, started_at in self.pending if other is not scope]
+        if not self.pending:
             self.settled.set()
 
 
 class WatchClient:
-    """Follows the list service.
+    """Receives the changes of the endpoint list from the list service.
 
-    Calls `on_changed` with the entries that changed as they become known, and `on_lost` once for each
-    interruption.
+    It calls `on_changed` with the changed entries of each message, and `on_lost` once for each interruption.
     """
 
     def __init__(
@@ -121,39 +121,43 @@
         self.now = now
         self.listener = WatchListener(tracker, now, on_changed, on_lost)
         self.source_address = source_address
-        self.needs_whole_list = True  # the next connection requests the whole list, not what changed
+        self.needs_whole_list = (
+            True  # whether the next connection requests the whole list instead of the changes
+        )
 
     async def follow(self) -> None:
-        """Runs until cancelled; whatever the service does, what is known of the list stays."""
+        """Watch the list until cancelled. The known list is kept while the service is unreachable."""
         while True:
             try:
                 await self._watch_once()
-            except WATCH_ERRORS as fault:
-                self.listener.connection_lost(fault)
+            except WATCH_ERRORS as error:
+                self.listener.connection_lost(error)
             self.listener.on_lost()
             await anyio.sleep(self.settings.retry_ms / MS_PER_SECOND)
 
     async def _watch_once(self) -> None:
-        """Opens a watch and reads from it until it fails; always ends by an exception."""
+        """Open a watch and read from it until it is interrupted, which raises one of WATCH_ERRORS."""
         opened = await self._open()
         data, partial_line = opened.first_data, b""
         async with opened.stream:
             while True:
                 *lines, partial_line = (partial_line + data).split(b"\n")
                 if len(partial_line) > self.settings.line_bytes:
-                    raise WatchInterruptedError(f"a line of over {self.settings.line_bytes} bytes")
+                    raise WatchInterruptedError(f"line exceeds {self.settings.line_bytes} bytes")
                 for line in lines:
                     self._receive_line(line)
                 with anyio.fail_after(self.settings.quiet_ms / MS_PER_SECOND):
                     data = await self._receive_data(opened.stream, opened.connection)
 
     async def _open(self) -> _OpenWatch:
-        """Opens a watch: the first that brings data, of one begun each `quiet_ms` as long as none does.
+        """Open a watch and return it once it has received data.
 
-        None is given up for being slow, as a service that is slower than that would never be heard.
+        A further attempt starts every `quiet_ms` until one receives data. A slow attempt is not cancelled
+        when the next one starts, because then a service that takes longer than `quiet_ms` could never be
+        reached.
 
         Raises:
-            Exception: one of WATCH_ERRORS, where an attempt has failed and no other is out.
+            Exception: One of WATCH_ERRORS, if an attempt has failed and no other is pending.
         """
         attempts = _OpeningAttempts()
 
@@ -163,21 +167,21 @@
                     watch = await self._connect()
                     if not attempts.opened(watch):
                         await anyio.aclose_forcefully(watch.stream)
-                except WATCH_ERRORS as fault:
-                    attempts.failed(scope, fault)
+                except WATCH_ERRORS as error:
+                    attempts.failed(scope, error)
 
         async with anyio.create_task_group() as tasks:
-            while attempts.winner is None and (attempts.out or attempts.fault is None):
+            while attempts.winner is None and (attempts.pending or attempts.last_error is None):
                 tasks.start_soon(attempt, attempts.begin(self.now()))
                 with anyio.move_on_after(self.settings.quiet_ms / MS_PER_SECOND):
                     await attempts.settled.wait()
             tasks.cancel_scope.cancel()
         if attempts.winner is not None:
             return attempts.winner
-        raise attempts.fault or WatchInterruptedError("no watch could be opened")
+        raise attempts.last_error or WatchInterruptedError("the watch could not be opened")
 
     async def _connect(self) -> _OpenWatch:
-        """Opens one connection, requests the watch and waits for its first data."""
+        """Open a connection, request the watch and wait for its first data."""
         stream = await anyio.connect_tcp(
             self.settings.host, self.settings.port, local_host=self.source_address
         )
@@ -200,7 +204,7 @@
         return connection
 
     async def _receive_data(self, stream: SocketStream, connection: h11.Connection) -> bytes:
-        """Returns the next piece of the response's body."""
+        """Return the next part of the response body."""
         while True:
             event = connection.next_event()
             if event is h11.NEED_DATA:
@@ -214,7 +218,7 @@
                 if event.status_code != HTTP_OK:
                     raise WatchInterruptedError(f"status {event.status_code}")
             elif not isinstance(event, h11.InformationalResponse):
-                raise WatchInterruptedError("the watch ended")
+                raise WatchInterruptedError("the service ended the watch")
 
     def _receive_line(self, line: bytes) -> None:
         if not line.strip():
@@ -222,11 +226,11 @@
         try:
             message = decode_message(line)
         except MalformedListLineError:
-            self.needs_whole_list = True  # what the line announced is not known
+            self.needs_whole_list = True  # the changes in that line are unknown
             raise
         if message.is_snapshot:
             self.needs_whole_list = False
         self.listener.receive(message)
         if self.tracker.needs_snapshot(self.now()):
             self.needs_whole_list = True
-            raise WatchInterruptedError(f"news is missing after version {self.tracker.version}")
+            raise WatchInterruptedError(f"messages are missing after version {self.tracker.version}")
--- a/runspool/discovery/watch_listener.py
+++ b/runspool/discovery/watch_listener.py
@@ -1,4 +1,4 @@
-"""What every watch on the endpoint list does with its messages and interruptions, whatever the protocol."""
+"""Protocol-independent handling of the messages and interruptions of a watch on the endpoint list."""
 
 from __future__ import annotations
 
@@ -9,17 +9,18 @@
 from runspool.discovery.endpoint_tracker import EndpointTracker
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
 
-MAX_LOGGED_ENGINES = 20  # named in one log line; its count covers all
+MAX_LOGGED_ENGINES = 20  # maximum number of engines listed in one log line
 
 
 class WatchListener:
-    """Applies messages to a tracker, passes on what changed, and logs changes and interruptions.
+    """Applies messages to a tracker, reports changed entries, and logs changes and interruptions.
 
     Attributes:
-        tracker: the list as known so far.
-        on_changed: called with the entries that a message changed, if any.
-        on_lost: for the watch to call, once for each interruption.
-        consecutive_losses: interruptions since the last message.
+        tracker: Known state of the list.
+        now: Returns the current time in tenths of a millisecond.
+        on_changed: Called with the changed entries of a message, if there are any.
+        on_lost: Called by the watch once for each interruption.
+        consecutive_losses: Number of interruptions since the last message.
     """
 
     def __init__(
@@ -37,7 +38,7 @@
         self.consecutive_losses = 0
 
     def receive(self, message: EndpointListMessage) -> None:
-        """Applies a message; `on_changed` is called before this returns."""
+        """Apply a message, and call `on_changed` if it changed any entry."""
         self.consecutive_losses = 0
         changed = self.tracker.apply(self.now(), message)
         if changed:
@@ -50,13 +51,13 @@
             )
             self.on_changed(changed)
 
-    def connection_lost(self, fault: Exception) -> None:
-        """Counts an interruption; logs the 1st, 2nd, 4th, 8th and so on, so that the log cannot fill up."""
+    def connection_lost(self, error: Exception) -> None:
+        """Count an interruption; log only the 1st, 2nd, 4th, 8th and so on, to limit the log's size."""
         self.consecutive_losses += 1
         if self.consecutive_losses.bit_count() == 1:
             self.log.warning(
                 "endpoint_list_lost",
-                reason=str(fault) or type(fault).__name__,
+                reason=str(error) or type(error).__name__,
                 losses=self.consecutive_losses,
                 version=self.tracker.version,
             )
--- a/runspool/engines/__init__.py
+++ b/runspool/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Speaking to engines: pooled connections, the exchanges on them, and the ending of each."""
+"""HTTP clients for engines: connection pool, request and response exchanges, classification of failures."""
--- a/runspool/engines/attempt_result.py
+++ b/runspool/engines/attempt_result.py
@@ -1,4 +1,4 @@
-"""The result of an attempt, and the listener to a streamed response."""
+"""The result of one attempt at an engine, and the interface that receives a streamed response."""
 
 from __future__ import annotations
 
@@ -8,26 +8,37 @@
 from runspool.engines.failure_classification import STATUS_BY_CAUSE, FailureCause
 from runspool.scheduling.types import AttemptStatus, LoadReport
 
-Piece = TypeVar("Piece", contravariant=True)
+Chunk = TypeVar("Chunk", contravariant=True)
 
 
-class ResponseListener(Protocol[Piece]):
-    """Receives a streamed response as it comes, in pieces of the protocol's own form."""
+class ResponseListener(Protocol[Chunk]):
+    """Receives a streamed response chunk by chunk; the type of a chunk depends on the engine protocol."""
 
     async def stream_started(self) -> None:
-        """Handle the start of the stream; called once, before the first piece."""
+        """Handle the start of the stream; called once, before the first chunk."""
 
-    async def data_received(self, piece: Piece, /) -> None:
-        """Handle the next piece of the stream."""
+    async def data_received(self, chunk: Chunk, /) -> None:
+        """Handle the next chunk of the stream."""
 
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended; `failure_cause` is None where it succeeded.
+    """The outcome of an attempt.
 
-    `reached_engine` is set once the engine has sent anything: it had the request, or its head at least.
-    `first_byte_at` is when its first byte was about to be sent, tenths of a millisecond; None where none was.
-    `state` names the prefill state that is kept at the engine, in the protocol's own form.
+    Attributes:
+        status: Status that the scheduler acts on.
+        failure_cause: What went wrong; None if the attempt succeeded.
+        detail: Description of the failure for the log.
+        cached_tokens: Number of prompt tokens that the engine found in its cache.
+        prompt_tokens: Number of prompt tokens, as counted by the engine.
+        output_tokens: Number of tokens received.
+        finish_reason: Reason for the end of the output, as reported by the engine.
+        reached_engine: True once the engine has sent any byte, which shows that it received the request or at
+            least its head.
+        first_byte_at: Time immediately before the first byte of the request was sent, in tenths of a
+            millisecond; None if none was sent.
+        state: Identifies the prefill state that the engine holds, in the form of the engine protocol.
+        load_report: The engine's load as reported with its response; None if it reported none.
     """
 
     status: AttemptStatus
@@ -43,7 +54,13 @@
     load_report: LoadReport | None = None
 
     def fail(self, cause: FailureCause, detail: str, stream_started: bool) -> None:
-        """Record a failure; once the client has received some of the stream, any is an interruption."""
+        """Record a failure.
+
+        Args:
+            cause: Cause of the failure. It is recorded as STREAM_INTERRUPTED if the stream has started.
+            detail: Description for the log.
+            stream_started: Whether the client has received a part of the stream.
+        """
         self.failure_cause = FailureCause.STREAM_INTERRUPTED if stream_started else cause
         self.detail = detail
         self.status = STATUS_BY_CAUSE[self.failure_cause]
--- a/runspool/engines/completions_client.py
+++ b/runspool/engines/completions_client.py
@@ -1,4 +1,4 @@
-"""A front's HTTP client for engines with the completions API: one attempt at one engine at a time."""
+"""HTTP client for engines that serve the completions API. Each call makes one attempt at one engine."""
 
 from __future__ import annotations
 
@@ -23,18 +23,20 @@
 from runspool.transport.tcp import connect
 from runspool.wire import engine_messages as wire
 
-# The parameters that name a prefill state, in the engine's own form.
+# JSON object that identifies a prefill state (`kv_transfer_params`). Its values are passed on undecoded.
 PrefillState = dict[str, msgspec.Raw]
 
-MAX_TRAILING_READS = 8  # reads after a response's last token, so that its connection can be kept
-STREAM_END = b"[DONE]"  # the data of a stream's last event
+# Maximum number of socket reads after a response's last token. The connection can be reused only if the
+# response ends within them.
+MAX_TRAILING_READS = 8
+STREAM_END = b"[DONE]"  # data of the last event of a stream
 
 
 class CompletionsEngineClient(HttpExchangeClient):
-    """Carries out attempts on pooled connections. It neither chooses engines nor retries."""
+    """Makes attempts on pooled connections. Engine selection and retries are left to the caller."""
 
     def classify_response(self, response: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
-        """Return what a response with an unexpected status means, and the code from its error body."""
+        """Return the failure cause of a response with an unexpected status, and its error code."""
         code = wire.error_code(body)
         return classify_http_status(response.status, code), code
 
@@ -46,9 +48,12 @@
         limit: int,
         permit: SendPermit,
     ) -> AttemptResult:
-        """Have a prompt prefilled; PREFILL_COMPLETE with the state, or the failure. Arguments as in decode().
+        """Make an attempt that only prefills the prompt. The arguments are those of decode().
 
-        Cancelled, it closes the connection and returns nothing.
+        A cancelled call closes its connection.
+
+        Returns:
+            The status PREFILL_COMPLETE with the prefill state, or the failure.
         """
         load_report: LoadReport | None = None
         exchange = Exchange(permit)
@@ -58,10 +63,10 @@
                 await self._send_request(exchange, timer, address, lambda remaining: request)
                 head = await self._read_head(exchange)
                 load_report = wire.load_report(head.headers.get(wire.LOAD_REPORT_HEADER))
-                answer = wire.parse_response(await self._read_body(exchange))
-                if not answer.kv_transfer_params:
+                response = wire.parse_response(await self._read_body(exchange))
+                if not response.kv_transfer_params:
                     raise ExchangeAbortedError(
-                        FailureCause.MALFORMED_RESPONSE, "a read without kv_transfer_params"
+                        FailureCause.MALFORMED_RESPONSE, "prefill response without kv_transfer_params"
                     )
         except ExchangeAbortedError as error:
             return AttemptResult(
@@ -79,13 +84,13 @@
                 reached_engine=True,
                 load_report=load_report,
             )
-        usage = answer.usage or wire.Usage()
+        usage = response.usage or wire.Usage()
         return AttemptResult(
             AttemptStatus.PREFILL_COMPLETE,
             cached_tokens=usage.cached_tokens,
             prompt_tokens=usage.prompt_tokens,
             reached_engine=True,
-            state=answer.kv_transfer_params,
+            state=response.kv_transfer_params,
             load_report=load_report,
         )
 
@@ -100,11 +105,21 @@
         max_output_tokens: int,
         listener: ResponseListener[str],
     ) -> AttemptResult:
-        """Have a query answered, passing its text to `listener` as it comes.
+        """Make an attempt that generates the output, and forward its text while it arrives.
+
+        A cancelled call closes its connection.
 
-        `permit` is asked before the last byte is sent, and notified when the first byte comes back.
-        `limit`, in tenths of a millisecond, applies until the first token; after it only the idle timeout.
-        Cancelled, it closes the connection and returns nothing.
+        Args:
+            address: Host and port of the engine.
+            query: Parameters of the client's request body.
+            state: Prefill state to continue from; None to prefill at this engine.
+            headers: Additional headers of the request.
+            limit: Time limit until the first token, in tenths of a millisecond. After the first token only
+                the idle timeout applies.
+            permit: Asked before the first and the last byte of the request are sent, and notified when the
+                first byte of the response arrives.
+            max_output_tokens: Number of tokens past which the response is treated as malformed.
+            listener: Receives the text.
         """
         result = AttemptResult(AttemptStatus.SUCCEEDED)
         stream = _TokenStream(self._read_more, result, self.settings.line_bytes, max_output_tokens)
@@ -121,7 +136,7 @@
                 stream.check_finished()
                 await self._read_trailing_bytes(exchange)
         except ExchangeAbortedError as error:
-            # After its finish reason a response is complete: only its last lines are missing.
+            # After the finish reason the text is complete; only the last lines of the response are missing.
             if not (stream.finished and error.cause is FailureCause.STREAM_INTERRUPTED):
                 result.fail(error.cause, error.detail, stream.started)
         except wire.MalformedResponseError as error:
@@ -132,9 +147,18 @@
     async def release_state(
         self, address: Address, state: PrefillState | None, request: str, limit: int
     ) -> FailureCause | None:
-        """Release a state, named by itself or by its prefill's request; None once confirmed, or the failure.
+        """Release a prefill state.
+
+        A cancelled call closes its connection.
+
+        Args:
+            address: Host and port of the engine.
+            state: The prefill state; None if the prefill's response, which would identify it, was lost.
+            request: Request id of the prefill.
+            limit: Time limit in tenths of a millisecond.
 
-        `limit` is in tenths of a millisecond. Cancelled, it closes the connection.
+        Returns:
+            None once the engine has confirmed the release, otherwise the cause of the failure.
         """
         exchange = Exchange()
         try:
@@ -150,7 +174,7 @@
     async def accepts_connections(self, address: Address) -> bool:
         """Return whether an engine accepts connections.
 
-        Asked after a connection broke, to tell a reset by the engine from the engine's end.
+        Called after a connection was lost, to distinguish a reset of one connection from a stopped engine.
         """
         try:
             with anyio.fail_after(self.settings.connect_ms / 1000):
@@ -168,7 +192,7 @@
         wait: WatchedWait,
         listener: ResponseListener[str],
     ) -> None:
-        """Forward `text` and all that follows; what came together is forwarded together."""
+        """Forward `text` and the rest of the stream; text received in one read is forwarded in one call."""
         if text:
             stream.started = True
             await listener.stream_started()
@@ -186,7 +210,7 @@
                 await listener.data_received(text)
 
     async def _read_trailing_bytes(self, exchange: Exchange) -> None:
-        """Read what follows the last event, for a short time, so that the connection can be kept."""
+        """Read the end of the response for at most `connect_ms`, so that the connection can be reused."""
         with anyio.move_on_after(self.settings.connect_ms / 1000):
             try:
                 for _ in range(MAX_TRAILING_READS):
@@ -199,12 +223,12 @@
 
 
 class _TokenStream:
-    """A streamed response as it is read from a connection; counts its tokens in the attempt's result.
+    """Reader of a streamed response; it stores the token counts in the attempt's result.
 
     Attributes:
-        started: Set by the reader once the first text is forwarded.
-        finished: Whether the finish reason has come: the text is complete.
-        ended: Whether nothing more is to be read.
+        started: Set by the caller once the first text is forwarded.
+        finished: True once the finish reason was received, which completes the text.
+        ended: True once the end of the stream was received.
     """
 
     def __init__(
@@ -223,18 +247,18 @@
         self._events = wire.EventSplitter(max_line_bytes)
 
     async def read_first(self, exchange: Exchange) -> str:
-        """Read until the first text; empty where the response ends without any."""
+        """Read until the first text and return it; return an empty string if the response has no text."""
         while not self.ended:
             if text := await self.read(exchange, FailureCause.CLOSED_DURING_RESPONSE):
                 return text
         return ""
 
     async def read(self, exchange: Exchange, cause_if_closed: FailureCause) -> str:
-        """Read once and return the text that came, which may be empty.
+        """Read from the connection once and return the text received, which may be empty.
 
         Raises:
-            ExchangeAbortedError: The connection was lost, for which the cause is `cause_if_closed`; the
-                engine has sent an error, or more tokens than it was asked for.
+            ExchangeAbortedError: The connection was lost (with the cause `cause_if_closed`), or the engine
+                has sent an error or more tokens than requested.
             wire.MalformedResponseError: An event cannot be parsed.
         """
         response = exchange.response
@@ -253,28 +277,28 @@
             self._read_event(event, texts)
         if self._result.output_tokens > self._max_output_tokens:
             raise ExchangeAbortedError(
-                FailureCause.MALFORMED_RESPONSE, f"more than {self._max_output_tokens} tokens"
+                FailureCause.MALFORMED_RESPONSE, f"response exceeds {self._max_output_tokens} tokens"
             )
         return "".join(texts)
 
     def check_finished(self) -> None:
-        """Raise ExchangeAbortedError where the response has ended without a finish reason."""
+        """Raise ExchangeAbortedError if the response has ended without a finish reason."""
         if not self.finished:
             raise ExchangeAbortedError(
                 FailureCause.STREAM_INTERRUPTED if self.started else FailureCause.MALFORMED_RESPONSE,
-                "ends without a finish",
+                "response ended without a finish reason",
             )
 
     def _read_event(self, event: bytes, texts: list[str]) -> None:
-        """Append an event's texts to `texts`, and note its usage and finish reason in the result."""
+        """Append the texts of an event to `texts`; store its usage and finish reason in the result."""
         result = self._result
-        answer = wire.parse_response(event)
-        if answer.error is not None:
-            raise ExchangeAbortedError(FailureCause.SERVER_ERROR, str(answer.error))
-        if answer.usage is not None:
-            result.cached_tokens = answer.usage.cached_tokens
-            result.prompt_tokens = answer.usage.prompt_tokens
-        for choice in answer.choices:
+        completion = wire.parse_response(event)
+        if completion.error is not None:
+            raise ExchangeAbortedError(FailureCause.SERVER_ERROR, str(completion.error))
+        if completion.usage is not None:
+            result.cached_tokens = completion.usage.cached_tokens
+            result.prompt_tokens = completion.usage.prompt_tokens
+        for choice in completion.choices:
             if choice.text and not self.finished:
                 result.output_tokens += 1
                 texts.append(choice.text)
--- a/runspool/engines/connection_pool.py
+++ b/runspool/engines/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to engines: opened on demand, kept idle for a while, limited for each engine and in total."""
+"""A pool of connections to engines, opened on demand and limited in number per engine and in total."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from runspool.transport.tcp import TcpConnection, connect
 from runspool.units import TENTHS, tenths
 
-MAX_HEAD_BYTES = 65536  # of a response's head
+MAX_HEAD_BYTES = 65536  # maximum size of a response head
 
 Address = tuple[str, int]  # host and port
 
 
 class ClientSettings(Protocol):
-    """How the client speaks to engines; times in milliseconds."""
+    """Limits and timeouts of the connections to engines; times are in milliseconds."""
 
     @property
     def connect_ms(self) -> float:
@@ -27,54 +27,61 @@
 
     @property
     def idle_ms(self) -> float:
-        """How long an idle connection is kept."""
+        """The time after which an idle connection is closed."""
 
     @property
     def connections_each(self) -> int:
-        """The greatest number of connections to one engine."""
+        """The maximum number of connections to one engine."""
 
     @property
     def idle_each(self) -> int:
-        """The greatest number of idle connections to one engine."""
+        """The maximum number of idle connections to one engine."""
 
     @property
     def read_answer_bytes(self) -> int:
-        """The greatest size of a response body that is read whole."""
+        """The maximum size of a response body that is not streamed."""
 
     @property
     def line_bytes(self) -> int:
-        """The greatest size of one event of a stream."""
+        """The maximum size of one event of a stream."""
 
     @property
     def source_address(self) -> str | None:
-        """The local address to connect from; None lets the system choose."""
+        """The local address to connect from; None if the operating system is to choose it."""
 
 
 class ConnectionLimitError(RunspoolError):
-    """This process holds as many connections to the engine, or to all engines, as it may."""
+    """The limit for connections to one engine, or to all engines together, is reached."""
 
 
 class PooledConnection:
-    """One connection, and the response that is being read from it."""
+    """A connection of the pool, with the parser of the response that is read from it."""
 
     __slots__ = ("address", "exchanges_begun", "idle_since", "response", "round_trip", "tcp")
 
     def __init__(self, address: Address, tcp: TcpConnection, round_trip: int) -> None:
-        """`round_trip`: tenths of a millisecond that connecting took, at least one round trip."""
+        """Wrap an open connection.
+
+        Args:
+            address: Host and port of the peer.
+            tcp: The open connection.
+            round_trip: Time taken to connect, in tenths of a millisecond; an upper bound of the round-trip
+                time.
+        """
         self.address = address
         self.tcp = tcp
         self.response = ResponseParser(MAX_HEAD_BYTES)
         self.round_trip = round_trip
-        self.idle_since = 0  # 0 until the first exchange on it has ended
+        self.idle_since = 0  # tenths of a millisecond; 0 until the first exchange has ended
         self.exchanges_begun = 0
 
     def has_unsolicited_data(self) -> bool:
-        """Return whether the peer has closed, reset or sent something; then no request may be sent."""
+        """Return whether the peer has closed, reset or sent data; if so, no request may be sent."""
         return self.tcp.has_unsolicited_data()
 
 
 class ConnectionPool:
-    """Connections by address. Never waits for a connection in use: past a limit it fails at once."""
+    """A pool of connections by address. Where a limit is reached, acquire() fails instead of waiting."""
 
     def __init__(
         self,
@@ -87,28 +94,33 @@
 
         Args:
             settings: Limits and timeouts.
-            now: The time in tenths of a millisecond.
-            max_connections: The limit for all engines together; 0 sets none.
-            quiet_time: Tenths of a millisecond after an exchange during which its connection is used only
-                where no other can be had.
+            now: Returns the current time in tenths of a millisecond.
+            max_connections: Maximum number of connections to all engines together; 0 for no limit.
+            quiet_time: Time after an exchange, in tenths of a millisecond, during which its connection is
+                reused only if no other connection is available and none may be opened.
         """
         self.settings = settings
         self.max_connections = max_connections
         self.quiet_time = quiet_time
         self.now = now
-        self.idle: dict[Address, deque[PooledConnection]] = {}  # the longest idle first
-        self.open_counts: dict[Address, int] = {}  # idle and in use
+        self.idle: dict[Address, deque[PooledConnection]] = {}  # ordered by `idle_since`
+        self.open_counts: dict[
+            Address, int
+        ] = {}  # connections that are open or being opened, idle ones included
 
     async def acquire(self, address: Address, connect_ms: float | None = None) -> PooledConnection:
         """Return an idle connection that is still usable, or a new one.
 
-        Cancelled, it leaves no connection open that it opened. `connect_ms` is the time limit for opening it
-        where that is not the one of the settings.
+        If the call is cancelled, a connection that it has opened is closed.
+
+        Args:
+            address: Host and port of the engine.
+            connect_ms: Time limit for opening a connection, in milliseconds; None for that of the settings.
 
         Raises:
             ConnectionLimitError: A limit is reached.
             OSError: The connection cannot be established.
-            TimeoutError: It is not established in that time.
+            TimeoutError: The connection was not established within the time limit.
         """
         connection = self._take_idle(address)
         if connection is not None:
@@ -120,7 +132,7 @@
         return await self._open(address, self.settings.connect_ms if connect_ms is None else connect_ms)
 
     def release(self, connection: PooledConnection) -> None:
-        """Keep a connection whose exchange has ended where it can be used again, else close it."""
+        """Return a connection to the pool after its exchange; close it if it cannot be reused."""
         if connection.response.complete and connection.response.keep_alive:
             connection.response.reset()
             idle = self.idle.setdefault(connection.address, deque())
@@ -131,13 +143,13 @@
         self.discard(connection)
 
     def discard(self, connection: PooledConnection) -> None:
-        """Close a connection, which must not be among the idle ones, at once."""
+        """Close a connection immediately. It must not be in `idle`."""
         self._count_closed(connection.address)
         connection.tcp.close()
         connection.response.detach_parser()
 
     def close_idle(self) -> None:
-        """Close the connections that have been idle for longer than `idle_ms`."""
+        """Close all connections that have been idle for longer than `idle_ms`."""
         oldest = self.now() - tenths(self.settings.idle_ms)
         for address, idle in list(self.idle.items()):
             while idle and idle[0].idle_since < oldest:
@@ -152,13 +164,14 @@
                 self.discard(idle.popleft())
 
     def _take_idle(self, address: Address) -> PooledConnection | None:
-        """Take a usable idle connection: the last used one that is past its quiet time.
+        """Remove a usable idle connection from the pool and return it; return None if there is none.
 
-        One in its quiet time is taken only where no new connection may be opened, the longest idle first.
+        The most recently used connection past its quiet time is preferred. A connection within its quiet time
+        is taken only if no new connection may be opened, the one idle for longest first.
         """
         idle = self.idle.get(address, deque())
         quiet_since = self.now() - self.quiet_time
-        for connection in reversed([one for one in idle if one.idle_since <= quiet_since]):
+        for connection in reversed([candidate for candidate in idle if candidate.idle_since <= quiet_since]):
             if self._take_if_usable(connection):
                 return connection
         if self._limit_reached(address):
@@ -169,7 +182,7 @@
         return None
 
     def _take_if_usable(self, connection: PooledConnection) -> bool:
-        """Take a connection out of the idle ones; close it and return False where it is not usable."""
+        """Remove a connection from `idle`; if it is not usable, close it and return False."""
         self.idle[connection.address].remove(connection)
         if (
             not connection.has_unsolicited_data()
@@ -180,7 +193,7 @@
         return False
 
     async def _open(self, address: Address, connect_ms: float) -> PooledConnection:
-        # Counted before it is open, so that concurrent callers cannot pass the limit together.
+        # Counted before it is open, so that concurrent calls cannot exceed the limit.
         self.open_counts[address] = self.open_counts.get(address, 0) + 1
         started = self.now()
         try:
@@ -192,15 +205,16 @@
         return PooledConnection(address, tcp, self.now() - started + 1)
 
     def _limit_reached(self, address: Address) -> bool:
-        """Return whether a new connection would pass the engine's limit or that of all together."""
+        """Return whether a new connection would exceed the limit per engine or the total limit."""
         if self.open_counts.get(address, 0) >= self.settings.connections_each:
             return True
         return 0 < self.max_connections <= sum(self.open_counts.values())
 
     def _close_longest_idle(self) -> bool:
-        """Close the connection idle for longest, to make room for one to another engine.
+        """Close the connection that has been idle for longest, so that another engine can have one.
 
-        Returns False where none is idle.
+        Returns:
+            False if no connection is idle.
         """
         candidates = [idle[0] for idle in self.idle.values() if idle]
         if candidates:
--- a/runspool/engines/exchange_timer.py
+++ b/runspool/engines/exchange_timer.py
@@ -1,4 +1,4 @@
-"""The time limit of one exchange; times in tenths of a millisecond."""
+"""The time limit of one exchange. Times are in tenths of a millisecond."""
 
 from __future__ import annotations
 
@@ -12,11 +12,14 @@
 
 
 class ExchangeTimer:
-    """A context manager that cancels its body at the deadline.
+    """A context manager that cancels its body at a deadline and then raises ExchangeAbortedError.
 
-    The body sets `timeout_cause` as the exchange proceeds: it says what running out of time means at the
-    point reached. A body that was cut off raises ExchangeAbortedError with that cause; a cancellation from
-    outside passes through.
+    A cancellation from outside passes through unchanged.
+
+    Attributes:
+        scope: The cancel scope that holds the deadline.
+        timeout_cause: Cause of the error that is raised. The body sets it as the exchange proceeds, because
+            the meaning of a timeout depends on how much was sent and received.
     """
 
     __slots__ = ("scope", "timeout_cause")
@@ -26,19 +29,19 @@
         self.timeout_cause = FailureCause.CONNECT_FAILED
 
     def remove_limit(self, cause: FailureCause) -> None:
-        """Remove the deadline: from now on only cancel() ends the exchange, with `cause`.
+        """Remove the deadline. After this only cancel() ends the exchange, with the cause `cause`.
 
         Raises:
             ExchangeAbortedError: The deadline has passed.
         """
-        # A cancellation that has been called is delivered at the next wait, whatever the deadline is then.
+        # A requested cancellation is delivered at the next await even if the deadline is moved after it.
         if self.scope.cancel_called:
-            raise ExchangeAbortedError(self.timeout_cause, "time ran out")
+            raise ExchangeAbortedError(self.timeout_cause, "time limit exceeded")
         self.timeout_cause = cause
         self.scope.deadline = math.inf
 
     def extend(self, time: int) -> None:
-        """Move the deadline to `time` from now, if that is later."""
+        """Move the deadline to `time` from now, unless it is already later."""
         self.scope.deadline = max(self.scope.deadline, anyio.current_time() + time / UNITS_PER_SECOND)
 
     def remaining(self) -> int:
@@ -46,7 +49,7 @@
         return int((self.scope.deadline - anyio.current_time()) * 1000 * TENTHS)
 
     def cancel(self) -> None:
-        """End the exchange now, as if its time had run out."""
+        """End the exchange now, as if the deadline had passed."""
         self.scope.cancel()
 
     def __enter__(self) -> ExchangeTimer:
@@ -59,12 +62,12 @@
         exc_value: BaseException | None,
         traceback: TracebackType | None,
     ) -> bool:
-        swallowed = self.scope.__exit__(exc_type, exc_value, traceback)
+        suppressed = self.scope.__exit__(exc_type, exc_value, traceback)
         if self.scope.cancelled_caught:
-            raise ExchangeAbortedError(self.timeout_cause, "time ran out")
-        return bool(swallowed)
+            raise ExchangeAbortedError(self.timeout_cause, "time limit exceeded")
+        return bool(suppressed)
 
 
 def effective_timeout(max_timeout: int, remaining: int) -> int:
-    """Return an attempt's timeout: `max_timeout`, 0 for none, cut to what `remaining` the client leaves."""
+    """Return an attempt's timeout: the request's `remaining` time, at most `max_timeout` unless that is 0."""
     return min(max_timeout, remaining) if max_timeout else remaining
--- a/runspool/engines/failure_classification.py
+++ b/runspool/engines/failure_classification.py
@@ -1,8 +1,8 @@
-"""Maps each failure seen on a socket to an attempt status, which says whether the attempt may have executed.
+"""Maps each failure observed on a connection to an attempt status.
 
-An attempt is known not to have executed as long as the last byte of its request has not left this process,
-because an engine cannot act on a body that it has not received completely. It is also known from a response
-status with which the engine promises so. After any other failure the attempt may have executed.
+The status determines whether the attempt may have executed at the engine. It cannot have executed before this
+process has sent the last byte of its request, because an engine does not act on an incomplete body, and it
+has not executed if the response status guarantees that. After any other failure it may have executed.
 docs/operators/endings.md shows the same table.
 """
 
@@ -15,46 +15,52 @@
 
 
 class FailureCause(Enum):
-    """What was observed on the socket."""
+    """The observed reason for the failure of an attempt."""
 
-    # The attempt's time had run out before it was started.
+    # The time limit had passed before the attempt started.
     NO_TIME_LEFT = auto()
-    # This process holds as many connections to the engine as it may.
+    # The limit for connections to the engine, or to all engines together, was reached.
     CONNECTION_LIMIT_REACHED = auto()
-    # The engine was removed from the endpoint list before the last byte of the request was sent.
+    # The send permit denied the first or the last byte, for example because the engine was removed from the
+    # endpoint list.
     NOT_PERMITTED = auto()
-    # No connection: refused, unreachable, or not established in time.
+    # The connection was refused or not established in time, or the address was unreachable.
     CONNECT_FAILED = auto()
-    # Closed or reset while the request was still being sent.
+    # The connection was closed or reset before the whole request was sent.
     CLOSED_WHILE_SENDING = auto()
-    # Time ran out while the request was still being sent.
+    # The time limit passed before the whole request was sent.
     TIMED_OUT_WHILE_SENDING = auto()
-    # Closed or reset after the whole request was sent, before a complete response head.
+    # The connection was closed or reset after the whole request was sent and before a complete response head.
     CLOSED_BEFORE_RESPONSE = auto()
-    # The whole request was sent; no (first) response within the attempt's time.
+    # The whole request was sent, but the response, or the first token of a stream, did not arrive in time.
     TIMED_OUT_BEFORE_RESPONSE = auto()
     # Status 429 or 503.
     OVERLOADED = auto()
     # Status 409 with the error code STATE_GONE.
     STATE_MISSING = auto()
-    # Status 400, 413 or 422: the engine rejects the request itself.
+    # Status 400, 413 or 422: the request itself is invalid for the engine.
     REQUEST_REJECTED = auto()
-    # Another 4xx status: the peer does not serve this API.
+    # Any other 4xx status except 408: the peer does not serve this API.
     UNSUPPORTED_ENDPOINT = auto()
-    # A 5xx status other than 503, or a status that is not expected here.
+    # Any other status, for example 500, or an error event in a stream.
     SERVER_ERROR = auto()
-    # Status 200, but the rest cannot be parsed, exceeds a size limit or lacks a required part.
+    # The response cannot be parsed, exceeds a size limit or lacks a required part.
     MALFORMED_RESPONSE = auto()
-    # Status 200, then closed, reset or idle for too long before the first token.
+    # The connection was closed or reset after a response head with status 200 and before the first token.
     CLOSED_DURING_RESPONSE = auto()
-    # Closed, reset or idle for too long after the first token.
+    # The connection was closed or reset, or the idle timeout passed, after the first token.
     STREAM_INTERRUPTED = auto()
-    # This process closed the connection itself.
+    # This process cancelled the attempt and closed the connection.
     CANCELLED = auto()
 
 
 class ExchangeAbortedError(RunspoolError):
-    """An exchange ended early; `cause` says what was observed, `detail` is for the log."""
+    """An exchange ended before its response was complete.
+
+    Attributes:
+        cause: Observed reason.
+        detail: Description for the log.
+    """
 
     def __init__(self, cause: FailureCause, detail: str = "") -> None:
         super().__init__(detail)
@@ -82,23 +88,23 @@
     FailureCause.CANCELLED: AttemptStatus.CANCELLED,
 }
 
-STATE_GONE = "state_gone"
+STATE_GONE = "state_gone"  # error code of an engine that no longer holds the prefill state
 
 
 def classify_http_status(status: int, code: str) -> FailureCause:
-    """Return what a response status other than 200 means; `code` is the code from its error body."""
+    """Return the failure cause for a response status other than 200 and the code of its error body."""
     if status in (429, 503):
         return FailureCause.OVERLOADED
     if status == 409 and code == STATE_GONE:
         return FailureCause.STATE_MISSING
     if status in (400, 413, 422):
         return FailureCause.REQUEST_REJECTED
-    # An intermediary may send 408 after the engine has received the whole request.
+    # 408 is excluded: a proxy may send it after the engine has received the whole request.
     if 400 <= status < 500 and status != 408:
         return FailureCause.UNSUPPORTED_ENDPOINT
     return FailureCause.SERVER_ERROR
 
 
 def may_have_executed(cause: FailureCause) -> bool:
-    """Return whether an attempt that failed from `cause` may have executed at the engine."""
+    """Return whether an attempt that failed with `cause` may have executed at the engine."""
     return STATUS_BY_CAUSE[cause] not in NOT_EXECUTED
--- a/runspool/engines/http_exchange.py
+++ b/runspool/engines/http_exchange.py
@@ -1,6 +1,6 @@
-"""One HTTP exchange on a pooled connection: the request is sent and its response read, within a time limit.
+"""HTTP exchanges on pooled connections: sending a request and reading its response within a time limit.
 
-Subclasses of HttpExchangeClient know the protocol of their peer.
+Subclasses of HttpExchangeClient implement the protocol of one kind of peer.
 """
 
 from __future__ import annotations
@@ -25,16 +25,24 @@
 from runspool.transport.tcp import ConnectionClosedError
 from runspool.units import UNITS_PER_SECOND, tenths
 
-# An idle connection is observed for its round trip before the last byte is sent, but for no longer than this,
-# in tenths of a millisecond: connecting may have been slow for other reasons.
+# Upper bound, in tenths of a millisecond, for the round-trip time for which a reused connection is observed
+# before the last byte of a request is sent. The round-trip time is estimated by the time taken to connect,
+# which may have been long for other reasons.
 MAX_OBSERVATION_TIME = 50
 
-# Encodes a request; the argument is the time that is left for it, in tenths of a millisecond.
+# Returns the encoded request. The argument is the time remaining for it, in tenths of a millisecond.
 RequestEncoder = Callable[[int], bytes]
 
 
 class Exchange:
-    """The state of one exchange; `connection` and `timer` are set once a connection has been acquired."""
+    """The state of one exchange.
+
+    Attributes:
+        permit: Decides whether the request may be sent.
+        connection: Set once a connection has been acquired.
+        timer: Time limit of the exchange; set together with `connection`.
+        reached_engine: True once any byte of the response has arrived.
+    """
 
     __slots__ = ("connection", "permit", "reached_engine", "timer")
 
@@ -46,21 +54,21 @@
 
     @property
     def response(self) -> ResponseParser:
-        """The response that is being read."""
+        """The parser of the response."""
         return self.connection.response
 
 
 def encode_request(method: str, target: str, headers: Mapping[str, str], body: bytes = b"") -> bytes:
-    """Encode a whole request; the caller must have checked the headers' names and values."""
+    """Encode a request. Header names and values must not need escaping."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     length = f"Content-Length: {len(body)}\r\n" if body else ""
     return f"{method} {target} HTTP/1.1\r\n{lines}{length}\r\n".encode("latin-1") + body
 
 
 class HttpExchangeClient:
-    """Base of clients that carry out exchanges on pooled connections.
+    """Base class of clients that make HTTP exchanges on pooled connections.
 
-    An exchange that is cancelled, or that fails, closes its connection.
+    The connection of a failed or cancelled exchange is closed.
     """
 
     def __init__(
@@ -71,14 +79,15 @@
         max_connections: int = 0,
         quiet_ms: float = 0,
     ) -> None:
-        """Create a client without connections.
+        """Create a client with an empty connection pool.
 
         Args:
             settings: Limits and timeouts.
-            now: The time in tenths of a millisecond.
-            idle_timeout_ms: How long a stream that has started may be silent.
-            max_connections: The limit for the connections to all peers together; 0 sets none.
-            quiet_ms: How long after an exchange its peer may still send bytes that belong to it.
+            now: Returns the current time in tenths of a millisecond.
+            idle_timeout_ms: Maximum duration of one read of a stream after its first token, in milliseconds.
+            max_connections: Maximum number of connections to all peers together; 0 for no limit.
+            quiet_ms: Time after an exchange, in milliseconds, within which the peer may still send surplus
+                bytes on its connection.
         """
         self.settings = settings
         self.now = now
@@ -87,7 +96,7 @@
         self.pool = ConnectionPool(settings, now, max_connections, tenths(quiet_ms))
 
     def classify_response(self, response: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
-        """Return what a response with an unexpected status means, and a detail for the log."""
+        """Return the failure cause of a response with an unexpected status, and a description for the log."""
         raise NotImplementedError
 
     def _start_timer(self, timeout: int) -> ExchangeTimer:
@@ -97,7 +106,7 @@
 
     @contextmanager
     def _managed_connection(self, exchange: Exchange) -> Iterator[None]:
-        """At the end release the exchange's connection, if it has one; discard it if it was cut short."""
+        """On exit, return the connection to the pool if the response is complete, otherwise close it."""
         try:
             yield
         finally:
@@ -109,10 +118,10 @@
 
     @contextmanager
     def _watched_stream(self, timer: ExchangeTimer) -> Iterator[WatchedWait]:
-        """Replace the exchange's time limit by the idle timeout, while a stream that has started is read.
+        """Replace the exchange's time limit by the idle timeout while the body reads a started stream.
 
-        The body sets `waiting_since` of the wait that it is given at the start of each read, and sets it to 0
-        afterwards. A read past the timeout ends the exchange with the cause STREAM_INTERRUPTED.
+        The body must set `waiting_since` of the yielded wait before each read, and reset it to 0 after the
+        read. A read that exceeds the timeout ends the exchange with the cause STREAM_INTERRUPTED.
         """
         timer.remove_limit(FailureCause.STREAM_INTERRUPTED)
         wait = self.watchdog.watch(self.idle_timeout, timer.cancel)
@@ -129,12 +138,23 @@
         encode: RequestEncoder,
         connect_ms: float | None = None,
     ) -> None:
-        """Acquire a connection for the exchange, as the pool does, and send the whole request on it."""
+        """Acquire a connection for the exchange and send the whole request on it.
+
+        Args:
+            exchange: The exchange, not yet connected.
+            timer: Its time limit, already running.
+            address: Host and port of the peer.
+            encode: Encodes the request.
+            connect_ms: Time limit for opening a connection, in milliseconds; None for that of the settings.
+
+        Raises:
+            ExchangeAbortedError: The request was not sent, or only in part.
+        """
         try:
             exchange.connection = await self.pool.acquire(address, connect_ms)
         except ConnectionLimitError as error:
             raise ExchangeAbortedError(FailureCause.CONNECTION_LIMIT_REACHED, str(error)) from None
-        except Exception as error:  # noqa: BLE001 - whatever the event loop raises, nothing has been sent
+        except Exception as error:  # noqa: BLE001 - nothing has been sent, so any exception is a failed connect
             raise ExchangeAbortedError(
                 FailureCause.CONNECT_FAILED, str(error) or type(error).__name__
             ) from None
@@ -149,10 +169,10 @@
         self._require_permission(exchange.permit.deny_first_byte())
         encoded_at = self.now()
         observation_time = self._observation_time(connection)
-        # Encoded only now: the time that is left has shrunk while the connection was established.
+        # Encoded only now, because the remaining time has decreased while the connection was established.
         request = encode(max(1, timer.remaining() - observation_time))
-        # The last byte is held back: the engine cannot have started before it is sent, so that a connection
-        # that broke while it was idle leaves no doubt about what was executed.
+        # The last byte is sent separately. The engine cannot execute the request before it has that byte, so
+        # if a stale idle connection fails before it is sent, the request is known not to have executed.
         await self._send_all_but_last_byte(connection, request, observation_time)
         self._require_permission(exchange.permit.deny_last_byte(encoded_at))
         try:
@@ -174,18 +194,20 @@
                 await connection.tcp.stays_silent(observation_time / UNITS_PER_SECOND)
             if connection.has_unsolicited_data():
                 raise ExchangeAbortedError(
-                    FailureCause.CLOSED_WHILE_SENDING, "closed or answered before it had the request"
+                    FailureCause.CLOSED_WHILE_SENDING,
+                    "peer closed the connection or sent data before it had the whole request",
                 )
         except ConnectionClosedError as error:
             raise ExchangeAbortedError(FailureCause.CLOSED_WHILE_SENDING, str(error)) from None
 
     def _observation_time(self, connection: PooledConnection) -> int:
-        """Return how long to observe the connection before the last byte, in tenths of a millisecond.
+        """Return how long to observe the connection before the last byte is sent, in tenths of a millisecond.
 
-        A connection that its engine dropped silently is reset when the first bytes reach it, which takes a
-        round trip to be seen. Without the wait the last byte would be sent sooner, and it would be unknown
-        whether the request was executed. Also, a surplus response may come some milliseconds after the
-        previous one, and would be taken for the response to this request.
+        If the engine has dropped an idle connection without closing it, it answers the first bytes with a
+        reset, which arrives one round trip later. Were the last byte sent before that, it would be unknown
+        whether the request was executed. The observation also covers the quiet time of the connection: a
+        surplus response that arrives some milliseconds after the previous one would otherwise be taken for
+        the response to this request. A new connection is not observed.
         """
         if not connection.idle_since:
             return 0
@@ -195,21 +217,22 @@
         )
 
     async def _read_head(self, exchange: Exchange, expected_status: int = 200) -> ResponseParser:
-        """Read the head of a response with the expected status; any other status ends the exchange."""
+        """Read the response head; raise ExchangeAbortedError if its status is not the expected one."""
         response = exchange.response
         while not response.head_complete:
             await self._read_more(exchange, FailureCause.CLOSED_BEFORE_RESPONSE)
         if response.status == expected_status:
             return response
         body = b""
-        # The status alone decides what is promised: a body that breaks off or never ends changes nothing.
+        # The status alone decides whether the attempt may have executed. The body is read for `connect_ms` at
+        # most, and may be incomplete.
         with suppress(ExchangeAbortedError), anyio.move_on_after(self.settings.connect_ms / 1000):
             body = await self._read_body(exchange)
         cause, detail = self.classify_response(response, body)
         raise ExchangeAbortedError(cause, f"status {response.status} {detail}".strip())
 
     async def _read_body(self, exchange: Exchange) -> bytes:
-        """Read the whole body, of `read_answer_bytes` at most."""
+        """Read the whole body; raise ExchangeAbortedError if it exceeds `read_answer_bytes`."""
         response = exchange.response
         body = bytearray(response.take_body())
         while not response.complete:
@@ -218,12 +241,17 @@
             if len(body) > self.settings.read_answer_bytes:
                 raise ExchangeAbortedError(
                     FailureCause.MALFORMED_RESPONSE,
-                    f"an answer of over {self.settings.read_answer_bytes} bytes",
+                    f"response body exceeds {self.settings.read_answer_bytes} bytes",
                 )
         return bytes(body)
 
     async def _read_more(self, exchange: Exchange, cause_if_closed: FailureCause) -> None:
-        """Feed the next bytes that come to the response; a connection lost here has `cause_if_closed`."""
+        """Receive the next bytes and pass them to the response parser.
+
+        Raises:
+            ExchangeAbortedError: The connection was lost (with the cause `cause_if_closed`), or the response
+                is not valid HTTP.
+        """
         try:
             data = await exchange.connection.tcp.receive()
         except ConnectionClosedError as error:
--- a/runspool/engines/idle_watchdog.py
+++ b/runspool/engines/idle_watchdog.py
@@ -1,8 +1,8 @@
-"""Idle timeouts that are checked periodically, instead of a timer for each token.
+"""Idle timeouts that are checked periodically instead of by one timer per token.
 
-Setting and cancelling a timer for every token took a third of the time that forwarding a token took, and a
-timeout of seconds does not need that precision. A waiting task notes when its wait began; waits that are
-found past their timeout at a check are cancelled.
+Setting and cancelling a timer for each token took a third of the time spent on forwarding the token, and a
+timeout of several seconds does not need that precision. A waiting task stores the time at which its wait
+began, and a periodic check cancels the waits that have exceeded their timeout.
 """
 
 from __future__ import annotations
@@ -12,15 +12,18 @@
 
 import anyio
 
-CHECK_INTERVAL = 0.1  # seconds between checks: a timeout is kept to within this
+CHECK_INTERVAL = 0.1  # seconds between two checks; a timeout may be detected this much late
 
 
 @dataclass(slots=True, eq=False)
 class WatchedWait:
-    """A task's waits for its peer, one after another.
+    """The idle timeout of one task, which waits for its peer repeatedly.
 
-    `timeout` and `waiting_since` are in tenths of a millisecond; `waiting_since` is the time at which the
-    current wait began, 0 while there is none. `timed_out` is set before `on_timeout` is called.
+    Attributes:
+        timeout: Maximum duration of one wait, in tenths of a millisecond.
+        on_timeout: Called when a wait has exceeded the timeout.
+        waiting_since: Time at which the current wait began, in tenths of a millisecond; 0 between waits.
+        timed_out: Set before `on_timeout` is called.
     """
 
     timeout: int
@@ -30,20 +33,20 @@
 
 
 class IdleWatchdog:
-    """Calls `on_timeout`, once, for each wait past its timeout; times in tenths of a millisecond."""
+    """Calls `on_timeout` once for each wait that exceeds its timeout; times in tenths of a millisecond."""
 
     def __init__(self, now: Callable[[], int]) -> None:
         self.now = now
         self.watched: set[WatchedWait] = set()
 
     def watch(self, timeout: int, on_timeout: Callable[[], None]) -> WatchedWait:
-        """Start watching; the caller must pass the result to unwatch(), whatever happens in between."""
+        """Start a watch; the caller must pass the result to unwatch() in all cases."""
         wait = WatchedWait(timeout, on_timeout)
         self.watched.add(wait)
         return wait
 
     def unwatch(self, wait: WatchedWait) -> None:
-        """Stop watching; no effect for a wait that has timed out."""
+        """End a watch; has no effect if the wait has timed out."""
         self.watched.discard(wait)
 
     async def run(self) -> None:
@@ -53,7 +56,7 @@
             self.check()
 
     def check(self) -> None:
-        """Time out every wait that has lasted longer than its timeout."""
+        """Time out every wait that has exceeded its timeout."""
         now = self.now()
         overdue = [
             wait for wait in self.watched if wait.waiting_since and now - wait.waiting_since > wait.timeout
--- a/runspool/engines/response_parser.py
+++ b/runspool/engines/response_parser.py
@@ -1,7 +1,7 @@
-"""An incremental parser of an engine's HTTP/1.1 response. Does no I/O.
+"""Incremental parser for HTTP/1.1 responses of engines. It does no I/O.
 
-It uses httptools, a parser in C, and not h11, which serves the clients' side: most of a front's work is
-taking tokens out of chunks, where h11 alone took a fifth of the time.
+It uses httptools, which is written in C, instead of h11. Most of a front's work is extracting tokens from
+chunked bodies, and h11 took a fifth of the total time.
 """
 
 from __future__ import annotations
@@ -10,18 +10,24 @@
 
 from runspool.errors import RunspoolError
 
-MAX_HEADERS = 64  # further headers of a response are ignored
+MAX_HEADERS = 64  # per response; further headers are ignored
 
 
 class MalformedHttpResponseError(RunspoolError):
-    """The bytes received are not an HTTP response."""
+    """The received bytes are not a valid HTTP response."""
 
 
 class ResponseParser:
-    """Parses one response: call feed() until `complete`, then reset() before the next one.
+    """Parses the responses of one connection, one at a time.
 
-    `status`, `headers` (names in lower case) and `head_complete` are set once the head has come;
-    `keep_alive` is known once `complete` is set.
+    Call feed() until `complete` is set, then reset() before the next response.
+
+    Attributes:
+        status: HTTP status; 0 before the end of the head.
+        headers: Header values by lower-case name.
+        head_complete: True once the whole head of the final response has arrived.
+        complete: True once the whole response has arrived.
+        keep_alive: Whether the connection can be reused; valid once `complete` is set.
     """
 
     def __init__(self, max_head_bytes: int) -> None:
@@ -41,38 +47,38 @@
         self._remaining_head_bytes = self._max_head_bytes
 
     def detach_parser(self) -> None:
-        """Drop the httptools parser; feed() must not be called afterwards.
+        """Release the httptools parser; feed() must not be called afterwards.
 
-        The parser refers to this object by its callbacks. Left to the garbage collector, such cycles
-        stopped a front for 20 to 35 ms at a time.
+        The parser holds references to the callbacks of this object. When these reference cycles were left to
+        the garbage collector, its runs paused a front for 20 to 35 ms.
         """
         del self._parser
 
     def feed(self, data: bytes) -> None:
         """Parse `data`.
 
-        Bytes after the end of the response in the same `data` are ignored: the response is valid, but the
-        connection is not kept.
+        Bytes that follow the end of the response in the same `data` are ignored: the response is valid, but
+        the connection cannot be reused.
 
         Raises:
             MalformedHttpResponseError: The bytes are not valid HTTP, the head exceeds its size limit, or
                 the response was already complete.
         """
         if self.complete:
-            raise MalformedHttpResponseError("bytes after the answer's end")
+            raise MalformedHttpResponseError("bytes received after the end of the response")
         if not self.head_complete:
             self._remaining_head_bytes -= len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._handle_parser_error("an upgrade nobody asked for")
+            self._handle_parser_error("protocol upgrade without a request for one")
         except httptools.HttpParserError as error:
             self._handle_parser_error(str(error))
         if not self.head_complete and self._remaining_head_bytes < 0:
-            raise MalformedHttpResponseError("a head without end")
+            raise MalformedHttpResponseError("response head exceeds the size limit")
 
     def take_body(self) -> bytes:
-        """Return the bytes of the body that have come since the last call."""
+        """Return the bytes of the body received since the last call."""
         if len(self._body) == 1:
             return self._body.pop()
         body = b"".join(self._body)
@@ -84,20 +90,20 @@
             raise MalformedHttpResponseError(detail) from None
         self.keep_alive = False
 
-    # Callbacks of httptools.
+    # Callbacks of httptools; their names are given by it.
 
     def on_message_begin(self) -> None:
-        """Note a second response, which nothing has requested: the connection is not kept."""
+        """Mark the connection as not reusable if a second response begins, as it was not requested."""
         if self.complete:
             self.keep_alive = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Store a header, up to MAX_HEADERS different ones."""
+        """Store a header; ignore it if MAX_HEADERS different ones are stored."""
         if not self.complete and len(self.headers) < MAX_HEADERS:
             self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Store the status; a head with an interim status (1xx) is dropped."""
+        """Store the status; discard the head of an interim response (1xx)."""
         if self.complete:
             return
         self.status = self._parser.get_status_code()
@@ -106,12 +112,12 @@
             self.headers.clear()  # the final response follows
 
     def on_body(self, body: bytes) -> None:
-        """Store a piece of the body for take_body()."""
+        """Store a part of the body for take_body()."""
         if not self.complete:
             self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Note the end of the final response."""
+        """Mark the response as complete, unless it is an interim response."""
         if self.status >= 200 and not self.complete:
             self.complete = True
             self.keep_alive = self._parser.should_keep_alive()
--- a/runspool/engines/send_permit.py
+++ b/runspool/engines/send_permit.py
@@ -1,4 +1,4 @@
-"""Permission to send a request, asked for at the last possible moment before its first and its last byte."""
+"""Permission to send a request, checked immediately before its first byte and again before its last byte."""
 
 from __future__ import annotations
 
@@ -6,26 +6,27 @@
 
 
 class SendPermit(Protocol):
-    """Decides whether an exchange may proceed, and is notified of its progress."""
+    """Decides whether a request may be sent, and is notified of the progress of the exchange."""
 
     def deny_first_byte(self) -> str | None:
-        """Return why nothing of the request may be sent now; None where it may."""
+        """Return the reason why the first byte must not be sent, or None if it may be sent."""
 
     def deny_last_byte(self, encoded_at: int) -> str | None:
-        """Return why the last byte may not be sent now; None where it may.
+        """Return the reason why the last byte must not be sent, or None if it may be sent.
 
-        `encoded_at`: when the request was encoded, in tenths of a millisecond.
+        Args:
+            encoded_at: Time at which the request was encoded, in tenths of a millisecond.
         """
 
     def request_written(self) -> None:
-        """Note that the kernel has the whole request, which says nothing about the engine."""
+        """Handle the event that the kernel has taken the whole request; the engine may not have it yet."""
 
     def response_started(self) -> None:
-        """Note that the first bytes have come from the engine."""
+        """Handle the event that the first bytes of the response have arrived."""
 
 
 class UnrestrictedPermit:
-    """Permits everything and ignores the notifications."""
+    """Permits every request and ignores the notifications."""
 
     def deny_first_byte(self) -> str | None:
         """Permit the first byte."""
--- a/runspool/errors.py
+++ b/runspool/errors.py
@@ -1,10 +1,11 @@
-"""The base of every error that this package raises for others to catch."""
+"""Base class of the errors that this package raises."""
 
 from __future__ import annotations
 
 
 class RunspoolError(Exception):
-    """Something that runspool was given, or that it met, is not as it must be.
+    """Base class for invalid input and for failures at run time.
 
-    Subclasses say what, carry the details as attributes, and make their own message from them.
+    Each subclass stands for one kind of failure, holds its details as attributes and builds its message from
+    them.
     """
--- a/runspool/logs.py
+++ b/runspool/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object per line on standard error. Writing one never fails or blocks."""
+"""Structured logging: one JSON object per line on standard error. Logging never raises and never blocks."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 import msgspec
 import structlog
 
-WRITE_BYTES = 4_096  # a pipe that is ready takes so much at once without blocking (PIPE_BUF)
-STANDARD_ERROR = 2  # file descriptor
-LINES_PER_SECOND = 20.0  # that a bounded log may write on average
-LINES_AT_ONCE = 200.0  # that a bounded log may write in a burst
+# Maximum number of bytes per write: a pipe that is reported writable accepts PIPE_BUF bytes without blocking.
+WRITE_BYTES = 4_096
+STANDARD_ERROR = 2  # file descriptor number
+LINES_PER_SECOND = 20.0  # long-term average rate of a BoundedLog
+LINES_AT_ONCE = 200.0  # largest burst of a BoundedLog, in lines
 
 
 class SafeSink:
-    """A file descriptor as a log's file. A line that cannot be written now is counted and dropped.
+    """A log file on a file descriptor that drops and counts the lines that it cannot write immediately.
 
-    A full pipe that nobody reads thus cannot block the process, and a disk or reader that is gone (ENOSPC,
-    EIO, EPIPE) raises nothing.
+    A full pipe without a reader therefore cannot block the process, and a failed disk or a closed pipe
+    (ENOSPC, EIO, EPIPE) raises no exception.
 
     Attributes:
-        descriptor: where lines are written; it is not closed here.
-        dropped: lines dropped since the last one that was written.
+        descriptor: File descriptor that lines are written to. This class does not close it.
+        dropped: Number of lines dropped since the last line that was written.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -34,13 +35,13 @@
         self.dropped = 0
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
-        self._unwritten = b""  # the rest of a line of which a part has been written
+        self._unwritten = b""  # remainder of a partially written line
 
     def write(self, line: bytes) -> int:
-        """Writes or drops a line; returns the number of its bytes either way, as files do.
+        """Write a line or drop it; return its length in bytes in both cases, as file objects do.
 
-        A line of which a part could be written is completed ahead of the next one. After dropped lines, the
-        next one written is preceded by the event "log_lines_dropped" with their count.
+        The remainder of a partially written line is written before the next line. After dropped lines, the
+        next written line is preceded by the event "log_lines_dropped", which holds their count.
         """
         notice = b'{"event":"log_lines_dropped","count":%d}\n' % self.dropped if self.dropped else b""
         self._unwritten = self._write_available(self._unwritten)
@@ -51,10 +52,10 @@
         return len(line)
 
     def flush(self) -> None:
-        """Does nothing: only the rest of a line is ever held back, and it goes ahead of the next."""
+        """Do nothing: at most the remainder of one line is buffered, and the next write() sends it first."""
 
     def _start_writing(self, lines: bytes) -> bool:
-        """Writes what can be written now and keeps the rest; returns False if nothing could be written."""
+        """Write what is possible without blocking and keep the rest; return False if nothing was written."""
         unwritten = self._write_available(lines)
         if len(unwritten) == len(lines):
             return False
@@ -62,7 +63,7 @@
         return True
 
     def _write_available(self, data: bytes) -> bytes:
-        """Writes what can be written without blocking; returns the rest."""
+        """Write as much as is possible without blocking; return the rest."""
         with suppress(OSError):
             while data and self._is_ready():
                 data = data[os.write(self.descriptor, data[:WRITE_BYTES]) :]
@@ -73,13 +74,16 @@
 
 
 class BoundedLog:
-    """Passes lines on to a logger up to a rate; the next line passed on says how many were left out.
+    """A logger with a rate limit (token bucket).
+
+    After lines were suppressed, the next logged line holds their number in the field "left_out_before".
 
     Attributes:
-        clock: the current time, seconds.
-        available_lines: lines that may be passed on at once now; grows by `LINES_PER_SECOND`.
-        updated_at: when `available_lines` was computed, seconds.
-        left_out: lines left out since the last one passed on.
+        clock: Returns the current time in seconds.
+        available_lines: Number of lines that may be logged now. It grows by `LINES_PER_SECOND` per second, up
+            to `LINES_AT_ONCE`.
+        updated_at: Time at which `available_lines` was computed, in seconds.
+        left_out: Number of lines suppressed since the last logged line.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -90,7 +94,7 @@
         self.left_out = 0
 
     def info(self, event: str, **fields: object) -> None:
-        """Logs an event at level "info", or counts it as left out."""
+        """Log an event at level "info", or count it as suppressed where the rate limit is exceeded."""
         now = self.clock()
         elapsed = now - self.updated_at
         self.available_lines = min(LINES_AT_ONCE, self.available_lines + elapsed * LINES_PER_SECOND)
@@ -106,22 +110,24 @@
 
 
 def keep_standard_descriptors() -> None:
-    """Opens those of standard input, output and error that are closed as the null device.
+    """Open the null device in place of a standard input, output or error that is closed.
 
-    A socket would otherwise get the number of a closed one, and with it what is printed there.
+    Otherwise the next socket would get the number of the closed descriptor, and output for standard output or
+    error would be sent to that socket's peer.
     """
     for descriptor in range(STANDARD_ERROR + 1):
         try:
             os.fstat(descriptor)
         except OSError:
-            os.open(os.devnull, os.O_RDWR)  # takes the lowest free number: this one
+            os.open(os.devnull, os.O_RDWR)  # open() returns the lowest free descriptor, which is this one
 
 
 def start_logs(level: str) -> None:
-    """Configures structlog to write JSON lines with event, time and level to standard error.
+    """Configure structlog to write JSON lines with event, time and level to standard error.
 
     Args:
-        level: the lowest level that is written: "debug", "info", "warning" or "error"; another means "info".
+        level: Lowest level that is written: "debug", "info", "warning" or "error". Any other value stands for
+            "info".
     """
     structlog.configure(
         processors=[
--- a/runspool/storage/__init__.py
+++ b/runspool/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Files on disk: replaced atomically, checked when read."""
+"""Files on disk that are replaced atomically and verified by a checksum when read."""
--- a/runspool/storage/atomic_file.py
+++ b/runspool/storage/atomic_file.py
@@ -1,7 +1,7 @@
-"""Small files that carry a checksum and are replaced atomically.
+"""Small files that are replaced atomically and verified by a checksum.
 
-A reader finds the previous content or the new content in full, also when the writer is killed. The first line
-of a checked file is the CRC-32 of all that follows it, as eight lower-case hexadecimal digits.
+A reader gets either the previous or the new content in full, even if the writer is killed. The first line of
+a checksummed file is the CRC-32 of everything after that line, as eight lower-case hexadecimal digits.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from runspool.errors import RunspoolError
 
-MAX_FILE_BYTES = 32 << 20  # checksum line included; a larger file is reported as corrupt
+MAX_FILE_BYTES = 32 << 20  # maximum size, checksum line included; a larger file is reported as corrupt
 
 
 class CorruptFileError(RunspoolError):
-    """A file exists but its content cannot be used.
+    """A file exists, but it cannot be read or its content is invalid.
 
     Attributes:
-        source: the path of the file.
-        reason: what is wrong with it.
+        source: Path of the file.
+        reason: Description of the fault.
     """
 
     def __init__(self, source: Path | str, reason: str) -> None:
@@ -30,19 +30,19 @@
 
 
 def replace_file(path: Path, content: bytes, temporary_suffix: str = ".new") -> None:
-    """Replaces a file's content atomically.
+    """Replace the content of a file atomically.
 
-    The content is written to a temporary file in the same directory, synced to disk, and renamed. A writer
-    that is killed may leave the temporary file behind; the next call with the same suffix overwrites it.
+    The content is written to a temporary file in the same directory, synced to disk, and renamed. If the
+    process is killed, the temporary file may remain; the next call with the same suffix overwrites it.
 
     Args:
-        path: the file to replace; it need not exist.
-        content: all bytes of the new file.
-        temporary_suffix: appended to the file's name to make the temporary file's name. Concurrent writers
-            need different ones.
+        path: File to replace. It need not exist.
+        content: The whole new content.
+        temporary_suffix: Suffix that is added to the file's name for the temporary file. Concurrent writers
+            of the same file need different suffixes.
 
     Raises:
-        OSError: the file could not be written; the previous one is untouched.
+        OSError: The file could not be written; the previous content is unchanged.
     """
     temporary = path.with_name(path.name + temporary_suffix)
     with temporary.open("wb") as file:
@@ -53,31 +53,31 @@
 
 
 def add_checksum(body: bytes) -> bytes:
-    """Returns the content of a checked file: the checksum line, then the body."""
+    """Return the content of a checksummed file: the checksum line followed by `body`."""
     return _checksum(body) + b"\n" + body
 
 
 def read_checked(path: Path) -> bytes | None:
-    """Reads the body of a checked file.
+    """Read a checksummed file.
 
     Returns:
-        The body without its checksum line, or None if there is no file.
+        The content without the checksum line, or None if the file does not exist.
 
     Raises:
-        CorruptFileError: the file cannot be read, exceeds `MAX_FILE_BYTES`, or does not match its checksum.
+        CorruptFileError: The file cannot be read, exceeds `MAX_FILE_BYTES`, or does not match its checksum.
     """
     try:
         with path.open("rb") as file:
             content = file.read(MAX_FILE_BYTES + 1)
     except FileNotFoundError:
         return None
-    except OSError as fault:
-        raise CorruptFileError(path, f"{fault.strerror}") from None
+    except OSError as error:
+        raise CorruptFileError(path, f"{error.strerror}") from None
     if len(content) > MAX_FILE_BYTES:
-        raise CorruptFileError(path, f"over {MAX_FILE_BYTES} bytes")
+        raise CorruptFileError(path, f"file exceeds {MAX_FILE_BYTES} bytes")
     checksum, _, body = content.partition(b"\n")
     if checksum != _checksum(body):
-        raise CorruptFileError(path, f"checksum does not fit its {len(body)} bytes")
+        raise CorruptFileError(path, f"checksum mismatch over {len(body)} bytes")
     return body
 
 
--- a/runspool/transport/__init__.py
+++ b/runspool/transport/__init__.py
@@ -1,1 +1,1 @@
-"""TCP connections, as thin as a token that passes through wants them."""
+"""TCP connections with low overhead per receive and send."""
--- a/runspool/transport/tcp.py
+++ b/runspool/transport/tcp.py
@@ -1,9 +1,9 @@
-"""TCP connections: received data is buffered until it is read, sent data goes to the kernel at once.
+"""TCP connections that buffer received data and pass sent data to the kernel without a task switch.
 
-anyio's streams yield to every other task once for each receive and send. A front forwards thousands of tokens
-a second: 37% of its time went into forwarding them, half of that into yielding. Here a send that the kernel
-takes whole needs no task switch. Cancellation works as with anyio's streams, because what is awaited are
-plain futures of the event loop.
+anyio's socket streams yield to the event loop on each receive and each send. A front forwards thousands of
+tokens per second; with these streams, forwarding took 37% of its time, and half of that was spent on
+yielding. Here a send that the kernel accepts completely does not yield. Cancellation works as with anyio's
+streams, because the methods await plain futures of the event loop.
 """
 
 from __future__ import annotations
@@ -19,23 +19,25 @@
 
 from runspool.errors import RunspoolError
 
-# Bytes buffered for a reader that does not read; past them reading from the socket is paused.
+# Number of buffered bytes above which reading from the socket is paused.
 MAX_BUFFERED_BYTES = 65_536
-# Bytes discarded from a peer that is watched by on_lost(); past them it counts as gone.
+# Number of bytes that are read and discarded while on_lost() is in effect. A peer that sends more is treated
+# as gone.
 MAX_DISCARDED_BYTES = 8 << 20
 
 
 class ConnectionClosedError(RunspoolError, ConnectionError):
-    """The peer has closed or reset, or was lost; nothing more can be received, or nothing more sent."""
+    """The connection was closed, reset or lost, so that no more data can be received or sent."""
 
 
 class TcpConnection(asyncio.Protocol):
-    """One connection. At most one task at a time may receive, and one may send.
+    """A TCP connection. At most one task may receive at a time, and at most one may send.
 
     Attributes:
         transport: Set by the event loop once the connection is established.
-        lost_callback: Called once, when the peer has gone; see on_lost().
-        discarded_bytes: How many bytes were discarded; if any were, nothing past the buffer can be read.
+        lost_callback: Called once when the peer has gone; see on_lost().
+        discarded_bytes: Number of received bytes that were discarded. If it is not 0, receive() raises an
+            error after the buffered data.
     """
 
     def __init__(self) -> None:
@@ -45,57 +47,61 @@
         self._buffer: list[bytes] = []
         self._buffered_bytes = 0
         self._error: BaseException | None = None
-        self._peer_closed = False  # the peer has closed its sending side, or the connection is lost
+        # Whether the peer has closed its sending side or is treated as gone, or the connection is lost.
+        self._peer_closed = False
         self._closed = False
         self._writing_paused = False
         self._reading_paused = False
-        self._reader: asyncio.Future[None] | None = None
-        self._writer: asyncio.Future[None] | None = None
+        self._receive_waiter: asyncio.Future[None] | None = None
+        self._send_waiter: asyncio.Future[None] | None = None
         self._poll: select.poll | None = None
 
-    # Operations for users.
+    # Public methods.
 
     @property
     def closed(self) -> bool:
-        """True once the peer has closed or was lost, even if not all that it sent has been received."""
+        """True once the peer has closed or was lost, even if received data is still buffered."""
         return self._peer_closed
 
     def on_lost(self, callback: Callable[[], None]) -> None:
-        """Have `callback` called once the peer has gone, until `lost_callback` is set to None again.
+        """Call `callback` once when the peer has gone. Set `lost_callback` to None to cancel this.
 
-        While it is set, reading is not paused: behind the unread data of a peer that sends much ahead and
-        goes, its end would never be seen. What it sends past the buffer's size is read and discarded.
+        While a callback is set, reading is not paused; otherwise the end of the connection could not be
+        detected behind unread data. Data beyond MAX_BUFFERED_BYTES is read and discarded.
         """
         self.lost_callback = callback
         self._resume_reading()
 
     @property
     def local_port(self) -> int:
-        """The port of this end; 0 where the system does not say."""
+        """The local port; 0 if it is unknown."""
         name = self.transport.get_extra_info("sockname")
         return int(name[1]) if name else 0
 
     @property
     def has_buffered_data(self) -> bool:
-        """True where something has come that was not received yet."""
+        """True if data has arrived that receive() has not returned yet."""
         return bool(self._buffer)
 
     async def receive(self) -> bytes:
-        """Return all that has come since the last call, at least one byte; cancelled, it loses nothing.
+        """Wait for data and return everything that is buffered. A cancelled call loses no data.
 
         Raises:
-            ConnectionClosedError: The peer has closed, and all that it sent before was received.
+            ConnectionClosedError: The peer has closed or data was discarded, and the buffer is empty.
         """
         while not self._buffer:
             if self._peer_closed or self.discarded_bytes:
                 raise ConnectionClosedError(
-                    str(self._error or ("sent too much ahead" if self.discarded_bytes else "closed"))
+                    str(
+                        self._error
+                        or ("peer sent too much unread data" if self.discarded_bytes else "closed")
+                    )
                 )
-            self._reader = asyncio.get_running_loop().create_future()
+            self._receive_waiter = asyncio.get_running_loop().create_future()
             try:
-                await self._reader
+                await self._receive_waiter
             finally:
-                self._reader = None
+                self._receive_waiter = None
         data = self._buffer[0] if len(self._buffer) == 1 else b"".join(self._buffer)
         self._buffer.clear()
         self._buffered_bytes = 0
@@ -104,10 +110,13 @@
         return data
 
     def write(self, data: bytes) -> bool:
-        """Send `data`; False where the kernel has not taken all of it, and drained() must be awaited.
+        """Send `data`.
+
+        Returns:
+            False if the kernel has not taken all of it; the caller must then await drained().
 
         Raises:
-            ConnectionClosedError: The connection is lost or was closed.
+            ConnectionClosedError: The connection was closed or lost.
         """
         if self._closed or self.transport.is_closing():
             raise ConnectionClosedError(str(self._error or "closed"))
@@ -115,30 +124,33 @@
         return not self._writing_paused
 
     async def drained(self) -> None:
-        """Wait until the kernel has taken all that was written.
+        """Wait until the kernel has taken all data that was written.
 
         Raises:
-            ConnectionClosedError: It never will, because the connection is lost.
+            ConnectionClosedError: The connection was closed or lost before that.
         """
         while self._writing_paused and not self._closed:
-            self._writer = asyncio.get_running_loop().create_future()
+            self._send_waiter = asyncio.get_running_loop().create_future()
             try:
-                await self._writer
+                await self._send_waiter
             finally:
-                self._writer = None
+                self._send_waiter = None
         if self._closed:
             raise ConnectionClosedError(str(self._error or "closed"))
 
     async def send(self, data: bytes) -> None:
-        """Send `data` and wait until the kernel has all of it; raises as write() and drained() do.
+        """Send `data` and wait until the kernel has taken all of it.
+
+        If the call is cancelled, all or part of `data` may still be sent.
 
-        Cancelled, some or all of `data` may still be sent.
+        Raises:
+            ConnectionClosedError: The connection was closed or lost.
         """
         if not self.write(data):
             await self.drained()
 
     def has_unsolicited_data(self) -> bool:
-        """Return whether the peer has closed, reset or sent something that was not received yet."""
+        """Return whether the peer has closed, reset or sent data that receive() has not returned yet."""
         if self._buffer or self._peer_closed or self._closed:
             return True
         if self._poll is None:
@@ -147,23 +159,23 @@
         return bool(self._poll.poll(0))
 
     async def stays_silent(self, seconds: float) -> bool:
-        """Return False as soon as the peer sends, closes or resets; True if it does not in that time."""
+        """Wait for `seconds`; return False as soon as the peer sends, closes or resets, otherwise True."""
         if not self.has_unsolicited_data():
             with anyio.move_on_after(seconds):
-                self._reader = asyncio.get_running_loop().create_future()
+                self._receive_waiter = asyncio.get_running_loop().create_future()
                 try:
-                    await self._reader
+                    await self._receive_waiter
                 finally:
-                    self._reader = None
+                    self._receive_waiter = None
         return not self.has_unsolicited_data()
 
     def send_eof(self) -> None:
-        """Close the sending side."""
+        """Close the sending side, where the transport supports it."""
         if not self._closed and self.transport.can_write_eof():
             self.transport.write_eof()
 
     def close(self) -> None:
-        """Close at once; what was not sent yet is dropped."""
+        """Close immediately; data that the kernel has not taken is discarded."""
         self.lost_callback = None
         self.transport.abort()
 
@@ -175,18 +187,18 @@
     # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Store the transport, and have every write that the kernel does not take pause the writer."""
+        """Store the transport, and set it to pause writing whenever the kernel does not take all data."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(0)
 
     def data_received(self, data: bytes) -> None:
-        """Buffer `data`; where the buffer is full, pause reading or discard `data`."""
+        """Buffer `data`; if the buffer is full, pause reading or, while a callback is set, discard data."""
         if self.discarded_bytes or (
             self.lost_callback is not None and self._buffered_bytes > MAX_BUFFERED_BYTES
         ):
             self.discarded_bytes += len(data)
             if self.discarded_bytes > MAX_DISCARDED_BYTES:
-                self._peer_gone()
+                self._handle_peer_gone()
             return
         self._buffer.append(data)
         self._buffered_bytes += len(data)
@@ -197,35 +209,35 @@
         ):
             self._reading_paused = True
             self.transport.pause_reading()
-        _wake(self._reader)
+        _wake(self._receive_waiter)
 
     def eof_received(self) -> bool:
-        """Note the peer's end; returns True, which keeps the sending side open."""
-        self._peer_gone()
+        """Record that the peer has closed its sending side; return True, which keeps this side open."""
+        self._handle_peer_gone()
         return True
 
     def pause_writing(self) -> None:
-        """Note that the kernel has not taken all that was written."""
+        """Record that the kernel has not taken all data that was written."""
         self._writing_paused = True
 
     def resume_writing(self) -> None:
-        """Note that the kernel has taken all that was written."""
+        """Record that the kernel has taken all data that was written, and wake the sending task."""
         self._writing_paused = False
-        _wake(self._writer)
+        _wake(self._send_waiter)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note that the connection is closed, and wake both the reader and the writer."""
+        """Record that the connection is closed, and wake the receiving and the sending task."""
         self._error = error
         self._closed = True
-        self._peer_gone()
-        _wake(self._writer)
+        self._handle_peer_gone()
+        _wake(self._send_waiter)
 
-    def _peer_gone(self) -> None:
+    def _handle_peer_gone(self) -> None:
         self._peer_closed = True
-        _wake(self._reader)
+        _wake(self._receive_waiter)
         if self.lost_callback is not None:
             callback = self.lost_callback
-            self.lost_callback = None  # called once only
+            self.lost_callback = None  # cleared so that it is called only once
             callback()
 
 
@@ -235,7 +247,15 @@
 
 
 async def connect(address: tuple[str, int], source: str | None) -> TcpConnection:
-    """Open a connection, from the local address `source` where one is given. Raises OSError."""
+    """Open a connection.
+
+    Args:
+        address: Host and port.
+        source: Local address to connect from; None if the operating system is to choose it.
+
+    Raises:
+        OSError: The connection cannot be established.
+    """
     loop = asyncio.get_running_loop()
     _, connection = await loop.create_connection(
         TcpConnection, *address, local_addr=(source, 0) if source else None
@@ -244,9 +264,15 @@
 
 
 async def next_connection(listener: socket) -> socket:
-    """Accept the next connection as a non-blocking socket; cancelled, it accepts none. Raises OSError."""
-    # Not the event loop's sock_accept(): cancelled just as a connection comes, that one accepts it, fails in
-    # the loop and leaves it open.
+    """Accept the next connection of a listening, non-blocking socket.
+
+    A cancelled call accepts no connection.
+
+    Raises:
+        OSError: The connection cannot be accepted.
+    """
+    # The event loop's sock_accept() is not used: if it is cancelled at the moment a connection arrives, it
+    # accepts the connection, raises an error in the event loop and never closes the connection.
     while True:
         await anyio.wait_readable(listener)
         with suppress(BlockingIOError, InterruptedError):
@@ -256,7 +282,11 @@
 
 
 async def accept(listener: socket) -> TcpConnection:
-    """Accept the next connection of a listening, non-blocking socket. Raises OSError."""
+    """Accept the next connection of a listening, non-blocking socket.
+
+    Raises:
+        OSError: The connection cannot be accepted.
+    """
     accepted = await next_connection(listener)
     try:
         _, connection = await asyncio.get_running_loop().connect_accepted_socket(TcpConnection, accepted)
--- a/runspool/wire/__init__.py
+++ b/runspool/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs of published protocols: bytes to types and back, without I/O and without decisions."""
+"""Codecs of published protocols: parsing, validation and encoding of messages, without I/O."""
--- a/runspool/wire/completions.py
+++ b/runspool/wire/completions.py
@@ -1,8 +1,8 @@
-"""Messages from and to clients: OpenAI-style completions, with runspool's own headers beside them.
+"""Messages from and to clients: the OpenAI-style completions API, extended by runspool's own headers.
 
-Source: the published completions API (request body, chunk and error shapes, server-sent events ended by
-`data: [DONE]`). The headers are listed in docs/operators/front.md; CompletionRequest holds their values under
-the scheduler's terms.
+The request body, the stream events and the error objects are those of the published completions API, as is
+the end of a stream (`data: [DONE]`). docs/operators/front.md lists the headers. CompletionRequest holds their
+values under the names that the scheduler uses.
 """
 
 from __future__ import annotations
@@ -20,16 +20,35 @@
 
 Value = TypeVar("Value")
 
-DEFAULT_OUTPUT_TOKENS = 256  # where the body has no `max_tokens`
-MAX_OUTPUT_TOKENS = 1_000_000
-MAX_PROMPT_TOKENS = 100_000_000
-MAX_CLIENT_TRIES = 1_000
-DONE = b"data: [DONE]\n\n"
+DEFAULT_OUTPUT_TOKENS = 256  # default for a body without `max_tokens`
+MAX_OUTPUT_TOKENS = 1_000_000  # largest value accepted for `max_tokens`
+MAX_PROMPT_TOKENS = 100_000_000  # largest value accepted for the header `runspool-prompt-tokens`
+MAX_CLIENT_TRIES = 1_000  # largest value accepted for the header `runspool-try`
+DONE = b"data: [DONE]\n\n"  # last event of a complete stream
 
 
 @dataclass(slots=True)
 class CompletionRequest:
-    """A client's request, checked; durations in tenths of a millisecond, lengths in tokens."""
+    """A validated request of a client.
+
+    Attributes:
+        request_class: Name of the request class.
+        tenant: Name of the tenant; None if the client gave none.
+        session: Name of the session; None if the client gave none.
+        prefix: Name of a prompt prefix that other requests share; None if the client gave none.
+        prefix_tokens: Length of that prefix in tokens; 0 without a prefix.
+        prompt_tokens: Length of the prompt in tokens, as stated by the client or estimated.
+        max_output_tokens: Maximum length of the output in tokens.
+        expected_output_tokens: The client's estimate of the output's length in tokens; 0 if it gave none.
+        time_limit: Time limit of the request, in tenths of a millisecond.
+        idempotency_key: Key for deduplication; None if the client gave none.
+        client_attempt: The client's own id of this attempt, for logs; empty if it gave none.
+        is_continuation: Whether the client marked the request as a continuation.
+        is_client_retry: Whether this is at least the client's second attempt.
+        stream: Whether the client requested a streamed response.
+        body_bytes: Size of the body in bytes.
+        body: Parameters of the body, undecoded.
+    """
 
     request_class: str
     tenant: str | None
@@ -38,10 +57,10 @@
     prefix_tokens: int
     prompt_tokens: int
     max_output_tokens: int
-    expected_output_tokens: int  # the client's estimate, 0 where it gave none
+    expected_output_tokens: int
     time_limit: int
     idempotency_key: str | None
-    client_attempt: str  # the client's own name of this try, for its logs
+    client_attempt: str
     is_continuation: bool
     is_client_retry: bool
     stream: bool
@@ -52,9 +71,15 @@
 def parse_completion_request(
     headers: Mapping[str, str], body: bytes, config: FrontConfig
 ) -> CompletionRequest:
-    """Parse and check a request from its headers, named in lower case, and its body.
+    """Parse and validate a request.
+
+    Args:
+        headers: Header values by lower-case name.
+        body: The whole body.
+        config: The front's configuration.
 
-    Raises InvalidRequestError for the first thing that is wrong.
+    Raises:
+        InvalidRequestError: Describes the first fault that was found.
     """
     try:
         parameters: dict[str, msgspec.Raw] = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
@@ -63,17 +88,19 @@
     request_class, class_config = _request_class(headers, config)
     tenant = headers.get("runspool-tenant")
     if tenant is not None and tenant not in config.house.tenants:
-        raise InvalidRequestError("runspool-tenant", f"{tenant!r} is not known here")
+        raise InvalidRequestError("runspool-tenant", f"{tenant!r} is not a known tenant")
     estimated_tokens = _estimated_prompt_tokens(parameters)
     prompt_tokens = _integer(headers, "runspool-prompt-tokens", estimated_tokens, 1, MAX_PROMPT_TOKENS)
     max_output_tokens = _max_output_tokens(parameters)
     if _parameter(parameters, "n", int, 1) != 1:
-        raise InvalidRequestError("n", "only one answer a query is made")
+        raise InvalidRequestError("n", "must be 1: only one completion per request is supported")
     prefix = _name(headers, "runspool-beginning")
     prefix_tokens = _integer(headers, "runspool-beginning-tokens", 0, 0, prompt_tokens)
     idempotency_key = _name(headers, "runspool-ticket")
     if class_config.effect == "ticketed" and idempotency_key is None:
-        raise InvalidRequestError("runspool-ticket", f"missing, and tariff {request_class} is ticketed")
+        raise InvalidRequestError(
+            "runspool-ticket", f"required for tariff {request_class}, which is ticketed"
+        )
     return CompletionRequest(
         request_class=request_class,
         tenant=tenant,
@@ -98,34 +125,38 @@
     classes = config.house.tariffs
     name = headers.get("runspool-tariff") or config.front.default_tariff
     if name is None:
-        raise InvalidRequestError("runspool-tariff", "missing, and this front has no default tariff")
+        raise InvalidRequestError("runspool-tariff", "required, as this front has no default tariff")
     class_config = classes.get(name)
     if class_config is None:
-        raise InvalidRequestError("runspool-tariff", f"{name!r} is none of {', '.join(classes)}")
+        raise InvalidRequestError("runspool-tariff", f"{name!r} is not one of {', '.join(classes)}")
     return name, class_config
 
 
 def _max_output_tokens(parameters: dict[str, msgspec.Raw]) -> int:
     tokens = _parameter(parameters, "max_tokens", int, DEFAULT_OUTPUT_TOKENS)
     if not 1 <= tokens <= MAX_OUTPUT_TOKENS:
-        raise InvalidRequestError("max_tokens", f"{tokens} is not from 1 to {MAX_OUTPUT_TOKENS}")
+        raise InvalidRequestError("max_tokens", f"{tokens} is not between 1 and {MAX_OUTPUT_TOKENS}")
     return tokens
 
 
 def _time_limit(
     headers: Mapping[str, str], class_config: RequestClassConfig, prompt_tokens: int, config: FrontConfig
 ) -> int:
-    """Time that the request may take, in tenths of a millisecond: the client's, or its class's by default."""
+    """Return the time limit of a request, in tenths of a millisecond.
+
+    It is the limit that the client states, or else the default of the request class, which grows with the
+    prompt's length.
+    """
     longest_ms = config.front.bounds.longest_limit_ms
-    # The default grows twice as fast with the prompt as the first token's objective does.
+    # The default grows with the prompt's length at twice the rate of the first-token objective.
     default_ms = class_config.limit_ms + 2 * class_config.due_per_1000_tokens_ms * prompt_tokens / 1000
     if headers.get("runspool-limit-ms") is None:
         return tenths(min(default_ms, longest_ms))
     return _integer(headers, "runspool-limit-ms", 0, 1, int(longest_ms)) * TENTHS
 
 
-def _integer(headers: Mapping[str, str], name: str, default: int, least: int, most: int) -> int:
-    return fields.parse_integer(headers.get(name), name, default, least, most)
+def _integer(headers: Mapping[str, str], name: str, default: int, minimum: int, maximum: int) -> int:
+    return fields.parse_integer(headers.get(name), name, default, minimum, maximum)
 
 
 def _name(headers: Mapping[str, str], name: str) -> str | None:
@@ -133,7 +164,7 @@
 
 
 def _parameter(parameters: dict[str, msgspec.Raw], name: str, kind: type[Value], default: Value) -> Value:
-    """Return a parameter of the body; null stands for its default, as in the published API."""
+    """Return a parameter of the body; null is treated as absent, as in the published API."""
     raw = parameters.get(name)
     if raw is None:
         return default
@@ -145,27 +176,27 @@
 
 
 def _estimated_prompt_tokens(parameters: dict[str, msgspec.Raw]) -> int:
-    """Length of the prompt: the count of a list of tokens, an estimate by its bytes for a text."""
+    """Return the prompt's length in tokens: exact for a list of tokens, estimated by its bytes for a text."""
     raw = parameters.get("prompt")
     if raw is None:
-        raise InvalidRequestError("prompt", "missing")
+        raise InvalidRequestError("prompt", "required")
     encoded = bytes(raw)
     if encoded[:1] == b'"':
-        text_bytes = len(encoded) - 2  # without the quotation marks
+        text_bytes = len(encoded) - 2  # the quotation marks are not counted
         return max(1, text_bytes // BYTES_PER_TOKEN)
     try:
         return max(1, len(msgspec.json.decode(encoded, type=list[int])))
     except JSON_DECODE_ERRORS:
-        raise InvalidRequestError("prompt", "must be one text or one list of token numbers") from None
+        raise InvalidRequestError("prompt", "must be one string or one list of token ids") from None
 
 
 def error_body(kind: str, code: str, message: str) -> bytes:
-    """Return the published error shape; `kind` is its type, `code` the machine-readable reason."""
+    """Return the body of an error response of the published API; `kind` is the value of its field `type`."""
     return msgspec.json.encode({"error": {"message": message, "type": kind, "param": None, "code": code}})
 
 
 def chunk(request_id: str, model: str, created: int, text: str, finish: str | None = None) -> bytes:
-    """Return one server-sent event of a streamed response; `created` is in Unix seconds."""
+    """Return one server-sent event of a streamed response; `created` is a Unix time in seconds."""
     return (
         b"data: "
         + msgspec.json.encode(
@@ -182,7 +213,7 @@
 
 
 class CompletionChunks:
-    """Encodes the events of one streamed response; what is the same in all of them is encoded once."""
+    """Encodes the events of one streamed response; the part common to all of them is encoded only once."""
 
     def __init__(self, request_id: str, model: str, created: int) -> None:
         placeholder = "\0"
@@ -190,13 +221,13 @@
         self.before, self.after = event.split(msgspec.json.encode(placeholder))
 
     def text(self, text: str) -> bytes:
-        """Return the event that carries a text, as one chunk of a chunked body."""
+        """Return an event with `text`, encoded as one chunk of a chunked HTTP body."""
         event = self.before + msgspec.json.encode(text) + self.after
         return b"%x\r\n%b\r\n" % (len(event), event)
 
 
 def error_event(code: str, message: str) -> bytes:
-    """Return the last event of a stream that could not be finished; no [DONE] follows it."""
+    """Return the event that ends a failed stream; it is not followed by [DONE]."""
     return b"data: " + error_body("scrapped", code, message) + b"\n\n"
 
 
@@ -210,7 +241,7 @@
     cached_tokens: int,
     output_tokens: int,
 ) -> bytes:
-    """Return a whole response; the token counts are the engine's own, `created` is in Unix seconds."""
+    """Return the body of a response that is not streamed; `created` is a Unix time in seconds."""
     return msgspec.json.encode(
         {
             "id": request_id,
--- a/runspool/wire/endpoint_list.py
+++ b/runspool/wire/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The wire format of the endpoint list: one JSON object per line, each numbered. Free of I/O.
+"""Codec of the endpoint list: numbered messages, one JSON object per line. It does no I/O.
 
-A line holds the whole list, only what changed, or nothing but the current version (a heartbeat). The Python
-names of some fields differ from their names on the wire and in stored files; `msgspec.field(name=...)` maps
+A message holds the whole list (a snapshot), the changed entries, or only the current version (a heartbeat).
+Some fields have other names on the wire and in stored files than in Python; `msgspec.field(name=...)` maps
 them.
 """
 
@@ -18,16 +18,16 @@
 
 
 class EndpointEntry(msgspec.Struct, frozen=True):
-    """One engine as the list describes it.
+    """One engine in the endpoint list.
 
     Attributes:
-        engine: the engine's name, unique in the list.
-        address: host:port.
-        engine_type: the name of its engine type ("kind" on the wire).
-        zone: the name of its zone.
-        rack: the number of its rack.
-        state: "on" (active), "draining", or "gone" (removed).
-        started_unix_ms: when it started, milliseconds since the epoch; 0 means long ago.
+        engine: Name of the engine, unique in the list.
+        address: Address in the form host:port.
+        engine_type: Name of the engine type ("kind" on the wire).
+        zone: Name of the zone.
+        rack: Number of the rack.
+        state: "on" (active), "draining" or "gone" (removed).
+        started_unix_ms: Unix time of the engine's start, in milliseconds; 0 if it is long past.
     """
 
     engine: str
@@ -40,15 +40,15 @@
 
 
 class EndpointListMessage(msgspec.Struct, frozen=True):
-    """One line of the list.
+    """One message of the endpoint list.
 
     Attributes:
-        version: the list's version after this message; versions count up by one within an epoch.
-        epoch: identifies one count of versions; another epoch starts a new count.
-        is_snapshot: `engines` is the whole list and replaces what was known ("whole" on the wire).
-        is_heartbeat: the message carries the version only ("beat" on the wire).
-        engines: the whole list, or the entries that changed.
-        since: if given, all changes after that version and up to `version` are included.
+        version: Version of the list after this message. Within an epoch versions increase by one.
+        epoch: Identifies a sequence of versions. A new epoch starts a new sequence.
+        is_snapshot: True if `engines` is the whole list, which replaces the known one ("whole" on the wire).
+        is_heartbeat: True if the message holds only the version ("beat" on the wire).
+        engines: The whole list or the changed entries.
+        since: If not None, the message includes all changes after this version up to `version`.
     """
 
     version: int
@@ -60,10 +60,10 @@
 
 
 class MalformedListLineError(RunspoolError):
-    """A line is not a message of the endpoint list.
+    """A line is not a valid message of the endpoint list.
 
     Attributes:
-        reason: what is wrong with the line.
+        reason: Description of the fault.
     """
 
     def __init__(self, reason: str) -> None:
@@ -75,27 +75,27 @@
 
 
 def decode_message(line: bytes) -> EndpointListMessage:
-    """Decodes one line.
+    """Decode one line.
 
     Raises:
-        MalformedListLineError: the line is truncated or garbled, or holds an impossible version or address.
+        MalformedListLineError: The line is not a valid message, or holds an invalid version or address.
     """
     try:
         message = _decoder.decode(line)
-    except JSON_DECODE_ERRORS as fault:
-        raise MalformedListLineError(str(fault)) from None
+    except JSON_DECODE_ERRORS as error:
+        raise MalformedListLineError(str(error)) from None
     if message.version < 0 or any(not parse_address(entry.address) for entry in message.engines):
-        raise MalformedListLineError("a version below 0 or an address that is not host:port")
+        raise MalformedListLineError("negative version, or address not of the form host:port")
     return message
 
 
 def encode_message(message: EndpointListMessage) -> bytes:
-    """Encodes a message as one line, the line feed included."""
+    """Encode a message as one line, including the line feed."""
     return msgspec.json.encode(message) + b"\n"
 
 
 def parse_address(text: str) -> tuple[str, int] | None:
-    """Splits host:port, the brackets of an IPv6 host removed; None if the text is not of that form."""
+    """Split host:port, removing the brackets of an IPv6 host; return None if the text has another form."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         return None
--- a/runspool/wire/engine_messages.py
+++ b/runspool/wire/engine_messages.py
@@ -1,10 +1,10 @@
-"""Messages to and from engines: the two-stage completions that vLLM's OpenAI-style servers speak.
+"""Messages to and from engines: completions in two stages, as served by vLLM's OpenAI-compatible server.
 
-Source: vLLM's published serving API. A prefill is a completion with `max_tokens` 1 and `kv_transfer_params`
-that ask for a remote decode; its response returns the parameters under which the prefill state is held. A
-decode sends those parameters on and streams. The load report is the published `endpoint-load-metrics` header
-in its JSON form. Releasing a state has no published call: `POST /v1/kv/release` is runspool's own, and an
-engine may lack it.
+A prefill is a completion request with `max_tokens` 1 and `kv_transfer_params` that ask for a remote decode.
+Its response holds the parameters that identify the prefill state. A decode request sends these parameters,
+and its response is streamed. Load reports are `endpoint-load-metrics` headers in their JSON format. All this
+follows vLLM's published serving API. That API has no call that releases a prefill state:
+`POST /v1/kv/release` is an extension by runspool, which an engine may not support.
 """
 
 from __future__ import annotations
@@ -30,27 +30,27 @@
     )
 )
 LOAD_REPORT_HEADER = "endpoint-load-metrics"
-LOAD_REPORT_FORMAT = "JSON"  # the header's first word, before the report
+LOAD_REPORT_FORMAT = "JSON"  # first word of the header's value, followed by the report
 RELEASE_PATH = "/v1/kv/release"
 
-# Fields of a client's body that a prefill must not carry, as it makes one token and does not stream.
+# Fields of the client's body that are omitted from a prefill, which generates one token and is not streamed.
 DECODE_ONLY_FIELDS = ("stream_options", "min_tokens", "max_completion_tokens")
 
-EVENT_DATA = b"data:"  # the only field of server-sent events that is read
+EVENT_DATA = b"data:"  # the other fields of server-sent events are ignored
 
 
 class MalformedResponseError(RunspoolError):
-    """An engine's response, or an event of it, that cannot be read."""
+    """A response of an engine, or an event of a streamed response, cannot be parsed."""
 
 
 class TokensDetails(msgspec.Struct):
-    """How many prompt tokens the engine had cached."""
+    """Details of the prompt's token count."""
 
     cached_tokens: int | None = None
 
 
 class Usage(msgspec.Struct):
-    """The engine's own counts of tokens."""
+    """Token counts reported by the engine."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
@@ -58,26 +58,26 @@
 
     @property
     def cached_tokens(self) -> int:
-        """Prompt tokens that the engine had cached, 0 where it does not say."""
+        """The number of prompt tokens found in the engine's cache; 0 if it is not reported."""
         return (self.prompt_tokens_details.cached_tokens or 0) if self.prompt_tokens_details else 0
 
 
 class Choice(msgspec.Struct):
-    """Text that the engine made, and why it ended, if it did."""
+    """Generated text, with the reason for its end if it has ended."""
 
     text: str = ""
     finish_reason: str | None = None
 
 
 class EngineError(msgspec.Struct):
-    """The published error shape."""
+    """Error object of the published API."""
 
     message: str = ""
     code: str | int | None = None
 
 
 class CompletionResponse(msgspec.Struct):
-    """A whole response, or one event of a streamed one."""
+    """A whole response, or one event of a streamed response."""
 
     choices: list[Choice] = []
     usage: Usage | None = None
@@ -92,7 +92,7 @@
 
 
 def prefill_body(body: dict[str, msgspec.Raw]) -> bytes:
-    """Return the body of an attempt that only prefills the prompt of a client's body."""
+    """Return the request body of a prefill for the parameters of a client's body."""
     fields = {name: raw for name, raw in body.items() if name not in DECODE_ONLY_FIELDS}
     fields |= {
         "max_tokens": msgspec.Raw(b"1"),
@@ -103,9 +103,11 @@
 
 
 def decode_body(body: dict[str, msgspec.Raw], state: dict[str, msgspec.Raw] | None) -> bytes:
-    """Return the body of an attempt that answers, always streamed.
+    """Return the request body of an attempt that generates the output. Its response is always streamed.
 
-    `state` holds the parameters that the prefill's response returned, or None where there was no prefill.
+    Args:
+        body: Parameters of the client's body.
+        state: Parameters from the prefill's response; None if there was no separate prefill.
     """
     fields = dict(body)
     fields |= {"stream": msgspec.Raw(b"true"), "stream_options": msgspec.Raw(b'{"include_usage":true}')}
@@ -115,15 +117,22 @@
 
 
 def release_body(state: dict[str, msgspec.Raw] | None, request: str) -> bytes:
-    """Return the body that releases a state.
+    """Return the request body that releases a prefill state.
 
-    The state is named by its parameters, or by the prefill's request id where no response told them.
+    Args:
+        state: Parameters from the prefill's response; None if that response was lost. The engine then
+            identifies the state by `request`.
+        request: Request id of the prefill.
     """
     return msgspec.json.encode({"kv_transfer_params": state, "request_id": request})
 
 
 def parse_response(raw: bytes) -> CompletionResponse:
-    """Parse a response or event; raise MalformedResponseError for bytes that are none."""
+    """Parse a whole response, or one event of a streamed response.
+
+    Raises:
+        MalformedResponseError: `raw` cannot be parsed.
+    """
     try:
         return _responses.decode(raw)
     except JSON_DECODE_ERRORS as error:
@@ -131,7 +140,7 @@
 
 
 def error_code(raw: bytes) -> str:
-    """Return the code in an error body, empty where it has none. Never raises."""
+    """Return the code of an error body; return an empty string if it has none or cannot be parsed."""
     try:
         error = parse_response(raw).error
     except MalformedResponseError:
@@ -140,46 +149,47 @@
 
 
 def load_report(header: str | None) -> LoadReport | None:
-    """Parse a load report's header; None where it is absent or unreadable. Never raises."""
+    """Parse the header of a load report; return None if it is absent or cannot be parsed."""
     if header is None or not header.startswith(LOAD_REPORT_FORMAT):
         return None
     try:
         report = _load_reports.decode(header[len(LOAD_REPORT_FORMAT) :].strip().encode())
     except JSON_DECODE_ERRORS:
         return None
-    figures = report.get("named_metrics", {})
+    metrics = report.get("named_metrics", {})
     return LoadReport(
-        requests_in_flight=figures.get("num_requests_running"),
-        slot_utilization=figures.get("slots_usage_perc"),
-        memory_utilization=figures.get("kv_cache_usage_perc"),
-        queued_prompt_tokens=figures.get("prompt_tokens_waiting"),
+        requests_in_flight=metrics.get("num_requests_running"),
+        slot_utilization=metrics.get("slots_usage_perc"),
+        memory_utilization=metrics.get("kv_cache_usage_perc"),
+        queued_prompt_tokens=metrics.get("prompt_tokens_waiting"),
     )
 
 
 @dataclass(slots=True)
 class EventSplitter:
-    """Splits a byte stream, however it was cut, into server-sent events of `max_event_bytes` at most."""
+    """Splits a byte stream, received in arbitrary parts, into server-sent events of limited size."""
 
     max_event_bytes: int
-    _rest: bytearray = field(default_factory=bytearray)
+    _incomplete_event: bytearray = field(default_factory=bytearray)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the data of each event that is now complete.
+        """Add received bytes and return the data of each event that they complete.
 
-        Raises MalformedResponseError where more than `max_event_bytes` have come without an event's end.
+        Raises:
+            MalformedResponseError: An incomplete event exceeds `max_event_bytes`.
         """
-        self._rest += data
+        self._incomplete_event += data
         if b"\r" in data:
-            self._rest = self._rest.replace(b"\r\n", b"\n")
+            self._incomplete_event = self._incomplete_event.replace(b"\r\n", b"\n")
         events = []
-        while (end := self._rest.find(b"\n\n")) >= 0:
-            lines = bytes(self._rest[:end]).split(b"\n")
-            del self._rest[: end + 2]
+        while (end := self._incomplete_event.find(b"\n\n")) >= 0:
+            lines = bytes(self._incomplete_event[:end]).split(b"\n")
+            del self._incomplete_event[: end + 2]
             values = [
                 line[len(EVENT_DATA) :].removeprefix(b" ") for line in lines if line.startswith(EVENT_DATA)
             ]
             if values:
                 events.append(b"\n".join(values))
-        if len(self._rest) > self.max_event_bytes:
-            raise MalformedResponseError(f"an event of over {self.max_event_bytes} bytes")
+        if len(self._incomplete_event) > self.max_event_bytes:
+            raise MalformedResponseError(f"event exceeds {self.max_event_bytes} bytes")
         return events
--- a/runspool/wire/fields.py
+++ b/runspool/wire/fields.py
@@ -1,4 +1,4 @@
-"""Validation of single fields of a client's request, for every protocol. Free of I/O."""
+"""Validation of single request fields, shared by all client protocols. It does no I/O."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 from runspool.errors import RunspoolError
 
-# What decoding JSON raises. A text nested a thousand levels deep raises RecursionError, which is not among
-# the decoder's own errors.
+# Exceptions that decoding JSON may raise. Text that is nested a thousand levels deep raises RecursionError,
+# which is not a subclass of the decoder's own exception.
 JSON_DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
-MAX_NAME_LENGTH = 256  # characters of the name of a session, prefix, continuation or idempotency key
-MAX_INTEGER_DIGITS = 12
-MAX_QUOTED_LENGTH = 40  # characters of an unusable value that an error message repeats
-BYTES_PER_TOKEN = 4  # of text, where the client does not count its own tokens
+MAX_NAME_LENGTH = 256  # in characters; for names of sessions and prefixes, attempt ids and idempotency keys
+MAX_INTEGER_DIGITS = 12  # longest text that is parsed as an integer
+MAX_QUOTED_LENGTH = 40  # number of characters of an invalid value that an error message quotes
+BYTES_PER_TOKEN = 4  # used to estimate the length of a text whose token count the client does not state
 BAD_REQUEST = 400  # HTTP status
 
 
 class InvalidRequestError(RunspoolError):
-    """A request cannot be accepted as it stands.
+    """A request has an invalid or missing field.
 
     Attributes:
-        field_name: the header or body field at fault.
-        reason: what is wrong with it.
-        status: the HTTP status of the response.
+        field_name: Name of the header or body field.
+        reason: Description of the fault.
+        status: HTTP status of the response.
     """
 
     def __init__(self, field_name: str, reason: str, status: int = BAD_REQUEST) -> None:
@@ -33,34 +33,34 @@
 
 
 def parse_integer(value: str | None, field_name: str, default: int, minimum: int, maximum: int) -> int:
-    """Parses an integer written in plain decimal digits.
+    """Parse a non-negative integer in decimal digits.
 
     Args:
-        value: the field's text, None if the field is absent.
-        field_name: the field's name, for the error.
-        default: returned if the field is absent; not checked against the bounds.
-        minimum: the smallest value accepted.
-        maximum: the largest value accepted.
+        value: Text of the field; None if the field is absent.
+        field_name: Name of the field, for the error.
+        default: Value returned if the field is absent. It is not checked against the bounds.
+        minimum: Smallest accepted value.
+        maximum: Largest accepted value.
 
     Raises:
-        InvalidRequestError: the text is not such an integer, or is out of bounds.
+        InvalidRequestError: The text is not such an integer, or the integer is out of bounds.
     """
     if value is None:
         return default
     is_integer = value.isascii() and value.isdigit() and len(value) <= MAX_INTEGER_DIGITS
     if not is_integer or not minimum <= int(value) <= maximum:
         raise InvalidRequestError(
-            field_name, f"{value[:MAX_QUOTED_LENGTH]!r} is no whole number from {minimum} to {maximum}"
+            field_name, f"{value[:MAX_QUOTED_LENGTH]!r} is not an integer between {minimum} and {maximum}"
         )
     return int(value)
 
 
 def parse_name(value: str | None, field_name: str) -> str | None:
-    """Checks that a name is not empty and not too long; an absent one stays None.
+    """Return a name after checking its length; return None if it is absent.
 
     Raises:
-        InvalidRequestError: the name is empty or longer than `MAX_NAME_LENGTH`.
+        InvalidRequestError: The name is empty or longer than `MAX_NAME_LENGTH` characters.
     """
     if value is not None and not 0 < len(value) <= MAX_NAME_LENGTH:
-        raise InvalidRequestError(field_name, f"must have 1 to {MAX_NAME_LENGTH} bytes")
+        raise InvalidRequestError(field_name, f"must have 1 to {MAX_NAME_LENGTH} characters")
     return value
--- a/runspool/wire/http_requests.py
+++ b/runspool/wire/http_requests.py
@@ -1,7 +1,8 @@
-"""Incremental parser of clients' HTTP/1.1 requests. Free of I/O.
+"""Incremental parser for HTTP/1.1 requests of clients, and encoding of response heads. It does no I/O.
 
-It uses httptools (llhttp, strict), as the engines' side does. One feed may hold several pipelined requests;
-they wait in `ready`, which never holds more than was fed.
+The parser uses httptools (llhttp in strict mode), as the parser of engine responses does. The data of one
+call may contain several pipelined requests; they are queued in `ready`, whose size is therefore bounded by
+that of the data passed to feed().
 """
 
 from __future__ import annotations
@@ -13,17 +14,20 @@
 
 from runspool.errors import RunspoolError
 
-MAX_HEADERS = 100  # headers of one request
-REASONS = {status.value: status.phrase for status in HTTPStatus}
+MAX_HEADERS = 100  # per request
+REASONS = {status.value: status.phrase for status in HTTPStatus}  # reason phrase by HTTP status
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-CHUNKS_END = b"0\r\n\r\n"
+CHUNKS_END = b"0\r\n\r\n"  # last chunk of a chunked body
 
 
 class InvalidHttpRequestError(RunspoolError):
-    """A request refused before it was accepted; its connection ends with it.
+    """Received bytes are not a valid HTTP request, or exceed a size limit; the connection must be closed.
 
-    `status` is the HTTP status, `code` the machine-readable reason, `message` the text for people.
+    Attributes:
+        status: HTTP status of the response.
+        code: Machine-readable error code.
+        message: Human-readable description.
     """
 
     def __init__(self, status: int, code: str, message: str) -> None:
@@ -34,7 +38,18 @@
 
 
 class HttpRequest:
-    """One request, complete or still being received; header names are in lower case."""
+    """A request that is complete or still being received.
+
+    Attributes:
+        method: HTTP method.
+        target: Request target, including the query string.
+        version: HTTP version, "1.0" or "1.1".
+        headers: Header values by lower-case name.
+        head_complete: True once the whole head has arrived.
+        complete: True once the whole request has arrived.
+        keeps_alive: Whether the connection stays open after the response; valid once `complete` is set.
+        body: The part of the body received so far.
+    """
 
     __slots__ = ("body", "complete", "head_complete", "headers", "keeps_alive", "method", "target", "version")
 
@@ -55,120 +70,128 @@
 
     @property
     def expects_continue(self) -> bool:
-        """Whether the client sends its body only after a 100 Continue."""
+        """Whether the client waits for the interim response 100 Continue before it sends the body."""
         return self.headers.get("expect", "").lower() == "100-continue" and not self.body
 
 
 class HttpRequestParser:
-    """Parses the requests of one connection, in order.
+    """Parses the requests of one connection.
 
-    `head_bytes` and `body_bytes` bound a head and a body. A header whose lower-case name begins with one of
-    `unique_prefixes` may not occur twice in a request.
+    Attributes:
+        head_bytes: Maximum size of a request head.
+        body_bytes: Maximum size of a request body.
+        unique_prefixes: A header whose lower-case name begins with one of these must not be repeated.
+        ready: Requests in the order received. The last one may be incomplete. The caller removes them.
     """
 
     def __init__(self, head_bytes: int, body_bytes: int, unique_prefixes: tuple[str, ...] = ()) -> None:
         self.head_bytes = head_bytes
         self.body_bytes = body_bytes
         self.unique_prefixes = unique_prefixes
-        self.ready: deque[HttpRequest] = deque()  # the last one may be incomplete
+        self.ready: deque[HttpRequest] = deque()
         self._error: InvalidHttpRequestError | None = None
-        self._complete_before_error = 0  # requests
+        self._complete_before_error = 0  # number of complete requests in `ready` before the error
         self._unparsed_head_bytes = 0  # bytes fed since the last head was complete
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes; raise InvalidHttpRequestError for what is no request or is larger than allowed.
+        """Parse `data`. Must not be called again after an error.
+
+        If complete requests precede an error, the error is not raised here. The caller must serve these
+        requests and then call raise_pending_error().
 
-        Where complete requests precede the error, they are to be served first: raise_pending_error() raises
-        it then. Nothing may be fed after an error.
+        Raises:
+            InvalidHttpRequestError: `data` is not a valid request, or exceeds a size limit.
         """
         self._unparsed_head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._record_error(400, "malformed", "no other protocol is spoken here")
+            self._record_error(400, "malformed", "protocol upgrades are not supported")
         except httptools.HttpParserError as error:
             self._record_error(400, "malformed", str(error))
         last = self.ready[-1] if self.ready else None
         in_head = last is None or not last.head_complete
         if in_head and self._unparsed_head_bytes > self.head_bytes:
-            self._record_error(431, "malformed", f"a head of over {self.head_bytes} bytes")
+            self._record_error(431, "malformed", f"request head exceeds {self.head_bytes} bytes")
         if self._error is not None:
             while len(self.ready) > self._complete_before_error:
                 self.ready.pop()
             self.raise_pending_error()
 
     def _record_error(self, status: int, code: str, message: str) -> None:
-        """Keep the first error; the request in which it lies and all after it are not served."""
+        """Record the first error. The request that contains it and all later ones are discarded."""
         if self._error is None:
             self._error = InvalidHttpRequestError(status, code, message)
             self._complete_before_error = sum(request.complete for request in self.ready)
 
     def raise_pending_error(self) -> None:
-        """Raise the error that followed complete requests, once all of those have been taken from `ready`."""
+        """Raise the recorded error, if there is one, once `ready` is empty."""
         if self._error is not None and not self.ready:
             raise self._error
 
     def close(self) -> None:
-        """Drop the underlying parser, which refers back to this one; nothing may be fed afterwards."""
+        """Release the httptools parser, which refers back to this object; no feed() may follow."""
         del self._parser
 
-    # The names of the following methods are httptools' own.
+    # Callbacks of httptools; their names are given by it.
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Append a new request to `ready`."""
         self.ready.append(HttpRequest())
 
     def on_url(self, part: bytes) -> None:
-        """Add a part of the target."""
+        """Append a part of the request target."""
         self.ready[-1].target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header, or record an error."""
+        """Store a header; record an error if there are too many or it must not be repeated."""
         headers = self.ready[-1].headers
         key = name.decode("latin-1").lower()
         if len(headers) >= MAX_HEADERS:
-            self._record_error(431, "malformed", f"more than {MAX_HEADERS} headers")
+            self._record_error(431, "malformed", f"request has more than {MAX_HEADERS} headers")
         elif key in headers and key.startswith(self.unique_prefixes):
-            self._record_error(400, "malformed", f"{key} is said twice")
+            self._record_error(400, "malformed", f"{key} is repeated")
         else:
             headers[key] = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Complete the head, or record an error."""
+        """Mark the head as complete; record an error if it is not acceptable."""
         request = self.ready[-1]
         request.method = self._parser.get_method().decode("latin-1")
         request.version = self._parser.get_http_version()
         request.head_complete = True
         self._unparsed_head_bytes = 0
-        length = int(request.headers.get("content-length", "0"))  # httptools has checked that it is a number
+        length = int(request.headers.get("content-length", "0"))  # validated by httptools
         if request.version not in ("1.0", "1.1"):
-            self._record_error(505, "malformed", f"HTTP/{request.version} is not spoken here")
+            self._record_error(505, "malformed", f"HTTP/{request.version} is not supported")
         elif request.version == "1.1" and "host" not in request.headers:
-            self._record_error(400, "malformed", "no host header")
+            self._record_error(400, "malformed", "missing host header")
         elif length > self.body_bytes:
-            self._record_error(413, "query_bytes", f"a body of {length} bytes, {self.body_bytes} are taken")
+            self._record_error(
+                413, "query_bytes", f"request body of {length} bytes, maximum is {self.body_bytes} bytes"
+            )
 
     def on_body(self, part: bytes) -> None:
-        """Add a part of the body, or record an error."""
+        """Append a part of the body; record an error if it exceeds the size limit."""
         body = self.ready[-1].body
         if len(body) + len(part) > self.body_bytes:
-            self._record_error(413, "query_bytes", f"a body of over {self.body_bytes} bytes")
+            self._record_error(413, "query_bytes", f"request body exceeds {self.body_bytes} bytes")
         elif self._error is None:
             body += part
 
     def on_message_complete(self) -> None:
-        """Complete the request."""
+        """Mark the request as complete."""
         self.ready[-1].complete = True
         self.ready[-1].keeps_alive = self._parser.should_keep_alive()
 
 
 def head(status: int, headers: list[tuple[str, str]]) -> bytes:
-    """Return the head of a response; header names and values must be safe to send as they are."""
+    """Return the encoded head of a response. Header names and values must not need escaping."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
     return f"HTTP/1.1 {status} {REASONS.get(status, '')}\r\n{lines}\r\n".encode("latin-1")
 
 
 def chunk(data: bytes) -> bytes:
-    """Return data as one chunk of a chunked body."""
+    """Return `data` encoded as one chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
