--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -14,7 +14,9 @@
 )
 from runspool.scheduling.types import AttemptOutcome, AttemptStatus, Request, Role
 
+# Statuses after which the engine counts as healthy again.
 SUCCESS_STATUSES = (AttemptStatus.PREFILL_COMPLETE, AttemptStatus.STREAM_STARTED, AttemptStatus.SUCCEEDED)
+# Statuses that say nothing about the engine's health or speed.
 NEUTRAL_STATUSES = (AttemptStatus.STATE_MISSING, AttemptStatus.NOT_SENT, AttemptStatus.CANCELLED)
 # Number of samples over which a running mean is taken.
 RUNNING_MEAN_SAMPLES = 16
@@ -118,8 +120,8 @@
 ) -> None:
     """Learn from an engine's report that it is overloaded."""
     if tokens:
-        # The engine cannot compute its queue in time. The delay recorded here keeps hundreds of fronts from
-        # sending to it again at once.
+        # The engine cannot compute its queue within the objective. A recorded delay of at least the objective
+        # keeps hundreds of fronts from sending to it again at once.
         delay = max(outcome.duration, front.class_state(request).settings.first_token_objective)
         update(front, engine.queueing_delay, front.usual_queueing_delays[engine.role], delay)
     if engine.role is not Role.PREFILL and not engine.observed_capacity:
@@ -131,13 +133,13 @@
     front: FrontState, engine: Engine, outcome: AttemptOutcome, tokens: int, is_local_decode: bool
 ) -> None:
     """Learn from an attempt that failed or timed out on the engine."""
-    is_late = outcome.status is AttemptStatus.TIMED_OUT
-    if is_late and tokens:
+    timed_out = outcome.status is AttemptStatus.TIMED_OUT
+    if timed_out and tokens:
         # Without this sample only attempts that finished in time would determine the estimate.
         update(front, engine.queueing_delay, front.usual_queueing_delays[engine.role], outcome.duration)
-    elif is_late and is_local_decode:
+    elif timed_out and is_local_decode:
         _learn_decode_wait(front, engine, outcome)
-    if not is_late or engine.consecutive_failures:
+    if not timed_out or engine.consecutive_failures:
         record_failure(front, engine)
     # A single timeout may be due to congestion, which an ejection would only move to other engines.
     engine.consecutive_failures = max(engine.consecutive_failures, 1)
@@ -146,7 +148,10 @@
 def record_stream_end(
     front: FrontState, request: Request, outcome: AttemptOutcome, prefill_duration: int
 ) -> None:
-    """Remove a stream from its engine; `prefill_duration` is 0 if another engine prefilled it."""
+    """Remove a stream from its engine and learn from its outcome.
+
+    `prefill_duration` is the time to the first token if the same engine prefilled the request, else 0.
+    """
     engine = front.open_attempts[request.index].engine
     _record_load_report(front, engine, outcome)
     _remove_attempt(front, request)
@@ -169,7 +174,8 @@
     time_per_token = class_state.settings.time_per_output_token
     if request.expected_output_tokens and engine.role is Role.MIXED:
         # The client's estimate of the output length is rough. The sum of allowed times therefore starts at
-        # twice its first value; otherwise a single response would determine the ratio of the two sums.
+        # twice its first value; otherwise a single response would determine whether responses have time to
+        # spare.
         allowed = request.expected_output_tokens * time_per_token
         total = front.mixed_answer_time_allowed
         front.mixed_answer_time_allowed += allowed - total / RESPONSE_TIME_SAMPLES if total else 2 * allowed
--- a/runspool/scheduling/engine_eligibility.py
+++ b/runspool/scheduling/engine_eligibility.py
@@ -27,7 +27,7 @@
     found = {e.id: e for e in index.sample(role, front.sample_count)}
     if role is Role.PREFILL:
         candidates = request.affinity_candidates[:MAX_AFFINITY_CANDIDATES]
-        found |= {at: front.engines[at] for at in candidates if at in front.engines}
+        found |= {i: front.engines[i] for i in candidates if i in front.engines}
     elif prefill_engine is not None:
         found |= {e.id: e for e in index.in_rack(role, prefill_engine.rack)}
     found |= {e.id: e for e in front.active_engines.values() if e.ready and e.role is role}
--- a/runspool/scheduling/front_state.py
+++ b/runspool/scheduling/front_state.py
@@ -58,7 +58,7 @@
         """Create the state; `seed`, unique to this front, seeds its random draws and engine samples."""
         self.settings = settings
         self.random = Random(seed).random
-        self.now = 0
+        self.now = 0  # the time of the current step, set by the driver
         self.engines: dict[int, Engine] = {}
         self.open_attempts: dict[int, OpenAttempt] = {}
         """By request index. Releases and other obligations of a request are looked up here: the entries in
@@ -67,9 +67,9 @@
         self.engine_index: EngineIndex[Engine] = EngineIndex((), seed)
         self.sample_count = 0  # engine samples that requests have drawn from a large fleet
         self.active_engines: dict[int, Engine] = {}  # those that have requests of this front, by id
-        self.reserved_prefill_engine: Engine | None = None
-        self.reserved_decode_engine: Engine | None = None
-        self.is_subscribed = False
+        self.reserved_prefill_engine: Engine | None = None  # preferred for prefills; gets no streams
+        self.reserved_decode_engine: Engine | None = None  # preferred for streams
+        self.is_subscribed = False  # to the endpoint list
 
         self.request_classes = [RequestClassState(row) for row in settings.request_classes]
         self.tenant_arrivals = [TenantArrivals()] * len(settings.tenants)
@@ -80,17 +80,18 @@
 
         # Tokens per tenth of a millisecond, by role.
         self.prefill_rates = dict.fromkeys(Role, INITIAL_PREFILL_RATE)
+        # Queueing delays of prefills and waits of decodes, over all engines of a role.
         self.usual_queueing_delays = {role: DecayingEstimate() for role in Role}
         self.usual_decode_waits = {role: DecayingEstimate() for role in Role}
         self.rack_transfer_delays: defaultdict[int, DecayingEstimate] = defaultdict(DecayingEstimate)
         """By rack: the time that a state transfer out of the rack adds to the wait for a first token."""
-        self.usual_transfer_delay = DecayingEstimate()
+        self.usual_transfer_delay = DecayingEstimate()  # the same time over all racks
         # Decayed sum of the durations of responses from mixed engines.
         self.mixed_answer_time = 0.0
         # Decayed sum of the durations that the output-token objectives allowed for these responses.
         self.mixed_answer_time_allowed = 0.0
 
-        self.fleet_statistics_at = -1
+        self.fleet_statistics_at = -1  # when the statistics below were computed
         self.mean_streams = 0.0  # this front's streams per engine that can decode
         # Fraction of the decode memory of the whole fleet that this front's streams take.
         self.mean_memory_use = 0.0
