--- a/runspool/runtime/scheduler_driver.py
+++ b/runspool/runtime/scheduler_driver.py
@@ -79,13 +79,20 @@
 class SchedulerTask:
     """A running generator, the event that it waits for, and the request that it serves, if any."""
 
-    __slots__ = ("attempt_in_progress", "attempts", "request", "steps", "stream_started", "wait_number")
+    __slots__ = (
+        "attempt_in_progress",
+        "attempts",
+        "request",
+        "running_generator",
+        "stream_started",
+        "wait_number",
+    )
 
     def __init__(
-        self, request: Request | None, steps: Generator[Action, AttemptOutcome | None, None]
+        self, request: Request | None, running_generator: Generator[Action, AttemptOutcome | None, None]
     ) -> None:
         self.request = request
-        self.steps = steps
+        self.running_generator = running_generator
         self.attempts = 0
         self.attempt_in_progress = False
         self.stream_started = False
@@ -113,11 +120,11 @@
         self.tasks: dict[int, SchedulerTask] = {}
         self.thread = get_ident()
         self.is_stepping = False
-        with self._entered(now):
+        with self._step_at(now):
             self._start_background_task()
 
     @contextmanager
-    def _entered(self, now: int) -> Iterator[None]:
+    def _step_at(self, now: int) -> Iterator[None]:
         # One step changes predicted times, loads and active engines in many places. A call in the middle of
         # it, from another thread or from within the step, would decide on inconsistent state.
         if self.is_stepping or get_ident() != self.thread:
@@ -135,17 +142,17 @@
 
     def update_endpoints(self, now: int, update: EndpointUpdate) -> None:
         """Apply a change of the endpoint list."""
-        with self._entered(now):
+        with self._step_at(now):
             self.scheduler.update_endpoints(update)
 
     def subscription_lost(self, now: int) -> None:
         """Make the background task subscribe to the endpoint list again."""
-        with self._entered(now):
+        with self._step_at(now):
             self.scheduler.is_subscribed = False
 
     def submit(self, now: int, request: Request) -> None:
         """Start to serve a request; do nothing if it is being served already."""
-        with self._entered(now):
+        with self._step_at(now):
             if request.index in self.tasks:
                 return
             task = SchedulerTask(request, self.scheduler.handle_request(request))
@@ -154,7 +161,7 @@
 
     def stream_started(self, now: int, request_index: int, attempt: int, duration: int) -> None:
         """Report the first token of an attempt, which came `duration` after the attempt was sent."""
-        with self._entered(now):
+        with self._step_at(now):
             task = self._task_awaiting(request_index, attempt)
             if task is not None and not task.stream_started:
                 task.stream_started = True
@@ -164,7 +171,7 @@
         self, now: int, request_index: int, attempt: int, outcome: AttemptOutcome, is_final: bool
     ) -> None:
         """Report the end of an attempt; `is_final` says that the client gets no further response."""
-        with self._entered(now):
+        with self._step_at(now):
             task = self._task_awaiting(request_index, attempt)
             if task is None or task.request is None:
                 return
@@ -177,7 +184,7 @@
 
         If an attempt is in progress, its end is still to be reported.
         """
-        with self._entered(now):
+        with self._step_at(now):
             task = self.tasks.get(request_index)
             if task is None or task.request is None:
                 return
@@ -187,7 +194,7 @@
 
     def begin_shutdown(self, now: int, deadline: int) -> None:
         """Start the shutdown task; the process may be killed at `deadline`."""
-        with self._entered(now):
+        with self._step_at(now):
             task = SchedulerTask(None, self.scheduler.run_shutdown(deadline))
             self.tasks[SHUTDOWN_TASK] = task
             self._step(SHUTDOWN_TASK, task, None)
@@ -197,11 +204,11 @@
 
         If it is the background task, a new one is started. Return False if there is no such task.
         """
-        with self._entered(now):
+        with self._step_at(now):
             task = self.tasks.pop(request_index, None)
             if task is None:
                 return False
-            task.steps.close()
+            task.running_generator.close()
             if request_index == BACKGROUND_TASK:
                 self._start_background_task()
             elif task.request is not None:
@@ -211,7 +218,7 @@
     def timer_fired(self, now: int, token: str) -> None:
         """Report that a timer which the handler was asked to set has expired."""
         request_index, _, wait_number = token.partition(".")
-        with self._entered(now):
+        with self._step_at(now):
             task = self.tasks.get(int(request_index))
             # Timers cannot be cancelled: one that belongs to an earlier wait is ignored.
             if task is not None and int(wait_number) == task.wait_number and not task.attempt_in_progress:
@@ -234,7 +241,7 @@
         task.wait_number += 1
         while True:
             try:
-                action = task.steps.send(outcome)
+                action = task.running_generator.send(outcome)
             except StopIteration:
                 del self.tasks[request_index]
                 if task.request is not None:
--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -35,13 +35,16 @@
 # Longest queue of a prefill engine to which a prefill is sent, as a fraction of the shortest first-token
 # objective. Behind a longer queue, requests with that objective miss it.
 QUEUE_LIMIT_FRACTION = 0.2
-# The same limit for requests that exceed their tenant's share.
+# Longest queue to which the prefill of a request beyond its tenant's share is sent, as a fraction of the
+# shortest first-token objective.
 OVER_SHARE_QUEUE_LIMIT_FRACTION = 0.1
 # Longest predicted wait that a request accepts, as a fraction of the time until its first token is due.
 MAX_WAIT_FRACTION = 0.6
-# The same fraction for a front that has no streams of its own as evidence of the engines' load.
+# Longest predicted wait that a request accepts at a front without streams of its own, which has no evidence
+# of the engines' load; as a fraction of the time until the first token is due.
 MAX_WAIT_FRACTION_WITHOUT_STREAMS = 0.45
-# Factor on this fraction for a request that its client repeats: part of the client's time has already passed.
+# Factor on the longest accepted wait for a request that its client repeats: part of the client's time has
+# already passed.
 CLIENT_RETRY_WAIT_FACTOR = 0.3
 # Lower bound on a class's priority weight where queue positions are computed.
 MIN_PRIORITY_WEIGHT = 0.1
@@ -54,7 +57,7 @@
 LN_2 = 0.693
 # Factor by which a tenant may exceed its share of the request rate.
 SHARE_TOLERANCE = 1.3
-# Requests that a tenant may have counted in addition.
+# Requests that a tenant may send in a burst beyond its tolerated share.
 SHARE_BURST_REQUESTS = 2
 
 
@@ -66,7 +69,7 @@
     deadline = front.now + request.time_budget - DEADLINE_MARGIN
     due = _first_token_due(front, request, deadline)
     patience = _max_wait_fraction(front, request)
-    is_over_share = _is_over_share(front, request)
+    is_over_share = _count_arrival(front, request)
     queue_limit = OVER_SHARE_QUEUE_LIMIT_FRACTION if is_over_share else QUEUE_LIMIT_FRACTION
     # A higher priority weight gives an earlier queue position. So does a longer wait, so that no class
     # starves.
@@ -107,8 +110,8 @@
     return patience * (CLIENT_RETRY_WAIT_FACTOR if request.is_client_retry else 1)
 
 
-def _is_over_share(front: FrontState, request: Request) -> bool:
-    """Count the request for its tenant, and return whether the tenant exceeds its share at this front."""
+def _count_arrival(front: FrontState, request: Request) -> bool:
+    """Count a request of a tenant, and return whether the tenant exceeds its share at this front."""
     if request.tenant is None:
         return False
     count, updated_at = front.tenant_arrivals[request.tenant]
--- a/runspool/scheduling/engine_index.py
+++ b/runspool/scheduling/engine_index.py
@@ -89,12 +89,12 @@
         """Return whether a role has more ready engines than one decision examines."""
         return len(self.ready[role]) > SAMPLE_SIZE
 
-    def sample(self, role: Role, turn: int) -> list[EngineT]:
+    def sample(self, role: Role, sample_number: int) -> list[EngineT]:
         """Return the engines of a role that one decision examines.
 
-        These are all, or `SAMPLE_SIZE` consecutive ones, starting at an offset that `turn` determines, of an
-        order that is specific to this front. Successive values of `turn` give offsets that are spread over
-        it.
+        These are all, or `SAMPLE_SIZE` consecutive ones of an order that is specific to this front. They
+        start at an offset that `sample_number` determines; successive numbers give offsets that are spread
+        over the order.
         """
         engines = self.ready[role]
         if len(engines) <= SAMPLE_SIZE:
@@ -103,14 +103,14 @@
             self._sample_orders[role] = sorted(
                 engines, key=lambda e: (e.stable_hash ^ self.seed) * HASH_MULTIPLIER & HASH_MASK
             )
-        start = (turn * HASH_MULTIPLIER & HASH_MASK) * len(engines) >> 32
+        start = (sample_number * HASH_MULTIPLIER & HASH_MASK) * len(engines) >> 32
         return _cyclic_slice(self._sample_orders[role], start, SAMPLE_SIZE)
 
-    def ring(self, role: Role, text_hash: int, span: int, within: int) -> list[EngineT]:
+    def ring(self, role: Role, text_hash: int, span: int, offset_hash: int) -> list[EngineT]:
         """Return the engines on a hash ring of a role that follow the hash of a text.
 
         Every front gets the same engines. The `span` engines after `text_hash` are eligible. If these are
-        more than `SAMPLE_SIZE`, the hash `within` selects that many consecutive ones among them.
+        more than `SAMPLE_SIZE`, `offset_hash` selects that many consecutive ones among them.
         """
         engines = self.ready[role]
         if role not in self._rings:
@@ -119,7 +119,7 @@
         hashes, order = self._rings[role]
         start = bisect_left(hashes, text_hash * HASH_MULTIPLIER & HASH_MASK)
         span = min(span, len(order))
-        offset = (within * HASH_MULTIPLIER & HASH_MASK) * max(1, span - SAMPLE_SIZE + 1) >> 32
+        offset = (offset_hash * HASH_MULTIPLIER & HASH_MASK) * max(1, span - SAMPLE_SIZE + 1) >> 32
         return _cyclic_slice(order, start + offset, min(span, SAMPLE_SIZE))
 
     def in_rack(self, role: Role, rack: int) -> list[EngineT]:
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -20,7 +20,7 @@
 FULL_LOAD_WAIT = SECOND
 # Upper bound on a rack's spare decode capacity per prefill engine, relative to the fleet's mean.
 MAX_RACK_BALANCE = 1.6
-# Lower bound on the same ratio, for racks without spare decode capacity.
+# Lower bound on a rack's spare decode capacity per prefill engine, relative to the fleet's mean.
 MIN_RACK_BALANCE = 0.2
 # Exponent of the rack balance in the limit where transfers between racks are the only delay.
 MAX_RACK_BALANCE_EXPONENT = 1.5
--- a/runspool/scheduling/front_state.py
+++ b/runspool/scheduling/front_state.py
@@ -85,10 +85,12 @@
         self.usual_decode_waits = {role: DecayingEstimate() for role in Role}
         self.rack_transfer_delays: defaultdict[int, DecayingEstimate] = defaultdict(DecayingEstimate)
         """By rack: the time that a state transfer out of the rack adds to the wait for a first token."""
-        self.usual_transfer_delay = DecayingEstimate()  # the same time over all racks
+        # time that a state transfer adds to a wait, over all racks
+        self.usual_transfer_delay = DecayingEstimate()
         # Decayed sum of the durations of responses from mixed engines.
         self.mixed_answer_time = 0.0
-        # Decayed sum of the durations that the output-token objectives allowed for these responses.
+        # Decayed sum of the durations that the objectives per output token allow for responses of mixed
+        # engines.
         self.mixed_answer_time_allowed = 0.0
 
         self.fleet_statistics_at = -1  # when the statistics below were computed
--- a/runspool/scheduling/latency_estimator.py
+++ b/runspool/scheduling/latency_estimator.py
@@ -25,7 +25,7 @@
 OUTLIER_ALLOWANCE = 600 * MILLISECOND
 # Lower bound on the weight of a sample in the estimate over its engine's peers.
 MIN_PEER_WEIGHT = 1 / 8
-# Upper bound on the same weight.
+# Upper bound on the weight of a sample in the estimate over its engine's peers.
 MAX_PEER_WEIGHT = 1 / 4
 # Lower bound on the weight of a sample in its own engine's estimate.
 MIN_OWN_WEIGHT = 1 / 4
@@ -42,21 +42,23 @@
 
 def value_at(front: FrontState, own: DecayingEstimate, peers: DecayingEstimate) -> float:
     """Return an engine's estimate now: it decays to its peers' estimate, and that decays to 0."""
-    usual = peers.time * decay(front, peers.updated_at)
-    return usual + (own.time - usual) * decay(front, own.updated_at)
+    peer_estimate = peers.time * decay(front, peers.updated_at)
+    return peer_estimate + (own.time - peer_estimate) * decay(front, own.updated_at)
 
 
 def update(front: FrontState, own: DecayingEstimate, peers: DecayingEstimate, time: float) -> None:
     """Update an engine's estimate and its peers' estimate with a measured time."""
-    usual, before = peers.time * decay(front, peers.updated_at), value_at(front, own, peers)
+    peer_estimate, own_estimate = peers.time * decay(front, peers.updated_at), value_at(front, own, peers)
     # The older the estimates, the more the new sample weighs. A front that measures only one prefill every
     # few seconds must not rely during congestion on what it learned before.
     sample_weight = 1 - decay(front, peers.updated_at, SAMPLE_HALF_LIFE)
     own_sample_weight = 1 - decay(front, own.updated_at, SAMPLE_HALF_LIFE)
     # The sample is capped in the peers' estimate: a few engines that hang must not make all look slow.
-    sample = min(time, 3 * usual + OUTLIER_ALLOWANCE)
-    peers.time = usual + (sample - usual) * max(MIN_PEER_WEIGHT, min(MAX_PEER_WEIGHT, sample_weight))
-    own.time = before + (time - before) * max(MIN_OWN_WEIGHT, own_sample_weight)
+    sample = min(time, 3 * peer_estimate + OUTLIER_ALLOWANCE)
+    peers.time = peer_estimate + (sample - peer_estimate) * max(
+        MIN_PEER_WEIGHT, min(MAX_PEER_WEIGHT, sample_weight)
+    )
+    own.time = own_estimate + (time - own_estimate) * max(MIN_OWN_WEIGHT, own_sample_weight)
     peers.updated_at = own.updated_at = front.now
 
 
@@ -88,12 +90,12 @@
 def record_prefill_rate(front: FrontState, engine: Engine, tokens: int, duration: int) -> None:
     """Update the prefill rate of an engine's role with a measured prefill.
 
-    The rate is the highest seen recently, since waits that this front cannot see only make a prefill slower.
-    They are accounted for as queueing delay.
+    The rate is the highest measured recently, since waits that this front cannot see only make a prefill
+    slower. They are accounted for as queueing delay.
     """
-    rate, seen = front.prefill_rates[engine.role], max(1, tokens) / max(1, duration)
+    rate, measured_rate = front.prefill_rates[engine.role], max(1, tokens) / max(1, duration)
     front.prefill_rates[engine.role] = max(
-        seen, rate + (seen - rate) / PREFILL_RATE_SAMPLES, MIN_PREFILL_RATE
+        measured_rate, rate + (measured_rate - rate) / PREFILL_RATE_SAMPLES, MIN_PREFILL_RATE
     )
 
 
--- a/runspool/scheduling/request_lifecycle.py
+++ b/runspool/scheduling/request_lifecycle.py
@@ -107,12 +107,12 @@
         )
 
 
-def reservation_time(release_timeout: int, otherwise: int) -> int:
+def reservation_time(release_timeout: int, default_timeout: int) -> int:
     """Return how long state may stay reserved before its release starts.
 
-    `otherwise` is the time limit where `release_timeout` is 0. A margin is subtracted from either.
+    `default_timeout` is the time limit where `release_timeout` is 0. A margin is subtracted from either.
     """
-    allowed = release_timeout or otherwise
+    allowed = release_timeout or default_timeout
     return allowed - min(RELEASE_MARGIN, allowed // 2)
 
 
--- a/runspool/scheduling/slow_start.py
+++ b/runspool/scheduling/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start (mechanism 5 of docs/design.md): an engine that is starting gets a part of this front's traffic.
 
-One random draw per request decides this. If each look at an engine drew anew, a request that waits would
-eventually be admitted.
+One random draw per request decides whether the engine may get it. With a new draw for each decision, a
+request that waits would be admitted sooner or later.
 """
 
 from __future__ import annotations
