--- a/runspool/scheduling/engine_index.py
+++ b/runspool/scheduling/engine_index.py
@@ -3,8 +3,8 @@
 A decision that examined every engine would cost time in proportion to the size of the fleet, although a
 front's share of the traffic does not grow with it. For roles with up to `SAMPLE_SIZE` ready engines, a
 decision examines all of them. For larger roles it examines a sample: consecutive engines of an order that is
-specific to this front, from another offset for each decision. The callers add engines that a prompt's cached
-texts or its prefill state favour.
+specific to this front, from another offset for each decision. The callers add engines that may have the
+prompt cached or that are near its prefill state.
 
 The module does no I/O and draws no random numbers.
 """
@@ -60,7 +60,7 @@
 
 
 class EngineIndex(Generic[EngineT]):
-    """The ready engines by role; created anew whenever the list of engines changes."""
+    """The ready engines by role; replaced by a new index whenever the list of engines changes."""
 
     def __init__(self, engines: Iterable[EngineT], seed: int) -> None:
         """Index the ready ones of `engines`; `seed`, unique to this front, determines its sample order."""
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -59,9 +59,11 @@
     would be extrapolated to a full engine.
     """
     refresh_fleet_statistics(front)
-    usual = front.mean_memory_use * (engine.memory_tokens or 1)
+    mean_tokens = front.mean_memory_use * (engine.memory_tokens or 1)
     evidence = EVIDENCE_STREAMS + len(engine.streams)
-    estimated = (front.settings.front_count - 1) * usual * evidence / (EVIDENCE_STREAMS + front.mean_streams)
+    estimated = (
+        (front.settings.front_count - 1) * mean_tokens * evidence / (EVIDENCE_STREAMS + front.mean_streams)
+    )
     if front.mean_streams >= 1 or not engine.memory_tokens:
         return estimated
     # A front with several times the mean traffic must not consider all engines full. With so few streams it
@@ -96,7 +98,10 @@
 
 
 def refresh_fleet_statistics(front: FrontState) -> None:
-    """Update the statistics over all engines, once per clock time: a burst would cost too much CPU time."""
+    """Update the statistics over all engines unless they are up to date.
+
+    They are computed once per clock value, since a burst of requests would cost too much CPU time otherwise.
+    """
     if front.fleet_statistics_at == front.now:
         return
     front.fleet_statistics_at = front.now
@@ -119,12 +124,12 @@
         e.rack for e in front.engine_index.decode_capable() if load(front, e) < PACKING_THRESHOLD
     )
     prefill = Counter(e.rack for e in front.ready_engines(Role.PREFILL))
-    usual = max(1, with_room.total()) / max(1, prefill.total())
-    usual_transfer, usual_queueing = front.usual_transfer_delay, front.usual_queueing_delays[Role.PREFILL]
-    transfer = usual_transfer.time * decay(front, usual_transfer.updated_at)
-    queueing = usual_queueing.time * decay(front, usual_queueing.updated_at)
+    fleet_ratio = max(1, with_room.total()) / max(1, prefill.total())
+    transfer_delay, queueing_delay = front.usual_transfer_delay, front.usual_queueing_delays[Role.PREFILL]
+    transfer = transfer_delay.time * decay(front, transfer_delay.updated_at)
+    queueing = queueing_delay.time * decay(front, queueing_delay.updated_at)
     exponent = MAX_RACK_BALANCE_EXPONENT * transfer / (transfer + queueing + RACK_BALANCE_REFERENCE_DELAY)
     return {
-        rack: min(max(with_room[rack] / count / usual, MIN_RACK_BALANCE), MAX_RACK_BALANCE) ** exponent
+        rack: min(max(with_room[rack] / count / fleet_ratio, MIN_RACK_BALANCE), MAX_RACK_BALANCE) ** exponent
         for rack, count in prefill.items()
     }
