--- a/runspool/service/attempt_runner.py
+++ b/runspool/service/attempt_runner.py
@@ -36,7 +36,7 @@
         this attempt, an exception in the scheduler only this request.
         """
         executor = self.executor
-        decided_on = executor.endpoint_tracker.revision()
+        list_revision = executor.endpoint_tracker.revision()
         await executor.before_attempt(pending, endpoint)
         sent_at, attempt = now(), pending.attempt_count
         limit = effective_timeout(
@@ -53,7 +53,7 @@
             result = await self._run_exchange(pending, endpoint, attempt, sent_at, limit)
         try:
             self._report_end(pending, endpoint, attempt, sent_at, result)
-            self._log_result(pending, endpoint, attempt, sent_at, result, decided_on)
+            self._log_result(pending, endpoint, attempt, sent_at, result, list_revision)
             executor.after_attempt(pending, endpoint, attempt, result)
         except Exception as error:  # noqa: BLE001 - an error in one request must not affect the others
             executor.handle_scheduler_failure(executor.scheduler_for(pending), pending.index, error)
@@ -144,7 +144,7 @@
         attempt: int,
         sent_at: int,
         result: AttemptResult,
-        decided_on: ListRevision,
+        list_revision: ListRevision,
     ) -> None:
         executor = self.executor
         executor.counts[f"attempt_{result.status.name.lower()}"] += 1
@@ -161,8 +161,8 @@
             "reached_engine": result.reached_engine,
             "cached_tokens": result.cached_tokens,
             "output_tokens": result.output_tokens,
-            "list_version": decided_on.version,
-            "list_age": None if decided_on.confirmed_at is None else sent_at - decided_on.confirmed_at,
+            "list_version": list_revision.version,
+            "list_age": None if list_revision.confirmed_at is None else sent_at - list_revision.confirmed_at,
         }
         executor.log.debug("attempt_finished", **details)
         if result.failure_cause is not None:
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -265,7 +265,11 @@
         pending.state = pending.prefill_endpoint = None
 
     def is_guarded(self, pending: PendingCompletion) -> bool:
-        """Return whether the deadline guard still applies, which it does not once a stream has started."""
+        """Return whether the deadline guard still applies.
+
+        It does not apply to a response that is already being streamed to its client. It does apply to a
+        response that is buffered until it is complete.
+        """
         return not (pending.stream_started and pending.completion.stream)
 
     def after_request(self, pending: PendingCompletion) -> None:
--- a/runspool/service/front_server.py
+++ b/runspool/service/front_server.py
@@ -45,7 +45,8 @@
     """A front with its listener, its endpoint list watch and its graceful shutdown.
 
     `open_connections` is the number of client connections, `active_requests` the number of requests whose
-    response has not been written completely.
+    response has not been written completely. `endpoints_unsaved` is set when the endpoint list has changed
+    since it was last saved.
     """
 
     def __init__(
--- a/runspool/service/release_check.py
+++ b/runspool/service/release_check.py
@@ -28,9 +28,9 @@
     def timer_fired(self, request: int) -> None:
         """Release the request's state if the release is due, even if an attempt may still claim the state.
 
-        An attempt whose engine has not sent anything yet does not extend the time for which the state may be
-        reserved. If that attempt has reached its engine and is only slow to respond, it is not affected: the
-        release call leaves a state in place that an attempt is waiting for.
+        The time for which the state may be reserved is not extended by an attempt whose engine has not sent
+        anything yet. If such an attempt has reached its engine, which is only slow to respond, the release
+        does no harm: engines keep a state that an attempt is waiting for.
         """
         executor = self.executor
         pending = executor.requests.get(request)
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -43,8 +43,8 @@
 )
 from runspool.wire.endpoint_list import EndpointEntry
 
-# How long an unused text stays interned, in tenths of a millisecond. After this time without use, no engine
-# still has the text in its cache.
+# How long the index of an unused session or prompt prefix is kept, in tenths of a millisecond. A text that has
+# not been used for this time is no longer in any engine's cache.
 TEXT_RETENTION = 6_000_000
 
 
@@ -68,7 +68,7 @@
             settings: The routing settings.
             engine_types: The indices of the configured engine types by name.
             zones: The indices of the configured zones by name.
-            text_capacity: The maximum number of interned texts (sessions and prompt prefixes).
+            text_capacity: The maximum number of sessions and prompt prefixes that have an index.
         """
         super().__init__(settings, engine_types, zones)
         self.text_interner = Interner(text_capacity, TEXT_RETENTION)
@@ -103,9 +103,10 @@
         self.publish_engines()
 
     def intern_text(self, kind: str, name: str | None, at: int) -> int | None:
-        """Return the index of the text with this kind and name, or None if `name` is None.
+        """Return the scheduler's index for a session or prompt prefix, or None if `name` is None.
 
-        `kind` is a prefix that keeps names of different kinds apart; `at` is the current time.
+        `kind` is a prefix that separates the names of sessions from those of prompt prefixes; `at` is the
+        current time.
         """
         return None if name is None else self.text_interner.intern(kind + name, at)
 
@@ -121,7 +122,11 @@
         self._spawn(self.attempt_runner.run, pending, self.endpoints[engine], timeout)
 
     def reject(self, request: int, retry_after: int) -> None:
-        """Respond that the request was not executed, or that it is indeterminate if it may have been."""
+        """Reject the request as not executed.
+
+        If the request may have been executed nevertheless, the violation is recorded and the request is
+        failed as indeterminate instead.
+        """
         pending = self.requests[request]
         denial = pending.lifecycle.deny_rejection()
         if denial is not None and pending.final_response is None:
