--- a/runspool/logs.py
+++ b/runspool/logs.py
@@ -13,8 +13,8 @@
 import structlog
 
 # Maximum number of bytes per write: a pipe that is reported writable accepts PIPE_BUF bytes without blocking.
-WRITE_BYTES = 4_096
-STANDARD_ERROR = 2  # file descriptor number
+MAX_WRITE_BYTES = 4_096
+STANDARD_ERROR_DESCRIPTOR = 2
 LINES_PER_SECOND = 20.0  # long-term average rate of a BoundedLog
 LINES_AT_ONCE = 200.0  # largest burst of a BoundedLog, in lines
 
@@ -66,7 +66,7 @@
         """Write as much as is possible without blocking; return the rest."""
         with suppress(OSError):
             while data and self._is_ready():
-                data = data[os.write(self.descriptor, data[:WRITE_BYTES]) :]
+                data = data[os.write(self.descriptor, data[:MAX_WRITE_BYTES]) :]
         return data
 
     def _is_ready(self) -> bool:
@@ -83,7 +83,7 @@
         available_lines: Number of lines that may be logged now. It grows by `LINES_PER_SECOND` per second, up
             to `LINES_AT_ONCE`.
         updated_at: Time at which `available_lines` was computed, in seconds.
-        left_out: Number of lines suppressed since the last logged line.
+        suppressed_lines: Number of lines suppressed since the last logged line.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
@@ -91,7 +91,7 @@
         self.log = structlog.get_logger()
         self.available_lines = LINES_AT_ONCE
         self.updated_at = clock()
-        self.left_out = 0
+        self.suppressed_lines = 0
 
     def info(self, event: str, **fields: object) -> None:
         """Log an event at level "info", or count it as suppressed where the rate limit is exceeded."""
@@ -100,12 +100,12 @@
         self.available_lines = min(LINES_AT_ONCE, self.available_lines + elapsed * LINES_PER_SECOND)
         self.updated_at = now
         if self.available_lines < 1:
-            self.left_out += 1
+            self.suppressed_lines += 1
             return
         self.available_lines -= 1
-        if self.left_out:
-            fields["left_out_before"] = self.left_out
-            self.left_out = 0
+        if self.suppressed_lines:
+            fields["left_out_before"] = self.suppressed_lines
+            self.suppressed_lines = 0
         self.log.info(event, **fields)
 
 
@@ -115,7 +115,7 @@
     Otherwise the next socket would get the number of the closed descriptor, and output for standard output or
     error would be sent to that socket's peer.
     """
-    for descriptor in range(STANDARD_ERROR + 1):
+    for descriptor in range(STANDARD_ERROR_DESCRIPTOR + 1):
         try:
             os.fstat(descriptor)
         except OSError:
@@ -138,7 +138,7 @@
             structlog.processors.JSONRenderer(serializer=_encode_event),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper(), logging.INFO)),
-        logger_factory=structlog.BytesLoggerFactory(file=SafeSink(STANDARD_ERROR)),  # type: ignore[arg-type]
+        logger_factory=structlog.BytesLoggerFactory(file=SafeSink(STANDARD_ERROR_DESCRIPTOR)),  # type: ignore[arg-type]
         cache_logger_on_first_use=True,
     )
 
--- a/runspool/storage/atomic_file.py
+++ b/runspool/storage/atomic_file.py
@@ -44,12 +44,12 @@
     Raises:
         OSError: The file could not be written; the previous content is unchanged.
     """
-    temporary = path.with_name(path.name + temporary_suffix)
-    with temporary.open("wb") as file:
+    temporary_path = path.with_name(path.name + temporary_suffix)
+    with temporary_path.open("wb") as file:
         file.write(content)
         file.flush()
         os.fsync(file.fileno())
-    temporary.replace(path)
+    temporary_path.replace(path)
 
 
 def add_checksum(body: bytes) -> bytes:
--- a/runspool/wire/completions.py
+++ b/runspool/wire/completions.py
@@ -23,7 +23,7 @@
 DEFAULT_OUTPUT_TOKENS = 256  # default for a body without `max_tokens`
 MAX_OUTPUT_TOKENS = 1_000_000  # largest value accepted for `max_tokens`
 MAX_PROMPT_TOKENS = 100_000_000  # largest value accepted for the header `runspool-prompt-tokens`
-MAX_CLIENT_TRIES = 1_000  # largest value accepted for the header `runspool-try`
+MAX_CLIENT_ATTEMPTS = 1_000  # largest value accepted for the header `runspool-try`
 DONE = b"data: [DONE]\n\n"  # last event of a complete stream
 
 
@@ -85,18 +85,20 @@
         parameters: dict[str, msgspec.Raw] = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
     except JSON_DECODE_ERRORS as error:
         raise InvalidRequestError("body", f"not a JSON object ({error})") from None
-    request_class, class_config = _request_class(headers, config)
+    request_class, class_config = _parse_request_class(headers, config)
     tenant = headers.get("runspool-tenant")
     if tenant is not None and tenant not in config.house.tenants:
         raise InvalidRequestError("runspool-tenant", f"{tenant!r} is not a known tenant")
-    estimated_tokens = _estimated_prompt_tokens(parameters)
-    prompt_tokens = _integer(headers, "runspool-prompt-tokens", estimated_tokens, 1, MAX_PROMPT_TOKENS)
-    max_output_tokens = _max_output_tokens(parameters)
-    if _parameter(parameters, "n", int, 1) != 1:
+    estimated_tokens = _estimate_prompt_tokens(parameters)
+    prompt_tokens = _parse_integer_header(
+        headers, "runspool-prompt-tokens", estimated_tokens, 1, MAX_PROMPT_TOKENS
+    )
+    max_output_tokens = _parse_max_output_tokens(parameters)
+    if _parse_parameter(parameters, "n", int, 1) != 1:
         raise InvalidRequestError("n", "must be 1: only one completion per request is supported")
-    prefix = _name(headers, "runspool-beginning")
-    prefix_tokens = _integer(headers, "runspool-beginning-tokens", 0, 0, prompt_tokens)
-    idempotency_key = _name(headers, "runspool-ticket")
+    prefix = _parse_name_header(headers, "runspool-beginning")
+    prefix_tokens = _parse_integer_header(headers, "runspool-beginning-tokens", 0, 0, prompt_tokens)
+    idempotency_key = _parse_name_header(headers, "runspool-ticket")
     if class_config.effect == "ticketed" and idempotency_key is None:
         raise InvalidRequestError(
             "runspool-ticket", f"required for tariff {request_class}, which is ticketed"
@@ -104,24 +106,26 @@
     return CompletionRequest(
         request_class=request_class,
         tenant=tenant,
-        session=_name(headers, "runspool-session"),
+        session=_parse_name_header(headers, "runspool-session"),
         prefix=prefix,
         prefix_tokens=prefix_tokens if prefix is not None else 0,
         prompt_tokens=prompt_tokens,
         max_output_tokens=max_output_tokens,
-        expected_output_tokens=_integer(headers, "runspool-likely-tokens", 0, 0, MAX_OUTPUT_TOKENS),
-        time_limit=_time_limit(headers, class_config, prompt_tokens, config),
+        expected_output_tokens=_parse_integer_header(
+            headers, "runspool-likely-tokens", 0, 0, MAX_OUTPUT_TOKENS
+        ),
+        time_limit=_parse_time_limit(headers, class_config, prompt_tokens, config),
         idempotency_key=idempotency_key,
-        client_attempt=_name(headers, "runspool-mark") or "",
+        client_attempt=_parse_name_header(headers, "runspool-mark") or "",
         is_continuation=headers.get("runspool-again", "0") == "1",
-        is_client_retry=_integer(headers, "runspool-try", 1, 1, MAX_CLIENT_TRIES) > 1,
-        stream=_parameter(parameters, "stream", bool, False),
+        is_client_retry=_parse_integer_header(headers, "runspool-try", 1, 1, MAX_CLIENT_ATTEMPTS) > 1,
+        stream=_parse_parameter(parameters, "stream", bool, False),
         body_bytes=len(body),
         body=parameters,
     )
 
 
-def _request_class(headers: Mapping[str, str], config: FrontConfig) -> tuple[str, RequestClassConfig]:
+def _parse_request_class(headers: Mapping[str, str], config: FrontConfig) -> tuple[str, RequestClassConfig]:
     classes = config.house.tariffs
     name = headers.get("runspool-tariff") or config.front.default_tariff
     if name is None:
@@ -132,14 +136,14 @@
     return name, class_config
 
 
-def _max_output_tokens(parameters: dict[str, msgspec.Raw]) -> int:
-    tokens = _parameter(parameters, "max_tokens", int, DEFAULT_OUTPUT_TOKENS)
+def _parse_max_output_tokens(parameters: dict[str, msgspec.Raw]) -> int:
+    tokens = _parse_parameter(parameters, "max_tokens", int, DEFAULT_OUTPUT_TOKENS)
     if not 1 <= tokens <= MAX_OUTPUT_TOKENS:
         raise InvalidRequestError("max_tokens", f"{tokens} is not between 1 and {MAX_OUTPUT_TOKENS}")
     return tokens
 
 
-def _time_limit(
+def _parse_time_limit(
     headers: Mapping[str, str], class_config: RequestClassConfig, prompt_tokens: int, config: FrontConfig
 ) -> int:
     """Return the time limit of a request, in tenths of a millisecond.
@@ -152,30 +156,34 @@
     default_ms = class_config.limit_ms + 2 * class_config.due_per_1000_tokens_ms * prompt_tokens / 1000
     if headers.get("runspool-limit-ms") is None:
         return tenths(min(default_ms, longest_ms))
-    return _integer(headers, "runspool-limit-ms", 0, 1, int(longest_ms)) * TENTHS
+    return _parse_integer_header(headers, "runspool-limit-ms", 0, 1, int(longest_ms)) * TENTHS
 
 
-def _integer(headers: Mapping[str, str], name: str, default: int, minimum: int, maximum: int) -> int:
+def _parse_integer_header(
+    headers: Mapping[str, str], name: str, default: int, minimum: int, maximum: int
+) -> int:
     return fields.parse_integer(headers.get(name), name, default, minimum, maximum)
 
 
-def _name(headers: Mapping[str, str], name: str) -> str | None:
+def _parse_name_header(headers: Mapping[str, str], name: str) -> str | None:
     return fields.parse_name(headers.get(name), name)
 
 
-def _parameter(parameters: dict[str, msgspec.Raw], name: str, kind: type[Value], default: Value) -> Value:
+def _parse_parameter(
+    parameters: dict[str, msgspec.Raw], name: str, value_type: type[Value], default: Value
+) -> Value:
     """Return a parameter of the body; null is treated as absent, as in the published API."""
     raw = parameters.get(name)
     if raw is None:
         return default
     try:
-        value: Value | None = msgspec.json.decode(raw, type=kind | None)
+        value: Value | None = msgspec.json.decode(raw, type=value_type | None)
     except JSON_DECODE_ERRORS as error:
         raise InvalidRequestError(name, str(error)) from None
     return default if value is None else value
 
 
-def _estimated_prompt_tokens(parameters: dict[str, msgspec.Raw]) -> int:
+def _estimate_prompt_tokens(parameters: dict[str, msgspec.Raw]) -> int:
     """Return the prompt's length in tokens: exact for a list of tokens, estimated by its bytes for a text."""
     raw = parameters.get("prompt")
     if raw is None:
@@ -190,12 +198,14 @@
         raise InvalidRequestError("prompt", "must be one string or one list of token ids") from None
 
 
-def error_body(kind: str, code: str, message: str) -> bytes:
-    """Return the body of an error response of the published API; `kind` is the value of its field `type`."""
-    return msgspec.json.encode({"error": {"message": message, "type": kind, "param": None, "code": code}})
+def error_body(error_type: str, code: str, message: str) -> bytes:
+    """Return the body of an error response of the published API; `error_type` is its field `type`."""
+    return msgspec.json.encode(
+        {"error": {"message": message, "type": error_type, "param": None, "code": code}}
+    )
 
 
-def chunk(request_id: str, model: str, created: int, text: str, finish: str | None = None) -> bytes:
+def chunk(request_id: str, model: str, created: int, text: str, finish_reason: str | None = None) -> bytes:
     """Return one server-sent event of a streamed response; `created` is a Unix time in seconds."""
     return (
         b"data: "
@@ -205,7 +215,7 @@
                 "object": "text_completion",
                 "created": created,
                 "model": model,
-                "choices": [{"index": 0, "text": text, "logprobs": None, "finish_reason": finish}],
+                "choices": [{"index": 0, "text": text, "logprobs": None, "finish_reason": finish_reason}],
             }
         )
         + b"\n\n"
@@ -218,11 +228,11 @@
     def __init__(self, request_id: str, model: str, created: int) -> None:
         placeholder = "\0"
         event = chunk(request_id, model, created, placeholder)
-        self.before, self.after = event.split(msgspec.json.encode(placeholder))
+        self._event_start, self._event_end = event.split(msgspec.json.encode(placeholder))
 
     def text(self, text: str) -> bytes:
         """Return an event with `text`, encoded as one chunk of a chunked HTTP body."""
-        event = self.before + msgspec.json.encode(text) + self.after
+        event = self._event_start + msgspec.json.encode(text) + self._event_end
         return b"%x\r\n%b\r\n" % (len(event), event)
 
 
@@ -236,7 +246,7 @@
     model: str,
     created: int,
     text: str,
-    finish: str,
+    finish_reason: str,
     prompt_tokens: int,
     cached_tokens: int,
     output_tokens: int,
@@ -248,7 +258,7 @@
             "object": "text_completion",
             "created": created,
             "model": model,
-            "choices": [{"index": 0, "text": text, "logprobs": None, "finish_reason": finish}],
+            "choices": [{"index": 0, "text": text, "logprobs": None, "finish_reason": finish_reason}],
             "usage": {
                 "prompt_tokens": prompt_tokens,
                 "completion_tokens": output_tokens,
--- a/runspool/wire/engine_messages.py
+++ b/runspool/wire/engine_messages.py
@@ -36,14 +36,14 @@
 # Fields of the client's body that are omitted from a prefill, which generates one token and is not streamed.
 DECODE_ONLY_FIELDS = ("stream_options", "min_tokens", "max_completion_tokens")
 
-EVENT_DATA = b"data:"  # the other fields of server-sent events are ignored
+EVENT_DATA_PREFIX = b"data:"  # the other fields of server-sent events are ignored
 
 
 class MalformedResponseError(RunspoolError):
     """A response of an engine, or an event of a streamed response, cannot be parsed."""
 
 
-class TokensDetails(msgspec.Struct):
+class PromptTokensDetails(msgspec.Struct):
     """Details of the prompt's token count."""
 
     cached_tokens: int | None = None
@@ -54,7 +54,7 @@
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
-    prompt_tokens_details: TokensDetails | None = None
+    prompt_tokens_details: PromptTokensDetails | None = None
 
     @property
     def cached_tokens(self) -> int:
@@ -85,10 +85,10 @@
     error: EngineError | str | None = None
 
 
-_load_reports: msgspec.json.Decoder[dict[str, dict[str, float]]] = msgspec.json.Decoder(
+_load_report_decoder: msgspec.json.Decoder[dict[str, dict[str, float]]] = msgspec.json.Decoder(
     dict[str, dict[str, float]]
 )
-_responses: msgspec.json.Decoder[CompletionResponse] = msgspec.json.Decoder(CompletionResponse)
+_response_decoder: msgspec.json.Decoder[CompletionResponse] = msgspec.json.Decoder(CompletionResponse)
 
 
 def prefill_body(body: dict[str, msgspec.Raw]) -> bytes:
@@ -134,7 +134,7 @@
         MalformedResponseError: `raw` cannot be parsed.
     """
     try:
-        return _responses.decode(raw)
+        return _response_decoder.decode(raw)
     except JSON_DECODE_ERRORS as error:
         raise MalformedResponseError(str(error)) from None
 
@@ -153,7 +153,7 @@
     if header is None or not header.startswith(LOAD_REPORT_FORMAT):
         return None
     try:
-        report = _load_reports.decode(header[len(LOAD_REPORT_FORMAT) :].strip().encode())
+        report = _load_report_decoder.decode(header[len(LOAD_REPORT_FORMAT) :].strip().encode())
     except JSON_DECODE_ERRORS:
         return None
     metrics = report.get("named_metrics", {})
@@ -186,7 +186,9 @@
             lines = bytes(self._incomplete_event[:end]).split(b"\n")
             del self._incomplete_event[: end + 2]
             values = [
-                line[len(EVENT_DATA) :].removeprefix(b" ") for line in lines if line.startswith(EVENT_DATA)
+                line[len(EVENT_DATA_PREFIX) :].removeprefix(b" ")
+                for line in lines
+                if line.startswith(EVENT_DATA_PREFIX)
             ]
             if values:
                 events.append(b"\n".join(values))
--- a/runspool/wire/http_requests.py
+++ b/runspool/wire/http_requests.py
@@ -15,7 +15,7 @@
 from runspool.errors import RunspoolError
 
 MAX_HEADERS = 100  # per request
-REASONS = {status.value: status.phrase for status in HTTPStatus}  # reason phrase by HTTP status
+REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}  # reason phrase by HTTP status
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 CHUNKS_END = b"0\r\n\r\n"  # last chunk of a chunked body
@@ -189,7 +189,7 @@
 def head(status: int, headers: list[tuple[str, str]]) -> bytes:
     """Return the encoded head of a response. Header names and values must not need escaping."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
-    return f"HTTP/1.1 {status} {REASONS.get(status, '')}\r\n{lines}\r\n".encode("latin-1")
+    return f"HTTP/1.1 {status} {REASON_PHRASES.get(status, '')}\r\n{lines}\r\n".encode("latin-1")
 
 
 def chunk(data: bytes) -> bytes:
