--- a/runspool/service/deadline_guard.py
+++ b/runspool/service/deadline_guard.py
@@ -13,8 +13,8 @@
 # A guard that fires late by at least this time is scheduled again after the same time, so that the timers of
 # the scheduler are handled first.
 GUARD_DEFERRAL = 10
-# The time between the end of a request's attempts and the start of the response slack. If a guard fires late by
-# this time or more, the cause is a delay of the process, not a failure of the scheduler.
+# The time between the end of a request's attempts and the start of the response slack. If a guard fires late
+# by this time or more, the cause is a delay of the process, not a failure of the scheduler.
 GUARD_MARGIN = 50
 
 
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -43,8 +43,8 @@
 )
 from runspool.wire.endpoint_list import EndpointEntry
 
-# How long the index of an unused session or prompt prefix is kept, in tenths of a millisecond. A text that has
-# not been used for this time is no longer in any engine's cache.
+# How long the index of an unused session or prompt prefix is kept, in tenths of a millisecond. A text that
+# has not been used for this time is no longer in any engine's cache.
 TEXT_RETENTION = 6_000_000
 
 
