--- a/runspool/discovery/endpoint_tracker.py
+++ b/runspool/discovery/endpoint_tracker.py
@@ -3,8 +3,8 @@
 An entry holds the complete state of an engine, so for each engine the entry with the highest version applies.
 A message that arrives after a gap in the versions is therefore applied immediately, because a drain takes
 effect when it is announced. Changes hidden by the gap are missing only until the whole list has been
-requested. A list service that has lost its version numbers begins a new epoch. From then on only a whole list
-is accepted, whose version becomes the current one.
+requested. A list service that has lost its version numbers begins a new epoch; the tracker ignores its
+messages until a whole list arrives, which begins a new sequence of versions.
 
 Times are in tenths of a millisecond.
 """
@@ -17,7 +17,8 @@
 
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
 
-GAP_TIMEOUT = 2_000  # time for missing versions to arrive late before the whole list is requested
+# Time, in tenths of a millisecond, for missing versions to arrive late before the whole list is requested.
+GAP_TIMEOUT = 2_000
 # Number of versions applied after a gap above which the whole list is requested, as it is cheaper then.
 MAX_VERSIONS_AHEAD = 256
 MAX_ENGINES = 20_000  # maximum number of entries; further engines are ignored
--- a/runspool/discovery/watch_client.py
+++ b/runspool/discovery/watch_client.py
@@ -121,9 +121,8 @@
         self.now = now
         self.listener = WatchListener(tracker, now, on_changed, on_lost)
         self.source_address = source_address
-        self.needs_whole_list = (
-            True  # whether the next connection requests the whole list instead of the changes
-        )
+        # Whether the next connection requests the whole list instead of the changes.
+        self.needs_whole_list = True
 
     async def follow(self) -> None:
         """Watch the list until cancelled. The known list is kept while the service is unreachable."""
--- a/runspool/engines/completions_client.py
+++ b/runspool/engines/completions_client.py
@@ -117,9 +117,12 @@
             limit: Time limit until the first token, in tenths of a millisecond. After the first token only
                 the idle timeout applies.
             permit: Asked before the first and the last byte of the request are sent, and notified when the
-                first byte of the response arrives.
+                request has been sent and when the first byte of the response arrives.
             max_output_tokens: Number of tokens past which the response is treated as malformed.
             listener: Receives the text.
+
+        Returns:
+            The status SUCCEEDED with the token counts, or the failure.
         """
         result = AttemptResult(AttemptStatus.SUCCEEDED)
         stream = _TokenStream(self._read_more, result, self.settings.line_bytes, max_output_tokens)
@@ -202,7 +205,7 @@
             try:
                 text = await stream.read(exchange, FailureCause.STREAM_INTERRUPTED)
             except ExchangeAbortedError:
-                if stream.finished:  # the response is complete; only its last lines are missing
+                if stream.finished:  # the text is complete; only the last lines of the response are missing
                     return
                 raise
             wait.waiting_since = 0
--- a/runspool/engines/connection_pool.py
+++ b/runspool/engines/connection_pool.py
@@ -104,9 +104,8 @@
         self.quiet_time = quiet_time
         self.now = now
         self.idle: dict[Address, deque[PooledConnection]] = {}  # ordered by `idle_since`
-        self.open_counts: dict[
-            Address, int
-        ] = {}  # connections that are open or being opened, idle ones included
+        # Number of connections per address that are in use, idle or being opened.
+        self.open_counts: dict[Address, int] = {}
 
     async def acquire(self, address: Address, connect_ms: float | None = None) -> PooledConnection:
         """Return an idle connection that is still usable, or a new one.
--- a/runspool/engines/http_exchange.py
+++ b/runspool/engines/http_exchange.py
@@ -59,7 +59,7 @@
 
 
 def encode_request(method: str, target: str, headers: Mapping[str, str], body: bytes = b"") -> bytes:
-    """Encode a request. Header names and values must not need escaping."""
+    """Encode a request. The caller must have validated the header names and values."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
     length = f"Content-Length: {len(body)}\r\n" if body else ""
     return f"{method} {target} HTTP/1.1\r\n{lines}{length}\r\n".encode("latin-1") + body
@@ -148,7 +148,8 @@
             connect_ms: Time limit for opening a connection, in milliseconds; None for that of the settings.
 
         Raises:
-            ExchangeAbortedError: The request was not sent, or only in part.
+            ExchangeAbortedError: No connection was available, the request was not permitted, or sending it
+                failed.
         """
         try:
             exchange.connection = await self.pool.acquire(address, connect_ms)
@@ -171,8 +172,8 @@
         observation_time = self._observation_time(connection)
         # Encoded only now, because the remaining time has decreased while the connection was established.
         request = encode(max(1, timer.remaining() - observation_time))
-        # The last byte is sent separately. The engine cannot execute the request before it has that byte, so
-        # if a stale idle connection fails before it is sent, the request is known not to have executed.
+        # The last byte is sent separately, because the engine cannot execute the request without it. If a
+        # stale idle connection fails before that, the request is known not to have executed.
         await self._send_all_but_last_byte(connection, request, observation_time)
         self._require_permission(exchange.permit.deny_last_byte(encoded_at))
         try:
@@ -204,10 +205,10 @@
         """Return how long to observe the connection before the last byte is sent, in tenths of a millisecond.
 
         If the engine has dropped an idle connection without closing it, it answers the first bytes with a
-        reset, which arrives one round trip later. Were the last byte sent before that, it would be unknown
-        whether the request was executed. The observation also covers the quiet time of the connection: a
-        surplus response that arrives some milliseconds after the previous one would otherwise be taken for
-        the response to this request. A new connection is not observed.
+        reset, which arrives one round trip later. If the last byte were sent before that, it would be
+        unknown whether the request was executed. The observation also covers the quiet time of the
+        connection: a surplus response that arrives some milliseconds after the previous one would otherwise
+        be taken for the response to this request. A new connection is not observed.
         """
         if not connection.idle_since:
             return 0
--- a/runspool/wire/http_requests.py
+++ b/runspool/wire/http_requests.py
@@ -187,7 +187,7 @@
 
 
 def head(status: int, headers: list[tuple[str, str]]) -> bytes:
-    """Return the encoded head of a response. Header names and values must not need escaping."""
+    """Return the encoded head of a response. The caller must have validated the header names and values."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
     return f"HTTP/1.1 {status} {REASON_PHRASES.get(status, '')}\r\n{lines}\r\n".encode("latin-1")
 
