--- a/runspool/simulator_adapter/wire.py
+++ b/runspool/simulator_adapter/wire.py
@@ -65,7 +65,7 @@
             part, _, after = rest.partition(" ")
             key, equals, value = part.partition("=")
             if not equals or not key:
-                raise MalformedLineError(f"{part!r} is not key=value in {raw[:QUOTED_LENGTH]!r}")
+                raise MalformedLineError(f"not key=value: {part!r} in {raw[:QUOTED_LENGTH]!r}")
             if key in TEXT_FIELDS:
                 value, after = rest[len(key) + 1 :], ""
             self.fields[key] = value
