--- a/runspool/cells/cell_router.py
+++ b/runspool/cells/cell_router.py
@@ -31,7 +31,7 @@
 
     CELL_FULL = auto()  # over its home cell's budget
     FRONT_FULL = auto()  # over the limit of the whole front
-    POISONOUS = auto()  # every engine that executed it went down, up to the map's limit
+    POISONOUS = auto()  # it has brought down as many engines as `CellMap.poison_after` allows
     EARLIER_CELL_UNKNOWN = auto()  # a client retry whose earlier try may have executed in another cell
 
 
@@ -233,9 +233,9 @@
     def _home_or_reserve(self, now: int, home: str, reserve: str, request: AdmissionRequest) -> str:
         """Return the cell that serves a request.
 
-        Draw one random number if there is a choice between the home cell and the reserve.
+        Draw one random number, unless the request is a retry with an idempotency key or the cell panics.
         """
-        # Only the engines of the home cell can recognize a retry by its idempotency key.
+        # Only the cell of the earlier try, which `home` is for a retry, can recognize the idempotency key.
         if request.ticket is not None and request.is_retry:
             return home
         if home in self.panicking_cells or self.overflow_policy.use_reserve(now, home, self.draw_random()):
--- a/runspool/cells/tenant_migration.py
+++ b/runspool/cells/tenant_migration.py
@@ -5,7 +5,7 @@
 map states, so a front needs no message to start or end a move. A front that was killed derives the same state
 from the map and the clock after its restart. Requests in flight end in the cell where they started; in
 particular, a request that must execute at most once never has an attempt in the new cell. Two fronts with
-different maps admit a tenant's requests to different cells for a while, but never divide one request.
+different maps admit a tenant's requests to different cells for a while, but each request to one cell only.
 
 The exception to the independence of requests is a client retry with an idempotency key, because only the
 deduplication scope that has seen the key drops a duplicate. Such retries go to the cell where the key was
