--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -77,10 +77,10 @@
             Random(self.seed ^ 0x5EED).random,
             adopted_unix_ms,
         )
-        self.cell_registry = CellSchedulerRegistry(
+        self.scheduler_registry = CellSchedulerRegistry(
             self.cell_router, self.registry, config.house.zones, self, self.seed, recording_path
         )
-        self.cell_schedulers = self.cell_registry.schedulers
+        self.cell_schedulers = self.scheduler_registry.schedulers
 
     # Requests, cell maps and endpoint list updates.
 
@@ -165,7 +165,7 @@
             return
         self.log.info("cell_map_adopted", version=cell_map.version, cells=len(cell_map.names()))
         self.publish_engines()
-        self.cell_registry.close_unused()
+        self.scheduler_registry.close_unused()
 
     def cells(self) -> dict[str, Any]:
         """Return the status page for operators: the state of this front's cells and tenant migrations."""
@@ -177,18 +177,18 @@
         A cell that is no longer on the cell map keeps those of its engines that are still READY.
         """
         before = self.cell_router.placement.shortages
-        shortages = self.cell_registry.place_engines().shortages
+        shortages = self.scheduler_registry.place_engines().shortages
         if shortages != before and self.cell_router.cell_map.version:
             self.log.warning(
                 "cells_incomplete",
                 what=shortages[:MAX_LOGGED_SHORTAGES],
                 more=max(0, len(shortages) - MAX_LOGGED_SHORTAGES),
             )
-        self.cell_registry.update_schedulers()
+        self.scheduler_registry.update_schedulers()
 
     def cell_scheduler(self, name: str) -> CellScheduler:
         """Return a cell's scheduler, which is created with the cell's first request."""
-        return self.cell_registry.scheduler(name)
+        return self.scheduler_registry.scheduler(name)
 
     @property
     def first_driver(self) -> SchedulerDriver:
@@ -283,7 +283,7 @@
             now(), pending.admission, {ResponseKind.SUCCEEDED: False, ResponseKind.REJECTED: True}.get(kind)
         )
         if pending.admission.cell in self.cell_schedulers:
-            self.cell_registry.close_if_unused(pending.admission.cell)
+            self.scheduler_registry.close_if_unused(pending.admission.cell)
 
     async def _check_for_poisonous_request(self, pending: PendingCompletion, endpoint: Endpoint) -> None:
         """Count an engine that went down during the request against the request, which may be the cause.
