--- a/runspool/cells/admission_policy.py
+++ b/runspool/cells/admission_policy.py
@@ -92,7 +92,7 @@
         updated_at: the time up to which the two numbers are decayed; 0 before the first update.
         overflowing: whether the cell sends requests to the reserve.
         overflow_share: the fraction of the cell's new requests that go to the reserve.
-        last_step_at: the time of the last increase of `overflow_share`.
+        share_increased_at: the time of the last increase of `overflow_share`.
         requests_at_reserve: the number of the cell's requests in progress at the reserve.
     """
 
@@ -101,7 +101,7 @@
     updated_at: int = 0
     overflowing: bool = False
     overflow_share: float = 0.0
-    last_step_at: int = 0
+    share_increased_at: int = 0
     requests_at_reserve: int = 0
 
     def decay(self, now: int) -> None:
@@ -169,13 +169,13 @@
         settle_time = tenths(rules.settle_ms)
         if not state.overflowing and state.rejected_share > rules.from_turned_away:
             state.overflowing = True
-            state.last_step_at = now - settle_time
+            state.share_increased_at = now - settle_time
         elif state.overflowing and state.rejected_share < rules.until_turned_away:
             state.overflowing = False
             state.overflow_share = 0.0
-        if state.overflowing and now - state.last_step_at >= settle_time:
+        if state.overflowing and now - state.share_increased_at >= settle_time:
             state.overflow_share = min(rules.most_share, state.overflow_share + OVERFLOW_STEP)
-            state.last_step_at = now
+            state.share_increased_at = now
 
 
 def is_panicking(cell_map: CellMap, available: int, configured: int) -> bool:
--- a/runspool/cells/cell_map.py
+++ b/runspool/cells/cell_map.py
@@ -19,6 +19,7 @@
 Fraction = Annotated[float, Field(ge=0, le=1)]
 Milliseconds = Annotated[float, Field(ge=0, le=86_400_000)]
 
+# Limits on the size of a map
 MAX_CELLS = 256
 MAX_TENANTS = 100_000
 MAX_MOVES = 1_000
--- a/runspool/cells/tenant_migration.py
+++ b/runspool/cells/tenant_migration.py
@@ -25,8 +25,10 @@
 from runspool.cells.engine_placement import home_cell
 from runspool.errors import RunspoolError
 
-MAX_TICKETS = 50_000  # idempotency keys remembered; the key that was used least recently is dropped first
-MAX_CACHED_HOMES = 20_000  # cached home cells, mostly of sessions; the cache is emptied when it is full
+MAX_KEY_BINDINGS = (
+    50_000  # idempotency keys remembered; the key that was used least recently is dropped first
+)
+MAX_CACHED_HOME_CELLS = 20_000  # cached home cells, mostly of sessions; the cache is emptied when it is full
 TENTHS_PER_MS = 10
 
 
@@ -63,14 +65,14 @@
         in_flight: the number of requests that have not ended, by tenant and cell.
         tickets: for each idempotency key, its cell and the time until which retries go to that cell; the key
             that was used least recently comes first.
-        home_cache: home cells without regard to moves, by tenant and session.
+        home_cell_cache: home cells without regard to moves, by tenant and session.
     """
 
     cell_map: CellMap
     adopted_unix_ms: int = 0
     in_flight: Counter[tuple[str, str]] = field(default_factory=Counter)
     tickets: OrderedDict[str, tuple[str, int]] = field(default_factory=OrderedDict)
-    home_cache: dict[tuple[str | None, str | None], str] = field(default_factory=dict)
+    home_cell_cache: dict[tuple[str | None, str | None], str] = field(default_factory=dict)
 
     def adopt(self, cell_map: CellMap, unix_ms: int) -> bool:
         """Adopt a map if its version is higher than the current one; return whether it was adopted.
@@ -82,19 +84,19 @@
             return False
         self.cell_map = cell_map
         self.adopted_unix_ms = unix_ms
-        self.home_cache.clear()
+        self.home_cell_cache.clear()
         return True
 
     def home_cell(self, unix_ms: int, tenant: str | None, session: str | None) -> str:
         """Return the cell that admits new requests of a tenant at the given time."""
-        cell = self._home_without_moves(tenant, session)
+        cell = self._home_cell_without_moves(tenant, session)
         for move in self.cell_map.moves:
             if move.tenant == tenant:
                 undone = move.step == "turned_back" and unix_ms >= move.turned_unix_ms
                 cell = move.target if unix_ms >= move.starts_unix_ms and not undone else move.source
         return cell
 
-    def _home_without_moves(self, tenant: str | None, session: str | None) -> str:
+    def _home_cell_without_moves(self, tenant: str | None, session: str | None) -> str:
         """Return the home cell without regard to moves.
 
         The result is cached, because with 128 shards the computation took as much time as all engine
@@ -102,11 +104,11 @@
         """
         session_matters = tenant is None or self.cell_map.tenants.get(tenant) == SPREAD
         key = (tenant, session if session_matters else None)
-        found = self.home_cache.get(key)
+        found = self.home_cell_cache.get(key)
         if found is None:
-            if len(self.home_cache) >= MAX_CACHED_HOMES:
-                self.home_cache.clear()
-            found = self.home_cache[key] = home_cell(self.cell_map, tenant, session)
+            if len(self.home_cell_cache) >= MAX_CACHED_HOME_CELLS:
+                self.home_cell_cache.clear()
+            found = self.home_cell_cache[key] = home_cell(self.cell_map, tenant, session)
         return found
 
     def choose_cell(
@@ -156,7 +158,7 @@
         if ticket is not None:
             self.tickets[ticket] = (cell, now + binding_time)
             self.tickets.move_to_end(ticket)
-            while len(self.tickets) > MAX_TICKETS:
+            while len(self.tickets) > MAX_KEY_BINDINGS:
                 self.tickets.popitem(last=False)
 
     def record_finish(self, tenant: str | None, cell: str) -> None:
--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -30,7 +30,7 @@
     no_args_is_help=True, help="Show the cell map; plan, make, watch and undo moves of tenants."
 )
 
-TermsFile = Annotated[
+FrontConfigFile = Annotated[
     Path, typer.Argument(help="The configuration of a front, with cells_file and memory_file.")
 ]
 Tenant = Annotated[str, typer.Argument(help="The tenant to move.")]
@@ -45,7 +45,7 @@
     "shown, 1: refused, 2: invalid configuration)"
 )
 def adopt(
-    file: TermsFile,
+    file: FrontConfigFile,
     source: Annotated[Path, typer.Argument(help="A Jsonnet file with a cell map.")],
     yes: Confirmed = False,
     var: ExternalVariables = None,
@@ -64,7 +64,7 @@
 
 
 @app.command(epilog="Example: runspool cells show front.jsonnet")
-def show(file: TermsFile, var: ExternalVariables = None) -> None:
+def show(file: FrontConfigFile, var: ExternalVariables = None) -> None:
     """Print the cells with their engines, missing engines and tenants, and the moves."""
     front_files = FrontFiles(file, var)
     with refusals_reported():
@@ -74,7 +74,7 @@
 
 @app.command(epilog="Example: runspool cells plan front.jsonnet stol-razem cell-b")
 def plan(
-    file: TermsFile,
+    file: FrontConfigFile,
     tenant: Tenant,
     target: Target,
     starts_in_ms: StartsIn = 2000,
@@ -87,7 +87,7 @@
 
 @app.command(epilog="Example: runspool cells move front.jsonnet stol-razem cell-b --yes")
 def move(
-    file: TermsFile,
+    file: FrontConfigFile,
     tenant: Tenant,
     target: Target,
     starts_in_ms: StartsIn = 2000,
@@ -100,7 +100,7 @@
 
 
 @app.command(epilog="Example: runspool cells undo front.jsonnet m-7 --yes")
-def undo(file: TermsFile, move_id: str, yes: Confirmed = False, var: ExternalVariables = None) -> None:
+def undo(file: FrontConfigFile, move_id: str, yes: Confirmed = False, var: ExternalVariables = None) -> None:
     """Undo a move: new requests go to the source cell again. Requests in the target cell end there."""
     front_files = FrontFiles(file, var)
     with refusals_reported():
@@ -111,7 +111,9 @@
 
 
 @app.command(epilog="Example: runspool cells finish front.jsonnet m-7 --yes")
-def finish(file: TermsFile, move_id: str, yes: Confirmed = False, var: ExternalVariables = None) -> None:
+def finish(
+    file: FrontConfigFile, move_id: str, yes: Confirmed = False, var: ExternalVariables = None
+) -> None:
     """Make the target of a settled move the tenant's home cell.
 
     This is refused while idempotency keys may still bind retries to the source cell.
--- a/runspool/cli/terms.py
+++ b/runspool/cli/terms.py
@@ -21,7 +21,7 @@
 ]
 
 
-def external_variables(pairs: list[str] | None) -> dict[str, str]:
+def parse_external_variables(pairs: list[str] | None) -> dict[str, str]:
     """Return the external variables in a list of NAME=VALUE.
 
     Raises:
@@ -49,7 +49,7 @@
             status is 2.
     """
     try:
-        return load_config(file, external_variables(pairs))
+        return load_config(file, parse_external_variables(pairs))
     except InvalidConfigError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(EXIT_INVALID) from None
--- a/runspool/config/schema.py
+++ b/runspool/config/schema.py
@@ -120,7 +120,7 @@
     memory_tokens: Annotated[int, Field(ge=0)]
 
 
-class RulesConfig(ConfigSection):
+class SchedulerMarginsConfig(ConfigSection):
     """Margins and timeouts of the scheduler (`rules`).
 
     Attributes:
@@ -175,7 +175,7 @@
     waste: Fraction
 
 
-class HouseConfig(ConfigSection):
+class SharedConfig(ConfigSection):
     """The settings that all fronts of a deployment share (`house`).
 
     Attributes:
@@ -196,7 +196,7 @@
     tariffs: Annotated[dict[Name, RequestClassConfig], Field(min_length=1)]
     tenants: dict[Name, TenantConfig]
     kinds: Annotated[dict[Name, EngineTypeConfig], Field(min_length=1)]
-    rules: RulesConfig
+    rules: SchedulerMarginsConfig
     limits: AttemptLimitsConfig
     prices: PricesConfig
     over_share: Fraction
@@ -326,11 +326,11 @@
 class FrontConfig(ConfigSection):
     """The complete configuration of a front."""
 
-    house: HouseConfig
+    house: SharedConfig
     front: FrontProcessConfig
 
     @model_validator(mode="after")
-    def check_front_against_house(self) -> Self:
+    def check_front_against_shared_settings(self) -> Self:
         """Raise ValueError if the front's own settings contradict the shared settings or each other."""
         errors = []
         if self.front.zone not in self.house.zones:
--- a/runspool/simulator_adapter/host.py
+++ b/runspool/simulator_adapter/host.py
@@ -230,7 +230,7 @@
         )
 
 
-HANDLERS: dict[str, Callable[[SimulatedFront, int, WireLine], None]] = {
+EVENT_HANDLERS: dict[str, Callable[[SimulatedFront, int, WireLine], None]] = {
     "inbound": SimulatedFront.request_received,
     "under_way": SimulatedFront.stream_started,
     "closed_attempt": SimulatedFront.attempt_ended,
@@ -336,5 +336,5 @@
         if line.name == "registry":
             entries = self.endpoint_lists.get(line.integer("roster-id", NO_LIST_ID), [])
             front.endpoints_updated(now, line, entries)
-        elif line.name in HANDLERS:
-            HANDLERS[line.name](front, now, line)
+        elif line.name in EVENT_HANDLERS:
+            EVENT_HANDLERS[line.name](front, now, line)
