--- a/runspool/node/__init__.py
+++ b/runspool/node/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's front node: its protocol in and out, its start, signals and limits."""
+"""The platform's front node: the platform's protocols, process start, signal handling and resource limits."""
--- a/runspool/node/__main__.py
+++ b/runspool/node/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m runspool.node`: runs one front node, as the platform starts it."""
+"""Entry point of `python -m runspool.node`, the command with which the platform starts a front node."""
 
 from __future__ import annotations
 
@@ -8,9 +8,13 @@
 
 
 def main() -> int:
-    """Runs a node until it is told to stop; exits with 0, or 2 where its configuration is not usable."""
-    # Ignore SIGHUP until its handler is installed, or it would end the process: the imports alone take 0.4 s.
-    # No reload is missed, as the configuration file is read after this.
+    """Run a node until it is told to stop.
+
+    Returns:
+        The process's exit status: 0 after a shutdown, 2 if the configuration is invalid.
+    """
+    # Ignore SIGHUP until its handler is installed: its default action would end the process, and the imports
+    # alone take 0.4 s. No reload request is lost, because the configuration file is read after this.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     import anyio
 
@@ -22,8 +26,8 @@
     start_logs(os.environ.get("RUNSPOOL_LOG", "info"))
     try:
         anyio.run(run_node, os.environ, backend_options={"use_uvloop": True})
-    except InvalidNodeConfigError as fault:
-        print(f"runspool.node: {fault}", file=sys.stderr)
+    except InvalidNodeConfigError as error:
+        print(f"runspool.node: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/runspool/node/client_connections.py
+++ b/runspool/node/client_connections.py
@@ -1,4 +1,4 @@
-"""The clients' connections of a node: how many there may be, and which give way to others."""
+"""Serves the connections of a node's clients and limits their number."""
 
 from __future__ import annotations
 
@@ -12,17 +12,22 @@
 from runspool.transport.tcp import ConnectionClosedError, TcpConnection
 from runspool.wire.http_requests import head
 
-MAX_DRAINED_REJECTIONS = 8  # rejected connections that are read from at once
-REJECTION_DRAIN_SECONDS = 0.5  # that each of them is read from
+# Rejected connections whose incoming data is read and discarded at the same time. Further ones are closed
+# without reading.
+MAX_DRAINED_REJECTIONS = 8
+REJECTION_DRAIN_SECONDS = 0.5  # longest time for which the data of a rejected connection is discarded
 
-REJECTION = head(503, [("Connection", "close"), ("Content-Length", "0")])
+REJECTION_RESPONSE = head(503, [("Connection", "close"), ("Content-Length", "0")])
 
 
 class ClientConnections:
-    """Serves each client's connection, up to `max_clients` of them at once.
+    """Serves client connections, at most `max_clients` of them at the same time.
 
-    `handlers` has one handler for each connection that is open, and `busy_handlers` counts those that have a
-    request in work.
+    Attributes:
+        executor: Executes the requests.
+        max_clients: The maximum number of connections that are served at the same time.
+        handlers: One handler for each connection that is open.
+        busy_handlers: The number of handlers that are processing a request.
     """
 
     def __init__(self, executor: NodeExecutor, max_clients: int) -> None:
@@ -30,13 +35,14 @@
         self.max_clients = max_clients
         self.handlers: set[RequestHandler] = set()
         self.busy_handlers = 0
-        self._rejections = 0  # connections that are being rejected now
+        self._rejections_in_progress = 0
         self.log = structlog.get_logger()
 
     async def serve(self, connection: TcpConnection) -> None:
-        """Serves a connection to its end and closes it, also when cancelled.
+        """Serve a connection until it ends, then close it, also on cancellation.
 
-        Where there are `max_clients` and none of them can be closed, the connection is rejected with a 503.
+        If `max_clients` connections are open and none of them can be closed, the new connection is rejected
+        with status 503.
         """
         if len(self.handlers) >= self.max_clients and not self.make_room():
             await self._reject(connection)
@@ -45,41 +51,42 @@
         self.handlers.add(handler)
         try:
             await handler.run()
-        except Exception as fault:  # a fault in serving one client must not end the node
-            self.log.exception("client_failed", fault=repr(fault))
+        except Exception as error:  # an internal error while one client is served must not end the node
+            self.log.exception("client_failed", fault=repr(error))
         finally:
             self.handlers.discard(handler)
             connection.close()
 
     def make_room(self) -> bool:
-        """Closes one connection that waits for a request; False where there is none.
+        """Close one connection that waits for a request; return False if there is none.
 
-        Without this, silent connections would keep out clients that have requests. The one that has been idle
-        for longest is closed, those that have served no request first; and where all have begun to send a
-        request, one of which only part of the head has come.
+        Otherwise idle connections could lock out clients that have requests to send. Connections that have
+        not served any request are closed first, and among these the one that has been idle for longest. If
+        every waiting connection has started to send a request, one whose request head is incomplete is
+        closed.
         """
-        idle = sorted(
+        waiting = sorted(
             (handler for handler in self.handlers if handler.idle_since),
             key=lambda handler: (handler.has_served, handler.idle_since),
         )
-        return any(handler.close_if_waiting() for handler in idle) or any(
-            handler.close_if_waiting(even_if_begun=True) for handler in idle
+        return any(handler.close_if_waiting() for handler in waiting) or any(
+            handler.close_if_waiting(even_if_begun=True) for handler in waiting
         )
 
     async def _reject(self, connection: TcpConnection) -> None:
-        """Answers 503 and closes.
+        """Respond with status 503 and close the connection.
 
-        What the client sends is read and dropped for a moment, as closing with bytes unread resets the
-        connection, and the client would lose the answer. Only a few connections get that, as each uses one of
-        the reserved descriptors.
+        The client's data is read and discarded for a short time: closing a socket with unread data resets the
+        connection, and the client could lose the response. At most MAX_DRAINED_REJECTIONS connections are
+        drained at the same time, because each uses one of the reserved file descriptors.
         """
-        self._rejections += 1
+        self._rejections_in_progress += 1
         with anyio.move_on_after(REJECTION_DRAIN_SECONDS), suppress(ConnectionClosedError):
-            await connection.send(REJECTION)
+            await connection.send(REJECTION_RESPONSE)
             connection.send_eof()
-            while self._rejections <= MAX_DRAINED_REJECTIONS:
+            while self._rejections_in_progress <= MAX_DRAINED_REJECTIONS:
                 await connection.receive()
-        self._rejections -= 1
+        self._rejections_in_progress -= 1
         connection.close()
 
     def _count_busy(self, change: int) -> None:
--- a/runspool/node/discovery_call.py
+++ b/runspool/node/discovery_call.py
@@ -1,4 +1,4 @@
-"""One call for the endpoint list."""
+"""The state of one call to the discovery agent."""
 
 from __future__ import annotations
 
@@ -9,18 +9,21 @@
 
 @dataclass(slots=True, eq=False)
 class DiscoveryCall:
-    """A call for the endpoint list; times in tenths of a millisecond.
+    """An HTTP request to the discovery agent, either for the whole endpoint list or for changes to it.
+
+    A call for changes is a watch: the agent delays its response until there is a change, or until `wait` has
+    passed. All times are in tenths of a millisecond.
 
     Attributes:
-        number: counts the calls of this process.
-        address: the agent that was called.
-        after_version: requests what changed after this version; None requests the whole list.
-        wait: that the agent may hold the call open; 0 for the whole list.
-        made_at: when it was made.
-        first_byte_at: when the first byte of its answer came, None before.
-        last_byte_at: when the latest piece of its answer came, None before the first.
-        local_port: of the connection that it was sent on, None before.
-        position: which of the requests on that connection it is, from 1.
+        number: The sequence number of the call within this process.
+        address: The address of the agent.
+        after_version: The version after which changes are requested; None requests the whole list.
+        wait: How long the agent may delay its response while nothing changes; 0 for the whole list.
+        made_at: When the call was made.
+        first_byte_at: When the first byte of the response was received; None before that.
+        last_byte_at: When the most recent bytes of the response were received; None before the first ones.
+        local_port: The local port of the call's connection; None before the request has been sent.
+        position: The position of the request on its connection, counted from 1.
     """
 
     number: int
@@ -34,6 +37,6 @@
     position: int = 0
 
     def received_bytes(self, now: int) -> None:
-        """Notes that a piece of the answer has come."""
+        """Record that bytes of the response were received at `now`."""
         self.first_byte_at = now if self.first_byte_at is None else self.first_byte_at
         self.last_byte_at = now
--- a/runspool/node/release_budget.py
+++ b/runspool/node/release_budget.py
@@ -1,46 +1,47 @@
-"""How many release calls are made while no engine confirms one. Free of I/O.
+"""Limits the rate of release calls while no engine confirms any. Does no I/O.
 
-An engine that hangs reads what it was sent once it goes on, also what was given up: calls that nobody has
-answered are a debt that grows with each further one, at all engines at once where all of them hang.
+An engine that hangs processes the calls that it has received once it resumes, including those that the node
+has given up. Calls without a response therefore accumulate as work for the engine, and for all engines if all
+of them hang.
 
-Times are in seconds.
+All times are in seconds.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-MAX_CALLS = 64  # since the last confirmation, before calls become rare
-CALL_INTERVAL = 0.25  # between two calls then
+MAX_CALLS = 64  # calls that may be made in a burst after the last confirmation
+CALL_INTERVAL = 0.25  # seconds between two calls after the burst
 
 
 class ReleaseBudget:
-    """Counts the calls that may still be made; full again as soon as any engine has confirmed one.
+    """A token bucket for release calls that is refilled completely when any engine confirms a call.
 
     Attributes:
-        clock: the current time.
+        clock: Returns the current time in seconds.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self._left: float = MAX_CALLS
+        self._available: float = MAX_CALLS
         self._updated_at = 0.0
 
     def take(self) -> bool:
-        """Takes one call out of the budget; False where it is used up."""
+        """Take one call from the budget; return False if the budget is exhausted."""
         now = self.clock()
-        refilled = (now - self._updated_at) / CALL_INTERVAL
-        self._left = min(MAX_CALLS, self._left + refilled)
+        refill = (now - self._updated_at) / CALL_INTERVAL
+        self._available = min(MAX_CALLS, self._available + refill)
         self._updated_at = now
-        if self._left < 1:
+        if self._available < 1:
             return False
-        self._left -= 1
+        self._available -= 1
         return True
 
     def put_back(self) -> None:
-        """Returns a call that nobody can still read."""
-        self._left = min(MAX_CALLS, self._left + 1)
+        """Return one call to the budget, because no engine can still process it."""
+        self._available = min(MAX_CALLS, self._available + 1)
 
     def confirmed(self) -> None:
-        """Notes that an engine has confirmed a call."""
-        self._left = MAX_CALLS
+        """Refill the budget, because an engine has confirmed a call."""
+        self._available = MAX_CALLS
--- a/runspool/node/search_pace.py
+++ b/runspool/node/search_pace.py
@@ -1,50 +1,62 @@
-"""How soon the discovery agent is asked again while it does not answer. Free of I/O.
+"""Determines how often the discovery agent is called while it does not respond. Does no I/O.
 
-Each call is one that the agent may have to work off at its return, ahead of the next watch.
+The interval grows with the outage, because the agent may have to process every call when it recovers, before
+the next watch.
 
-Times are in tenths of a millisecond.
+All times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-MIN_INTERVAL = 10_000  # between two calls while none is answered
-MAX_INTERVAL = 40_000  # the platform has a change known 6 s after the agent could be reached
-SHARE_OF_SILENCE = 10  # from ten times the shortest on, an interval is a tenth of the silence before it
+MIN_INTERVAL = 10_000  # shortest interval between two calls while the agent does not respond
+# Longest interval between two calls while a fast agent does not respond. The platform requires that a node
+# knows a change at most 6 s after the agent is reachable again.
+MAX_INTERVAL = 40_000
+SILENCE_DIVISOR = (
+    10  # an interval is the time without a response divided by this, within the two bounds above
+)
+# A slow agent is called at intervals of at least half of its response latency, but this bounds that minimum.
 MAX_INTERVAL_OF_SLOW_AGENT = 20_000
-RETRY_INTERVAL = 2_000  # from a call to the next one, where one has failed: nothing is left to work off
-JITTER = 0.1  # share by which an interval is shortened at most
+# Interval after a call that failed. It is short because a failed call leaves the agent nothing to process.
+RETRY_INTERVAL = 2_000
+JITTER = 0.1  # largest fraction by which an interval is shortened at random
 
 
 class SearchPace:
     """The interval from the latest call to the next one.
 
     Attributes:
-        interval: as it is now.
+        interval: The current interval in tenths of a millisecond.
     """
 
     def __init__(self, random: Callable[[], float]) -> None:
-        """`random` returns numbers from 0 to 1."""
+        """Create the state before the first call; `random` returns numbers from 0 to 1."""
         self.random = random
         self.interval = MIN_INTERVAL
-        self._silent_since: int | None = None  # the last answer, or the first call; None before that
+        self._silent_since: int | None = None  # time of the last response or, before any, of the first call
 
     def answered(self, now: int) -> None:
-        """Notes an answer."""
+        """Record that a response was received at `now`."""
         self._silent_since = now
 
     def failed(self) -> None:
-        """Notes that a call has failed."""
+        """Record that a call has failed: the next one is made after RETRY_INTERVAL."""
         self.interval = self._jittered(RETRY_INTERVAL)
 
     def called(self, now: int, answer_time: int) -> None:
-        """Notes a call; the agent takes `answer_time` to begin an answer, as far as it is known."""
+        """Record that a call was made at `now`, and compute the interval to the next one.
+
+        Args:
+            now: The current time.
+            answer_time: The estimated time that the agent takes to start a response; 0 if unknown.
+        """
         if self._silent_since is None:
             self._silent_since = now
-        growing = max((now - self._silent_since) // SHARE_OF_SILENCE, MIN_INTERVAL)
-        of_slow_agent = min(answer_time // 2, MAX_INTERVAL_OF_SLOW_AGENT)
-        self.interval = self._jittered(max(min(growing, MAX_INTERVAL), of_slow_agent))
+        backoff = max((now - self._silent_since) // SILENCE_DIVISOR, MIN_INTERVAL)
+        slow_agent_minimum = min(answer_time // 2, MAX_INTERVAL_OF_SLOW_AGENT)
+        self.interval = self._jittered(max(min(backoff, MAX_INTERVAL), slow_agent_minimum))
 
     def _jittered(self, interval: int) -> int:
         return int(interval * (1 - JITTER * self.random()))
--- a/runspool/node/second_watch.py
+++ b/runspool/node/second_watch.py
@@ -1,61 +1,69 @@
-"""When a second watch is held beside the first one, after an interruption. Free of I/O.
+"""Plans a second watch, which runs concurrently with the first one after an interruption. Does no I/O.
 
-The first watch after an interruption may be lost, or be behind others at the agent, and says nothing of it
-for as long as it may wait. The second one, on another connection, brings what changes meanwhile.
+The first watch after an interruption may be lost, or may be queued behind other calls at the agent. The node
+cannot detect either before the watch's wait has passed. A second watch on another connection delivers the
+changes in the meantime.
 
-Times are in tenths of a millisecond.
+All times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
 
 from runspool.node.discovery_call import DiscoveryCall
 
-DELAY = 1_500  # after the last answer to what was asked before the end of the interruption
+# From the last response to a call that was made before the interruption ended, to the first second watch.
+DELAY = 1_500
+# Waits of the successive second watches. Their sum exceeds the first watch's wait and the time until the
+# first watch counts as overdue.
 WAITS: tuple[int, ...] = (
     2_000,
     4_000,
     8_000,
-)  # together they outlast the first watch and the patience with it
+)
 
 
 class SecondWatch:
-    """Plans the second watches after one interruption.
+    """Plans the sequence of second watches after one interruption.
 
     Attributes:
-        call: the one that is out, None where none is.
+        call: The second watch that is open; None if there is none.
     """
 
     def __init__(self) -> None:
         self.call: DiscoveryCall | None = None
-        self._waits: list[int] = []
+        self._remaining_waits: list[int] = []
         self._began_at = 0
         self._due_at = 0
 
     def begin(self, now: int) -> None:
-        """Has second watches made from a while after now on."""
-        self._waits = list(WAITS)
+        """Start a sequence of second watches at the end of an interruption; the first one is due after DELAY."""
+        self._remaining_waits = list(WAITS)
         self._began_at = now
         self._due_at = now + DELAY
 
     def due_at(self) -> int | None:
-        """Returns when the next one is to be made; None where none is."""
-        return self._due_at if self._waits and self.call is None else None
+        """Return when the next second watch is due; None if none is planned, or if one is open."""
+        return self._due_at if self._remaining_waits and self.call is None else None
 
     def made(self, call: DiscoveryCall) -> None:
-        """Takes the next wait for a call that is made now."""
-        call.wait = self._waits.pop(0)
+        """Make `call` the open second watch, and set its wait to the next one of the sequence."""
+        call.wait = self._remaining_waits.pop(0)
         self.call = call
 
     def answered(self, call: DiscoveryCall, now: int) -> None:
-        """Plans the next one; puts off the first while answers come to what the interruption has met."""
+        """Record the response to a call, which may be any call.
+
+        After the response to the open second watch, the next one is due at once. The first one is postponed
+        as long as responses arrive to calls that were made during the interruption.
+        """
         if call is self.call:
             self.call = None
             self._due_at = now
-        if call.made_at < self._began_at and len(self._waits) == len(WAITS):
+        if call.made_at < self._began_at and len(self._remaining_waits) == len(WAITS):
             self._due_at = now + DELAY
 
     def dropped(self, call: DiscoveryCall) -> None:
-        """Notes that a call is not out any more, and has not been answered: no further one is made."""
+        """Record that a call ended without a response; if it is the second watch, the sequence ends."""
         if call is self.call:
             self.call = None
-            self._waits.clear()
+            self._remaining_waits.clear()
--- a/runspool/node/stop_request.py
+++ b/runspool/node/stop_request.py
@@ -1,4 +1,4 @@
-"""That a node has been asked to stop, and when: the platform counts to the kill from that moment."""
+"""The request to stop a node and its time, from which the platform counts the time until it kills the node."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 class StopRequest:
-    """The first request to stop; later ones change nothing.
+    """Records the first request to stop the node; later requests have no effect.
 
-    `requested_at` is in tenths of a millisecond on the node's clock, 0 while nobody has asked.
+    Attributes:
+        requested_at: When the stop was requested, in tenths of a millisecond on the node's clock; 0 before.
     """
 
     def __init__(self) -> None:
@@ -19,17 +20,17 @@
 
     @property
     def is_requested(self) -> bool:
-        """Whether the node has been asked to stop."""
+        """Whether a stop has been requested."""
         return self._requested.is_set()
 
     def request(self) -> None:
-        """Asks the node to stop."""
+        """Request the node to stop."""
         if not self.is_requested:
             self.requested_at = now()
             self._requested.set()
 
     async def wait(self, seconds: float | None = None) -> bool:
-        """Waits until the node is asked to stop; returns False where it is not within `seconds`."""
+        """Wait until a stop is requested, at most for `seconds`; return whether it has been requested."""
         with anyio.move_on_after(seconds):
             await self._requested.wait()
         return self.is_requested
