--- a/runspool/node/discovery_call_log.py
+++ b/runspool/node/discovery_call_log.py
@@ -1,4 +1,4 @@
-"""The log of the calls for the endpoint list, and of what they amount to."""
+"""Logs the calls to the discovery agent and the state of the endpoint list's watch."""
 
 from __future__ import annotations
 
@@ -13,25 +13,31 @@
 from runspool.node.discovery_call_planner import DiscoveryCallPlanner, DiscoveryState
 from runspool.units import TENTHS
 
-SLOW_ANSWER = 1_000  # tenths of a millisecond beyond a watch's wait from which its answer is logged
+# A response that is complete so long after the end of the call's wait is logged at level info; tenths of a
+# millisecond.
+SLOW_RESPONSE_THRESHOLD = 1_000
 
 
 class CallEnd(Enum):
-    """How a call for the endpoint list ended."""
+    """How a call to the discovery agent ended; the values are written to logs and metrics."""
 
     ANSWERED = "answered"
     FAILED = "failed"
-    SUPERSEDED = "superseded"  # a call made later has been answered
-    GIVEN_UP = "given_up"
+    SUPERSEDED = "superseded"  # a response to a later call made it unnecessary
+    GIVEN_UP = "given_up"  # cancelled without a response, to make room for another call
 
 
 class DiscoveryCallLog:
-    """Logs the calls that did not go as usual and each change of the state, and counts all calls.
+    """Logs noteworthy calls and every change of the discovery state, and counts all calls.
+
+    Noteworthy calls and state changes are logged at level info, subject to the rate limit of BoundedLog; all
+    other calls are logged at level debug.
 
     Attributes:
-        counts: calls by how they ended.
-        given_up: calls given up since the last one that was answered.
-        is_interrupted: whether the watch was lost or overdue since the last call that was answered.
+        tracker: The endpoint list as it is known; its version is logged.
+        counts: The number of calls by how they ended, of state changes and of overdue watches.
+        given_up: The number of calls given up since the last response.
+        is_interrupted: Whether the watch has been lost or overdue since the last response.
     """
 
     def __init__(self, tracker: EndpointTracker, counts: Counter[str]) -> None:
@@ -45,24 +51,36 @@
     def ended(
         self, call: DiscoveryCall, end: CallEnd, now: int, planner: DiscoveryCallPlanner, reason: str = ""
     ) -> None:
-        """Logs the end of a call at `now`, tenths of a millisecond; `reason` says why it failed."""
+        """Log and count the end of a call.
+
+        Args:
+            call: The call.
+            end: How it ended.
+            now: The current time in tenths of a millisecond.
+            planner: The planner of the call.
+            reason: Why the call failed; empty if it did not.
+        """
         self.counts[f"discovery_call_{end.value}"] += 1
-        write = self.bounded_log.info if self._is_worth_a_line(call, end, now) else self.log.debug
+        write = self.bounded_log.info if self._is_noteworthy(call, end, now) else self.log.debug
         write(
             "discovery_call_ended",
             how=end.value,
             reason=reason,
-            **_described(call, now),
-            **self._situation(now, planner),
+            **_call_fields(call, now),
+            **self._planner_fields(now, planner),
         )
 
-    def _is_worth_a_line(self, call: DiscoveryCall, end: CallEnd, now: int) -> bool:
-        """Returns whether an operator wants to know; of the calls given up, the 1st, 2nd, 4th and so on."""
+    def _is_noteworthy(self, call: DiscoveryCall, end: CallEnd, now: int) -> bool:
+        """Update the state that spans calls, and return whether the end of this one is logged at level info.
+
+        This applies to failures, to slow responses, to the first response after an interruption, and to the
+        1st, 2nd, 4th, 8th and so on of the calls given up in a row.
+        """
         match end:
             case CallEnd.ANSWERED:
                 self.given_up = 0
                 is_first, self.is_interrupted = self.is_interrupted, False
-                return is_first or now - call.made_at - call.wait >= SLOW_ANSWER
+                return is_first or now - call.made_at - call.wait >= SLOW_RESPONSE_THRESHOLD
             case CallEnd.GIVEN_UP:
                 self.given_up += 1
                 return self.given_up.bit_count() == 1
@@ -74,21 +92,24 @@
     def state_changed(
         self, former: DiscoveryState, state: DiscoveryState, now: int, planner: DiscoveryCallPlanner
     ) -> None:
-        """Logs a change of the state."""
+        """Log and count a change of the discovery state at `now`."""
         self.is_interrupted = self.is_interrupted or state is not DiscoveryState.WATCHING
         self.counts[f"discovery_{state.value}"] += 1
         self.bounded_log.info(
-            "discovery_state_changed", former=former.value, state=state.value, **self._situation(now, planner)
+            "discovery_state_changed",
+            former=former.value,
+            state=state.value,
+            **self._planner_fields(now, planner),
         )
 
     def watch_overdue(self, watch: DiscoveryCall, now: int, planner: DiscoveryCallPlanner) -> None:
-        """Logs a watch that has not been answered in time."""
+        """Log and count a watch whose response is overdue at `now`."""
         self.counts["discovery_watch_overdue"] += 1
         self.bounded_log.info(
-            "discovery_watch_overdue", **_described(watch, now), **self._situation(now, planner)
+            "discovery_watch_overdue", **_call_fields(watch, now), **self._planner_fields(now, planner)
         )
 
-    def _situation(self, now: int, planner: DiscoveryCallPlanner) -> dict[str, object]:
+    def _planner_fields(self, now: int, planner: DiscoveryCallPlanner) -> dict[str, object]:
         return {
             "calls_out": len(planner.calls_out),
             "calls_owed": planner.calls_owed,
@@ -98,7 +119,7 @@
         }
 
 
-def _described(call: DiscoveryCall, now: int) -> dict[str, object]:
+def _call_fields(call: DiscoveryCall, now: int) -> dict[str, object]:
     return {
         "call": call.number,
         "after": call.after_version,
--- a/runspool/node/discovery_client.py
+++ b/runspool/node/discovery_client.py
@@ -1,4 +1,4 @@
-"""Following the platform's endpoint list by calls to its agent, of which several may be out at once."""
+"""Follows the platform's endpoint list by calls to its discovery agent, several of which may be concurrent."""
 
 from __future__ import annotations
 
@@ -23,17 +23,18 @@
 from runspool.units import TENTHS, UNITS_PER_SECOND
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
 
-# A peer that is gone without a word is never heard of again; a call to it need not stay out for ever.
-MAX_CALL_DURATION = 36_000_000  # tenths of a millisecond
-MAX_LOGGED_FAULTS = 3  # unusable endpoints logged for each response
+# Timeout of a call to the discovery agent, in tenths of a millisecond: one hour. It only ends calls to a peer
+# that has disappeared without closing the connection; a slow agent may still respond after minutes.
+MAX_CALL_DURATION = 36_000_000
+MAX_LOGGED_PROBLEMS = 3  # maximum number of invalid endpoints that are logged for each response
 
 
 class WatchOverdueError(RunspoolError):
-    """The answer to a watch has not come in the time that answers took before."""
+    """The response to a watch has not come within the time that is expected from earlier responses."""
 
 
 class _DiscoveryExchange(Exchange):
-    """The exchange that carries out a call."""
+    """The HTTP exchange of a call to the discovery agent."""
 
     __slots__ = ("call",)
 
@@ -45,13 +46,13 @@
 class DiscoveryClient(HttpExchangeClient):
     """Follows the endpoint list of the platform's discovery agent.
 
-    Calls `on_changed` with the entries that changed as they become known, and `on_lost` once for each
-    interruption.
+    The planner decides when calls are made; this class makes them and applies their responses.
 
     Attributes:
-        planner: says when calls are made, and what their answers are worth.
-        snapshot_received: set once a first whole list has been applied.
-        snapshot_count: whole lists applied; each starts a count of versions of its own.
+        planner: Decides when calls are made and which responses are applied.
+        listener: Applies the received messages to the endpoint tracker.
+        snapshot_received: Set after the first whole list has been applied.
+        snapshot_count: The number of whole lists applied; each one starts a new epoch of version numbers.
     """
 
     def __init__(
@@ -64,7 +65,17 @@
         on_lost: Callable[[], None],
         counts: Counter[str],
     ) -> None:
-        """`counts` counts the calls by how they ended."""
+        """Create a client that has made no calls.
+
+        Args:
+            settings: The limits and timeouts of connections to the agent.
+            planner: Plans the calls.
+            tracker: Holds the endpoint list.
+            now: Returns the current time in tenths of a millisecond.
+            on_changed: Called with the changed entries whenever a response has changed the list.
+            on_lost: Called once for each interruption of the watch.
+            counts: Counts the calls by how they ended.
+        """
         super().__init__(settings, now, 0)
         self.planner = planner
         self.listener = WatchListener(tracker, now, on_changed, on_lost)
@@ -73,22 +84,22 @@
         self.snapshot_count = 0
         self.snapshot_received = anyio.Event()
         self._state = DiscoveryState.SEARCHING
-        self._scopes: dict[int, anyio.CancelScope] = {}  # of the calls that are out, by their numbers
+        self._call_scopes: dict[int, anyio.CancelScope] = {}  # cancel the open calls, by call number
         self._replan = anyio.Event()  # set when the time of the next call may have changed
 
-    def classify_response(self, reply: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
-        """Every response that is not a success counts as a server error."""
+    def classify_response(self, response: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
+        """Treat every response with an unexpected status as a server error."""
         return FailureCause.SERVER_ERROR, ""
 
     def change_address(self, address: Address) -> None:
-        """Follows the list at another address from now on."""
+        """Follow the endpoint list at another address from now on."""
         if address == self.planner.address:
             return
         self._cancel(self.planner.change_address(address), CallEnd.SUPERSEDED)
         self._replan.set()
 
     async def follow(self) -> None:
-        """Runs until cancelled; whatever the agent does, what is known of the list stays."""
+        """Make calls until cancelled; the known endpoint list is kept through failures and cancellation."""
         self.planner.restart()
         try:
             async with anyio.create_task_group() as calls:
@@ -97,12 +108,12 @@
                     planned = self.planner.make_call(self.now())
                     if planned.given_up is not None:
                         self._cancel([planned.given_up], CallEnd.GIVEN_UP)
-                    scope = self._scopes[planned.call.number] = anyio.CancelScope()
-                    calls.start_soon(self._carry_out, planned.call, scope)
-                    self._state_may_have_changed()
+                    scope = self._call_scopes[planned.call.number] = anyio.CancelScope()
+                    calls.start_soon(self._run_call, planned.call, scope)
+                    self._update_state()
         finally:
             self.planner.restart()
-            self._scopes.clear()
+            self._call_scopes.clear()
             self.pool.close()
 
     async def _wait_for_next_call(self) -> None:
@@ -112,11 +123,11 @@
                 await self._replan.wait()
 
     def _plan_changed(self) -> None:
-        self._state_may_have_changed()
+        self._update_state()
         self._replan.set()
 
-    def _state_may_have_changed(self) -> None:
-        """Reports a loss of the watch once, and logs each change of the state."""
+    def _update_state(self) -> None:
+        """Log a change of the discovery state, and report the loss of the watch once per interruption."""
         now = self.now()
         state = self.planner.state(now)
         former, self._state = self._state, state
@@ -130,54 +141,54 @@
             if self.planner.watch is not None:
                 self.call_log.watch_overdue(self.planner.watch, now, self.planner)
 
-    async def _carry_out(self, call: DiscoveryCall, scope: anyio.CancelScope) -> None:
-        """Makes one call and takes in its answer; cancelled through `scope`, it leaves no trace."""
+    async def _run_call(self, call: DiscoveryCall, scope: anyio.CancelScope) -> None:
+        """Make one call and process its response; cancelling `scope` ends it without a reported result."""
         with scope:
             try:
-                self._take_in(call, await self._exchange(call))
-            except (ExchangeAbortedError, InvalidEndpointListError) as fault:
+                self._process_response(call, await self._exchange(call))
+            except (ExchangeAbortedError, InvalidEndpointListError) as error:
                 given_up = self.planner.failed(call, self.now())
-                self.listener.connection_lost(fault)
-                self.call_log.ended(call, CallEnd.FAILED, self.now(), self.planner, str(fault))
+                self.listener.connection_lost(error)
+                self.call_log.ended(call, CallEnd.FAILED, self.now(), self.planner, str(error))
                 if given_up is not None:
                     self._cancel([given_up], CallEnd.GIVEN_UP)
-        self._scopes.pop(call.number, None)
+        self._call_scopes.pop(call.number, None)
         self._plan_changed()
 
     def _cancel(self, calls: list[DiscoveryCall], end: CallEnd) -> None:
         for call in calls:
-            self._scopes.pop(call.number, anyio.CancelScope()).cancel()
+            self._call_scopes.pop(call.number, anyio.CancelScope()).cancel()
             self.call_log.ended(call, end, self.now(), self.planner)
 
-    def _take_in(self, call: DiscoveryCall, body: bytes) -> None:
-        """Applies the answer to a call, unless a later one has brought as much.
+    def _process_response(self, call: DiscoveryCall, body: bytes) -> None:
+        """Apply the response to a call, unless the response to a later call was at least as recent.
 
         Raises:
-            InvalidEndpointListError: the body is no list, or not one that answers the call.
+            InvalidEndpointListError: The body is not an endpoint list, or it is not a response to this call.
         """
-        message, faults = decode_endpoint_list(body, call.after_version)
-        _check_answer(call, message)
+        message, problems = decode_endpoint_list(body, call.after_version)
+        _check_matches_call(call, message)
         answer = self.planner.answered(call, message.version, self.now())
         self._cancel(answer.superseded, CallEnd.SUPERSEDED)
-        # The next watch goes out ahead of any work that the changes cause.
+        # Wake the task that makes calls first, so that the next watch is not delayed by work on the changes.
         self._replan.set()
-        for fault in faults[:MAX_LOGGED_FAULTS]:
-            self.log.warning("endpoint_list_line_unusable", fault=fault)
+        for problem in problems[:MAX_LOGGED_PROBLEMS]:
+            self.log.warning("endpoint_list_line_unusable", fault=problem)
         if answer.is_usable:
             self._apply(message)
         self.call_log.ended(call, CallEnd.ANSWERED, self.now(), self.planner)
 
     def _apply(self, message: EndpointListMessage) -> None:
-        """Applies a message; a whole list starts an epoch of its own, as the versions may begin anew."""
+        """Apply a message; a whole list starts a new epoch, because its version numbers may have restarted."""
         self.snapshot_count += message.is_snapshot
         self.listener.receive(msgspec.structs.replace(message, epoch=str(self.snapshot_count)))
         self.snapshot_received.set()
 
     async def _exchange(self, call: DiscoveryCall) -> bytes:
-        """Carries out one call and returns the response's body.
+        """Carry out the HTTP exchange of a call and return the body of the response.
 
         Raises:
-            ExchangeAbortedError: there is no successful response.
+            ExchangeAbortedError: There was no successful response.
         """
         exchange = _DiscoveryExchange(call)
         host, port = call.address
@@ -197,20 +208,26 @@
             return await self._read_body(exchange)
         raise ExchangeAbortedError(FailureCause.CANCELLED)
 
-    async def _read_more(self, exchange: Exchange, cut: FailureCause) -> None:
-        await super()._read_more(exchange, cut)
+    async def _read_more(self, exchange: Exchange, cause_if_closed: FailureCause) -> None:
+        await super()._read_more(exchange, cause_if_closed)
         if isinstance(exchange, _DiscoveryExchange):
             exchange.call.received_bytes(self.now())
             self._plan_changed()
 
 
-def _check_answer(call: DiscoveryCall, message: EndpointListMessage) -> None:
-    """Raises InvalidEndpointListError where a message cannot be what was requested."""
+def _check_matches_call(call: DiscoveryCall, message: EndpointListMessage) -> None:
+    """Check that a message can be the response to a call.
+
+    Raises:
+        InvalidEndpointListError: The message contains changes although the whole list was requested, or its
+            version is lower than the one after which changes were requested.
+    """
     if message.is_snapshot:
         return
     if call.after_version is None:
-        raise InvalidEndpointListError("changes in place of the whole list")
+        raise InvalidEndpointListError("the response contains changes instead of the whole list")
     if message.version < call.after_version:
         raise InvalidEndpointListError(
-            f"changes up to version {message.version}, before {call.after_version}: versions began anew"
+            f"the response contains changes up to version {message.version}, but changes after version "
+            f"{call.after_version} were requested: the agent has restarted its version numbers"
         )
--- a/runspool/node/endpoint_list.py
+++ b/runspool/node/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The platform's endpoint list: decodes its JSON into the endpoint tracker's messages. Free of I/O."""
+"""Converts the platform's endpoint list from JSON to the endpoint tracker's messages. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,21 +10,23 @@
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, parse_address
 from runspool.wire.fields import JSON_DECODE_ERRORS
 
-# By the platform's status of an engine, the state that an endpoint entry has.
+# Maps the platform's status of an engine to the state of an endpoint entry.
 STATES: dict[str, Literal["on", "draining", "gone"]] = {
     "active": "on",
     "leaving": "draining",
     "left": "gone",
 }
 ENDPOINT_LIST_PATH = "/catalog/members"
-MAX_START_MS = 1 << 53  # milliseconds since the epoch; floats above no longer hold every integer
+# Exclusive upper bound of an engine's start time, in milliseconds since the Unix epoch. Floating-point numbers
+# above it do not represent every integer.
+MAX_START_MS = 1 << 53
 
 
 class InvalidEndpointListError(RunspoolError):
-    """A response is not an endpoint list.
+    """A response of the discovery agent is not a valid endpoint list.
 
     Attributes:
-        reason: what is wrong with it.
+        reason: What is wrong with the response.
     """
 
     def __init__(self, reason: str) -> None:
@@ -53,53 +55,60 @@
 
 
 def decode_endpoint_list(raw: bytes, since: int | None = None) -> tuple[EndpointListMessage, list[str]]:
-    """Decodes a response of the discovery agent.
+    """Decode a response of the discovery agent.
 
     Args:
-        raw: the response's body.
-        since: the version after which changes were requested, None for the whole list; the response holds all
-            changes after it.
+        raw: The body of the response.
+        since: The version after which changes were requested; None if the whole list was requested. The
+            response contains all changes after this version.
 
     Returns:
-        The message, and for each endpoint that was left out what is wrong with it.
+        The message, and one error description for each endpoint that was omitted because it is invalid.
 
     Raises:
-        InvalidEndpointListError: the body is no list, or is a whole list of which an endpoint is unusable;
-            taking the rest would report that engine as removed.
+        InvalidEndpointListError: The body is not a list, or it is a whole list with an invalid endpoint. A
+            whole list without that endpoint would report the engine as removed.
     """
     try:
         response = _list_decoder.decode(raw)
-    except JSON_DECODE_ERRORS as fault:
-        raise InvalidEndpointListError(str(fault)) from None
+    except JSON_DECODE_ERRORS as error:
+        raise InvalidEndpointListError(str(error)) from None
     if response.index < 0:
-        raise InvalidEndpointListError(f"index: {response.index} is below 0")
+        raise InvalidEndpointListError(f"index: {response.index} is negative")
     entries: list[EndpointEntry] = []
-    faults: list[str] = []
-    for position, line in enumerate(response.endpoints):
+    problems: list[str] = []
+    for position, raw_endpoint in enumerate(response.endpoints):
         try:
-            entries.append(_convert(_endpoint_decoder.decode(line)))
-        except (*JSON_DECODE_ERRORS, ValueError) as fault:
-            faults.append(f"endpoints[{position}]: {fault}")
-    if response.snapshot and faults:
-        raise InvalidEndpointListError(faults[0])
+            entries.append(_convert(_endpoint_decoder.decode(raw_endpoint)))
+        except (*JSON_DECODE_ERRORS, ValueError) as error:
+            problems.append(f"endpoints[{position}]: {error}")
+    if response.snapshot and problems:
+        raise InvalidEndpointListError(problems[0])
     message = EndpointListMessage(
         response.index,
         is_snapshot=response.snapshot,
         engines=entries,
         since=None if response.snapshot else since,
     )
-    return message, faults
+    return message, problems
 
 
 def _convert(endpoint: _PlatformEndpoint) -> EndpointEntry:
-    """Converts one endpoint; raises ValueError saying what is wrong with it."""
+    """Convert one endpoint of the platform's list.
+
+    Raises:
+        ValueError: A field of the endpoint is invalid; the message says which one.
+    """
     state = STATES.get(endpoint.status)
     if state is None:
-        raise ValueError(f"status {endpoint.status!r} is none of {', '.join(STATES)}")
+        raise ValueError(f"status {endpoint.status!r} is not one of {', '.join(STATES)}")
     if not endpoint.name or parse_address(endpoint.address) is None:
-        raise ValueError(f"name {endpoint.name!r}, address {endpoint.address!r}: no name or no host:port")
+        raise ValueError(
+            f"name {endpoint.name!r}, address {endpoint.address!r}: "
+            "the name is empty or the address is not host:port"
+        )
     if not 0 <= endpoint.since_ms < MAX_START_MS:
-        raise ValueError(f"since_ms {endpoint.since_ms!r} is no time")
+        raise ValueError(f"since_ms {endpoint.since_ms!r} is not a valid time")
     return EndpointEntry(
         engine=endpoint.name,
         address=endpoint.address,
@@ -112,11 +121,12 @@
 
 
 def request_target(after_version: int | None, wait_ms: int) -> str:
-    """Returns the target of a request for the list.
+    """Return the HTTP request target of a call to the discovery agent.
 
     Args:
-        after_version: requests what changed after this version; None requests the whole list.
-        wait_ms: milliseconds that the agent may wait for a change; not used for the whole list.
+        after_version: The version after which changes are requested; None requests the whole list.
+        wait_ms: How long, in milliseconds, the agent may delay its response until there is a change; ignored
+            for the whole list.
     """
     if after_version is None:
         return ENDPOINT_LIST_PATH
--- a/runspool/node/second_watch.py
+++ b/runspool/node/second_watch.py
@@ -36,7 +36,7 @@
         self._due_at = 0
 
     def begin(self, now: int) -> None:
-        """Start a sequence of second watches at the end of an interruption; the first one is due after DELAY."""
+        """Start a sequence at the end of an interruption; the first second watch is due after DELAY."""
         self._remaining_waits = list(WAITS)
         self._began_at = now
         self._due_at = now + DELAY
--- a/runspool/node/stop_request.py
+++ b/runspool/node/stop_request.py
@@ -1,4 +1,4 @@
-"""The request to stop a node and its time, from which the platform counts the time until it kills the node."""
+"""The request to stop a node, and its time, from which the platform measures the time until the kill."""
 
 from __future__ import annotations
 
