--- a/runspool/node/config.py
+++ b/runspool/node/config.py
@@ -1,6 +1,7 @@
 """Reads a node's configuration from its environment and from the JSON file that the environment names.
 
-The file's keys are the platform's, and are named here and in `runspool.runtime.platform_settings` only.
+The keys of the file are defined by the platform. They appear only here and in
+`runspool.runtime.platform_settings`.
 """
 
 from __future__ import annotations
@@ -19,17 +20,18 @@
 from runspool.wire.endpoint_list import EndpointListMessage, parse_address
 from runspool.wire.fields import JSON_DECODE_ERRORS
 
-MAX_FILE_BYTES = 32 << 20
-DEFAULT_MAX_DESCRIPTORS = 1024  # where the file sets no limit
-MIN_MAX_DESCRIPTORS = 64  # with fewer neither clients nor engines could be served
+MAX_FILE_BYTES = 32 << 20  # maximum size of the configuration file
+DEFAULT_MAX_DESCRIPTORS = 1024  # limit on open file descriptors if the file does not set one
+MIN_MAX_DESCRIPTORS = 64  # lowest limit accepted; a lower one leaves too few for clients and engines
 EMPTY_ENDPOINT_LIST = {"index": 0, "snapshot": True}
 
 
 class InvalidNodeConfigError(RunspoolError):
     """The configuration cannot be used.
 
-    `key` is the path of the value in the file, or the name of the environment variable, that is wrong, and
-    `problem` says what is wrong with it.
+    Attributes:
+        key: The path of the invalid value in the file, or the name of the invalid environment variable.
+        problem: What is wrong with it.
     """
 
     def __init__(self, key: str, problem: str) -> None:
@@ -39,16 +41,22 @@
 
 
 class UnreadableNodeConfigError(InvalidNodeConfigError):
-    """The file cannot be read, or is not JSON. It may be in the middle of being written, so retry."""
+    """The file cannot be read or is not JSON. The caller should retry: it may be partially written."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """A node's configuration, checked.
-
-    `listen` and `discovery` are the addresses to listen on and to fetch the endpoint list from, and
-    `last_endpoints` is the list last known to the platform, to start with. `seed` seeds the scheduler's
-    random draws. `max_descriptors` bounds the file descriptors that the process may hold.
+    """A node's configuration, validated.
+
+    Attributes:
+        name: The name of the node in logs.
+        listen: The address on which clients are accepted.
+        discovery: The address of the discovery agent.
+        seed: The seed of the scheduler's random numbers.
+        max_descriptors: The maximum number of file descriptors that the process may hold.
+        last_endpoints: The latest endpoint list that the platform knew when it wrote the file; the node uses
+            it until the discovery agent responds.
+        settings: The platform's settings.
     """
 
     name: str
@@ -61,45 +69,50 @@
 
 
 def read_node_config(environ: Mapping[str, str]) -> NodeConfig:
-    """Reads and checks the configuration that `environ` leads to.
+    """Read and validate the configuration file named by BALANCER_CONFIG.
+
+    Args:
+        environ: The environment variables. Some of them replace values that are missing in the file.
 
-    Raises UnreadableNodeConfigError where the file cannot be read or is not JSON, and InvalidNodeConfigError
-    where something in it, or in `environ`, is not usable.
+    Raises:
+        UnreadableNodeConfigError: The file cannot be read or is not JSON.
+        InvalidNodeConfigError: A value in the file or in `environ` is invalid.
     """
     file = environ.get("BALANCER_CONFIG")
     if not file:
-        raise InvalidNodeConfigError("BALANCER_CONFIG", "not set; it names the configuration file")
+        raise InvalidNodeConfigError("BALANCER_CONFIG", "not set; it must name the configuration file")
     raw = _read_file(file)
     try:
         return _check_document(msgspec.json.decode(raw), environ)
-    except JSON_DECODE_ERRORS as fault:
-        raise UnreadableNodeConfigError(file, f"no JSON: {fault}") from None
-    except InvalidEndpointListError as fault:
-        raise InvalidNodeConfigError("known", str(fault)) from None
-    except InvalidSettingsError as fault:
-        raise InvalidNodeConfigError(fault.key, fault.problem) from None
+    except JSON_DECODE_ERRORS as error:
+        raise UnreadableNodeConfigError(file, f"invalid JSON: {error}") from None
+    except InvalidEndpointListError as error:
+        raise InvalidNodeConfigError("known", str(error)) from None
+    except InvalidSettingsError as error:
+        raise InvalidNodeConfigError(error.key, error.problem) from None
 
 
 def _read_file(file: str) -> bytes:
     try:
         raw = Path(file).read_bytes()
-    except OSError as fault:
-        raise UnreadableNodeConfigError("BALANCER_CONFIG", f"{file}: {fault.strerror}") from None
+    except OSError as error:
+        raise UnreadableNodeConfigError("BALANCER_CONFIG", f"{file}: {error.strerror}") from None
     if len(raw) > MAX_FILE_BYTES:
-        raise InvalidNodeConfigError("BALANCER_CONFIG", f"{file}: over {MAX_FILE_BYTES} bytes")
+        raise InvalidNodeConfigError("BALANCER_CONFIG", f"{file}: larger than {MAX_FILE_BYTES} bytes")
     return raw
 
 
 def _check_document(document: dict[str, Any], environ: Mapping[str, str]) -> NodeConfig:
     top = SettingsSection(document, "")
-    # The file comes first, as it is newer than the environment, which a running process keeps from its start.
+    # Values in the file take precedence over the environment: the file may have been rewritten since the
+    # process was started, whereas its environment does not change.
     name = _text(top, "name", environ.get("BALANCER_NAME"))
-    last_endpoints, faults = decode_endpoint_list(
+    last_endpoints, problems = decode_endpoint_list(
         msgspec.json.encode(document.get("known") or EMPTY_ENDPOINT_LIST)
     )
-    if faults:
-        where, _, problem = faults[0].partition(": ")
-        raise InvalidNodeConfigError(f"known.{where}", problem)
+    if problems:
+        path, _, problem = problems[0].partition(": ")
+        raise InvalidNodeConfigError(f"known.{path}", problem)
     if "settings" not in document:
         raise InvalidNodeConfigError("settings", "missing")
     return NodeConfig(
@@ -116,17 +129,17 @@
 def _platform_settings(value: object) -> PlatformSettings:
     try:
         settings = PlatformSettings(value)
-    except InvalidSettingsError as fault:
-        raise InvalidNodeConfigError(f"settings.{fault.key}", fault.problem) from None
+    except InvalidSettingsError as error:
+        raise InvalidNodeConfigError(f"settings.{error.key}", error.problem) from None
     if not settings.request_classes:
-        raise InvalidNodeConfigError("settings.classes", "none")
+        raise InvalidNodeConfigError("settings.classes", "no request class is defined")
     return settings
 
 
 def _text(top: SettingsSection, key: str, default: str | None) -> str:
     value = top.values.get(key, default)
     if not isinstance(value, str) or not value:
-        raise InvalidNodeConfigError(key, "missing or no text")
+        raise InvalidNodeConfigError(key, "missing, empty or not a string")
     return value
 
 
@@ -134,22 +147,24 @@
     text = _text(top, key, default)
     address = parse_address(text)
     if address is None:
-        raise InvalidNodeConfigError(key, f"{text!r} is no host:port")
+        raise InvalidNodeConfigError(key, f"{text!r} is not of the form host:port")
     return address
 
 
 def _seed(value: object) -> int:
-    """Accepts hexadecimal digits or a number."""
+    """Convert the seed, which is a number or a string of hexadecimal digits."""
     if isinstance(value, int) and not isinstance(value, bool):
         return value
     try:
         return int(str(value), 16)
     except ValueError:
-        raise InvalidNodeConfigError("seed", f"{value!r} is no hexadecimal number") from None
+        raise InvalidNodeConfigError("seed", f"{value!r} is not a hexadecimal number") from None
 
 
 def _max_descriptors(top: SettingsSection) -> int:
     max_descriptors = top.section("limits").integer("sockets", DEFAULT_MAX_DESCRIPTORS)
     if max_descriptors < MIN_MAX_DESCRIPTORS:
-        raise InvalidNodeConfigError("limits.sockets", f"{max_descriptors} is below {MIN_MAX_DESCRIPTORS}")
+        raise InvalidNodeConfigError(
+            "limits.sockets", f"{max_descriptors} is less than {MIN_MAX_DESCRIPTORS}"
+        )
     return max_descriptors
--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -1,11 +1,13 @@
-"""When the next call for the endpoint list is made, and what the answer to each call is worth. Free of I/O.
+"""Plans when calls are made to the discovery agent, and decides which responses are applied. Does no I/O.
 
-Waiting and asking are separate. A call stays out as long as its connection lives, however slow the agent is,
-and any answer is used: an agent that holds what it is asked in an outage answers it at its return. Further
-calls are made beside it, slowly, only to notice the return of an agent that has dropped the earlier ones. An
-agent may have to work off each of them after the outage, ahead of the next watch, also those given up.
+Waiting for responses is independent of making further calls. A call stays open as long as its connection
+lives, however slow the agent is, and every response can be used: an agent that queues the calls it receives
+during an outage responds to them when it recovers. Further calls are made concurrently at a low rate. They
+only serve to detect the recovery of an agent that has dropped the earlier calls. The rate is low because the
+agent may have to process all calls of an outage, including those that the node has given up, before the next
+watch.
 
-Times are in tenths of a millisecond.
+All times are in tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -22,32 +24,39 @@
 from runspool.node.search_pace import SearchPace
 from runspool.node.second_watch import SecondWatch
 
-WATCH_WAIT = 10_000  # that the agent may hold a watch open
-MIN_PATIENCE = 4_000  # beyond the wait, until other calls are made beside a watch that is not answered
-MAX_PATIENCE = 20_000  # also for a slow agent: a silent one must be noticed within seconds
-MIN_WATCH_INTERVAL = 500  # between two watches, also where each is answered at once
-ARRIVAL_PAUSE = 4_000  # since the last piece of an answer, after which it is not arriving any more
-MAX_ARRIVAL = 30_000  # since the first piece: one that goes on for longer does not delay other calls
-MAX_CALLS_OUT = 6
-MAX_COUNTED_GIVEN_UP = 1_000
-MIN_ONLY_CALL_AGE = 20_000  # from which a call gives way to another where the agent refuses a second one
+WATCH_WAIT = 10_000  # how long the agent may delay its response to a watch while nothing changes
+# Bounds of the time from the end of a watch's wait until the watch counts as overdue. In between, this time
+# depends on the agent's response latency. The upper bound applies to slow agents too, because an agent that
+# has stopped responding must be detected within seconds.
+MIN_PATIENCE = 4_000
+MAX_PATIENCE = 20_000
+MIN_WATCH_INTERVAL = 500  # shortest interval between two watches, even if the agent responds to each at once
+RECEIVE_TIMEOUT = 4_000  # a response counts as stalled if no further bytes of it arrive for this time
+MAX_RECEIVE_DURATION = (
+    30_000  # after this time since its first byte, a response counts as stalled in any case
+)
+MAX_CALLS_OUT = 6  # maximum number of open calls
+MAX_COUNTED_GIVEN_UP = 1_000  # maximum number of given-up calls that are remembered
+# An agent may refuse a second connection. The only open call is then given up in favour of a new one once it
+# has been open for at least this time beyond its wait.
+MIN_ONLY_CALL_AGE = 20_000
 
 
 class DiscoveryState(Enum):
-    """What a node is doing about its endpoint list."""
+    """The state of a node's watch on the endpoint list; the values are written to logs and metrics."""
 
-    WATCHING = "watching"  # a watch is out, and is not overdue
-    SUSPECT = "suspect"  # the watch is overdue; the whole list is requested beside it
-    SEARCHING = "searching"  # no watch is out; the whole list is requested
+    WATCHING = "watching"  # a watch is open and not overdue
+    SUSPECT = "suspect"  # the watch is overdue; the whole list is requested concurrently
+    SEARCHING = "searching"  # no watch is open; the whole list is requested
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedCall:
-    """A call to make now.
+    """A call to be made now.
 
     Attributes:
-        call: the call.
-        given_up: a call that is out and makes room for it, if one has to.
+        call: The call.
+        given_up: The open call that must be cancelled to make room for it; None if there is room.
     """
 
     call: DiscoveryCall
@@ -56,11 +65,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What an answer is worth.
+    """The decision on a response.
 
     Attributes:
-        is_usable: whether it may be applied; an older one must not undo what a later call has brought.
-        superseded: calls that are out and not needed any more.
+        is_usable: Whether the response may be applied. It must not be if it is older than the applied list.
+        superseded: The open calls that are no longer needed.
     """
 
     is_usable: bool
@@ -68,17 +77,19 @@
 
 
 class DiscoveryCallPlanner:
-    """Plans the calls to the agent at one address, and keeps track of those that are out.
+    """Plans the calls to the agent at one address, and tracks the open calls.
 
     Attributes:
-        address: the agent that is called.
-        calls_out: the calls that are out, the oldest first.
-        given_up: the numbers of calls given up that an agent may still have to work off: it has not answered
-            any that was made later.
+        address: The address of the agent.
+        random: Returns random numbers from 0 to 1.
+        calls_made: The number of calls made by this process.
+        calls_out: The open calls, oldest first.
+        given_up: The numbers of the given-up calls that the agent may still have to process: it has not
+            responded to any later call.
     """
 
     def __init__(self, address: Address, random: Callable[[], float]) -> None:
-        """`random` returns numbers from 0 to 1."""
+        """Create a planner whose first call is due at once; `random` returns numbers from 0 to 1."""
         self.address = address
         self.random = random
         self.calls_made = 0
@@ -86,13 +97,13 @@
         self.restart()
 
     def restart(self) -> None:
-        """Forgets the calls that are out; the next one is made at once."""
+        """Forget the open calls; the next call is due at once."""
         self.calls_out: list[DiscoveryCall] = []
         self._watch: DiscoveryCall | None = None
         self._second_watch = SecondWatch()
-        self._needs_watch = False  # an answer has come, and no watch is out
-        self._version = 0  # after which to watch
-        self._applied_at: int | None = None  # when the last answer was applied; None at a new address
+        self._needs_watch = False  # a response has been received, and no watch is open
+        self._version = 0  # the version after which the next watch requests changes
+        self._applied_at: int | None = None  # when the latest response was applied; None at a new address
         self.given_up: deque[int] = deque(maxlen=MAX_COUNTED_GIVEN_UP)
         self._last_made_at: int | None = None
         self._last_watch_at: int | None = None
@@ -100,12 +111,12 @@
         self._only_call_age = MIN_ONLY_CALL_AGE
 
     def change_address(self, address: Address) -> list[DiscoveryCall]:
-        """Calls another agent from now on.
+        """Direct all further calls to the agent at another address.
 
-        A watch that is out at the former one stays out until the new one has answered.
+        An open watch at the former agent stays open until the new agent has responded.
 
         Returns:
-            The calls that are not needed any more.
+            The open calls that are no longer needed.
         """
         former_watch = self._watch
         dropped = [call for call in self.calls_out if call is not former_watch]
@@ -118,21 +129,21 @@
 
     @property
     def calls_owed(self) -> int:
-        """How many calls the agent may still have to answer, those given up among them."""
+        """The number of calls that the agent may still have to process, including those given up."""
         return len(self.calls_out) + len(self.given_up)
 
     @property
     def answer_time(self) -> int:
-        """How long the agent takes to begin an answer, as far as it is known."""
+        """The estimated time that the agent takes to start a response; 0 if it is unknown."""
         return self._answer_time.estimate
 
     @property
     def watch(self) -> DiscoveryCall | None:
-        """The watch that is out, None where none is."""
+        """The open watch; None if there is none."""
         return self._watch
 
     def state(self, now: int) -> DiscoveryState:
-        """Returns what the calls that are out amount to."""
+        """Return the state of the watch at `now`."""
         if self._needs_watch:
             return DiscoveryState.WATCHING
         if self._watch is None:
@@ -140,13 +151,13 @@
         return DiscoveryState.WATCHING if now < self._overdue_at(self._watch) else DiscoveryState.SUSPECT
 
     def next_call_at(self, now: int) -> int:
-        """Returns when the next call is to be made, if nothing happens before."""
-        at = self._next_needed_at(now)
+        """Return when the next call is due, provided that nothing happens before."""
+        at = self._next_required_at(now)
         second_watch_at = self._second_watch.due_at()
         return at if second_watch_at is None else min(at, second_watch_at)
 
-    def _next_needed_at(self, now: int) -> int:
-        """Returns when the next call is to be made that is not a second watch."""
+    def _next_required_at(self, now: int) -> int:
+        """Return when the next call is due that is not a second watch."""
         if self._needs_watch:
             return now if self._last_watch_at is None else self._last_watch_at + MIN_WATCH_INTERVAL
         if self._last_made_at is None:
@@ -155,11 +166,15 @@
         return search_at if self._watch is None else max(search_at, self._overdue_at(self._watch))
 
     def make_call(self, now: int) -> PlannedCall:
-        """Counts the next call as made: a watch where an answer has come, else one for the whole list."""
+        """Create the call that is due at `now` and record it as made.
+
+        The call is a watch if a response has been received and no watch is open, a second watch if one is
+        due, and otherwise a call for the whole list.
+        """
         second_watch_at = self._second_watch.due_at()
         self.calls_made += 1
         call = DiscoveryCall(self.calls_made, self.address, None, 0, now)
-        if self._needs_watch and self._next_needed_at(now) <= now:
+        if self._needs_watch and self._next_required_at(now) <= now:
             call.after_version, call.wait = self._version, WATCH_WAIT
             self._watch, self._needs_watch, self._last_watch_at = call, False, now
         elif second_watch_at is not None and second_watch_at <= now:
@@ -174,10 +189,16 @@
         return PlannedCall(call, given_up)
 
     def answered(self, call: DiscoveryCall, version: int, now: int) -> Answer:
-        """Counts a call as answered with the list, or its changes, at a version.
+        """Record a valid response to a call, and decide whether it may be applied.
 
-        An answer is newer than all that had come when its call was made, whatever its version: an agent that
-        lost its version numbers begins at a low one. Where calls overlap, the higher version is the newer.
+        A response is newer than everything that had been received when its call was made, whatever its
+        version: an agent that has lost its version numbers restarts them at a low number. Between overlapping
+        calls, the response with the higher version is the newer one.
+
+        Args:
+            call: The call.
+            version: The version of the list in the response.
+            now: When the response was received.
         """
         if call not in self.calls_out:
             return Answer(is_usable=False, superseded=[])
@@ -185,12 +206,12 @@
         is_second_watch = call is self._second_watch.call
         self.calls_out.remove(call)
         if call.address != self.address:
-            return Answer(is_usable=True, superseded=[])  # the present agent has not answered yet
+            return Answer(is_usable=True, superseded=[])  # the agent at the new address has not responded yet
         self._pace.answered(now)
         superseded = [
             other
             for other in self.calls_out
-            if other.number < call.number and not (is_second_watch and self._still_watches(other, version))
+            if other.number < call.number and not (is_second_watch and self._is_watch_after(other, version))
         ]
         for other in superseded:
             self._remove(other)
@@ -212,11 +233,12 @@
         return Answer(is_usable, superseded)
 
     def failed(self, call: DiscoveryCall, now: int) -> DiscoveryCall | None:
-        """Counts a call as failed: its connection was refused or lost, or its answer is unusable.
+        """Record that a call failed: its connection was refused or lost, or its response was invalid.
 
         Returns:
-            A call that is out and gives way to the next one, if one has to: an agent may refuse connections
-            past a number, and have dropped the calls on those that it has.
+            An open call that must be cancelled so that the next call can succeed; None if there is none. An
+            agent may limit the number of its connections and refuse new ones, although it has dropped the
+            calls on the connections that it holds.
         """
         if call not in self.calls_out:
             return None
@@ -225,21 +247,24 @@
         is_refused = call.number == self.calls_made and call.first_byte_at is None
         if not is_refused or not self.calls_out or self.state(now) is DiscoveryState.WATCHING:
             return None
-        given_up = self._least_useful(now) or self._worn_out_only_call(now)
+        given_up = self._least_useful(now) or self._expired_only_call(now)
         if given_up is not None:
             self._give_up(given_up)
         return given_up
 
-    def _worn_out_only_call(self, now: int) -> DiscoveryCall | None:
-        """Returns the oldest call if it has been out for long; each time, the next one is given longer."""
+    def _expired_only_call(self, now: int) -> DiscoveryCall | None:
+        """Return the oldest open call if it has exceeded the age limit, and double the limit for the next one.
+
+        Return None if it has not.
+        """
         oldest = self.calls_out[0]
         if now - oldest.made_at - oldest.wait < self._only_call_age:
             return None
         self._only_call_age *= 2
         return oldest
 
-    def _still_watches(self, call: DiscoveryCall, version: int) -> bool:
-        """Returns whether a call is a watch for what comes after this version."""
+    def _is_watch_after(self, call: DiscoveryCall, version: int) -> bool:
+        """Return whether a call is the open watch and requests the changes after `version`."""
         return call is self._watch and call.after_version == version
 
     def _give_up(self, call: DiscoveryCall) -> None:
@@ -253,7 +278,11 @@
             self._watch = None
 
     def _overdue_at(self, watch: DiscoveryCall) -> int:
-        """Returns from when a watch counts as overdue; one whose answer takes long to arrive is old."""
+        """Return when a watch counts as overdue.
+
+        If its response has started, the watch is overdue MIN_PATIENCE after the first byte at the latest,
+        because the list in a response that takes long to arrive is outdated.
+        """
         patience = min(max(self.answer_time * 3 // 2, MIN_PATIENCE), MAX_PATIENCE)
         overdue_at = watch.made_at + watch.wait + patience
         return (
@@ -261,26 +290,27 @@
         )
 
     def _least_useful(self, now: int) -> DiscoveryCall | None:
-        """Returns the call to give up, so that the ages of the others grow by about the same factor.
+        """Return the open call to give up; None if no call may be given up.
 
-        Neither the oldest, which a slow agent answers first, nor the watch. One that is arriving only where
-        all are.
+        It is chosen so that the ages of the remaining calls keep growing by about the same factor. The oldest
+        call is never chosen, because a slow agent responds to it first, and neither is the watch. A call
+        whose response is being received is chosen only if this is so for all candidates.
         """
         made_at = [*(call.made_at for call in self.calls_out), now]
 
         def usefulness(position: int) -> tuple[bool, float]:
-            return _is_arriving(self.calls_out[position], now), age_ratio(made_at, position, now)
+            return _is_receiving(self.calls_out[position], now), age_ratio(made_at, position, now)
 
-        inner = [
+        candidates = [
             position
             for position in range(1, len(self.calls_out))
             if self.calls_out[position] is not self._watch
         ]
-        return self.calls_out[min(inner, key=usefulness)] if inner else None
+        return self.calls_out[min(candidates, key=usefulness)] if candidates else None
 
 
-def _is_arriving(call: DiscoveryCall, now: int) -> bool:
-    """Returns whether the answer has begun, is not whole, and has not paused."""
+def _is_receiving(call: DiscoveryCall, now: int) -> bool:
+    """Return whether the response to an open call has started and has not stalled."""
     if call.first_byte_at is None or call.last_byte_at is None:
         return False
-    return now - call.last_byte_at < ARRIVAL_PAUSE and now - call.first_byte_at < MAX_ARRIVAL
+    return now - call.last_byte_at < RECEIVE_TIMEOUT and now - call.first_byte_at < MAX_RECEIVE_DURATION
--- a/runspool/node/discovery_client.py
+++ b/runspool/node/discovery_client.py
@@ -1,4 +1,4 @@
-"""Follows the platform's endpoint list by calls to its discovery agent, several of which may be concurrent."""
+"""Follows the platform's endpoint list by concurrent calls to its discovery agent."""
 
 from __future__ import annotations
 
@@ -179,7 +179,7 @@
         self.call_log.ended(call, CallEnd.ANSWERED, self.now(), self.planner)
 
     def _apply(self, message: EndpointListMessage) -> None:
-        """Apply a message; a whole list starts a new epoch, because its version numbers may have restarted."""
+        """Apply a message; a whole list starts a new epoch, because the versions may have restarted."""
         self.snapshot_count += message.is_snapshot
         self.listener.receive(msgspec.structs.replace(message, epoch=str(self.snapshot_count)))
         self.snapshot_received.set()
--- a/runspool/node/endpoint_list.py
+++ b/runspool/node/endpoint_list.py
@@ -17,8 +17,8 @@
     "left": "gone",
 }
 ENDPOINT_LIST_PATH = "/catalog/members"
-# Exclusive upper bound of an engine's start time, in milliseconds since the Unix epoch. Floating-point numbers
-# above it do not represent every integer.
+# Exclusive upper bound of an engine's start time, in milliseconds since the Unix epoch. Above it, not every
+# integer can be represented as a floating-point number.
 MAX_START_MS = 1 << 53
 
 
