--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -253,10 +253,7 @@
         return given_up
 
     def _expired_only_call(self, now: int) -> DiscoveryCall | None:
-        """Return the oldest open call if it has exceeded the age limit, and double the limit for the next one.
-
-        Return None if it has not.
-        """
+        """Return the oldest open call if it has reached the age limit, and double the limit; else None."""
         oldest = self.calls_out[0]
         if now - oldest.made_at - oldest.wait < self._only_call_age:
             return None
--- a/runspool/node/engine_client.py
+++ b/runspool/node/engine_client.py
@@ -19,10 +19,11 @@
 from runspool.units import TENTHS
 from runspool.wire.fields import JSON_DECODE_ERRORS
 
+# Status codes of successful responses to the three requests.
 PREFILL_COMPLETE_STATUS = 202
 STREAM_STATUS = 200
 RELEASED_STATUS = 204
-HOST = "origin.svc"
+HOST = "origin.svc"  # value of the Host header in requests to engines
 
 
 class _PrefillSummary(msgspec.Struct):
@@ -33,10 +34,10 @@
 
 
 def classify_http_status(status: int, declined: bool) -> FailureCause:
-    """Return what an unexpected response status means.
+    """Return the cause of failure that a response with an unexpected status reports.
 
-    Only an engine's explicit statement that it `declined` guarantees that the attempt did not execute; after
-    any other response it may have.
+    Only an explicit statement of the engine that it `declined` the request guarantees that the attempt was
+    not executed. After any other response it may have been executed.
     """
     if declined and status in (503, 504):
         return FailureCause.OVERLOADED
@@ -46,18 +47,27 @@
 
 
 class EngineClient(HttpExchangeClient):
-    """Carries out a node's attempts. It neither chooses engines nor retries."""
+    """Sends a node's attempts and release calls to engines. It neither selects engines nor retries."""
 
     def classify_response(self, response: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
-        """Return what a response with an unexpected status means; the detail is always empty."""
+        """Return the cause that a response with an unexpected status reports, and an empty detail."""
         return classify_http_status(response.status, response.headers.get("srv-declined") == "1"), ""
 
     async def prefill(
         self, address: Address, request: ClientRequest, limit: int, permit: SendPermit
     ) -> AttemptResult:
-        """Have the prompt prefilled; PREFILL_COMPLETE, or the failure. Arguments as in decode().
+        """Request a prefill of the prompt.
 
-        Cancelled, it closes the connection and returns nothing.
+        Cancellation closes the connection, and no result is returned.
+
+        Args:
+            address: The address of the engine.
+            request: The client's request.
+            limit: The time limit of the whole exchange, in tenths of a millisecond.
+            permit: As for decode().
+
+        Returns:
+            A result with the status PREFILL_COMPLETE, or one that describes the failure.
         """
         exchange = Exchange(permit)
         try:
@@ -75,7 +85,7 @@
         try:
             cached_tokens = _prefill_decoder.decode(body).cached_tokens
         except JSON_DECODE_ERRORS:
-            cached_tokens = 0  # informative only: the status has already confirmed the prefill
+            cached_tokens = 0  # the body is informative only: the status has already confirmed the prefill
         return AttemptResult(
             AttemptStatus.PREFILL_COMPLETE, cached_tokens=max(0, cached_tokens), reached_engine=True
         )
@@ -88,11 +98,21 @@
         permit: SendPermit,
         listener: ResponseListener[bytes],
     ) -> AttemptResult:
-        """Have the request answered, passing events to `listener` as they come, whole ones only.
+        """Request a decode and stream its events to a listener.
+
+        Cancellation closes the connection, and no result is returned.
+
+        Args:
+            address: The address of the engine.
+            request: The client's request.
+            limit: The time limit until the first event, in tenths of a millisecond. After that, only the idle
+                timeout applies.
+            permit: Asked for permission before the first and the last byte of the request are sent, and
+                notified when the first byte of the response is received.
+            listener: Receives the events as they arrive, complete events only.
 
-        `permit` is asked before the last byte is sent, and notified when the first byte comes back.
-        `limit`, in tenths of a millisecond, applies until the first event; after it only the idle timeout.
-        Cancelled, it closes the connection and returns nothing.
+        Returns:
+            A result with the status SUCCEEDED, or one that describes the failure.
         """
         result = AttemptResult(AttemptStatus.SUCCEEDED)
         events = EventStreamParser(self.settings.line_bytes)
@@ -119,9 +139,17 @@
         return result
 
     async def release_state(self, address: Address, request: str, limit: int) -> FailureCause | None:
-        """Release all state held for a request, at any engine; None once confirmed, else the failure.
+        """Release all state that engines hold for a request; any engine accepts the call.
 
-        `limit` is in tenths of a millisecond, connecting included. Cancelled, it closes the connection.
+        Cancellation closes the connection.
+
+        Args:
+            address: The address of the engine that is called.
+            request: The id of the request.
+            limit: The time limit, including that of connecting, in tenths of a millisecond.
+
+        Returns:
+            None if the engine has confirmed the release, otherwise the cause of failure.
         """
         exchange = Exchange()
         try:
@@ -140,13 +168,15 @@
         return None
 
     async def _read_first_events(self, exchange: Exchange, events: EventStreamParser) -> bytes:
-        """Read until at least one event is whole."""
+        """Read until at least one event is complete, and return the bytes of the complete events."""
         while not (data := events.feed(exchange.response.take_body())):
             if exchange.response.complete:
-                raise ExchangeAbortedError(FailureCause.MALFORMED_RESPONSE, "an answer without any event")
+                raise ExchangeAbortedError(
+                    FailureCause.MALFORMED_RESPONSE, "the response ended without an event"
+                )
             await self._read_more(exchange, FailureCause.CLOSED_DURING_RESPONSE)
-        # Nothing has been forwarded yet, so that after an error another engine may give the whole stream.
-        _raise_error_of(events)
+        # Raise before anything is forwarded, so that another engine can still provide the whole stream.
+        _raise_parse_error(events)
         return data
 
     async def _forward_events(
@@ -156,33 +186,36 @@
         wait: WatchedWait,
         listener: ResponseListener[bytes],
     ) -> None:
-        """Forward all that follows, up to the end of the response."""
+        """Forward all further events until the end of the response."""
         response = exchange.response
         while not response.complete:
             wait.waiting_since = self.now()
             try:
                 await self._read_more(exchange, FailureCause.STREAM_INTERRUPTED)
             except ExchangeAbortedError:
-                # The client still gets the whole events that came before the unreadable bytes.
+                # Forward the complete events that were received before the connection failed.
                 if data := events.feed(response.take_body()):
                     await listener.data_received(data)
                 raise
             wait.waiting_since = 0
             if data := events.feed(response.take_body()):
                 await listener.data_received(data)
-            _raise_error_of(events)
+            _raise_parse_error(events)
         events.check_end()
 
 
-def _raise_error_of(events: EventStreamParser) -> None:
+def _raise_parse_error(events: EventStreamParser) -> None:
+    """Raise the error that the parser found after the events it returned last, if any."""
     if events.error is not None:
         raise events.error
 
 
 def _encode_request(request: ClientRequest, remaining: int) -> bytes:
-    """Encode the client's request for the engine: target, body and id unchanged.
+    """Encode the client's request for the engine, with target, body and id unchanged.
 
-    `remaining`: the time that is left, in tenths of a millisecond.
+    Args:
+        request: The client's request.
+        remaining: The time left until the deadline, in tenths of a millisecond.
     """
     return encode_request(
         "POST",
--- a/runspool/node/event_stream.py
+++ b/runspool/node/event_stream.py
@@ -1,4 +1,4 @@
-"""An incremental parser of an engine's event stream: which bytes are whole events, and whether it is valid.
+"""Parses an engine's event stream (server-sent events) incrementally, to delimit and validate the events.
 
 The bytes of the events are forwarded to the client unchanged. Does no I/O.
 """
@@ -12,14 +12,14 @@
 from runspool.errors import RunspoolError
 from runspool.wire.fields import JSON_DECODE_ERRORS
 
-# The end of a line and an empty line, with whichever of the three line endings.
+# The end of an event: the end of a line, followed by an empty line. A line ends with \n, \r\n or \r.
 EVENT_END = re.compile(rb"\n\r?\n|\r\r\n?")
-# Fields without meaning here, and comments.
+# First bytes of the lines that the parser ignores: comments, and the fields other than "data".
 IGNORED_FIELDS = (b":", b"event:", b"id:", b"retry:")
 
 
 class MalformedEventStreamError(RunspoolError):
-    """The bytes received cannot belong to a valid event stream."""
+    """The received bytes are not a valid event stream."""
 
 
 class _PromptTokensDetails(msgspec.Struct):
@@ -45,14 +45,18 @@
 
 
 class EventStreamParser:
-    """Parses one stream.
+    """Parses one event stream.
+
+    The three token counts are those of the latest event that reported its usage.
 
     Attributes:
-        done: Whether the last event has come.
-        cached_tokens: From the last usage that came, as are the other two counts.
-        prompt_tokens: See `cached_tokens`.
-        output_tokens: See `cached_tokens`.
-        error: What was found after the events that feed() returned last; nothing more must be fed then.
+        max_event_bytes: The maximum size of an event.
+        done: Whether the final event, "[DONE]", has been received.
+        cached_tokens: The number of prompt tokens that were found in the engine's prefix cache.
+        prompt_tokens: The number of prompt tokens.
+        output_tokens: The number of output tokens.
+        error: The error that follows the events returned by the latest feed(); None if there is none. Once it
+            is set, feed() must not be called again.
     """
 
     def __init__(self, max_event_bytes: int) -> None:
@@ -62,49 +66,49 @@
         self.prompt_tokens = 0
         self.output_tokens = 0
         self.error: MalformedEventStreamError | None = None
-        self._incomplete = b""  # the beginning of the next event
+        self._partial_event = b""  # the bytes received of the next event
 
     def feed(self, data: bytes) -> bytes:
-        """Return the bytes of all events that are whole with `data`; empty where none is.
+        """Parse further bytes, and return those of all events that they complete; empty if there are none.
 
         Raises:
-            MalformedEventStreamError: The first of them is invalid. Where a later one is, the events before
-                it are returned and `error` is set.
+            MalformedEventStreamError: The first event is invalid or too large. If a later event is, the
+                events before it are returned and `error` is set.
         """
-        pending = self._incomplete + data if self._incomplete else data
-        whole_bytes = 0
+        pending = self._partial_event + data if self._partial_event else data
+        complete_bytes = 0
         for end in EVENT_END.finditer(pending):
             try:
-                self._parse_event(pending[whole_bytes : end.end()])
+                self._parse_event(pending[complete_bytes : end.end()])
             except MalformedEventStreamError as error:
-                # The client still gets the valid events that came together with an invalid one.
-                if not whole_bytes:
+                # Return the valid events that were received together with the invalid one.
+                if not complete_bytes:
                     raise
                 self.error = error
                 break
-            whole_bytes = end.end()
-        self._incomplete = pending[whole_bytes:]
-        if len(self._incomplete) > self.max_event_bytes and self.error is None:
-            self.error = MalformedEventStreamError(f"an event of over {self.max_event_bytes} bytes")
-            if not whole_bytes:
+            complete_bytes = end.end()
+        self._partial_event = pending[complete_bytes:]
+        if len(self._partial_event) > self.max_event_bytes and self.error is None:
+            self.error = MalformedEventStreamError(f"an event is larger than {self.max_event_bytes} bytes")
+            if not complete_bytes:
                 raise self.error
-        return pending[:whole_bytes]
+        return pending[:complete_bytes]
 
     def check_end(self) -> None:
-        """Check the stream's state after the end of the response.
+        """Check that the stream is complete, after the end of the response.
 
         Raises:
-            MalformedEventStreamError: The last event has not come, or an incomplete one follows.
+            MalformedEventStreamError: The final event is missing or is followed by an incomplete one.
         """
-        if not self.done or self._incomplete.strip():
-            raise MalformedEventStreamError("the stream ends without its last event")
+        if not self.done or self._partial_event.strip():
+            raise MalformedEventStreamError("the stream ends without its final event")
 
     def _parse_event(self, event: bytes) -> None:
         for line in event.splitlines():
             if line.startswith(b"data:"):
                 self._parse_data(line[5:].strip())
             elif line and not line.startswith(IGNORED_FIELDS):
-                raise MalformedEventStreamError(f"no event: {line[:40]!r}")
+                raise MalformedEventStreamError(f"not a line of an event: {line[:40]!r}")
 
     def _parse_data(self, data: bytes) -> None:
         if data == b"[DONE]":
@@ -113,7 +117,7 @@
         try:
             event = _event_decoder.decode(data)
         except JSON_DECODE_ERRORS as error:
-            raise MalformedEventStreamError(f"an event that does not read: {error}") from None
+            raise MalformedEventStreamError(f"the data of an event is invalid: {error}") from None
         usage = event.usage
         if usage is None:
             return
