--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -1,4 +1,4 @@
-"""The front node's requests: accepts them, and carries out what its one scheduler decides."""
+"""Accepts a front node's requests, and executes the decisions of its single scheduler."""
 
 from __future__ import annotations
 
@@ -22,18 +22,34 @@
 from runspool.units import UNITS_PER_SECOND, tenths
 from runspool.wire.fields import InvalidRequestError
 
-MAX_INTERNED_NAMES = 20_000  # of sessions and prefixes, before the one unseen for longest is forgotten
-STREAM_SILENCE_MS = 4_000  # after a stream's last event; the platform has its client told within 5 s
-QUIET_TIME_MS = 25  # after a response, in which the platform says that a second one may come
-MAX_EVENT_BYTES = 65_536  # of one event, and of a prefill's response
-RELEASE_WAIT_SECONDS = 0.05  # that a prefill waits for the release of what an earlier one left
-DEFAULT_RELEASE_TIMEOUT_MS = 1_000  # where the settings set no timeout
-CELL_NAME = "node"
+# Maximum number of session and prefix names that are interned. Beyond it, the least recently used is dropped.
+MAX_INTERNED_NAMES = 20_000
+# Idle timeout of a stream after an event. The platform requires that the client learns of an interrupted
+# stream within 5 s.
+STREAM_SILENCE_MS = 4_000
+# Time after a response within which an engine may send a surplus second response on the same connection,
+# according to the platform.
+QUIET_TIME_MS = 25
+MAX_EVENT_BYTES = 65_536  # maximum size of an event of a stream, and of the response to a prefill
+# How long a prefill waits at most for the release of the state that an earlier prefill of its request left.
+RELEASE_WAIT_SECONDS = 0.05
+DEFAULT_RELEASE_TIMEOUT_MS = 1_000  # used if the platform's settings contain no release timeout
+CELL_NAME = "node"  # the scheduler's cell; a node has one scheduler, and thus one cell
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSettings:
-    """How a node connects to engines or to discovery; times in milliseconds, sizes in bytes."""
+    """How a node connects to its engines or to the discovery agent.
+
+    Attributes:
+        connect_ms: The timeout of establishing a connection, in milliseconds.
+        idle_ms: How long an idle connection is kept, in milliseconds.
+        connections_each: The maximum number of connections to one peer.
+        idle_each: The maximum number of idle connections to one peer.
+        read_answer_bytes: The maximum size of the body of a response that is not a stream.
+        line_bytes: The maximum size of an event of a stream.
+        source_address: The local address of the connections; None for any.
+    """
 
     connect_ms: float
     idle_ms: float
@@ -46,9 +62,12 @@
 
 @dataclass(slots=True, kw_only=True)
 class PendingNodeRequest(PendingRequest):
-    """A client's request that this node owes a final response.
+    """A client's request to which this node must send a final response.
 
-    `possible_prefill_endpoint`: where an attempt that was lost or given up may have left a state.
+    Attributes:
+        client_request: The request as received from the client.
+        possible_prefill_endpoint: The engine that may hold state because of an attempt that was lost or
+            cancelled; None if there is none.
     """
 
     client_request: ClientRequest
@@ -56,14 +75,28 @@
 
 
 class NodeExecutor(RequestExecutor[PendingNodeRequest]):
-    """Accepts a node's requests, runs their attempts and releases what engines reserve for them."""
+    """Accepts a node's requests, runs their attempts and releases the state that engines reserve for them.
+
+    Attributes:
+        platform_settings: The platform's settings.
+        engine_client: Sends attempts and release calls to engines.
+        state_releaser: Runs the releases until an engine confirms them.
+        open_request_ids: The ids, given by the clients, of the requests that are open.
+        scheduler: The scheduler of this node.
+    """
 
     def __init__(self, config: NodeConfig, max_connections: int) -> None:
-        """`max_connections` bounds those to all engines together."""
+        """Create an executor without requests.
+
+        Args:
+            config: The configuration of the node.
+            max_connections: The maximum number of connections to all engines together.
+        """
         settings = config.settings
         super().__init__(settings.routing, settings.engine_types, settings.zones, MAX_INTERNED_NAMES)
         self.platform_settings = settings
-        # An engine closes idle connections: a request that crosses the close may count as executed.
+        # Close idle connections before the engine does. If an engine closes a connection while a request is
+        # being sent on it, the node cannot tell whether the request was executed.
         idle_ms = settings.idle_timeout / 10 * 0.75 or 10_000.0
         self.engine_client = EngineClient(
             ConnectionSettings(
@@ -77,20 +110,30 @@
         self.state_releaser = StateReleaser(
             self.engine_client,
             self.settings.state_release_timeout or tenths(DEFAULT_RELEASE_TIMEOUT_MS),
-            self._most_recently_heard,
+            self._engines_by_last_response,
             self._count_release,
         )
-        self.open_request_ids: set[str] = set()  # by the ids that clients gave them
+        self.open_request_ids: set[str] = set()
         self.scheduler = CellScheduler(CELL_NAME, settings.routing, config.seed, self, EventRecorder(None))
 
-    # What comes in.
+    # Requests and events from outside.
 
     def submit(
         self, client_request: ClientRequest, listener: ResponseListener[bytes], received_at: int
     ) -> PendingNodeRequest:
-        """Accepts a request: from here on it is owed one final response.
+        """Accept a request and submit it to the scheduler. From then on it must get one final response.
+
+        Args:
+            client_request: The request.
+            listener: Receives the response's stream.
+            received_at: When the head of the request was received, in tenths of a millisecond.
+
+        Returns:
+            The accepted request, whose final response the caller waits for.
 
-        Raises RequestNotAcceptedError, or InvalidRequestError where its id is open here already.
+        Raises:
+            RequestNotAcceptedError: The node is shutting down.
+            InvalidRequestError: A request with the same id is open at this node.
         """
         if self.closing:
             raise RequestNotAcceptedError("closing", "this node is stopping; ask another")
@@ -105,7 +148,7 @@
         pending = PendingNodeRequest(
             index, client_request.id, received_at, deadline, listener, client_request=client_request
         )
-        # The response still has to reach the client within its time.
+        # Reserve some of the time for sending the response to the client.
         time_budget = max(0, pending.deadline - self.settings.response_slack - accepted_at)
         self.counts["continuations"] += client_request.is_continuation
         self.counts["client_retries"] += client_request.is_client_retry
@@ -130,28 +173,35 @@
         return pending
 
     def begin_shutdown(self, deadline: int) -> None:
-        """This node may be killed after `deadline`: what it accepts from now on must be answered sooner."""
+        """Start the shutdown: requests accepted from now on must be answered before `deadline`.
+
+        `deadline` is in tenths of a millisecond on the node's clock; the process may be killed after it.
+        """
         self.shutdown_deadline = deadline
         self.notify_scheduler(self.scheduler, SHUTDOWN_TASK, CellScheduler.begin_shutdown, deadline)
 
     def publish_engines(self) -> None:
-        """Gives the scheduler the engines that are on the list."""
+        """Pass the engines on the endpoint list, except removed ones, to the scheduler."""
         self.scheduler.update_engines(
-            {line.engine: line for line in self.engine_records.values() if line.state != EngineState.REMOVED}
+            {
+                record.engine: record
+                for record in self.engine_records.values()
+                if record.state != EngineState.REMOVED
+            }
         )
 
-    # How it is carried out.
+    # Execution of the scheduler's decisions.
 
     def scheduler_named(self, name: str) -> CellScheduler | None:
-        """The one scheduler of this node."""
+        """Return the single scheduler of this node."""
         return self.scheduler
 
     def scheduler_for(self, pending: PendingNodeRequest) -> CellScheduler | None:
-        """The one scheduler of this node."""
+        """Return the single scheduler of this node."""
         return self.scheduler
 
     def request_class_of(self, pending: PendingNodeRequest) -> int:
-        """The index of the request's class in the settings."""
+        """Return the index of the request's class in the settings."""
         return pending.client_request.request_class
 
     async def run_exchange(
@@ -163,19 +213,31 @@
         limit: int,
         permit: SendPermit,
     ) -> AttemptResult:
-        """Runs one attempt; cancelled, its connection is closed and nothing is reported."""
+        """Run one attempt of a request; cancellation closes its connection without a result.
+
+        Args:
+            pending: The request.
+            endpoint: The engine.
+            attempt: The number of the attempt within the request.
+            sent_at: When the attempt started, in tenths of a millisecond.
+            limit: The time limit until the first event, in tenths of a millisecond.
+            permit: Decides whether the request may still be sent.
+        """
         if endpoint.role is Role.PREFILL:
             return await self.engine_client.prefill(endpoint.address, pending.client_request, limit, permit)
         relay = ResponseRelay(self, pending, attempt, sent_at)
         return await self.engine_client.decode(endpoint.address, pending.client_request, limit, permit, relay)
 
     def release_prefill_state(self, pending: PendingNodeRequest) -> None:
-        """Starts the release of all that engines reserve, or may reserve, for the request."""
+        """Start the release of all state that engines reserve, or may reserve, for the request."""
         self.release_unclaimed_state(pending)
         pending.prefill_endpoint = pending.possible_prefill_endpoint = None
 
     def release_unclaimed_state(self, pending: PendingNodeRequest) -> bool:
-        """Starts the release of what no attempt at an engine waits for; False where nothing is reserved."""
+        """Start the release of the state that no attempt is using; return False if there is no such state.
+
+        The endpoints of the state stay recorded, because an attempt in progress may still use it.
+        """
         endpoint = pending.prefill_endpoint or pending.possible_prefill_endpoint
         if endpoint is None:
             return False
@@ -190,28 +252,31 @@
         return True
 
     async def before_attempt(self, pending: PendingNodeRequest, endpoint: Endpoint) -> None:
-        """Waits a moment for a release in progress, which would otherwise take the next prefill's state too.
+        """Wait for a release in progress before a prefill, because it would also release that prefill's state.
 
-        No release is started here for a prefill that was given up, as its engine may still be at it: that
-        release took the next prefill's state three times in four. It is started when it is due, unless the
-        next prefill is known to have been received.
+        The wait is limited to RELEASE_WAIT_SECONDS. No release is started here for a prefill that was
+        cancelled, because its engine may still be executing it: when one was started here, it released the
+        state of the next prefill in three cases out of four. It is started when it is due, unless the engine
+        of the next prefill is known to have received the request.
         """
         if endpoint.role is Role.PREFILL:
-            # A wait past the end of attempts would leave the answer to the deadline guard.
-            left = (self.deadline_guard.attempts_end_at(pending) - now()) / UNITS_PER_SECOND
-            await self.state_releaser.wait_settled(pending.id, max(0.0, min(RELEASE_WAIT_SECONDS, left)))
+            # After the end of its attempts, only the deadline guard could respond to the request.
+            remaining = (self.deadline_guard.attempts_end_at(pending) - now()) / UNITS_PER_SECOND
+            await self.state_releaser.wait_settled(pending.id, max(0.0, min(RELEASE_WAIT_SECONDS, remaining)))
 
     def after_attempt(
         self, pending: PendingNodeRequest, endpoint: Endpoint, attempt: int, result: AttemptResult
     ) -> None:
-        """Counts what a lost or given up prefill may have left; releases what nothing waits for."""
+        """Record the state that a lost or cancelled attempt may have left, and release state that is unused."""
         if endpoint.role is Role.PREFILL and result.status in PREFILL_MAY_HAVE_RUN:
             pending.possible_prefill_endpoint = endpoint
         elif pending.lifecycle.remote_end_unknown and not pending.stream_started:
-            # An earlier attempt ended only here: this one may have taken up what it left.
+            # An earlier attempt was ended by this node but may have continued at its engine, and this one may
+            # have used the state that it left.
             pending.possible_prefill_endpoint = pending.possible_prefill_endpoint or endpoint
-        # One release covers all that is reserved, so a state that still waits goes with its own. What was
-        # left behind another attempt is released when it is due, unless that attempt has been received.
+        # A release covers all state of the request. Therefore none is started while the state of a completed
+        # prefill waits for its decode: its own release will cover the rest. If a later attempt is in
+        # progress, the state is released when it is due, unless that attempt's engine has received it.
         if (
             pending.possible_prefill_endpoint is not None
             and pending.attempt_count == attempt
@@ -222,14 +287,15 @@
     def set_prefill_endpoint(
         self, pending: PendingNodeRequest, endpoint: Endpoint | None, state: object
     ) -> None:
-        """Notes where a prefill's state waits now, None where none does."""
+        """Record the engine that holds the state of a completed prefill; None if none does any more."""
         super().set_prefill_endpoint(pending, endpoint, state)
-        # A release of what an earlier prefill left would take this state too. It stays owed.
+        # A pending release for an earlier prefill would release this state too. Withdraw it, and remember
+        # that the earlier state must still be released.
         if endpoint is not None and self.state_releaser.withdraw(pending.id):
             pending.possible_prefill_endpoint = pending.possible_prefill_endpoint or endpoint
 
     def after_request(self, pending: PendingNodeRequest) -> None:
-        """Forgets the request, and starts the release of what is still reserved for it."""
+        """Forget a request, and start the release of the state that is still reserved for it."""
         self.open_request_ids.discard(pending.id)
         self.release_prefill_state(pending)
 
@@ -243,7 +309,7 @@
             )
 
     def _remote_end_unknown(self, pending: PendingNodeRequest) -> bool:
-        """Whether an attempt that has ended here may leave a state that nothing else would release."""
+        """Return whether an attempt that this node ended may leave state that nothing else would release."""
         attempt = pending.lifecycle.last_attempt
         return (
             pending.lifecycle.remote_end_unknown
@@ -254,16 +320,19 @@
     def _count_release(self, change: int) -> None:
         self.releases_in_progress += change
 
-    def _most_recently_heard(self) -> list[Endpoint]:
-        """Ready engines, those first from which this node has had a response last."""
-        idle = self.engine_client.pool.idle
+    def _engines_by_last_response(self) -> list[Endpoint]:
+        """Return the ready engines, those first from which this node received a response most recently."""
+        idle_connections = self.engine_client.pool.idle
 
-        def heard(endpoint: Endpoint) -> int:
-            return max((link.idle_since for link in idle.get(endpoint.address, ())), default=0)
+        def last_response_at(endpoint: Endpoint) -> int:
+            return max(
+                (connection.idle_since for connection in idle_connections.get(endpoint.address, ())),
+                default=0,
+            )
 
-        listed = [
-            self.endpoints[line.engine]
-            for line in self.engine_records.values()
-            if line.state == EngineState.READY
+        ready = [
+            self.endpoints[record.engine]
+            for record in self.engine_records.values()
+            if record.state == EngineState.READY
         ]
-        return sorted(listed, key=heard, reverse=True)
+        return sorted(ready, key=last_response_at, reverse=True)
--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A node's shutdown: it goes on accepting for a while, then waits until every request has been answered.
+"""Shuts a node down: it continues to accept requests for a while, then waits until all have been answered.
 
 Durations are in tenths of a millisecond unless the name says otherwise.
 """
@@ -16,28 +16,47 @@
 from runspool.service.clock import now
 from runspool.units import TENTHS, UNITS_PER_SECOND
 
-# The platform kills a node no sooner after SIGTERM than its longest deadline, counted up to a bound, and then
-# KILL_DELAY.
+# After SIGTERM, the platform waits at least for the longest deadline of its request classes, limited to
+# MAX_COUNTED_DEADLINE, and then for KILL_DELAY before it kills a node.
 MAX_COUNTED_DEADLINE = 30_000
 KILL_DELAY = 7_000
-KILL_MARGIN = 5_000  # before the kill: by then every request must be answered and all engine state released
-LAST_REQUEST_MARGIN = 8_000  # before that: requests accepted until then can still be answered
-MIN_ACCEPT_DURATION = 5_000  # after SIGTERM: clients go on opening new connections for up to 400 ms
-FIRST_REQUEST_GRACE = 2_500  # that a new connection has for its first request before a shutdown closes it
-DECISION_GRACE = 1_000  # after the time for answers, in which decisions still move streams by themselves
-MAX_SHUTDOWN_DURATION = 600_000  # after SIGTERM, that streams which cannot be resumed may take to finish
-FINAL_WRITE_DURATION = 10_000  # that the final responses given at its end may take to be written
+# Time before the expected kill at which every request must have been answered and all state at engines
+# released: the shutdown's deadline.
+KILL_MARGIN = 5_000
+# Time before the shutdown's deadline at which the node stops accepting requests, so that it can still answer
+# those accepted last.
+LAST_REQUEST_MARGIN = 8_000
+# Shortest time after SIGTERM during which requests are accepted: clients open new connections for up to
+# 400 ms after SIGTERM.
+MIN_ACCEPT_DURATION = 5_000
+# During the shutdown, a new connection without a request is closed only after this time.
+FIRST_REQUEST_GRACE = 2_500
+# Time after the shutdown's deadline during which the scheduler may still move streams to other engines by
+# itself.
+DECISION_GRACE = 1_000
+MAX_SHUTDOWN_DURATION = 600_000  # time after SIGTERM until which streams that cannot be resumed may finish
+FINAL_WRITE_DURATION = (
+    10_000  # longest time in which the final responses that are sent after that are written
+)
 POLL_SECONDS = 0.02
 MAX_LOGGED_REQUESTS = 20
 
 
 class GracefulShutdown:
-    """Brings a node to the point where it can end without losing a request."""
+    """Brings a node into a state in which its process can end without losing a request.
+
+    Attributes:
+        config: The configuration of the node.
+        executor: The executor of the requests.
+        connections: The connections of the clients.
+        requested_at: When the shutdown was requested.
+        deadline: When every request must have been answered, on the node's clock.
+    """
 
     def __init__(
         self, config: NodeConfig, executor: NodeExecutor, connections: ClientConnections, requested_at: int
     ) -> None:
-        """`requested_at` is when the signal came, from which the platform counts to the kill."""
+        """Prepare a shutdown; `requested_at` is when the signal was received, which starts the time to the kill."""
         self.config = config
         self.executor = executor
         self.connections = connections
@@ -46,12 +65,15 @@
         self.log = structlog.get_logger()
 
     async def run(self, accepts_requests: bool = True) -> None:
-        """Returns once nothing is in progress, or after MAX_SHUTDOWN_DURATION without new requests.
+        """Shut down; return when nothing is in progress any more.
+
+        At MAX_SHUTDOWN_DURATION, all remaining requests are ended. The listener must stay open until this
+        method returns: the kernel accepts connections for it, and clients consider these as accepted by the
+        node. If this method is cancelled, the requests in progress are left to the caller.
 
-        With `accepts_requests` new ones are accepted for a while, else they are refused for as long as
-        clients still open connections. The listener must stay open until this returns: the kernel accepts
-        connections for it, and their clients count them as accepted. Cancelled,
-        it leaves the requests in progress to the caller.
+        Args:
+            accepts_requests: Whether new requests are accepted for a while. If not, they are rejected as long
+                as clients may still open connections.
         """
         accept_until = self._accept_until() if accepts_requests else self.requested_at + MIN_ACCEPT_DURATION
         self.executor.closing = not accepts_requests
@@ -60,34 +82,37 @@
         await anyio.sleep(max(0, accept_until - now()) / UNITS_PER_SECOND)
         self.executor.closing = True
         self.log.info("node_accepting_ended", **self._open_counts())
-        if not await self._becomes_idle(self.deadline):
-            await self._end_what_is_open()
+        if not await self._wait_until_idle(self.deadline):
+            await self._end_open_work()
 
-    async def _end_what_is_open(self) -> None:
-        """Ends all that may not be open when the kill comes, whatever decisions did about it."""
+    async def _end_open_work(self) -> None:
+        """End everything that must not be open at the time of the kill, whatever the scheduler has decided."""
         self._log_timeout()
-        # Deadlines may lie beyond the kill. Answer these requests and release their engine state before it.
+        # The deadlines of requests may be later than the kill. End these requests and release their state now.
         self.executor.last_resort.end_open_requests(streams=False)
-        if await self._becomes_idle(now() + DECISION_GRACE):
+        if await self._wait_until_idle(now() + DECISION_GRACE):
             return
-        # After a pause of the process, the timers of decisions are due in this moment too, and go first.
+        # If the process was suspended, the scheduler's timers may be due at this moment too; let them run first.
         await anyio.sleep(POLL_SECONDS)
-        last_look = self.requested_at + MAX_SHUTDOWN_DURATION
-        if await self._becomes_idle(last_look, self._end_open_requests):
+        end_at = self.requested_at + MAX_SHUTDOWN_DURATION
+        if await self._wait_until_idle(end_at, self._end_open_requests):
             return
         self.executor.last_resort.end_open_requests(process_ends=True)
-        await self._becomes_idle(last_look + FINAL_WRITE_DURATION)
+        await self._wait_until_idle(end_at + FINAL_WRITE_DURATION)
 
     def _end_open_requests(self) -> None:
         self.executor.last_resort.end_open_requests()
         for handler in list(self.connections.handlers):
             handler.refuse_incomplete()
 
-    async def _becomes_idle(self, until: int, enforce: Callable[[], None] = lambda: None) -> bool:
-        """Waits until nothing is in progress, and calls `enforce` before each look; False after `until`."""
+    async def _wait_until_idle(self, until: int, before_check: Callable[[], None] = lambda: None) -> bool:
+        """Wait until nothing is in progress; return False if that is not so by `until`.
+
+        `before_check` is called before each check.
+        """
         while True:
             self._close_waiting_connections()
-            enforce()
+            before_check()
             if not self._in_progress():
                 return True
             if now() >= until:
@@ -116,7 +141,7 @@
         }
 
     def log_stopped(self) -> None:
-        """Logs the end of the shutdown, with what is still open and the counts of responses."""
+        """Log the end of the shutdown with the numbers of open objects and the node's counters."""
         self.log.info(
             "node_stopped",
             node=self.config.name,
@@ -129,21 +154,25 @@
         return min(MAX_COUNTED_DEADLINE, longest) + KILL_DELAY - KILL_MARGIN
 
     def _accept_until(self) -> int:
-        """Until when new requests are still accepted.
+        """Return the time until which new requests are accepted.
 
-        Where deadlines are short there is hardly time for any, yet new connections still come, so it has a
-        lower bound. Where streams cannot be moved to another engine it is no more than that, as a stream
-        accepted late could still be running when the kill comes.
+        If the deadlines are short, there is hardly any time left for new requests. Clients nevertheless open
+        new connections, so the time has a lower bound. If streams cannot be moved to another engine, the lower
+        bound is used: a stream that is accepted late could still be running at the time of the kill.
         """
         if self.executor.settings.streams_can_resume:
             return max(self.requested_at + MIN_ACCEPT_DURATION, self.deadline - LAST_REQUEST_MARGIN)
         return self.requested_at + MIN_ACCEPT_DURATION
 
     def _close_waiting_connections(self) -> None:
-        """Connections of which a request has just come are not closed: they serve it, and end then."""
+        """Close the connections that wait for a request.
+
+        A connection on which a request has just arrived is not closed; it ends after it has served the
+        request.
+        """
         for handler in list(self.connections.handlers):
-            # A new connection's first request follows a moment later. Closed before, the client would have no
-            # answer from any node.
+            # The first request on a new connection may arrive with a delay. If the connection were closed
+            # before, the client would not get a response from any node.
             if not handler.first or now() - handler.idle_since > FIRST_REQUEST_GRACE:
                 handler.close_if_waiting()
 
