--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -252,7 +252,7 @@
         return True
 
     async def before_attempt(self, pending: PendingNodeRequest, endpoint: Endpoint) -> None:
-        """Wait for a release in progress before a prefill, because it would also release that prefill's state.
+        """Before a prefill, wait for a release in progress, which would also release the prefill's state.
 
         The wait is limited to RELEASE_WAIT_SECONDS. No release is started here for a prefill that was
         cancelled, because its engine may still be executing it: when one was started here, it released the
@@ -267,7 +267,7 @@
     def after_attempt(
         self, pending: PendingNodeRequest, endpoint: Endpoint, attempt: int, result: AttemptResult
     ) -> None:
-        """Record the state that a lost or cancelled attempt may have left, and release state that is unused."""
+        """Record the state that a lost or cancelled attempt may have left, and release unused state."""
         if endpoint.role is Role.PREFILL and result.status in PREFILL_MAY_HAVE_RUN:
             pending.possible_prefill_endpoint = endpoint
         elif pending.lifecycle.remote_end_unknown and not pending.stream_started:
--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -31,8 +31,8 @@
 MIN_ACCEPT_DURATION = 5_000
 # During the shutdown, a new connection without a request is closed only after this time.
 FIRST_REQUEST_GRACE = 2_500
-# Time after the shutdown's deadline during which the scheduler may still move streams to other engines by
-# itself.
+# Time after the shutdown's deadline in which the scheduler may still end resumable streams by itself, so that
+# their clients resume them elsewhere.
 DECISION_GRACE = 1_000
 MAX_SHUTDOWN_DURATION = 600_000  # time after SIGTERM until which streams that cannot be resumed may finish
 FINAL_WRITE_DURATION = (
@@ -56,7 +56,10 @@
     def __init__(
         self, config: NodeConfig, executor: NodeExecutor, connections: ClientConnections, requested_at: int
     ) -> None:
-        """Prepare a shutdown; `requested_at` is when the signal was received, which starts the time to the kill."""
+        """Prepare a shutdown.
+
+        `requested_at` is when SIGTERM was received; the platform measures the time to the kill from then.
+        """
         self.config = config
         self.executor = executor
         self.connections = connections
@@ -86,13 +89,13 @@
             await self._end_open_work()
 
     async def _end_open_work(self) -> None:
-        """End everything that must not be open at the time of the kill, whatever the scheduler has decided."""
+        """End everything that must not be open at the time of the kill, whatever the scheduler decided."""
         self._log_timeout()
-        # The deadlines of requests may be later than the kill. End these requests and release their state now.
+        # Requests whose deadlines are later than the kill must be ended, and their state released, before it.
         self.executor.last_resort.end_open_requests(streams=False)
         if await self._wait_until_idle(now() + DECISION_GRACE):
             return
-        # If the process was suspended, the scheduler's timers may be due at this moment too; let them run first.
+        # If the process was suspended, the scheduler's timers may be due at this moment too. Run them first.
         await anyio.sleep(POLL_SECONDS)
         end_at = self.requested_at + MAX_SHUTDOWN_DURATION
         if await self._wait_until_idle(end_at, self._end_open_requests):
@@ -157,8 +160,8 @@
         """Return the time until which new requests are accepted.
 
         If the deadlines are short, there is hardly any time left for new requests. Clients nevertheless open
-        new connections, so the time has a lower bound. If streams cannot be moved to another engine, the lower
-        bound is used: a stream that is accepted late could still be running at the time of the kill.
+        new connections, so the time has a lower bound. If streams cannot be resumed at another node, the
+        lower bound is used: a stream that is accepted late could still be running at the time of the kill.
         """
         if self.executor.settings.streams_can_resume:
             return max(self.requested_at + MIN_ACCEPT_DURATION, self.deadline - LAST_REQUEST_MARGIN)
--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -1,4 +1,4 @@
-"""One client's connection to a node: reads requests and sends one final response for each one accepted."""
+"""Serves one client's connection to a node: reads its requests and sends one final response to each."""
 
 from __future__ import annotations
 
@@ -22,21 +22,32 @@
 
 HEALTH_PATH = "/_health"
 COMPLETIONS_PATH = "/v1/chat/completions"
-# The protocol takes 429 and 503 as a promise that a retry is harmless, and any other status as none.
+# By the platform's protocol, the statuses 429 and 503 guarantee that the request was not executed and may be
+# retried. No other status does.
 REJECTED_STATUS = 503
 INDETERMINATE_STATUS = 500
 
 
 @dataclass(frozen=True, slots=True)
 class NodeConnectionLimits:
-    """The limits on a client's connection; times in milliseconds.
-
-    The protocol demands that a client which sends something unreadable gets an error or a close within 3 s of
-    connecting, and allows that a connection without an open request is closed after 2 s.
+    """The limits on a client's connection.
+
+    The platform's protocol requires that a client which sends malformed data gets an error response, or is
+    disconnected, within 3 s of connecting. It allows a connection without an open request to be closed after
+    2 s.
+
+    Attributes:
+        head_bytes: The maximum size of the head of a request.
+        query_bytes: The maximum size of the body of a request, as defined by the protocol.
+        head_ms: The time limit from the first byte of a head to its end, in milliseconds.
+        body_ms: The time limit from the end of the head to the end of the body, in milliseconds.
+        idle_ms: The time limit until the next request begins on a connection that has not served any, in
+            milliseconds.
+        answer_write_ms: How long a client may leave a response unread, in milliseconds.
     """
 
     head_bytes: int = 32_768
-    query_bytes: int = 262_144  # the protocol's largest body
+    query_bytes: int = 262_144
     head_ms: float = 2_200
     body_ms: float = 2_200
     idle_ms: float = 2_500
@@ -44,16 +55,20 @@
 
 
 LIMITS = NodeConnectionLimits()
-FIRST_REQUEST_MS = 2_400.0  # from the connection to its first whole request
-KEPT_IDLE_MS = 20_000.0  # that a connection which has served a request may be idle
+FIRST_REQUEST_MS = 2_400.0  # time limit from the start of a connection to the end of its first request
+REUSED_IDLE_MS = 20_000.0  # how long a connection that has served a request may be idle
 
 
 class RequestHandler(HttpConnection):
     """Serves one client's connection to a node.
 
-    `has_served` is set once a request has been accepted from it, and `first` until a whole request has come.
-    `idle_since`, in tenths of a millisecond, is when the wait for the next request began, and 0 while a
-    request is open.
+    Attributes:
+        executor: Executes the requests.
+        has_served: Whether a request from the connection has been accepted.
+        first: Whether the connection still waits for its first complete request.
+        first_request_deadline: The time limit of the first request, on the event loop's clock.
+        idle_since: When the wait for the next request began, in tenths of a millisecond; 0 while a request is
+            open.
     """
 
     UNREPEATABLE_HEADERS = ("req-", "host", "content-length", "transfer-encoding")
@@ -61,7 +76,13 @@
     def __init__(
         self, executor: NodeExecutor, connection: TcpConnection, count_busy: Callable[[int], None]
     ) -> None:
-        """`count_busy` is called with +1 when a request begins and with -1 when it ends."""
+        """Create a handler.
+
+        Args:
+            executor: Executes the requests.
+            connection: The client's connection.
+            count_busy: Called with +1 when a request begins and with -1 when it ends.
+        """
         super().__init__(LIMITS, connection, count_busy)
         self.executor = executor
         self.has_served = False
@@ -71,16 +92,17 @@
 
     @property
     def closing(self) -> bool:
-        """True once the node has ended accepting; a new connection may still send its first request.
+        """Whether the node has stopped accepting requests and this connection has had its first request.
 
-        Not from SIGTERM on: clients go on using the connections they have, and where every other node is down
-        too they have no others. Closing them early left 11% of an incident's requests without a node.
+        Connections stay open for a while after SIGTERM, because clients continue to use those they have. If
+        every other node is down too, they cannot open others: when connections were closed at SIGTERM, 11% of
+        the requests during an incident reached no node.
         """
         return self.executor.closing and not self.first
 
     def head_wait_ms(self) -> float:
-        """Milliseconds that the next request may take to begin."""
-        return KEPT_IDLE_MS if self.has_served else self.limits.idle_ms
+        """Return the time limit until the next request begins, in milliseconds."""
+        return REUSED_IDLE_MS if self.has_served else self.limits.idle_ms
 
     def _deadline_after(self, wait_ms: float) -> float:
         deadline = super()._deadline_after(wait_ms)
@@ -93,28 +115,33 @@
         return request
 
     def error_body(self, code: str, message: str) -> bytes:
-        """The body of an error response: an object with the code and the message."""
+        """Return the body of an error response, a JSON object with the code and the message."""
         return msgspec.json.encode({"error": {"code": code, "message": message}})
 
     async def route(self, request: HttpRequest, received_at: int) -> None:
-        """Responds to a request; raises as HttpConnection.route() does.
+        """Respond to a request.
 
-        A fault in the program is answered too, unless a response has been started.
+        An internal error is reported to the client, unless a response has been started.
+
+        Raises:
+            ConnectionClosedError: The connection must end.
+            TimeoutError: The client did not read the response in time.
+            InvalidHttpRequestError: The request is invalid.
         """
         self.response_started = False
         try:
             await self._route(request, received_at)
         except (ConnectionClosedError, TimeoutError, InvalidHttpRequestError):
             raise
-        except Exception as fault:  # a request that has been read must be answered
+        except Exception as error:  # every request that has been read must get a response
             logger = structlog.get_logger()
-            logger.exception("client_failed", fault=repr(fault))
-            await self._respond_to_fault(fault)
+            logger.exception("client_failed", fault=repr(error))
+            await self._respond_to_internal_error(error)
 
-    async def _respond_to_fault(self, fault: Exception) -> None:
+    async def _respond_to_internal_error(self, error: Exception) -> None:
         if self.response_started:
-            self.executor.invariants.record(InvariantViolation.CLOSED_UNANSWERED, reason=repr(fault))
-            raise ConnectionClosedError("a fault in the middle of an answer") from None
+            self.executor.invariants.record(InvariantViolation.CLOSED_UNANSWERED, reason=repr(error))
+            raise ConnectionClosedError("an internal error occurred after the response had started") from None
         self.keeps_alive = False
         await self.send_response(
             INDETERMINATE_STATUS, self.error_body("fault", "nothing is promised: it may or may not have run")
@@ -137,15 +164,15 @@
                 request.target, request.headers, bytes(request.body), self.executor.platform_settings
             )
             if request.version == "1.0":
-                raise InvalidRequestError("version", "an answer in parts needs HTTP/1.1", 505)
+                raise InvalidRequestError("version", "a streamed response requires HTTP/1.1", 505)
             streaming = EventStreamResponse(self)
             pending = self.executor.submit(client_request, streaming, received_at)
         except InvalidRequestError as error:
-            # The connection ends with it: a client that sends this may do so endlessly, and a connection for
-            # each slows it down.
+            # Raising this error closes the connection. A client that keeps sending invalid requests is slowed
+            # down because it needs a new connection for each.
             raise InvalidHttpRequestError(error.status, "misworded", str(error)) from None
-        except RequestNotAcceptedError as refusal:
-            await self.send_response(REJECTED_STATUS, self.error_body(refusal.code, refusal.message))
+        except RequestNotAcceptedError as error:
+            await self.send_response(REJECTED_STATUS, self.error_body(error.code, error.message))
             return
         self.has_served = True
         final = await self.final_response(self.executor, pending, streaming)
@@ -154,12 +181,12 @@
     async def _send_final(self, streaming: EventStreamResponse, final: FinalResponse) -> None:
         if final.kind is ResponseKind.CLIENT_DISCONNECTED:
             self.tcp.close()
-            raise ConnectionClosedError("the client left")
+            raise ConnectionClosedError("the client has disconnected")
         if streaming.opened:
             if final.kind is not ResponseKind.SUCCEEDED or streaming.write_interrupted:
-                # Without a last chunk the client sees that its stream is incomplete, and may ask for more.
+                # Close without the last chunk. The client detects the incomplete stream and may resume it.
                 self.tcp.close()
-                raise ConnectionClosedError("the stream broke off")
+                raise ConnectionClosedError("the stream was interrupted")
             await streaming.forward(CHUNKS_END)
         elif final.kind is ResponseKind.REJECTED:
             seconds = final.retry_after / UNITS_PER_SECOND
@@ -170,14 +197,14 @@
 
 
 class EventStreamResponse(StreamingResponse):
-    """An engine's event stream, sent on unchanged as a chunked response."""
+    """An engine's event stream, forwarded unchanged as a chunked response."""
 
     def __init__(self, handler: RequestHandler) -> None:
         super().__init__(handler, handler.executor.engine_client.watchdog)
         self._unsent_head = b""
 
     async def stream_started(self) -> None:
-        """Prepares the head, which is sent with the first events."""
+        """Prepare the head of the response, which is sent together with the first events."""
         self.opened = True
         fields = [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")]
         if self.connection.closes_after_response:
@@ -185,7 +212,12 @@
         self._unsent_head = head(200, fields)
 
     async def data_received(self, data: bytes) -> None:
-        """Sends events on; raises as forward() does."""
-        # The head goes out together with the first events: alone it would promise events that may never come.
+        """Forward events to the client.
+
+        Raises:
+            ConnectionClosedError: The client's connection is closed.
+        """
+        # Send the head together with the first events: sent alone, it would commit the node to a stream of
+        # which no event may ever arrive.
         unsent_head, self._unsent_head = self._unsent_head, b""
         await self.forward(unsent_head + chunk(data))
--- a/runspool/node/request_parser.py
+++ b/runspool/node/request_parser.py
@@ -1,4 +1,4 @@
-"""Parses a client's request headers and body into a ClientRequest. Free of I/O."""
+"""Parses the headers and the body of a client's request into a ClientRequest. Does no I/O."""
 
 from __future__ import annotations
 
@@ -17,19 +17,33 @@
 from runspool.wire.fields import BYTES_PER_TOKEN, InvalidRequestError
 
 REQUEST_ID = re.compile(r"[A-Za-z0-9._:-]{1,64}")
-DEADLINE = re.compile(r"([0-9]{1,12})([mu])")  # milliseconds or microseconds
-MAX_TIME_LIMIT = 36_000_000  # tenths of a millisecond, an hour: clients wait for less
-MAX_COST_US = 1e12  # exclusive
-UNBOUNDED_PROMPT_TOKENS = 10**9  # the longest prompt taken where no engine type has its memory given
-QUOTED_CHARS = 40  # of a wrong value that an error message repeats
+DEADLINE = re.compile(r"([0-9]{1,12})([mu])")  # a number of milliseconds (m) or microseconds (u)
+MAX_TIME_LIMIT = 36_000_000  # longest time limit accepted, in tenths of a millisecond: one hour
+MAX_COST_US = 1e12  # exclusive upper bound of the client's estimate of the work, in microseconds
+# Maximum length of a prompt, in tokens, if the platform does not state the memory of any engine type.
+DEFAULT_MAX_PROMPT_TOKENS = 10**9
+MAX_QUOTED_CHARS = 40  # maximum number of characters of an invalid value that an error message quotes
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A checked request.
-
-    `time_limit` and all other durations are in tenths of a millisecond, lengths in tokens, where 0 means that
-    the client gave none. `request_class` and `tenant` are indices into the routing settings.
+    """A validated request.
+
+    Attributes:
+        id: The id of the request, as given by the client.
+        target: The target of the HTTP request.
+        body: The body, a JSON object whose content is not examined.
+        request_class: The index of the request class in the routing settings.
+        tenant: The index of the tenant in the routing settings; None if the request has none.
+        session: The name of the session; None if there is none.
+        prefix: The name of the prompt's shared prefix; None if there is none.
+        prompt_tokens: The length of the prompt in tokens; estimated from the body if the client gave none.
+        prefix_tokens: The length of the shared prefix in tokens; 0 if unknown.
+        max_output_tokens: The client's limit on the number of output tokens; 0 if it gave none.
+        expected_output_tokens: The expected number of output tokens; 0 if the client gave no estimate.
+        time_limit: How long the client waits for the response, in tenths of a millisecond.
+        is_client_retry: Whether the client has sent the request before.
+        is_continuation: Whether the request asks for the rest of an interrupted stream.
     """
 
     id: str
@@ -48,10 +62,13 @@
     is_continuation: bool
 
     def to_request(self, index: int, session: int | None, prefix: int | None, time_budget: int) -> Request:
-        """The request as the scheduler sees it.
+        """Return the request in the form that the scheduler uses.
 
-        `index` identifies it there, `session` and `prefix` are the interned names, and `time_budget` is how
-        long, in tenths of a millisecond, the scheduler has for it.
+        Args:
+            index: The number that identifies the request in the scheduler.
+            session: The index of the interned session name; None if there is no session.
+            prefix: The index of the interned prefix name; None if there is no prefix.
+            time_budget: The time that the scheduler has for the request, in tenths of a millisecond.
         """
         return Request(
             index=index,
@@ -74,14 +91,20 @@
 def parse_client_request(
     target: bytes, headers: Mapping[str, str], body: bytes, settings: PlatformSettings
 ) -> ClientRequest:
-    """Checks a request against the platform's settings.
+    """Parse a request and validate it against the platform's settings.
+
+    Args:
+        target: The target of the HTTP request.
+        headers: The headers of the HTTP request, with lower-case names.
+        body: The body of the HTTP request.
+        settings: The platform's settings.
 
-    `headers` has lower-case names. Raises InvalidRequestError, which names the header or field, at the first
-    thing wrong.
+    Raises:
+        InvalidRequestError: A header or the body is invalid; the error names the first such header or field.
     """
     request_id = headers.get("req-id")
     if request_id is None or not REQUEST_ID.fullmatch(request_id):
-        raise InvalidRequestError("Req-Id", "missing or no id")
+        raise InvalidRequestError("Req-Id", "missing or not a valid id")
     request_class = _request_class(headers.get("req-kind"), settings)
     tenant = _tenant(headers.get("req-owner"), settings)
     _check_body(body)
@@ -91,7 +114,7 @@
     prefix = extras.get("prefix") or None
     retry = headers.get("req-retry", "0")
     if retry not in ("0", "1", "again"):
-        raise InvalidRequestError("Req-Retry", f"{_quote(retry)} is neither 1 nor again")
+        raise InvalidRequestError("Req-Retry", f"{_quote(retry)} is not one of 0, 1, again")
     time_per_token = settings.routing.request_classes[request_class].time_per_output_token
     return ClientRequest(
         id=request_id,
@@ -116,68 +139,70 @@
 def _request_class(name: str | None, settings: PlatformSettings) -> int:
     index = settings.request_classes.get(name or "")
     if index is None:
-        raise InvalidRequestError("Req-Kind", f"{_quote(name)} is not known here")
+        raise InvalidRequestError("Req-Kind", f"{_quote(name)} is unknown")
     return index
 
 
 def _tenant(name: str | None, settings: PlatformSettings) -> int | None:
-    """The tenant's index; None where the request names none, or the platform has no tenants."""
+    """Return the tenant's index; None if the request names none, or if the platform has no tenants."""
     index = settings.tenants.get(name) if name is not None else None
     if settings.tenants and name is not None and index is None:
-        raise InvalidRequestError("Req-Owner", f"{_quote(name)} is not known here")
+        raise InvalidRequestError("Req-Owner", f"{_quote(name)} is unknown")
     return index
 
 
 def _check_body(body: bytes) -> None:
-    """Only that it is a JSON object: its content is for the engine."""
+    """Check that the body is a JSON object; its content is validated by the engine."""
     try:
         msgspec.json.decode(body, type=dict[str, msgspec.Raw])
-    except fields.JSON_DECODE_ERRORS as fault:
-        raise InvalidRequestError("body", f"no JSON object ({fault})") from None
+    except fields.JSON_DECODE_ERRORS as error:
+        raise InvalidRequestError("body", f"not a JSON object ({error})") from None
 
 
 def _max_prompt_tokens(settings: PlatformSettings) -> int:
-    """What the engine type with the most memory holds; no engine could serve a longer prompt."""
+    """Return the capacity of the engine type with the most memory; no engine can serve a longer prompt."""
     largest = max((engine_type.memory_tokens for engine_type in settings.routing.engine_types), default=0)
-    return largest or UNBOUNDED_PROMPT_TOKENS
+    return largest or DEFAULT_MAX_PROMPT_TOKENS
 
 
 def _parse_time_limit(value: str | None) -> int:
-    """Tenths of a millisecond, at least 1."""
+    """Return the time limit in tenths of a millisecond; it is at least 1."""
     match = DEADLINE.fullmatch(value or "")
     if match is None:
-        raise InvalidRequestError("Req-Deadline", f"{_quote(value)} is no whole number with m or u")
+        raise InvalidRequestError("Req-Deadline", f"{_quote(value)} is not a whole number followed by m or u")
     limit = int(match[1]) * TENTHS if match[2] == "m" else int(match[1]) // UNIT_US
     if not 0 < limit <= MAX_TIME_LIMIT:
-        raise InvalidRequestError("Req-Deadline", f"{_quote(value)} is no time a client waits")
+        raise InvalidRequestError("Req-Deadline", f"{_quote(value)} is not more than 0 and at most one hour")
     return limit
 
 
 def _parse_cost(value: str | None) -> int:
-    """The client's estimate of the work, in tenths of a millisecond; 0 where it gave none."""
+    """Return the client's estimate of the work in tenths of a millisecond; 0 if it gave none."""
     try:
         cost_us = float(value or 0)
     except ValueError:
-        raise InvalidRequestError("Req-Cost", f"{_quote(value)} is no number") from None
+        raise InvalidRequestError("Req-Cost", f"{_quote(value)} is not a number") from None
     if not isfinite(cost_us) or not 0 <= cost_us < MAX_COST_US:
-        raise InvalidRequestError("Req-Cost", f"{_quote(value)} is no time")
+        raise InvalidRequestError("Req-Cost", f"{_quote(value)} is not a valid time")
     return int(cost_us) // UNIT_US
 
 
 def _parse_extras(value: str) -> dict[str, str]:
-    """The `name=value` pairs, separated by commas."""
+    """Parse `name=value` pairs that are separated by commas."""
     extras: dict[str, str] = {}
     for pair in value.split(",") if value else ():
         key, equals, text = pair.strip().partition("=")
         if not equals or not key or key in extras:
-            raise InvalidRequestError("Req-Extra", f"{_quote(pair)} is no name=value, or said twice")
+            raise InvalidRequestError(
+                "Req-Extra", f"{_quote(pair)} is not of the form name=value, or its name is repeated"
+            )
         extras[key] = text
     return extras
 
 
-def _token_count(extras: dict[str, str], key: str, default: int, least: int, most: int) -> int:
-    return fields.parse_integer(extras.get(key), f"Req-Extra {key}", default, least, most)
+def _token_count(extras: dict[str, str], key: str, default: int, minimum: int, maximum: int) -> int:
+    return fields.parse_integer(extras.get(key), f"Req-Extra {key}", default, minimum, maximum)
 
 
 def _quote(value: str | None) -> str:
-    return "nothing" if value is None else repr(value[:QUOTED_CHARS])
+    return "nothing" if value is None else repr(value[:MAX_QUOTED_CHARS])
--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -1,4 +1,4 @@
-"""Runs a node: its start, its listener and standing tasks, configuration reloads, signals and its end."""
+"""Runs a node: startup, listener, background tasks, configuration reloads, signal handling and shutdown."""
 
 from __future__ import annotations
 
@@ -29,17 +29,29 @@
 from runspool.service.accept_loop import accept_all
 from runspool.service.clock import now
 
-IDLE_CLOSE_INTERVAL_SECONDS = 0.5  # between two searches for engine connections that are idle for too long
-RESTART_DELAY_SECONDS = 0.02  # before a standing task that failed is restarted; doubled each time
-MAX_RESTART_DELAY_SECONDS = 1.0
-STABLE_AFTER_SECONDS = 5.0  # a standing task that ran for so long is restarted with the first delay again
-PORT_WAIT_SECONDS = 20.0  # that a start waits for a port in use
-PORT_RETRY_SECONDS = 0.05
-RESERVED_DESCRIPTORS = 28  # for the list, the listener, the event loop and what the interpreter opens
-# Of the descriptors not reserved. Requests use a third of all at most, and silent clients can be dropped.
+IDLE_CLOSE_INTERVAL_SECONDS = 0.5  # interval between two checks for idle connections to engines
+RESTART_DELAY_SECONDS = 0.02  # before a failed background task is restarted; doubled after each failure
+MAX_RESTART_DELAY_SECONDS = 1.0  # upper bound of that delay
+STABLE_AFTER_SECONDS = 5.0  # a background task that has run for longer is restarted with the initial delay
+PORT_WAIT_SECONDS = 20.0  # how long a start waits for a port that is in use
+PORT_RETRY_SECONDS = 0.05  # interval between two attempts to listen on a port that is in use
+# File descriptors that are not used for connections: they are for the discovery agent, the listener, the event
+# loop and what the interpreter opens.
+RESERVED_DESCRIPTORS = 28
+# Clients' share of the descriptors that are not reserved; engines get the rest. The open requests use at most
+# a third of all descriptors for their clients, and connections of clients without a request can be closed.
 CLIENT_SHARE = 0.45
-MAX_LIST_BYTES = 16 << 20
-CLOSING_DISCOVERY_CONNECTIONS = 2  # beside those of the calls that are out
+MAX_LIST_BYTES = 16 << 20  # maximum size of a response of the discovery agent
+# Connections to the discovery agent that may be closing while the maximum number of calls is open.
+CLOSING_DISCOVERY_CONNECTIONS = 2
+CONFIG_RETRY_DURATION = (
+    30_000  # tenths of a millisecond for which reading an invalid configuration is retried
+)
+CONFIG_RETRY_SECONDS = 0.25  # interval between two attempts to read the configuration
+# How long a start waits for the first whole endpoint list; the discovery agent may not respond at all.
+FIRST_LIST_WAIT_SECONDS = 1.5
+LISTEN_BACKLOG = 1024
+DISCOVERY_CONNECTIONS = 2  # beside those of the calls that are out
 CONFIG_RETRY_DURATION = 30_000  # tenths of a millisecond that an unusable configuration is read again for
 CONFIG_RETRY_SECONDS = 0.25  # between two readings
 FIRST_LIST_WAIT_SECONDS = 1.5  # that a start waits for a first whole list, as the agent may be silent
@@ -54,7 +66,18 @@
 
 
 class NodeServer:
-    """A node with its listener, the client that follows the endpoint list, and its shutdown."""
+    """A node with its listener, its discovery client and its background tasks.
+
+    Attributes:
+        config: The configuration with which the node was started.
+        read_config: Reads the configuration again.
+        executor: Executes the requests.
+        connections: Serves the clients' connections.
+        discovery: Follows the endpoint list.
+        config_reloads: The number of configuration reloads started.
+        stop_request: The request to stop this node.
+        port: The port on which the node listens; 0 before it listens.
+    """
 
     def __init__(
         self,
@@ -63,10 +86,13 @@
         max_descriptors: int,
         stop_request: StopRequest | None = None,
     ) -> None:
-        """`read_config` reads the configuration anew for a reload, and raises InvalidNodeConfigError.
+        """Create a node that does not listen yet.
 
-        `max_descriptors` is how many file descriptors this process may hold. `stop_request` may have come
-        before the server.
+        Args:
+            config: The configuration.
+            read_config: Reads the configuration again for a reload; raises InvalidNodeConfigError.
+            max_descriptors: The number of file descriptors that this process may hold.
+            stop_request: The request to stop, which may already have been made; None creates one.
         """
         self.config = config
         self.read_config = read_config
@@ -84,17 +110,23 @@
             self.executor.scheduler.subscription_lost,
             self.executor.counts,
         )
-        self.config_reloads = 0  # reloads begun; a reload gives up once another has begun
+        self.config_reloads = 0  # a reload ends when a later one has started
         self.stop_request = stop_request or StopRequest()
         self._reload_requested = False
         self.port = 0
 
     async def run(self, *, task_status: TaskStatus[int] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Serves until it is asked to stop, then shuts down gracefully; before it listens it ends at once.
+        """Serve until a stop is requested, then shut down gracefully.
+
+        If the stop is requested before the node listens, this method returns without serving. Cancellation
+        ends the node at once, without a graceful shutdown. In every case, the connections to the engines and
+        to the discovery agent are closed.
+
+        Args:
+            task_status: Receives the port once the node accepts connections.
 
-        Reports the port it listens on through `task_status` once it accepts connections. Raises
-        InvalidNodeConfigError where it cannot listen. Cancelled, it ends at once, without the shutdown; in
-        every case the connections to engines and to the discovery service are closed.
+        Raises:
+            InvalidNodeConfigError: The node cannot listen on the configured address.
         """
         executor = self.executor
         executor.endpoints_changed(executor.endpoint_tracker.restore(self.config.last_endpoints.engines))
@@ -106,13 +138,14 @@
             async with listener, anyio.create_task_group() as tasks:
                 executor.tasks = tasks
                 self.port = listener.extra(SocketAttribute.local_port)
-                self._start_standing_tasks(tasks)
+                self._start_background_tasks(tasks)
                 if self._reload_requested:
                     tasks.start_soon(self.reload_config)
-                # The list in the configuration may be from long ago. Requests accepted before a new one is
-                # here could be sent to engines that the discovery service has announced as leaving.
+                # The endpoint list in the configuration may be outdated. Requests that are accepted before a
+                # current list arrives could be sent to engines that are already being removed.
                 await self._wait_for_first_list()
-                # Asked to stop before it could serve, the node refuses what its listener has taken.
+                # If a stop was requested before the node could serve, it rejects the requests of the
+                # connections that its listener has accepted.
                 accepts_requests = not self.stop_request.is_requested
                 for each in listener.listeners:
                     raw_socket = each.extra(SocketAttribute.raw_socket)
@@ -131,33 +164,33 @@
             self.discovery.pool.close()
 
     def stop(self) -> None:
-        """Begins the graceful shutdown; run() returns at its end."""
+        """Start the graceful shutdown; run() returns when it is complete."""
         self.stop_request.request()
 
     def request_reload(self) -> None:
-        """Has the configuration read again, at the latest once the node listens."""
+        """Start a reload of the configuration, or schedule it for when the node listens."""
         if self.executor.tasks is not None:
             self.executor.tasks.start_soon(self.reload_config)
         self._reload_requested = True
 
     async def _wait_for_first_list(self) -> None:
-        """Waits for a whole list, but not for ever and not past a request to stop."""
+        """Wait for a whole list, at most for FIRST_LIST_WAIT_SECONDS and until a stop is requested."""
         with anyio.move_on_after(FIRST_LIST_WAIT_SECONDS):
-            async with anyio.create_task_group() as waits:
+            async with anyio.create_task_group() as tasks:
 
-                async def end_at_stop() -> None:
+                async def cancel_at_stop() -> None:
                     await self.stop_request.wait()
-                    waits.cancel_scope.cancel()
+                    tasks.cancel_scope.cancel()
 
-                waits.start_soon(end_at_stop)
+                tasks.start_soon(cancel_at_stop)
                 await self.discovery.snapshot_received.wait()
-                waits.cancel_scope.cancel()
+                tasks.cancel_scope.cancel()
 
     async def reload_config(self) -> None:
-        """Reads the configuration again and takes over the discovery service's address.
+        """Read the configuration again and apply the address of the discovery agent.
 
-        The other settings need a restart. One that is not usable changes nothing, and is read again for
-        CONFIG_RETRY_DURATION, as it may be half written.
+        Changes to other settings require a restart. An invalid configuration has no effect; reading it is
+        retried for CONFIG_RETRY_DURATION, because the file may be partially written.
         """
         self.config_reloads += 1
         this_reload = self.config_reloads
@@ -167,7 +200,9 @@
             if this_reload != self.config_reloads or now() > deadline:
                 return
         if config.settings.routing != self.config.settings.routing or config.listen != self.config.listen:
-            self.log.warning("config_needs_restart", what="settings or listen changed; the old ones hold")
+            self.log.warning(
+                "config_needs_restart", what="settings or listen changed; the old values stay in effect"
+            )
         host, port = config.discovery
         self.log.info("config_loaded", discovery=f"{host}:{port}")
         self.discovery.change_address(config.discovery)
@@ -175,12 +210,12 @@
     def _try_read_config(self) -> NodeConfig | None:
         try:
             return self.read_config()
-        except InvalidNodeConfigError as fault:
-            problem = str(fault)
+        except InvalidNodeConfigError as error:
+            problem = str(error)
         self.log.error("config_unusable", fault=problem)
         return None
 
-    def _start_standing_tasks(self, tasks: TaskGroup) -> None:
+    def _start_background_tasks(self, tasks: TaskGroup) -> None:
         for work in (
             self.executor.timers.run,
             self.executor.engine_client.watchdog.run,
@@ -191,28 +226,34 @@
             tasks.start_soon(self._keep_running, work)
 
     async def _keep_running(self, work: Callable[[], Awaitable[None]]) -> None:
-        """Restarts a standing task that fails, so that a fault in it or in a callback does not end the node.
+        """Run a background task and restart it when it fails, so that the failure does not end the node.
 
-        The growing delay keeps a task that always fails from taking the node's time and filling the log.
+        The growing delay prevents a task that always fails from using up the CPU and filling the log.
         """
         delay = RESTART_DELAY_SECONDS
         while True:
-            started = anyio.current_time()
+            started_at = anyio.current_time()
             try:
                 return await work()
-            except Exception as fault:
-                if anyio.current_time() - started > STABLE_AFTER_SECONDS:
+            except Exception as error:
+                if anyio.current_time() - started_at > STABLE_AFTER_SECONDS:
                     delay = RESTART_DELAY_SECONDS
-                self.log.exception("task_failed", work=work.__qualname__, fault=repr(fault))
+                self.log.exception("task_failed", work=work.__qualname__, fault=repr(error))
                 await anyio.sleep(delay)
                 delay = min(2 * delay, MAX_RESTART_DELAY_SECONDS)
 
     async def _listen(self) -> MultiListener[SocketStream] | None:
-        """Opens the listener, and waits for a port that is in use; None where the node is to stop before.
+        """Open the listener, and retry while the port is in use.
+
+        The previous process may still use the port, or an outgoing connection may have been assigned it as
+        its local port. Both are temporary.
+
+        Returns:
+            The listener; None if a stop is requested before it is open.
 
-        The process before this one may still hold it, or an outgoing connection may have it as its local
-        port; both end. Raises InvalidNodeConfigError where that takes longer than PORT_WAIT_SECONDS, or the
-        address cannot be listened on for another reason.
+        Raises:
+            InvalidNodeConfigError: The port is still in use after PORT_WAIT_SECONDS, or the address cannot be
+                listened on for another reason.
         """
         host, port = self.config.listen
         deadline = anyio.current_time() + PORT_WAIT_SECONDS
@@ -222,9 +263,9 @@
                 return await anyio.create_tcp_listener(
                     local_host=host, local_port=port, backlog=LISTEN_BACKLOG
                 )
-            except OSError as fault:
-                if fault.errno != errno.EADDRINUSE or anyio.current_time() > deadline:
-                    raise InvalidNodeConfigError("listen", f"{host}:{port}: {fault}") from None
+            except OSError as error:
+                if error.errno != errno.EADDRINUSE or anyio.current_time() > deadline:
+                    raise InvalidNodeConfigError("listen", f"{host}:{port}: {error}") from None
                 if not has_logged:
                     self.log.warning("port_held", listen=f"{host}:{port}")
                 has_logged = True
@@ -248,9 +289,13 @@
 
 
 def raise_descriptor_limit(wanted: int) -> int:
-    """Sets this process's limit on file descriptors to `wanted`, or to the hard limit where that is lower.
+    """Set this process's limit on open file descriptors.
 
-    Returns the limit set.
+    Args:
+        wanted: The limit to set, if the hard limit allows it.
+
+    Returns:
+        The limit set: `wanted`, or the hard limit if that is lower.
     """
     _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
     limit = wanted if hard_limit == resource.RLIM_INFINITY else min(wanted, hard_limit)
@@ -259,10 +304,15 @@
 
 
 async def read_first_config(environ: Mapping[str, str], stop_request: StopRequest) -> NodeConfig | None:
-    """Reads the configuration at a start; None where the node is to stop before.
+    """Read the configuration at startup.
+
+    If the file is missing or partially written, reading it is retried for CONFIG_RETRY_DURATION.
+
+    Returns:
+        The configuration; None if a stop is requested before it is read.
 
-    A file that is missing or half written is read again for CONFIG_RETRY_DURATION. Raises
-    InvalidNodeConfigError.
+    Raises:
+        InvalidNodeConfigError: The configuration is invalid.
     """
     deadline = now() + CONFIG_RETRY_DURATION
     while not stop_request.is_requested:
@@ -276,7 +326,13 @@
 
 
 class NodeProcess:
-    """A node in this process: its signals are followed from before its configuration is read."""
+    """A node in a process of its own, whose signals it handles from before the configuration is read.
+
+    Attributes:
+        environ: The environment variables.
+        stop_request: Set by SIGTERM and SIGINT.
+        server: The node; None before the configuration has been read.
+    """
 
     def __init__(self, environ: Mapping[str, str]) -> None:
         self.environ = environ
@@ -284,24 +340,29 @@
         self.server: NodeServer | None = None
 
     async def run(self) -> None:
-        """Runs until SIGTERM or SIGINT. Raises InvalidNodeConfigError."""
+        """Run until SIGTERM or SIGINT.
+
+        Raises:
+            InvalidNodeConfigError: The configuration is invalid.
+        """
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-            unusable: InvalidNodeConfigError | None = None  # raised here, as a task group would wrap it
+            # Raised after the task group has ended, because the task group would wrap it in an exception group.
+            config_error: InvalidNodeConfigError | None = None
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._follow_signals, signals)
+                tasks.start_soon(self._handle_signals, signals)
                 try:
                     await self._serve()
                 except InvalidNodeConfigError as error:
-                    unusable = error
+                    config_error = error
                 tasks.cancel_scope.cancel()
-            if unusable is not None:
-                raise unusable
+            if config_error is not None:
+                raise config_error
 
-    async def _follow_signals(self, signals: AsyncIterator[signal.Signals]) -> None:
-        async for number in signals:
-            if number != signal.SIGHUP:
+    async def _handle_signals(self, signals: AsyncIterator[signal.Signals]) -> None:
+        async for signal_number in signals:
+            if signal_number != signal.SIGHUP:
                 self.stop_request.request()
-            elif self.server is not None:  # before, the configuration is still to be read
+            elif self.server is not None:  # otherwise the configuration is about to be read anyway
                 self.server.request_reload()
 
     async def _serve(self) -> None:
@@ -313,13 +374,17 @@
         self.server = NodeServer(
             config, lambda: read_node_config(self.environ), max_descriptors, self.stop_request
         )
-        # Exclude the objects that exist now, which stay, from garbage collection: each full collection would
-        # stop the node for tens of milliseconds to look through them.
+        # Exclude the existing objects, which are permanent, from garbage collection: examining them would stop
+        # the node for tens of milliseconds in each full collection.
         gc.collect()
         gc.freeze()
         await self.server.run()
 
 
 async def run_node(environ: Mapping[str, str]) -> None:
-    """Runs a node in this process until SIGTERM or SIGINT. Raises InvalidNodeConfigError."""
+    """Run a node in this process until SIGTERM or SIGINT.
+
+    Raises:
+        InvalidNodeConfigError: The configuration is invalid.
+    """
     await NodeProcess(environ).run()
--- a/runspool/node/state_releaser.py
+++ b/runspool/node/state_releaser.py
@@ -1,9 +1,10 @@
-"""Releases the state that engines hold for a request; each release is pending until an engine confirms it.
+"""Releases the state that engines hold for requests; a release is pending until an engine confirms it.
 
-Any engine accepts the call. Where one does not respond for a while, another is asked concurrently, those
-that this node has heard from last come first. Requests that no engine has confirmed in the first round wait
-in a list and are retried as long as the process lives, because time goes on while connections fail. Where no
-engine confirms any, calls become rare (`ReleaseBudget`).
+Any engine accepts a release call for any state. If an engine does not respond for a while, another one is
+called concurrently, those first from which this node has received a response most recently. Such a sequence
+of calls is a round. A release that no engine has confirmed in its first round is overdue. Overdue releases
+are retried in later rounds as long as the process lives, because the state stays reserved while connections
+fail. While no engine confirms any call, the rate of calls is limited (`ReleaseBudget`).
 """
 
 from __future__ import annotations
@@ -24,37 +25,61 @@
 from runspool.service.pending_request import Endpoint
 from runspool.units import UNITS_PER_SECOND
 
-ENGINES_IN_HALF_TIMEOUT = 6  # engines asked one after another within half of the release timeout
-MAX_ENGINES_FIRST_ROUND = 64
-MAX_ENGINES_LATER_ROUND = 8  # half of them the likeliest to respond, the others different each time
-MAX_CONCURRENT_RETRIES = 16  # requests retried at once after a confirmation; one at a time before it
-MIN_RETRY_DELAY = 0.1  # seconds after a round that nobody confirmed; doubled after each further one
-MAX_RETRY_DELAY = 1.0  # seconds
-MAX_OVERDUE = 10_000  # requests that wait for a later round; past them the oldest is abandoned and logged
-# Seconds after a confirmation at which the call is repeated, where an attempt may have ended there since.
+# A round calls one engine after another at such intervals that this many calls start within half of the
+# release timeout.
+ENGINES_IN_HALF_TIMEOUT = 6
+MAX_ENGINES_FIRST_ROUND = 64  # maximum number of engines that the first round of a release calls
+# Maximum number of engines that a later round calls. Half of them are the most likely to respond, and the
+# others are different in each round.
+MAX_ENGINES_LATER_ROUND = 8
+# Maximum number of overdue releases that are retried concurrently after a confirmation. Without one, they are
+# retried one at a time.
+MAX_CONCURRENT_RETRIES = 16
+# Bounds, in seconds, of the delay after a later round without a confirmation. It is doubled after each.
+MIN_RETRY_DELAY = 0.1
+MAX_RETRY_DELAY = 1.0
+MAX_OVERDUE = 10_000  # maximum number of overdue releases; beyond it, the oldest one is abandoned and logged
+# Delays in seconds after a confirmation, and between further calls, after which a release call is repeated if
+# an attempt may still be running at an engine.
 REPEAT_DELAYS = (0.1, 0.4)
-# After these the engine may still read the call.
+# Causes of failure after which the engine may still process the call.
 LEAVES_CALL_UNREAD = {FailureCause.TIMED_OUT_WHILE_SENDING, FailureCause.TIMED_OUT_BEFORE_RESPONSE}
-MAX_PATIENT_CALLS = 4  # calls at once beside the rounds
-MAX_PATIENCE = 600_000  # tenths of a millisecond that one call beside the rounds may take
+# Besides the rounds, calls with a long timeout are made for engines that respond more slowly than a round
+# waits. These constants bound their number at a time, and their timeout in tenths of a millisecond.
+MAX_PATIENT_CALLS = 4
+MAX_PATIENCE = 600_000
 
 
 class ReleaseClient(Protocol):
-    """Makes the release call at one engine."""
+    """Makes release calls."""
 
     async def release_state(self, address: Address, request: str, limit: int) -> FailureCause | None:
-        """Release a request's state within `limit` tenths of a millisecond; None once it is confirmed."""
+        """Make a release call to one engine.
 
+        Args:
+            address: The address of the engine.
+            request: The id of the request whose state is released.
+            limit: The timeout in tenths of a millisecond.
 
-@dataclass(slots=True, eq=False)
-class PendingRelease:
-    """The release of one request's state, kept at `endpoint`.
+        Returns:
+            None if the engine has confirmed the release, otherwise the cause of failure.
+        """
 
-    `on_confirmed` is called when an engine has confirmed it. `remote_end_unknown` says whether an attempt may
-    still end at its engine after that. `done` is set once it is confirmed, withdrawn or abandoned.
 
-    `patience` is the limit of the latest call that was made beside the rounds, tenths of a millisecond, and
-    `patient_scope` cancels that call, None where it has ended.
+@dataclass(slots=True, eq=False)
+class PendingRelease:
+    """The release of one request's state.
+
+    Attributes:
+        request: The id of the request.
+        endpoint: The engine that holds the state.
+        on_confirmed: Called when an engine has confirmed the release.
+        remote_end_unknown: Returns whether an attempt of the request may still be running at its engine, so
+            that it may leave state there after the release.
+        scope: Cancels the first round; None before it starts.
+        done: Set when the release has been confirmed, withdrawn or abandoned.
+        patience: The timeout of the latest call with a long timeout, in tenths of a millisecond; 0 before any.
+        patient_scope: Cancels the call with a long timeout that is in progress; None if there is none.
     """
 
     request: str
@@ -68,7 +93,18 @@
 
 
 class StateReleaser:
-    """The pending releases, by request. The newest for a request replaces the one before it."""
+    """Runs the pending releases, at most one for each request: a new one replaces the previous one.
+
+    Attributes:
+        client: Makes the calls.
+        timeout: The time limit of a release, and the timeout of a call in a round, in tenths of a millisecond.
+        engines: Returns the engines that may be called, those most likely to respond first.
+        count: Called with +1 and -1 as the number of pending releases changes.
+        pending: All pending releases, by the id of the request.
+        overdue: Those that were not confirmed in their first round, the least recently retried first.
+        overdue_added: Set when a release becomes overdue.
+        rotation: The position at which the next later round starts among the engines less likely to respond.
+    """
 
     def __init__(
         self,
@@ -77,28 +113,25 @@
         engines: Callable[[], list[Endpoint]],
         count: Callable[[int], None],
     ) -> None:
-        """Create a releaser without pending releases.
-
-        Args:
-            client: Makes the calls.
-            timeout: The time granted for a release, in tenths of a millisecond.
-            engines: Returns the engines to ask, the likeliest to respond first.
-            count: Called with +1 and -1 as the number of pending releases changes.
-        """
+        """Create a releaser without pending releases; the arguments are described above."""
         self.client = client
         self.timeout = timeout
         self.engines = engines
         self.count = count
         self.pending: dict[str, PendingRelease] = {}
-        self.overdue: dict[str, PendingRelease] = {}  # those that the first round has not settled
+        self.overdue: dict[str, PendingRelease] = {}
         self.overdue_added = anyio.Event()
-        self.rotation = 0  # where the next later round begins among the engines less likely to respond
+        self.rotation = 0
         self._patient_calls = 0
         self._budget = ReleaseBudget(time.monotonic)
         self.log = structlog.get_logger()
 
     async def release(self, release: PendingRelease) -> None:
-        """Make the call until it is confirmed, withdrawn, or left to later rounds."""
+        """Run the first round of a release, and make it overdue if no engine confirms it.
+
+        A confirmed release is repeated if an attempt may still leave state. If the release is withdrawn, the
+        round is cancelled.
+        """
         self.withdraw(release.request)
         self.pending[release.request] = release
         self.count(1)
@@ -110,9 +143,10 @@
         if not confirmed:
             self._add_overdue(release)
             return
-        self._settle(release)
+        self._remove(release)
         release.on_confirmed()
-        # Counted, as a shutdown waits for what is: the state may be held until the last of these calls.
+        # Count the repeated calls as pending, so that a shutdown waits for them: state may be reserved until the
+        # last of them.
         self.count(1)
         try:
             await self._repeat(release)
@@ -120,14 +154,14 @@
             self.count(-1)
 
     def withdraw(self, request: str) -> bool:
-        """Stop the release of a request's state; False where none is pending.
+        """Cancel the pending release of a request's state; return False if there is none.
 
-        Whoever withdraws it must release the state later.
+        The caller must release the state later.
         """
         release = self.pending.get(request)
         if release is None:
             return False
-        self._settle(release)
+        self._remove(release)
         if release.scope is not None:
             release.scope.cancel()
         return True
@@ -157,16 +191,17 @@
             concurrency = 1
 
     async def wait_settled(self, request: str, seconds: float) -> None:
-        """Wait until no release is pending for a request, but for `seconds` at most."""
+        """Wait until no release is pending for a request, at most for `seconds`."""
         release = self.pending.get(request)
         if release is not None:
             with anyio.move_on_after(seconds):
                 await release.done.wait()
 
     async def _call_patiently(self, release: PendingRelease, scope: anyio.CancelScope) -> None:
-        """Make one call beside the rounds: engines may be slower than a round waits, which others need short.
+        """Make one call with a long timeout, concurrently with the rounds.
 
-        Each such call of a release is given twice the time of the one before.
+        Engines may take longer to respond than the timeout of a round, which must stay short for the other
+        engines. The timeout is doubled for each further such call of a release.
         """
         self._patient_calls += 1
         release.patience = min(max(2 * release.patience, 2 * self.timeout), MAX_PATIENCE)
@@ -183,11 +218,11 @@
         if failure is None:
             self._budget.confirmed()
         if failure is None and self.pending.get(release.request) is release:
-            self._settle(release)
+            self._remove(release)
             release.on_confirmed()
 
     async def _retry_oldest(self, concurrency: int) -> bool:
-        """Retry the oldest overdue releases, so many at once; return whether any was confirmed."""
+        """Retry the `concurrency` oldest overdue releases concurrently; return whether any was confirmed."""
         oldest = list(self.overdue.values())[:concurrency]
         confirmed: list[PendingRelease] = []
 
@@ -200,15 +235,18 @@
                 tasks.start_soon(retry, release)
         for release in oldest:
             if self.overdue.pop(release.request, None) is release and release not in confirmed:
-                self.overdue[release.request] = release  # behind those that were not retried since
+                self.overdue[release.request] = release  # move it behind those not retried
         for release in confirmed:
             if self.pending.get(release.request) is release:
-                self._settle(release)
+                self._remove(release)
                 release.on_confirmed()
         return bool(confirmed)
 
     async def _repeat(self, release: PendingRelease) -> None:
-        """Repeat the call: an attempt whose connection was closed here may end at its engine after it."""
+        """Repeat a confirmed release call while an attempt may still be running at its engine.
+
+        An attempt whose connection this node has closed may leave state after the release.
+        """
         for delay in REPEAT_DELAYS:
             if not release.remote_end_unknown():
                 return
@@ -217,7 +255,13 @@
                 await self._run_round(release, self._first_round_engines(release.endpoint))
 
     async def _run_round(self, release: PendingRelease, engines: Iterable[Endpoint]) -> bool:
-        """Ask the engines, each a while after the one before; return whether any confirmed."""
+        """Call the engines one after another at a fixed interval, until one confirms the release.
+
+        If a call fails sooner, the next engine is called at once.
+
+        Returns:
+            Whether an engine has confirmed the release.
+        """
         interval = self.timeout // (2 * ENGINES_IN_HALF_TIMEOUT) / UNITS_PER_SECOND  # seconds
         confirmed = False
         async with anyio.create_task_group() as tasks:
@@ -234,8 +278,8 @@
                 failed.set()
 
             for engine in engines:
-                is_own = engine is release.endpoint and release.request not in self.overdue
-                if not self._budget.take() and not is_own:
+                holds_state = engine is release.endpoint and release.request not in self.overdue
+                if not self._budget.take() and not holds_state:
                     break
                 failed = anyio.Event()
                 tasks.start_soon(call, engine, failed)
@@ -244,20 +288,28 @@
         return confirmed
 
     def _first_round_engines(self, endpoint: Endpoint) -> Iterator[Endpoint]:
-        """Yield the state's own engine, then others, sorted only if the first has not confirmed at once."""
+        """Yield the engine that holds the state, then others.
+
+        The others are only determined if the first engine has not confirmed the release at once, because
+        sorting them takes time.
+        """
         yield endpoint
         others = (engine for engine in self.engines() if engine.address != endpoint.address)
         yield from islice(others, MAX_ENGINES_FIRST_ROUND - 1)
 
     def _later_round_engines(self) -> list[Endpoint]:
-        """Return different engines each time: not always an unreachable part of the fleet."""
+        """Return the engines that a later round calls.
+
+        Some of them are different in each round, so that the rounds do not always call the same engines, which
+        may be unreachable.
+        """
         half = MAX_ENGINES_LATER_ROUND // 2
         engines = self.engines()
-        likeliest = engines[:half]
+        most_likely = engines[:half]
         others = engines[half:]
         if others:
             self.rotation = (self.rotation + half) % len(others)
-        return likeliest + (others[self.rotation :] + others[: self.rotation])[:half]
+        return most_likely + (others[self.rotation :] + others[: self.rotation])[:half]
 
     def _add_overdue(self, release: PendingRelease) -> None:
         self.log.warning(
@@ -270,11 +322,11 @@
         if len(self.overdue) > MAX_OVERDUE:
             oldest = next(iter(self.overdue.values()))
             self.log.error("release_abandoned", request=oldest.request, engine=oldest.endpoint.name)
-            self._settle(oldest)
+            self._remove(oldest)
         self.overdue_added.set()
 
-    def _settle(self, release: PendingRelease) -> None:
-        """Remove a release that is no longer pending."""
+    def _remove(self, release: PendingRelease) -> None:
+        """Remove a release that is confirmed, withdrawn or abandoned."""
         release.done.set()
         if release.patient_scope is not None:
             release.patient_scope.cancel()
