--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -171,8 +171,8 @@
             # Raising this error closes the connection. A client that keeps sending invalid requests is slowed
             # down because it needs a new connection for each.
             raise InvalidHttpRequestError(error.status, "misworded", str(error)) from None
-        except RequestNotAcceptedError as error:
-            await self.send_response(REJECTED_STATUS, self.error_body(error.code, error.message))
+        except RequestNotAcceptedError as rejection:
+            await self.send_response(REJECTED_STATUS, self.error_body(rejection.code, rejection.message))
             return
         self.has_served = True
         final = await self.final_response(self.executor, pending, streaming)
--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -35,11 +35,11 @@
 STABLE_AFTER_SECONDS = 5.0  # a background task that has run for longer is restarted with the initial delay
 PORT_WAIT_SECONDS = 20.0  # how long a start waits for a port that is in use
 PORT_RETRY_SECONDS = 0.05  # interval between two attempts to listen on a port that is in use
-# File descriptors that are not used for connections: they are for the discovery agent, the listener, the event
-# loop and what the interpreter opens.
+# File descriptors that are not available for clients and engines: they are used for the discovery agent, the
+# listener, the event loop and what the interpreter opens.
 RESERVED_DESCRIPTORS = 28
-# Clients' share of the descriptors that are not reserved; engines get the rest. The open requests use at most
-# a third of all descriptors for their clients, and connections of clients without a request can be closed.
+# Clients' share of the descriptors that are not reserved; engines get the rest. Requests in progress use at
+# most a third of all descriptors, and connections of clients without a request can be closed.
 CLIENT_SHARE = 0.45
 MAX_LIST_BYTES = 16 << 20  # maximum size of a response of the discovery agent
 # Connections to the discovery agent that may be closing while the maximum number of calls is open.
@@ -346,7 +346,7 @@
             InvalidNodeConfigError: The configuration is invalid.
         """
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-            # Raised after the task group has ended, because the task group would wrap it in an exception group.
+            # Raised after the task group has ended, which would wrap it in an exception group.
             config_error: InvalidNodeConfigError | None = None
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._handle_signals, signals)
@@ -374,8 +374,8 @@
         self.server = NodeServer(
             config, lambda: read_node_config(self.environ), max_descriptors, self.stop_request
         )
-        # Exclude the existing objects, which are permanent, from garbage collection: examining them would stop
-        # the node for tens of milliseconds in each full collection.
+        # Exclude the existing objects, which are permanent, from garbage collection: each full collection
+        # would stop the node for tens of milliseconds to examine them.
         gc.collect()
         gc.freeze()
         await self.server.run()
--- a/runspool/node/state_releaser.py
+++ b/runspool/node/state_releaser.py
@@ -78,7 +78,7 @@
             that it may leave state there after the release.
         scope: Cancels the first round; None before it starts.
         done: Set when the release has been confirmed, withdrawn or abandoned.
-        patience: The timeout of the latest call with a long timeout, in tenths of a millisecond; 0 before any.
+        patience: The timeout of the latest call with a long timeout, in tenths of a millisecond; initially 0.
         patient_scope: Cancels the call with a long timeout that is in progress; None if there is none.
     """
 
@@ -97,7 +97,7 @@
 
     Attributes:
         client: Makes the calls.
-        timeout: The time limit of a release, and the timeout of a call in a round, in tenths of a millisecond.
+        timeout: The time limit of a release and of each call in a round, in tenths of a millisecond.
         engines: Returns the engines that may be called, those most likely to respond first.
         count: Called with +1 and -1 as the number of pending releases changes.
         pending: All pending releases, by the id of the request.
@@ -145,8 +145,8 @@
             return
         self._remove(release)
         release.on_confirmed()
-        # Count the repeated calls as pending, so that a shutdown waits for them: state may be reserved until the
-        # last of them.
+        # Count the repeated calls as pending, so that a shutdown waits for them: state may be reserved until
+        # the last of them.
         self.count(1)
         try:
             await self._repeat(release)
@@ -300,8 +300,8 @@
     def _later_round_engines(self) -> list[Endpoint]:
         """Return the engines that a later round calls.
 
-        Some of them are different in each round, so that the rounds do not always call the same engines, which
-        may be unreachable.
+        Some of them are different in each round, so that the rounds do not always call the same engines,
+        which may be unreachable.
         """
         half = MAX_ENGINES_LATER_ROUND // 2
         engines = self.engines()
