--- a/runspool/cells/engine_placement.py
+++ b/runspool/cells/engine_placement.py
@@ -214,6 +214,7 @@
 ) -> list[str]:
     """Return a message for each cell that lacks engines of a role, or has all its engines in one zone.
 
+    The messages are part of the status page of a front and of its log, so their texts must not change.
     `plan_move` and the command `runspool cells adopt` recognize a cell without any engine of a role by the
     text ": 0 of" after the cell's name.
     """
@@ -232,12 +233,12 @@
                 continue
             capable = fleet_count[role] + fleet_count[Role.MIXED]
             reason = (
-                f"the endpoint list has only {capable} for all cells"
+                f"the list has {capable} that can"
                 if capable < wanted * len(cells)
-                else "its patterns or its weight assign it no more"
+                else "its patterns or weight leave it no more"
             )
             shortages.append(f"{name}: {present} of {wanted} {role_name}s: {reason}")
         zones = {engines[engine].zone for engine in members}
         if len(members) > 1 and len(zones) < 2 and zone_count > 1:
-            shortages.append(f"{name}: zone {min(zones)} contains all its engines")
+            shortages.append(f"{name}: stands in zone {min(zones)} alone")
     return shortages
