--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -44,18 +44,12 @@
 MAX_LIST_BYTES = 16 << 20  # maximum size of a response of the discovery agent
 # Connections to the discovery agent that may be closing while the maximum number of calls is open.
 CLOSING_DISCOVERY_CONNECTIONS = 2
-CONFIG_RETRY_DURATION = (
-    30_000  # tenths of a millisecond for which reading an invalid configuration is retried
-)
+# How long reading an invalid configuration is retried, in tenths of a millisecond.
+CONFIG_RETRY_DURATION = 30_000
 CONFIG_RETRY_SECONDS = 0.25  # interval between two attempts to read the configuration
 # How long a start waits for the first whole endpoint list; the discovery agent may not respond at all.
 FIRST_LIST_WAIT_SECONDS = 1.5
 LISTEN_BACKLOG = 1024
-DISCOVERY_CONNECTIONS = 2  # beside those of the calls that are out
-CONFIG_RETRY_DURATION = 30_000  # tenths of a millisecond that an unusable configuration is read again for
-CONFIG_RETRY_SECONDS = 0.25  # between two readings
-FIRST_LIST_WAIT_SECONDS = 1.5  # that a start waits for a first whole list, as the agent may be silent
-LISTEN_BACKLOG = 1024
 DISCOVERY_CONNECTIONS = ConnectionSettings(
     connect_ms=1_000,
     idle_ms=60_000,
