--- a/runspool/cells/cell_router.py
+++ b/runspool/cells/cell_router.py
@@ -42,20 +42,20 @@
     Attributes:
         tenant: the tenant's name, if known.
         session: the session's name, if known.
-        ticket: the idempotency key, if its deduplication scope is smaller than the whole fleet; otherwise
-            None, because then any cell drops a duplicate.
+        idempotency_key: the key by which engines recognize a duplicate, if its deduplication scope is smaller
+            than the whole fleet; otherwise None, because then any cell drops a duplicate.
         is_retry: whether the client has sent the request before.
-        binding_time: how long the idempotency key binds retries to the cell, in tenths of a millisecond: the
-            deduplication window plus the longest deadline.
+        key_binding_time: how long the idempotency key binds retries to the cell, in tenths of a millisecond:
+            the deduplication window plus the longest deadline.
         size_bytes: the memory that the front holds for the request until it ends.
         fingerprint: a hash of the tenant and the prompt, the same for every repetition of the request.
     """
 
     tenant: str | None
     session: str | None
-    ticket: str | None
+    idempotency_key: str | None
     is_retry: bool
-    binding_time: int
+    key_binding_time: int
     size_bytes: int
     fingerprint: str
 
@@ -179,7 +179,9 @@
         cell = home if reserve is None else self._home_or_reserve(now, home, reserve, request)
         self.request_budget.acquire(home)
         self.byte_budget.acquire(home, request.size_bytes)
-        self.migrations.record_admission(now, request.tenant, cell, request.ticket, request.binding_time)
+        self.migrations.record_admission(
+            now, request.tenant, cell, request.idempotency_key, request.key_binding_time
+        )
         return CellAdmission(cell, home, request)
 
     def finish(self, now: int, admission: CellAdmission, rejected: bool | None) -> None:
@@ -216,9 +218,9 @@
             unix_ms,
             request.tenant,
             request.session,
-            request.ticket,
+            request.idempotency_key,
             request.is_retry,
-            request.binding_time,
+            request.key_binding_time,
         )
         if choice.earlier_cell_unknown:
             return None
@@ -226,7 +228,7 @@
             return choice.cell
         # The cell has been removed from the map. The earlier try of a retry may have executed there, and no
         # other cell would recognize the idempotency key.
-        if request.ticket is not None and request.is_retry:
+        if request.idempotency_key is not None and request.is_retry:
             return None
         return self.migrations.home_cell(unix_ms, request.tenant, request.session)
 
@@ -236,7 +238,7 @@
         Draw one random number, unless the request is a retry with an idempotency key or the cell panics.
         """
         # Only the cell of the earlier try, which `home` is for a retry, can recognize the idempotency key.
-        if request.ticket is not None and request.is_retry:
+        if request.idempotency_key is not None and request.is_retry:
             return home
         if home in self.panicking_cells or self.overflow_policy.use_reserve(now, home, self.draw_random()):
             return reserve
--- a/runspool/cells/tenant_migration.py
+++ b/runspool/cells/tenant_migration.py
@@ -11,8 +11,8 @@
 deduplication scope that has seen the key drops a duplicate. Such retries go to the cell where the key was
 seen, for as long as that cell may still remember the key or execute the earlier try.
 
-The module does no I/O. `now` and `binding_time` are in tenths of a millisecond; `unix_ms` is the wall clock
-in milliseconds since the epoch.
+The module does no I/O. `now` and `key_binding_time` are in tenths of a millisecond; `unix_ms` is the wall
+clock in milliseconds since the epoch.
 """
 
 from __future__ import annotations
@@ -63,15 +63,15 @@
         cell_map: the map that the front has adopted.
         adopted_unix_ms: when the front adopted the map, in milliseconds since the epoch.
         in_flight: the number of requests that have not ended, by tenant and cell.
-        tickets: for each idempotency key, its cell and the time until which retries go to that cell; the key
-            that was used least recently comes first.
+        key_bindings: for each idempotency key, its cell and the time until which retries go to that cell; the
+            key that was used least recently comes first.
         home_cell_cache: home cells without regard to moves, by tenant and session.
     """
 
     cell_map: CellMap
     adopted_unix_ms: int = 0
     in_flight: Counter[tuple[str, str]] = field(default_factory=Counter)
-    tickets: OrderedDict[str, tuple[str, int]] = field(default_factory=OrderedDict)
+    key_bindings: OrderedDict[str, tuple[str, int]] = field(default_factory=OrderedDict)
     home_cell_cache: dict[tuple[str | None, str | None], str] = field(default_factory=dict)
 
     def adopt(self, cell_map: CellMap, unix_ms: int) -> bool:
@@ -117,49 +117,50 @@
         unix_ms: int,
         tenant: str | None,
         session: str | None,
-        ticket: str | None,
+        idempotency_key: str | None,
         is_retry: bool,
-        binding_time: int,
+        key_binding_time: int,
     ) -> CellChoice:
         """Return the cell that admits a request; nothing is recorded.
 
         A retry goes to the cell where this front has seen its idempotency key. If the front has not seen the
-        key and a move of the tenant started less than `binding_time` ago, the earlier try may have executed
-        in either cell, and the result is marked accordingly.
+        key and a move of the tenant started less than `key_binding_time` ago, the earlier try may have
+        executed in either cell, and the result is marked accordingly.
 
         Args:
             now: the front's clock, in tenths of a millisecond.
             unix_ms: the wall clock, in milliseconds since the epoch.
             tenant: the tenant's name, if known.
             session: the session's name, if known.
-            ticket: the idempotency key, if its deduplication scope is smaller than the whole fleet.
+            idempotency_key: the key by which engines recognize a duplicate, if its deduplication scope is
+                smaller than the whole fleet.
             is_retry: whether the client has sent the request before.
-            binding_time: the deduplication window plus the longest deadline, in tenths of a millisecond. A
-                request that is admitted just before a move may be sent to an engine up to its deadline, and
+            key_binding_time: the deduplication window plus the longest deadline, in tenths of a millisecond.
+                A request that is admitted just before a move may be sent to an engine up to its deadline, and
                 its key is remembered for the window from then on.
         """
         cell = self.home_cell(unix_ms, tenant, session)
-        if ticket is None:
+        if idempotency_key is None:
             return CellChoice(cell)
-        known = self.tickets.get(ticket)
+        known = self.key_bindings.get(idempotency_key)
         if known is not None:
-            ticket_cell, binds_until = known
+            bound_cell, binds_until = known
             if now < binds_until:
-                return CellChoice(ticket_cell)
-        if is_retry and self._moved_within(unix_ms, tenant, binding_time):
+                return CellChoice(bound_cell)
+        if is_retry and self._moved_within(unix_ms, tenant, key_binding_time):
             return CellChoice(cell, earlier_cell_unknown=True)
         return CellChoice(cell)
 
     def record_admission(
-        self, now: int, tenant: str | None, cell: str, ticket: str | None, binding_time: int
+        self, now: int, tenant: str | None, cell: str, idempotency_key: str | None, key_binding_time: int
     ) -> None:
         """Count a request as in flight in a cell and bind its idempotency key, if any, to that cell."""
         self.in_flight[tenant or "", cell] += 1
-        if ticket is not None:
-            self.tickets[ticket] = (cell, now + binding_time)
-            self.tickets.move_to_end(ticket)
-            while len(self.tickets) > MAX_KEY_BINDINGS:
-                self.tickets.popitem(last=False)
+        if idempotency_key is not None:
+            self.key_bindings[idempotency_key] = (cell, now + key_binding_time)
+            self.key_bindings.move_to_end(idempotency_key)
+            while len(self.key_bindings) > MAX_KEY_BINDINGS:
+                self.key_bindings.popitem(last=False)
 
     def record_finish(self, tenant: str | None, cell: str) -> None:
         """Count a request that `record_admission` has recorded as ended; its idempotency key stays bound."""
@@ -176,11 +177,13 @@
             return MigrationStage.AHEAD
         if self.in_flight[move.tenant, move.source]:
             return MigrationStage.SETTLING
-        bound = any(cell == move.source and now < binds_until for cell, binds_until in self.tickets.values())
+        bound = any(
+            cell == move.source and now < binds_until for cell, binds_until in self.key_bindings.values()
+        )
         return MigrationStage.SETTLING if bound else MigrationStage.SETTLED
 
-    def _moved_within(self, unix_ms: int, tenant: str | None, binding_time: int) -> bool:
-        """Return whether the tenant's home cell may have changed here less than `binding_time` ago.
+    def _moved_within(self, unix_ms: int, tenant: str | None, key_binding_time: int) -> bool:
+        """Return whether the tenant's home cell may have changed here less than `key_binding_time` ago.
 
         It changes when one of the tenant's moves starts or is undone, and it may change when this front
         adopts a map, because the new map may lack moves of the old one.
@@ -195,7 +198,7 @@
             ),
         ]
         return any(
-            0 <= unix_ms - time_ms < binding_time // TENTHS_PER_MS for time_ms in change_times if time_ms
+            0 <= unix_ms - time_ms < key_binding_time // TENTHS_PER_MS for time_ms in change_times if time_ms
         )
 
 
@@ -246,15 +249,15 @@
     return _next_version(cell_map, [undone if move is found else move for move in cell_map.moves])
 
 
-def finish_move(cell_map: CellMap, move_id: str, unix_ms: int, binding_time: int) -> CellMap:
+def finish_move(cell_map: CellMap, move_id: str, unix_ms: int, key_binding_time: int) -> CellMap:
     """Return the next version of the map, in which the target of a move is the tenant's home cell.
 
     Raises:
         MigrationRefusedError: the move does not exist, has been finished or undone before, or started less
-            than `binding_time` ago, so that idempotency keys may still be bound to the source cell.
+            than `key_binding_time` ago, so that idempotency keys may still be bound to the source cell.
     """
     found = _find_planned_move(cell_map, move_id)
-    remaining_ms = found.starts_unix_ms + binding_time // TENTHS_PER_MS - unix_ms
+    remaining_ms = found.starts_unix_ms + key_binding_time // TENTHS_PER_MS - unix_ms
     if remaining_ms > 0:
         raise MigrationRefusedError(
             f"{move_id} can be finished in {remaining_ms} ms, when {found.source} holds no idempotency keys"
--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -121,7 +121,7 @@
     front_files = FrontFiles(file, var)
     with refusals_reported():
         before = front_files.cell_map()
-        after = tenant_migration.finish_move(before, move_id, unix_ms(), front_files.binding_time())
+        after = tenant_migration.finish_move(before, move_id, unix_ms(), front_files.key_binding_time())
         print_differences(before, after, front_files.engines())
         _publish(front_files, yes, f"finish {move_id}", before, after)
 
--- a/runspool/cli/front_files.py
+++ b/runspool/cli/front_files.py
@@ -89,7 +89,7 @@
             if entry.state == "on" and entry.engine_type in kinds
         ]
 
-    def binding_time(self) -> int:
+    def key_binding_time(self) -> int:
         """Return the longest time for which an idempotency key can bind retries to a cell.
 
         It is in tenths of a millisecond: the deduplication window plus the longest deadline. Keys whose scope
--- a/tests/migration_model.py
+++ b/tests/migration_model.py
@@ -170,14 +170,14 @@
     now = state.tick * TICK
     migrations = TenantMigrations(front.cell_map, front.adopted_unix_ms)
     if front.ticket is not None:
-        migrations.tickets[TICKET] = front.ticket
+        migrations.key_bindings[TICKET] = front.ticket
     ticket = TICKET if state.idempotency == KEYED else None
     is_retry = state.attempts > 0
     choice = choose_cell(migrations, now, state.unix_ms, "t", None, ticket, is_retry, BINDING_TIME)
     if choice.earlier_cell_unknown:
         return []
     migrations.record_admission(now, "t", choice.cell, ticket, BINDING_TIME)
-    admitted = _with_front(state, number, replace(front, ticket=migrations.tickets.get(TICKET)))
+    admitted = _with_front(state, number, replace(front, ticket=migrations.key_bindings.get(TICKET)))
     return [
         replace(
             admitted,
