--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -28,7 +28,7 @@
 
 from runspool.cells.cell_map import Cell, CellMap, Shards
 from runspool.cells.cell_router import AdmissionRequest, CellAdmission, CellRouter
-from runspool.cells.engine_placement import EnginePlace, home_cell, place_engines
+from runspool.cells.engine_placement import EngineDescriptor, home_cell, place_engines
 from runspool.config import parse_config
 from runspool.lab import recording
 from runspool.lab.audit import judge, read_history
@@ -188,7 +188,7 @@
     ]
 
 
-def build_fleet(count: int) -> list[EnginePlace]:
+def build_fleet(count: int) -> list[EngineDescriptor]:
     """Half prefill engines, three eighths decode, an eighth mixed, over four zones."""
     roles = [
         Role.PREFILL,
@@ -201,7 +201,7 @@
         Role.DECODE,
     ]
     return [
-        EnginePlace(f"engine-{index}", roles[index % 8], f"zone-{index // 8 % 4}", index // 16)
+        EngineDescriptor(f"engine-{index}", roles[index % 8], f"zone-{index // 8 % 4}", index // 16)
         for index in range(count)
     ]
 
@@ -255,7 +255,7 @@
 
 
 def _affected_shares(
-    cell_map: CellMap, names: list[str], engines: list[EnginePlace], placed: PlacedCells
+    cell_map: CellMap, names: list[str], engines: list[EngineDescriptor], placed: PlacedCells
 ) -> tuple[float, float]:
     """Shares of the tenants that are hurt and touched, over every poisonous tenant in turn."""
     roles = {engine.name: engine.role for engine in engines}
@@ -287,7 +287,7 @@
     return loads
 
 
-def _engines_moved(cell_map: CellMap, engines: list[EnginePlace], placed: PlacedCells) -> list[float]:
+def _engines_moved(cell_map: CellMap, engines: list[EngineDescriptor], placed: PlacedCells) -> list[float]:
     """How many engines change their cell as one is removed, for eight of them in turn."""
     moved = []
     for step in range(8):
@@ -392,7 +392,7 @@
     subscribe_to_endpoints = set_timer = log_message = forget_request = ignore
 
 
-def scheduler_cost(engines: list[EnginePlace], request_count: int) -> float:
+def scheduler_cost(engines: list[EngineDescriptor], request_count: int) -> float:
     """Microseconds that one request's submission costs the scheduler with these engines."""
     config = parse_config(front_configuration(flood(1), 0, 1, Path("/nowhere")))
     driver = SchedulerDriver(config.routing_settings(), 1, IgnoringHandler(), 0)
--- a/runspool/cells/cell_router.py
+++ b/runspool/cells/cell_router.py
@@ -22,7 +22,7 @@
     is_panicking,
 )
 from runspool.cells.cell_map import CellMap
-from runspool.cells.engine_placement import EnginePlace, Placement, place_engines
+from runspool.cells.engine_placement import EngineDescriptor, Placement, place_engines
 from runspool.cells.tenant_migration import TenantMigrations
 
 
@@ -108,7 +108,7 @@
         self.poison_detector = PoisonDetector(self.cell_map.poison_after)
         self.request_budget = Budget(self.max_requests, {})
         self.byte_budget = Budget(self.max_bytes, {})
-        self.engines: list[EnginePlace] = []
+        self.engines: list[EngineDescriptor] = []
         self.unavailable: set[str] = set()
         self._update_weights()
 
@@ -131,7 +131,7 @@
         self.update_engines(self.engines, self.unavailable)
         return True
 
-    def update_engines(self, engines: list[EnginePlace], unavailable: set[str]) -> Placement:
+    def update_engines(self, engines: list[EngineDescriptor], unavailable: set[str]) -> Placement:
         """Assign the available engines to the cells, and return the placement.
 
         `engines` also lists those in `unavailable`, which are draining or have disappeared. A cell receives
--- a/runspool/cells/engine_placement.py
+++ b/runspool/cells/engine_placement.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EnginePlace:
+class EngineDescriptor:
     """The properties of an engine that its placement depends on."""
 
     name: str
@@ -63,7 +63,7 @@
     return -weight / log(scaled_hash)
 
 
-def place_engines(cell_map: CellMap, engines: list[EnginePlace]) -> Placement:
+def place_engines(cell_map: CellMap, engines: list[EngineDescriptor]) -> Placement:
     """Assign engines to the cells of a map; the order of the engines does not matter."""
     if cell_map.way == "shuffle":
         cells = _shuffle_shards(cell_map, engines)
@@ -100,7 +100,7 @@
     return not patterns or any(fnmatchcase(engine, pattern) for pattern in patterns)
 
 
-def _rendezvous_cells(cell_map: CellMap, engines: list[EnginePlace]) -> dict[str, frozenset[str]]:
+def _rendezvous_cells(cell_map: CellMap, engines: list[EngineDescriptor]) -> dict[str, frozenset[str]]:
     cells: dict[str, set[str]] = {name: set() for name in cell_map.cells}
     for role in ROLES:
         candidates = [engine for engine in engines if engine.role is role]
@@ -113,7 +113,7 @@
 
 
 def _assign_by_affinity(
-    cell_map: CellMap, candidates: list[EnginePlace], quotas: dict[str, int], cells: dict[str, set[str]]
+    cell_map: CellMap, candidates: list[EngineDescriptor], quotas: dict[str, int], cells: dict[str, set[str]]
 ) -> None:
     """Add engines of one role to the cells up to their quotas, in descending order of affinity."""
     zone_count = len({engine.zone for engine in candidates}) or 1
@@ -167,7 +167,7 @@
     return quotas
 
 
-def _find_incomplete_cells(cells: dict[str, set[str]], engines: list[EnginePlace]) -> set[str]:
+def _find_incomplete_cells(cells: dict[str, set[str]], engines: list[EngineDescriptor]) -> set[str]:
     """Return the cells that have no prefill engine or no decode engine."""
     roles = {engine.name: engine.role for engine in engines}
     incomplete = set()
@@ -178,7 +178,7 @@
     return incomplete
 
 
-def _shuffle_shards(cell_map: CellMap, engines: list[EnginePlace]) -> dict[str, frozenset[str]]:
+def _shuffle_shards(cell_map: CellMap, engines: list[EngineDescriptor]) -> dict[str, frozenset[str]]:
     shards = cell_map.shards
     wanted = {Role.PREFILL: shards.readers, Role.DECODE: shards.writers, Role.MIXED: shards.mixed}
     cells = {}
@@ -191,13 +191,13 @@
     return cells
 
 
-def _choose_for_shard(shard: str, candidates: list[EnginePlace], wanted: int) -> list[str]:
+def _choose_for_shard(shard: str, candidates: list[EngineDescriptor], wanted: int) -> list[str]:
     """Return the names of `wanted` engines, or of all candidates if there are fewer.
 
     Engines are taken from the zones in turn, so that a shard is not confined to one zone. Within a zone they
     are ordered by affinity; the zone that contains the engine with the highest affinity comes first.
     """
-    by_zone: defaultdict[str, list[EnginePlace]] = defaultdict(list)
+    by_zone: defaultdict[str, list[EngineDescriptor]] = defaultdict(list)
     for engine in sorted(candidates, key=lambda engine: (-affinity(engine.name, shard), engine.name)):
         by_zone[engine.zone].append(engine)
     zones = sorted(by_zone.values(), key=lambda zone: (-affinity(zone[0].name, shard), zone[0].name))
@@ -210,7 +210,7 @@
 
 
 def _find_shortages(
-    cell_map: CellMap, cells: dict[str, frozenset[str]], engines: dict[str, EnginePlace]
+    cell_map: CellMap, cells: dict[str, frozenset[str]], engines: dict[str, EngineDescriptor]
 ) -> list[str]:
     """Return a message for each cell that lacks engines of a role, or has all its engines in one zone.
 
--- a/runspool/cli/cell_output.py
+++ b/runspool/cli/cell_output.py
@@ -9,7 +9,7 @@
 from rich.table import Table
 
 from runspool.cells.cell_map import CellMap
-from runspool.cells.engine_placement import EnginePlace, home_cell, place_engines
+from runspool.cells.engine_placement import EngineDescriptor, home_cell, place_engines
 from runspool.cells.tenant_migration import TenantMigrations
 from runspool.scheduling.types import Role
 
@@ -19,7 +19,7 @@
 out = Console(highlight=False, soft_wrap=True)
 
 
-def print_map(cell_map: CellMap, engines: list[EnginePlace]) -> None:
+def print_map(cell_map: CellMap, engines: list[EngineDescriptor]) -> None:
     """Print the cells with their engines and tenants, the missing engines, and the moves."""
     placement = place_engines(cell_map, engines)
     table = Table(
@@ -41,7 +41,7 @@
         out.print(f"move {move.id}: {move.tenant} from {move.source} to {move.target}, {move.step}")
 
 
-def print_differences(before: CellMap | None, after: CellMap, engines: list[EnginePlace]) -> None:
+def print_differences(before: CellMap | None, after: CellMap, engines: list[EngineDescriptor]) -> None:
     """Print the engines and tenants whose cells differ between two maps; without a map, `before` is None."""
     _print_engine_differences(before, after, engines)
     _print_tenant_differences(before, after)
@@ -57,7 +57,7 @@
         out.print(f"{front}: version {reply['version']}; {moves or 'no moves'}")
 
 
-def _cell_row(cell_map: CellMap, name: str, members: list[EnginePlace]) -> list[str]:
+def _cell_row(cell_map: CellMap, name: str, members: list[EngineDescriptor]) -> list[str]:
     counts = [sum(engine.role is role for engine in members) for role in Role]
     tenants = [tenant for tenant in cell_map.tenants if home_cell(cell_map, tenant, None) == name]
     hidden = len(tenants) - MAX_TENANTS_SHOWN
@@ -70,7 +70,9 @@
     ]
 
 
-def _print_engine_differences(before: CellMap | None, after: CellMap, engines: list[EnginePlace]) -> None:
+def _print_engine_differences(
+    before: CellMap | None, after: CellMap, engines: list[EngineDescriptor]
+) -> None:
     old_cells = place_engines(before, engines).cells if before is not None else {}
     changed = 0
     for name, members in place_engines(after, engines).cells.items():
--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -13,7 +13,7 @@
 
 from runspool.cells import cell_store, tenant_migration
 from runspool.cells.cell_map import CellMap, Move
-from runspool.cells.engine_placement import EnginePlace, place_engines
+from runspool.cells.engine_placement import EngineDescriptor, place_engines
 from runspool.cells.tenant_migration import MigrationRefusedError, TenantMigrations
 from runspool.cli.cell_output import out, print_differences, print_map, print_replies
 from runspool.cli.front_files import FrontFiles, refusals_reported
@@ -160,7 +160,7 @@
     return cell_store.decode_map(json.dumps(fields).encode(), str(source))
 
 
-def _check_roles_served(cell_map: CellMap, engines: list[EnginePlace]) -> None:
+def _check_roles_served(cell_map: CellMap, engines: list[EngineDescriptor]) -> None:
     """Check that every cell of a map has an engine for each role; skip the check if no engines are known.
 
     Raises:
--- a/runspool/cli/front_files.py
+++ b/runspool/cli/front_files.py
@@ -10,7 +10,7 @@
 
 from runspool.cells import cell_store, tenant_migration
 from runspool.cells.cell_map import CellMap
-from runspool.cells.engine_placement import EnginePlace
+from runspool.cells.engine_placement import EngineDescriptor
 from runspool.cli.terms import EXIT_INVALID, load_or_exit
 from runspool.config import FrontConfig
 from runspool.config.loader import InvalidConfigError
@@ -75,7 +75,7 @@
             )
         return cell_map
 
-    def engines(self) -> list[EnginePlace]:
+    def engines(self) -> list[EngineDescriptor]:
         """Return the ready engines of the endpoint list that the front saved last; none if there is no list.
 
         Raises:
@@ -84,7 +84,7 @@
         last = snapshot.load_snapshot(Path(self.terms.front.memory_file or ""))
         kinds = self.terms.house.kinds
         return [
-            EnginePlace(entry.engine, ROLES[kinds[entry.engine_type].role], entry.zone, entry.rack)
+            EngineDescriptor(entry.engine, ROLES[kinds[entry.engine_type].role], entry.zone, entry.rack)
             for entry in (last.engines if last else [])
             if entry.state == "on" and entry.engine_type in kinds
         ]
--- a/runspool/service/cell_scheduler_registry.py
+++ b/runspool/service/cell_scheduler_registry.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from runspool.cells.cell_router import CellRouter
-from runspool.cells.engine_placement import EnginePlace, Placement
+from runspool.cells.engine_placement import EngineDescriptor, Placement
 from runspool.runtime.interning import stable_hash
 from runspool.scheduling.settings import RoutingSettings
 from runspool.scheduling.types import EngineRecord, EngineState
@@ -112,8 +112,8 @@
             return self.recording_path
         return self.recording_path.with_name(f"{self.recording_path.name}.{name}")
 
-    def _engine_place(self, name: str, record: EngineRecord) -> EnginePlace:
-        return EnginePlace(
+    def _engine_place(self, name: str, record: EngineRecord) -> EngineDescriptor:
+        return EngineDescriptor(
             name,
             self.endpoint_registry.endpoints[record.engine].role,
             self.zones[record.zone] if record.zone >= 0 else "",
--- a/tests/test_engine_placement.py
+++ b/tests/test_engine_placement.py
@@ -11,7 +11,7 @@
 from pydantic import ValidationError
 
 from runspool.cells.cell_map import Cell, CellMap, Shards
-from runspool.cells.engine_placement import EnginePlace, home_cell, place_engines
+from runspool.cells.engine_placement import EngineDescriptor, home_cell, place_engines
 from runspool.scheduling.types import Role
 from tests.cell_maps import cell_map_with
 
@@ -20,10 +20,10 @@
 ZONE_COUNT = 3
 
 
-def new_engines(count: int) -> list[EnginePlace]:
+def new_engines(count: int) -> list[EngineDescriptor]:
     """Engines in racks of one of each role and two of prefill, the racks in three zones."""
     return [
-        EnginePlace(
+        EngineDescriptor(
             f"engine-{index}",
             ROLES[index % len(ROLES)],
             f"zone-{index // ENGINES_PER_RACK % ZONE_COUNT}",
