--- a/runspool/cells/cell_store.py
+++ b/runspool/cells/cell_store.py
@@ -17,7 +17,7 @@
 from pydantic import ValidationError
 
 from runspool.cells.cell_map import CellMap
-from runspool.cells.tenant_migration import MigrationRefusedError
+from runspool.cells.tenant_migration import MapChangeRefusedError
 from runspool.storage.atomic_file import CorruptFileError, add_checksum, read_checked, replace_file
 
 MAX_LOGGED_CHANGES = 1_000  # lines kept in a change log; older lines are dropped
@@ -158,13 +158,13 @@
     """Hold a map's lock file, so that two operators cannot change the map at the same time.
 
     Raises:
-        MigrationRefusedError: the lock file already exists.
+        MapChangeRefusedError: the lock file already exists.
     """
     lock_path = path.with_name(path.name + ".lock")
     try:
         lock = os.open(lock_path, os.O_CREAT | os.O_EXCL | os.O_WRONLY)
     except FileExistsError:
-        raise MigrationRefusedError(
+        raise MapChangeRefusedError(
             f"{lock_path} exists: another change is in progress, or an earlier command was killed; "
             "if no command is running, remove the file"
         ) from None
--- a/runspool/cells/tenant_migration.py
+++ b/runspool/cells/tenant_migration.py
@@ -202,7 +202,7 @@
         )
 
 
-class MigrationRefusedError(RunspoolError):
+class MapChangeRefusedError(RunspoolError):
     """A change of the map that is not allowed; the message gives the reason."""
 
 
@@ -215,23 +215,23 @@
         shortages: the shortages of the engine placement under the current map.
 
     Raises:
-        MigrationRefusedError: the tenant is already being moved, or the target does not exist, is the
+        MapChangeRefusedError: the tenant is already being moved, or the target does not exist, is the
             reserve, has no engine of a role or is the source.
     """
     if any(other.tenant == move.tenant and other.step == "planned" for other in cell_map.moves):
-        raise MigrationRefusedError(f"{move.tenant} is already being moved; finish or undo that move first")
+        raise MapChangeRefusedError(f"{move.tenant} is already being moved; finish or undo that move first")
     names = cell_map.names()
     if move.target not in names:
-        raise MigrationRefusedError(f"there is no cell {move.target}; there are {', '.join(names)}")
+        raise MapChangeRefusedError(f"there is no cell {move.target}; there are {', '.join(names)}")
     if move.target == cell_map.reserve:
-        raise MigrationRefusedError(
+        raise MapChangeRefusedError(
             f"{move.target} is the reserve, which must stay free for overflow from other cells"
         )
     missing = [shortage for shortage in shortages if shortage.startswith(f"{move.target}: 0 of")]
     if missing:
-        raise MigrationRefusedError(f"{move.target} lacks a role: {missing[0]}")
+        raise MapChangeRefusedError(f"{move.target} lacks a role: {missing[0]}")
     if move.source == move.target:
-        raise MigrationRefusedError(f"{move.tenant} is in {move.target} already")
+        raise MapChangeRefusedError(f"{move.tenant} is in {move.target} already")
     # The tenant's finished and undone moves are dropped, because the new move replaces their effect.
     return _next_version(
         cell_map, [*(other for other in cell_map.moves if other.tenant != move.tenant), move]
@@ -242,7 +242,7 @@
     """Return the next version of the map, in which a move is undone from `unix_ms` on.
 
     Raises:
-        MigrationRefusedError: the move does not exist, or has been finished or undone before.
+        MapChangeRefusedError: the move does not exist, or has been finished or undone before.
     """
     found = _find_planned_move(cell_map, move_id)
     undone = found.model_copy(update={"step": "turned_back", "turned_unix_ms": unix_ms})
@@ -253,13 +253,13 @@
     """Return the next version of the map, in which the target of a move is the tenant's home cell.
 
     Raises:
-        MigrationRefusedError: the move does not exist, has been finished or undone before, or started less
+        MapChangeRefusedError: the move does not exist, has been finished or undone before, or started less
             than `key_binding_time` ago, so that idempotency keys may still be bound to the source cell.
     """
     found = _find_planned_move(cell_map, move_id)
     remaining_ms = found.starts_unix_ms + key_binding_time // TENTHS_PER_MS - unix_ms
     if remaining_ms > 0:
-        raise MigrationRefusedError(
+        raise MapChangeRefusedError(
             f"{move_id} can be finished in {remaining_ms} ms, when {found.source} holds no idempotency keys"
         )
     finished = found.model_copy(update={"step": "done"})
@@ -271,13 +271,13 @@
     """Return the planned move with an identifier.
 
     Raises:
-        MigrationRefusedError: the move does not exist, or has been finished or undone.
+        MapChangeRefusedError: the move does not exist, or has been finished or undone.
     """
     found = next((move for move in cell_map.moves if move.id == move_id), None)
     if found is None:
-        raise MigrationRefusedError(f"there is no move {move_id}")
+        raise MapChangeRefusedError(f"there is no move {move_id}")
     if found.step != "planned":
-        raise MigrationRefusedError(
+        raise MapChangeRefusedError(
             f"{move_id} is {found.step} and cannot be changed; plan a move in the other direction"
         )
     return found
--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -14,7 +14,7 @@
 from runspool.cells import cell_store, tenant_migration
 from runspool.cells.cell_map import CellMap, Move
 from runspool.cells.engine_placement import EngineDescriptor, place_engines
-from runspool.cells.tenant_migration import MigrationRefusedError, TenantMigrations
+from runspool.cells.tenant_migration import MapChangeRefusedError, TenantMigrations
 from runspool.cli.cell_output import out, print_differences, print_map, print_replies
 from runspool.cli.front_files import FrontFiles, refusals_reported
 from runspool.cli.terms import ExternalVariables
@@ -56,7 +56,7 @@
         before = cell_store.recover_map(front_files.path)
         after = _read_next_map(source, before)
         if before is not None and any(move.step == "planned" for move in before.moves):
-            raise MigrationRefusedError("a move is under way; finish or undo it first")
+            raise MapChangeRefusedError("a move is under way; finish or undo it first")
         engines = front_files.engines()
         _check_roles_served(after, engines)
         print_differences(before, after, engines)
@@ -164,13 +164,13 @@
     """Check that every cell of a map has an engine for each role; skip the check if no engines are known.
 
     Raises:
-        MigrationRefusedError: a cell has no engine of a role.
+        MapChangeRefusedError: a cell has no engine of a role.
     """
     if not engines:
         return
     missing = [shortage for shortage in place_engines(cell_map, engines).shortages if ": 0 of" in shortage]
     if missing:
-        raise MigrationRefusedError("; ".join(missing))
+        raise MapChangeRefusedError("; ".join(missing))
 
 
 def _is_settled(move_id: str, replies: dict[str, dict[str, Any] | str], front_count: int) -> bool:
@@ -193,7 +193,7 @@
     with refusals_reported():
         before = front_files.cell_map()
         if tenant not in front_files.terms.house.tenants:
-            raise MigrationRefusedError(f"{tenant} is not in house.tenants of the configuration")
+            raise MapChangeRefusedError(f"{tenant} is not in house.tenants of the configuration")
         now_unix_ms = unix_ms()
         source = TenantMigrations(before).home_cell(now_unix_ms, tenant, None)
         engines = front_files.engines()
@@ -218,7 +218,7 @@
     """Publish the map `after` in place of `before`; without `yes`, print that nothing was changed.
 
     Raises:
-        MigrationRefusedError: another change is in progress, or the published map is no longer `before`.
+        MapChangeRefusedError: another change is in progress, or the published map is no longer `before`.
         OSError: a file could not be written.
     """
     if not yes:
@@ -227,7 +227,7 @@
     with cell_store.exclusive_change(front_files.path):
         current = cell_store.recover_map(front_files.path)
         if (current and current.version) != (before and before.version):
-            raise MigrationRefusedError(
+            raise MapChangeRefusedError(
                 "the map was changed by another command in the meantime; run this command again"
             )
         cell_store.record_change(front_files.path, description, after, unix_ms())
--- a/runspool/cli/front_files.py
+++ b/runspool/cli/front_files.py
@@ -27,7 +27,7 @@
     try:
         yield
     except (
-        tenant_migration.MigrationRefusedError,
+        tenant_migration.MapChangeRefusedError,
         cell_store.CorruptFileError,
         snapshot.CorruptFileError,
         InvalidConfigError,
@@ -64,13 +64,13 @@
         """Return the published map, restored from its change log if necessary.
 
         Raises:
-            MigrationRefusedError: there is no map.
+            MapChangeRefusedError: there is no map.
             CorruptFileError: the map in the log is needed and is invalid.
             OSError: the restored map could not be written.
         """
         cell_map = cell_store.recover_map(self.path)
         if cell_map is None:
-            raise tenant_migration.MigrationRefusedError(
+            raise tenant_migration.MapChangeRefusedError(
                 f"{self.path}: there is no map yet; create one with `runspool cells adopt`"
             )
         return cell_map
--- a/tests/migration_model.py
+++ b/tests/migration_model.py
@@ -14,7 +14,7 @@
 
 from runspool.cells import tenant_migration
 from runspool.cells.cell_map import CellMap, Move
-from runspool.cells.tenant_migration import CellChoice, MigrationRefusedError, TenantMigrations
+from runspool.cells.tenant_migration import CellChoice, MapChangeRefusedError, TenantMigrations
 from tests.cell_maps import cell_map_with
 
 WINDOW = 50_000  # in which repeats with a ticket are recognized; tenths of a millisecond
@@ -194,11 +194,11 @@
 def _changes(newest: CellMap, name: str, unix_ms: int) -> list[CellMap]:
     """The maps that an operator may publish next."""
     changes = []
-    with suppress(MigrationRefusedError):
+    with suppress(MapChangeRefusedError):
         changes.append(tenant_migration.plan_move(newest, move(name, unix_ms + TICK_MS), []))
-    with suppress(MigrationRefusedError):
+    with suppress(MapChangeRefusedError):
         changes.append(tenant_migration.undo_move(newest, newest.moves[-1].id, unix_ms))
-    with suppress(MigrationRefusedError):
+    with suppress(MapChangeRefusedError):
         changes.append(tenant_migration.finish_move(newest, newest.moves[-1].id, unix_ms, BINDING_TIME))
     return changes
 
--- a/tests/test_tenant_migration.py
+++ b/tests/test_tenant_migration.py
@@ -10,7 +10,7 @@
 from runspool.cells.engine_placement import home_cell
 from runspool.cells.tenant_migration import (
     CellChoice,
-    MigrationRefusedError,
+    MapChangeRefusedError,
     MigrationStage,
     TenantMigrations,
 )
@@ -50,17 +50,17 @@
         (MAP_BEFORE_MOVE, move().model_copy(update={"target": "z"}), "no cell"),
         (MAP_BEFORE_MOVE, move().model_copy(update={"target": "a"}), "already"),
     ):
-        with pytest.raises(MigrationRefusedError, match=reason):
+        with pytest.raises(MapChangeRefusedError, match=reason):
             tenant_migration.plan_move(cell_map, change, [])
-    with pytest.raises(MigrationRefusedError, match="lacks a role"):
+    with pytest.raises(MapChangeRefusedError, match="lacks a role"):
         tenant_migration.plan_move(MAP_BEFORE_MOVE, move(), ["b: 0 of 1 writers: the list has none"])
     undone = tenant_migration.undo_move(MAP_WITH_MOVE, "m", MOVE_STARTS_MS)
-    with pytest.raises(MigrationRefusedError, match="turned_back"):
+    with pytest.raises(MapChangeRefusedError, match="turned_back"):
         tenant_migration.undo_move(undone, "m", MOVE_STARTS_MS)
-    with pytest.raises(MigrationRefusedError, match="no move"):
+    with pytest.raises(MapChangeRefusedError, match="no move"):
         tenant_migration.undo_move(MAP_BEFORE_MOVE, "x", MOVE_STARTS_MS)
     window_ends_ms = MOVE_STARTS_MS + WINDOW // 10
-    with pytest.raises(MigrationRefusedError, match="finished in 1 ms"):
+    with pytest.raises(MapChangeRefusedError, match="finished in 1 ms"):
         tenant_migration.finish_move(MAP_WITH_MOVE, "m", window_ends_ms - 1, WINDOW)
     finished = tenant_migration.finish_move(MAP_WITH_MOVE, "m", window_ends_ms, WINDOW)
     assert finished.tenants["t"] == "b"
