--- a/runspool/cells/cell_store.py
+++ b/runspool/cells/cell_store.py
@@ -129,12 +129,12 @@
     return decode_map(bytes(adopted.cell_map), str(path)), adopted.adopted_unix_ms
 
 
-def log_path(path: Path) -> Path:
+def change_log_path(path: Path) -> Path:
     """Return the path of the change log that belongs to the map at `path`."""
     return path.with_name(path.name + ".log")
 
 
-def read_changes(path: Path) -> list[MapChange]:
+def read_change_log(path: Path) -> list[MapChange]:
     """Read a map's change log, oldest change first; return an empty list if there is no log.
 
     Reading stops at the first line that does not match its checksum, because the lines after a damaged line
@@ -142,7 +142,7 @@
     """
     changes: list[MapChange] = []
     try:
-        lines = log_path(path).read_bytes().split(b"\n")
+        lines = change_log_path(path).read_bytes().split(b"\n")
     except FileNotFoundError:
         return changes
     for line in lines:
@@ -154,7 +154,7 @@
 
 
 @contextmanager
-def exclusive_change(path: Path) -> Iterator[None]:
+def lock_map(path: Path) -> Iterator[None]:
     """Hold a map's lock file, so that two operators cannot change the map at the same time.
 
     Raises:
@@ -189,10 +189,10 @@
     Raises:
         OSError: a file could not be written.
     """
-    earlier_changes = read_changes(path)
+    earlier_changes = read_change_log(path)
     change = MapChange(unix_ms, description, cell_map.version, msgspec.Raw(encode_map(cell_map)))
     lines = [msgspec.json.encode(entry) for entry in [*earlier_changes[-MAX_LOGGED_CHANGES + 1 :], change]]
-    replace_file(log_path(path), b"".join(b"%08x %b\n" % (crc32(line), line) for line in lines))
+    replace_file(change_log_path(path), b"".join(b"%08x %b\n" % (crc32(line), line) for line in lines))
     write_checked(path, encode_map(cell_map))
 
 
@@ -212,9 +212,9 @@
         cell_map = load_map(path)
     except CorruptFileError:
         cell_map = None
-    changes = read_changes(path)
+    changes = read_change_log(path)
     if changes and (cell_map is None or changes[-1].version > cell_map.version):
-        cell_map = decode_map(bytes(changes[-1].cell_map), str(log_path(path)))
+        cell_map = decode_map(bytes(changes[-1].cell_map), str(change_log_path(path)))
         write_checked(path, encode_map(cell_map))
     return cell_map
 
@@ -223,13 +223,13 @@
     "AdoptedMap",
     "CorruptFileError",
     "MapChange",
+    "change_log_path",
     "decode_map",
     "encode_map",
-    "exclusive_change",
     "load_adopted_map",
     "load_map",
-    "log_path",
-    "read_changes",
+    "lock_map",
+    "read_change_log",
     "record_change",
     "recover_map",
     "save_adopted_map",
--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -224,7 +224,7 @@
     if not yes:
         out.print("nothing was changed; use --yes to make the change")
         return
-    with cell_store.exclusive_change(front_files.path):
+    with cell_store.lock_map(front_files.path):
         current = cell_store.recover_map(front_files.path)
         if (current and current.version) != (before and before.version):
             raise MapChangeRefusedError(
--- a/tests/test_cell_commands.py
+++ b/tests/test_cell_commands.py
@@ -73,7 +73,7 @@
     run_command("finish", front_config, "m-4", "--yes")
     final_map = cell_store.load_map(file)
     assert final_map is not None and final_map.tenants["one"] == "b" and final_map.version == 5
-    assert [change.description.split()[0] for change in cell_store.read_changes(file)] == [
+    assert [change.description.split()[0] for change in cell_store.read_change_log(file)] == [
         "adopt",
         "move",
         "undo",
@@ -107,14 +107,14 @@
         file.write_bytes(map_before)  # killed between log and file
         assert cell_store.recover_map(file) == changed_map == cell_store.load_map(file)
     # A log whose last line is damaged tells of the changes before it.
-    log = cell_store.log_path(file)
+    log = cell_store.change_log_path(file)
     log.write_bytes(log.read_bytes()[:-9])
-    assert [change.version for change in cell_store.read_changes(file)] == [1]
+    assert [change.version for change in cell_store.read_change_log(file)] == [1]
 
 
 def test_two_operators_cannot_change_one_map_at_once(front_config: Path) -> None:
     file = front_config.with_name("cells.map")
     cell_store.record_change(file, "adopt", CELL_MAP, 1)
-    with cell_store.exclusive_change(file):
+    with cell_store.lock_map(file):
         assert "another change" in run_command("move", front_config, "one", "b", "--yes", code=1)
     assert cell_store.load_map(file) == CELL_MAP
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -70,7 +70,7 @@
 def test_an_old_cell_map_its_log_and_the_map_that_was_adopted_load() -> None:
     stored = cell_store.load_map(FILES / "cells.map")
     adopted = cell_store.load_adopted_map(FILES / "cells-adopted.map")
-    logged = cell_store.read_changes(FILES / "cells.map")
+    logged = cell_store.read_change_log(FILES / "cells.map")
     assert stored is not None and stored.tenants == {"stol-razem": "a", "pod-lipami": "b"}
     assert adopted == (stored, 1_700_000_000_123)
     assert [(change.description, change.version) for change in logged] == [("adopt", 1)]
