--- a/runspool/cells/cell_map.py
+++ b/runspool/cells/cell_map.py
@@ -149,7 +149,7 @@
     @model_validator(mode="after")
     def check_consistency(self) -> Self:
         """Raise ValueError with a list of all contradictions in the map."""
-        known_cells = self.names()
+        known_cells = self.cell_names()
         errors = [
             *self._check_tenants(known_cells),
             *self._check_reserve(),
@@ -203,7 +203,7 @@
             errors.append("moves: two moves have the same id")
         return errors
 
-    def names(self) -> list[str]:
+    def cell_names(self) -> list[str]:
         """Return the names of all cells, including the reserve; only WHOLE_FLEET if the map has no cells."""
         if self.way == "shuffle":
             return [f"shard-{index}" for index in range(self.shards.count)]
--- a/runspool/cells/cell_router.py
+++ b/runspool/cells/cell_router.py
@@ -124,7 +124,7 @@
         self.poison_detector.loss_threshold = cell_map.poison_after
         # A removed cell can no longer overflow, but requests of it that are still at the reserve must be
         # counted until they end.
-        for name in self.overflow_policy.states.keys() - set(cell_map.names()):
+        for name in self.overflow_policy.states.keys() - set(cell_map.cell_names()):
             if not self.overflow_policy.states[name].requests_at_reserve:
                 del self.overflow_policy.states[name]
         self._update_weights()
@@ -224,7 +224,7 @@
         )
         if choice.earlier_cell_unknown:
             return None
-        if choice.cell in self.cell_map.names():
+        if choice.cell in self.cell_map.cell_names():
             return choice.cell
         # The cell has been removed from the map. The earlier try of a retry may have executed there, and no
         # other cell would recognize the idempotency key.
@@ -246,6 +246,6 @@
 
     def _update_weights(self) -> None:
         cells = self.cell_map.cells
-        names = [name for name in self.cell_map.names() if name != self.cell_map.reserve]
+        names = [name for name in self.cell_map.cell_names() if name != self.cell_map.reserve]
         weights = {name: cells[name].weight if name in cells else 1.0 for name in names}
         self.request_budget.weights = self.byte_budget.weights = weights
--- a/runspool/cells/engine_placement.py
+++ b/runspool/cells/engine_placement.py
@@ -72,7 +72,7 @@
             name: frozenset(
                 engine.name for engine in engines if _matches_patterns(cell_map, name, engine.name)
             )
-            for name in cell_map.names()
+            for name in cell_map.cell_names()
         }
     else:
         cells = _rendezvous_cells(cell_map, engines)
@@ -89,7 +89,7 @@
     cell = cell_map.tenants.get(tenant) if tenant is not None else None
     if cell is not None and cell != SPREAD:
         return cell
-    names = [name for name in cell_map.names() if name != cell_map.reserve] or cell_map.names()
+    names = [name for name in cell_map.cell_names() if name != cell_map.reserve] or cell_map.cell_names()
     key = session if cell == SPREAD and session is not None else tenant or session or ""
     weights = {name: cell_map.cells[name].weight if name in cell_map.cells else 1.0 for name in names}
     return max(names, key=lambda name: (affinity("key " + key, name, weights[name]), name))
@@ -182,7 +182,7 @@
     shards = cell_map.shards
     wanted = {Role.PREFILL: shards.readers, Role.DECODE: shards.writers, Role.MIXED: shards.mixed}
     cells = {}
-    for shard in cell_map.names():
+    for shard in cell_map.cell_names():
         members: set[str] = set()
         for role in ROLES:
             candidates = [engine for engine in engines if engine.role is role]
--- a/runspool/cells/tenant_migration.py
+++ b/runspool/cells/tenant_migration.py
@@ -220,7 +220,7 @@
     """
     if any(other.tenant == move.tenant and other.step == "planned" for other in cell_map.moves):
         raise MapChangeRefusedError(f"{move.tenant} is already being moved; finish or undo that move first")
-    names = cell_map.names()
+    names = cell_map.cell_names()
     if move.target not in names:
         raise MapChangeRefusedError(f"there is no cell {move.target}; there are {', '.join(names)}")
     if move.target == cell_map.reserve:
--- a/runspool/lab/migration_script.py
+++ b/runspool/lab/migration_script.py
@@ -116,7 +116,7 @@
         tenant = self.plan.tenants[fault.targets[0]].name
         migrations = tenant_migration.TenantMigrations(self.cell_map)
         source = migrations.home_cell(unix_ms(), tenant, None)
-        other_cells = [name for name in self.cell_map.names() if name != source]
+        other_cells = [name for name in self.cell_map.cell_names() if name != source]
         return Move(
             id=f"m{fault.subject_index}",
             tenant=tenant,
--- a/runspool/service/cell_scheduler_registry.py
+++ b/runspool/service/cell_scheduler_registry.py
@@ -51,7 +51,7 @@
         self.seed = seed
         self.recording_path = recording_path
         self.schedulers: dict[str, CellScheduler] = {}
-        self.scheduler(self.cell_router.cell_map.names()[0])
+        self.scheduler(self.cell_router.cell_map.cell_names()[0])
 
     def scheduler(self, name: str) -> CellScheduler:
         """Return a cell's scheduler; if there is none yet, create it and send it the cell's engines."""
@@ -85,12 +85,12 @@
     def close_if_unused(self, name: str) -> None:
         """Close the cell's scheduler if the cell is no longer on the cell map and has no open requests."""
         scheduler = self.schedulers[name]
-        if not scheduler.open_requests and name not in self.cell_router.cell_map.names():
+        if not scheduler.open_requests and name not in self.cell_router.cell_map.cell_names():
             scheduler.recorder.close()
             del self.schedulers[name]
 
     def _create(self, name: str) -> CellScheduler:
-        is_first_cell = not self.schedulers and name == self.cell_router.cell_map.names()[0]
+        is_first_cell = not self.schedulers and name == self.cell_router.cell_map.cell_names()[0]
         return CellScheduler(
             name,
             self._cell_settings(),
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -163,7 +163,7 @@
         """Adopt a newer cell map. Requests that have been accepted stay in their cells."""
         if not self.cell_router.adopt(cell_map, adopted_unix_ms):
             return
-        self.log.info("cell_map_adopted", version=cell_map.version, cells=len(cell_map.names()))
+        self.log.info("cell_map_adopted", version=cell_map.version, cells=len(cell_map.cell_names()))
         self.publish_engines()
         self.scheduler_registry.close_unused()
 
