--- a/runspool/cli/cell_output.py
+++ b/runspool/cli/cell_output.py
@@ -16,7 +16,7 @@
 MAX_TENANTS_SHOWN = 4  # tenants of a cell shown by name; the others are counted only
 AFTER_ALL_MOVES = 1 << 60  # milliseconds since the epoch; later than any time in a map
 
-out = Console(highlight=False, soft_wrap=True)
+console = Console(highlight=False, soft_wrap=True)
 
 
 def print_map(cell_map: CellMap, engines: list[EngineDescriptor]) -> None:
@@ -34,11 +34,11 @@
     places = {place.name: place for place in engines}
     for name, members in placement.cells.items():
         table.add_row(*_cell_row(cell_map, name, [places[engine] for engine in members]))
-    out.print(table)
+    console.print(table)
     for shortage in placement.shortages:
-        out.print(f"lacks: {shortage}")
+        console.print(f"lacks: {shortage}")
     for move in cell_map.moves:
-        out.print(f"move {move.id}: {move.tenant} from {move.source} to {move.target}, {move.step}")
+        console.print(f"move {move.id}: {move.tenant} from {move.source} to {move.target}, {move.step}")
 
 
 def print_differences(before: CellMap | None, after: CellMap, engines: list[EngineDescriptor]) -> None:
@@ -47,14 +47,14 @@
     _print_tenant_differences(before, after)
 
 
-def print_replies(replies: dict[str, dict[str, Any] | str]) -> None:
+def print_front_statuses(replies: dict[str, dict[str, Any] | str]) -> None:
     """Print one line for each front: a summary of its status page, or the message why there is none."""
     for front, reply in replies.items():
         if isinstance(reply, str):
-            out.print(f"{front}: {reply}")
+            console.print(f"{front}: {reply}")
             continue
         moves = ", ".join(f"{move['id']} {move['stage']} ({move['out']} out)" for move in reply["moves"])
-        out.print(f"{front}: version {reply['version']}; {moves or 'no moves'}")
+        console.print(f"{front}: version {reply['version']}; {moves or 'no moves'}")
 
 
 def _cell_row(cell_map: CellMap, name: str, members: list[EngineDescriptor]) -> list[str]:
@@ -79,14 +79,14 @@
         old_members = old_cells.get(name, frozenset())
         changed += _print_engines(members - old_members, f"now in {name}")
         changed += _print_engines(old_members - members, f"no longer in {name}")
-    out.print(f"{changed} changes of engines in {len(engines)}")
+    console.print(f"{changed} changes of engines in {len(engines)}")
 
 
 def _print_engines(names: Iterable[str], change: str) -> int:
     """Print a line for each engine, sorted by name; return the number of engines."""
     ordered = sorted(names)
     for engine in ordered:
-        out.print(f"engine {engine}: {change}")
+        console.print(f"engine {engine}: {change}")
     return len(ordered)
 
 
@@ -96,7 +96,7 @@
         old_cell = _final_cell(before, tenant) if before else "nowhere"
         new_cell = _final_cell(after, tenant)
         if old_cell != new_cell:
-            out.print(f"tenant {tenant}: from {old_cell} to {new_cell}")
+            console.print(f"tenant {tenant}: from {old_cell} to {new_cell}")
 
 
 def _final_cell(cell_map: CellMap, tenant: str) -> str:
--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -15,8 +15,8 @@
 from runspool.cells.cell_map import CellMap, Move
 from runspool.cells.engine_placement import EngineDescriptor, place_engines
 from runspool.cells.tenant_migration import MapChangeRefusedError, TenantMigrations
-from runspool.cli.cell_output import out, print_differences, print_map, print_replies
-from runspool.cli.front_files import FrontFiles, refusals_reported
+from runspool.cli.cell_output import console, print_differences, print_front_statuses, print_map
+from runspool.cli.front_files import FrontFiles, report_refusals
 from runspool.cli.terms import ExternalVariables
 from runspool.config.loader import evaluate
 from runspool.service.clock import unix_ms
@@ -52,8 +52,8 @@
 ) -> None:
     """Publish a hand-written map as the next version. Planned moves must be finished or undone first."""
     front_files = FrontFiles(file, var)
-    with refusals_reported():
-        before = cell_store.recover_map(front_files.path)
+    with report_refusals():
+        before = cell_store.recover_map(front_files.map_path)
         after = _read_next_map(source, before)
         if before is not None and any(move.step == "planned" for move in before.moves):
             raise MapChangeRefusedError("a move is under way; finish or undo it first")
@@ -67,7 +67,7 @@
 def show(file: FrontConfigFile, var: ExternalVariables = None) -> None:
     """Print the cells with their engines, missing engines and tenants, and the moves."""
     front_files = FrontFiles(file, var)
-    with refusals_reported():
+    with report_refusals():
         cell_map, engines = front_files.cell_map(), front_files.engines()
     print_map(cell_map, engines)
 
@@ -103,7 +103,7 @@
 def undo(file: FrontConfigFile, move_id: str, yes: Confirmed = False, var: ExternalVariables = None) -> None:
     """Undo a move: new requests go to the source cell again. Requests in the target cell end there."""
     front_files = FrontFiles(file, var)
-    with refusals_reported():
+    with report_refusals():
         before = front_files.cell_map()
         after = tenant_migration.undo_move(before, move_id, unix_ms())
         print_differences(before, after, front_files.engines())
@@ -119,7 +119,7 @@
     This is refused while idempotency keys may still bind retries to the source cell.
     """
     front_files = FrontFiles(file, var)
-    with refusals_reported():
+    with report_refusals():
         before = front_files.cell_map()
         after = tenant_migration.finish_move(before, move_id, unix_ms(), front_files.key_binding_time())
         print_differences(before, after, front_files.engines())
@@ -139,7 +139,7 @@
     end = time.monotonic() + patience_s
     while True:
         replies = {front: _fetch_status(front) for front in fronts}
-        print_replies(replies)
+        print_front_statuses(replies)
         if not until_settled or _is_settled(until_settled, replies, len(fronts)):
             return
         if time.monotonic() > end:
@@ -190,9 +190,9 @@
 ) -> None:
     """Print what a move of a tenant changes and, with `yes`, publish the map with the move."""
     front_files = FrontFiles(file, var)
-    with refusals_reported():
+    with report_refusals():
         before = front_files.cell_map()
-        if tenant not in front_files.terms.house.tenants:
+        if tenant not in front_files.config.house.tenants:
             raise MapChangeRefusedError(f"{tenant} is not in house.tenants of the configuration")
         now_unix_ms = unix_ms()
         source = TenantMigrations(before).home_cell(now_unix_ms, tenant, None)
@@ -209,7 +209,7 @@
         print_differences(before, after, engines)
         _publish(front_files, yes, f"move {tenant} {source} {target}", before, after)
         if yes:
-            out.print(f"move {new_move.id}: new requests go to {target} in {starts_in_ms} ms")
+            console.print(f"move {new_move.id}: new requests go to {target} in {starts_in_ms} ms")
 
 
 def _publish(
@@ -222,16 +222,16 @@
         OSError: a file could not be written.
     """
     if not yes:
-        out.print("nothing was changed; use --yes to make the change")
+        console.print("nothing was changed; use --yes to make the change")
         return
-    with cell_store.lock_map(front_files.path):
-        current = cell_store.recover_map(front_files.path)
+    with cell_store.lock_map(front_files.map_path):
+        current = cell_store.recover_map(front_files.map_path)
         if (current and current.version) != (before and before.version):
             raise MapChangeRefusedError(
                 "the map was changed by another command in the meantime; run this command again"
             )
-        cell_store.record_change(front_files.path, description, after, unix_ms())
-    out.print(f"{front_files.path}: version {after.version}")
+        cell_store.record_change(front_files.map_path, description, after, unix_ms())
+    console.print(f"{front_files.map_path}: version {after.version}")
 
 
 def _fetch_status(front: str) -> dict[str, Any] | str:
--- a/runspool/cli/front_files.py
+++ b/runspool/cli/front_files.py
@@ -11,7 +11,7 @@
 from runspool.cells import cell_store, tenant_migration
 from runspool.cells.cell_map import CellMap
 from runspool.cells.engine_placement import EngineDescriptor
-from runspool.cli.terms import EXIT_INVALID, load_or_exit
+from runspool.cli.terms import EXIT_INVALID, load_config_or_exit
 from runspool.config import FrontConfig
 from runspool.config.loader import InvalidConfigError
 from runspool.config.schema import ROLES
@@ -22,7 +22,7 @@
 
 
 @contextmanager
-def refusals_reported() -> Iterator[None]:
+def report_refusals() -> Iterator[None]:
     """Report a refused change or an unusable file in one line on standard error, and exit with status 1."""
     try:
         yield
@@ -40,8 +40,8 @@
     """The cell map and the last endpoint list of a front, found through its configuration.
 
     Attributes:
-        terms: the front's configuration.
-        path: the file with the cell map.
+        config: the front's configuration.
+        map_path: the file with the cell map.
     """
 
     def __init__(self, file: Path, var: list[str] | None) -> None:
@@ -54,11 +54,11 @@
         Raises:
             typer.Exit: the configuration is invalid or does not set cells_file; the exit status is 2.
         """
-        self.terms: FrontConfig = load_or_exit(file, var)
-        if self.terms.front.cells_file is None:
+        self.config: FrontConfig = load_config_or_exit(file, var)
+        if self.config.front.cells_file is None:
             typer.echo(f"{file}: front.cells_file is not set, so this front has no cells", err=True)
             raise typer.Exit(EXIT_INVALID)
-        self.path = Path(self.terms.front.cells_file)
+        self.map_path = Path(self.config.front.cells_file)
 
     def cell_map(self) -> CellMap:
         """Return the published map, restored from its change log if necessary.
@@ -68,10 +68,10 @@
             CorruptFileError: the map in the log is needed and is invalid.
             OSError: the restored map could not be written.
         """
-        cell_map = cell_store.recover_map(self.path)
+        cell_map = cell_store.recover_map(self.map_path)
         if cell_map is None:
             raise tenant_migration.MapChangeRefusedError(
-                f"{self.path}: there is no map yet; create one with `runspool cells adopt`"
+                f"{self.map_path}: there is no map yet; create one with `runspool cells adopt`"
             )
         return cell_map
 
@@ -81,8 +81,8 @@
         Raises:
             CorruptFileError: the file of the endpoint list is damaged.
         """
-        last = snapshot.load_snapshot(Path(self.terms.front.memory_file or ""))
-        kinds = self.terms.house.kinds
+        last = snapshot.load_snapshot(Path(self.config.front.memory_file or ""))
+        kinds = self.config.house.kinds
         return [
             EngineDescriptor(entry.engine, ROLES[kinds[entry.engine_type].role], entry.zone, entry.rack)
             for entry in (last.engines if last else [])
@@ -95,11 +95,11 @@
         It is in tenths of a millisecond: the deduplication window plus the longest deadline. Keys whose scope
         is the whole fleet bind to no cell.
         """
-        limit = self.terms.front.bounds.longest_limit_ms
+        limit = self.config.front.bounds.longest_limit_ms
         return max(
             (
                 tenths(request_class.window_ms + limit)
-                for request_class in self.terms.house.tariffs.values()
+                for request_class in self.config.house.tariffs.values()
                 if request_class.effect == "ticketed" and request_class.group != "all"
             ),
             default=0,
--- a/runspool/cli/main.py
+++ b/runspool/cli/main.py
@@ -46,7 +46,7 @@
     ] = None,
 ) -> None:
     """Run one front until SIGTERM. Write logs as JSON lines to standard error."""
-    config = terms_commands.load_or_exit(file, var)
+    config = terms_commands.load_config_or_exit(file, var)
     start_logs(config.front.log_level)
     try:
         anyio.run(partial(run_front, config, recording, seed), backend_options=EVENT_LOOP_OPTIONS)
--- a/runspool/cli/terms.py
+++ b/runspool/cli/terms.py
@@ -37,7 +37,7 @@
     return variables
 
 
-def load_or_exit(file: Path, pairs: list[str] | None) -> FrontConfig:
+def load_config_or_exit(file: Path, pairs: list[str] | None) -> FrontConfig:
     """Return the validated configuration in a file.
 
     Args:
@@ -58,7 +58,7 @@
 @app.command(epilog="Example: runspool terms check examples/house.jsonnet   (exit 0: valid, 2: invalid)")
 def check(file: ConfigFile, var: ExternalVariables = None) -> None:
     """Print all errors in the configuration, each with its path, its value and what is allowed."""
-    config = load_or_exit(file, var)
+    config = load_config_or_exit(file, var)
     typer.echo(
         f"{file}: valid; front {config.front.name}, {len(config.house.tariffs)} tariffs, "
         f"{len(config.house.kinds)} kinds"
@@ -68,4 +68,4 @@
 @app.command(epilog="Example: runspool terms show examples/house.jsonnet --var port=8081")
 def show(file: ConfigFile, var: ExternalVariables = None) -> None:
     """Print the validated configuration as JSON."""
-    typer.echo(json.dumps(load_or_exit(file, var).model_dump(), indent=2))
+    typer.echo(json.dumps(load_config_or_exit(file, var).model_dump(), indent=2))
