--- a/runspool/simulator_adapter/__main__.py
+++ b/runspool/simulator_adapter/__main__.py
@@ -4,7 +4,7 @@
 
 import sys
 
-from runspool.simulator_adapter.host import Host
+from runspool.simulator_adapter.host import FrontHost
 from runspool.simulator_adapter.wire import MalformedLineError
 
 EXIT_MALFORMED_INPUT = 2  # exit status for a line that the protocol does not allow
@@ -12,7 +12,7 @@
 
 def main() -> int:
     """Serve the simulator until the input ends, and return the exit status."""
-    host = Host(sys.stdin.buffer, sys.stdout.buffer)
+    host = FrontHost(sys.stdin.buffer, sys.stdout.buffer)
     try:
         host.serve()
     except MalformedLineError as error:
--- a/runspool/simulator_adapter/host.py
+++ b/runspool/simulator_adapter/host.py
@@ -239,7 +239,7 @@
 }
 
 
-class Host:
+class FrontHost:
     """Reads the simulator's batches, dispatches their events to the fronts, and writes the replies.
 
     Attributes:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from runspool.simulator_adapter.host import Host
+from runspool.simulator_adapter.host import FrontHost
 from runspool.simulator_adapter.wire import MalformedLineError
 
 ATTACH = 'attach front=front/0 random-seed=1 profile-data={"classes":[{"name":"a"}]}'
@@ -15,7 +15,7 @@
 def output_for(*lines: str) -> str:
     """What the adapter writes in response to input lines."""
     output = io.BytesIO()
-    Host(io.BytesIO("".join(line + "\n" for line in lines).encode()), output).serve()
+    FrontHost(io.BytesIO("".join(line + "\n" for line in lines).encode()), output).serve()
     return output.getvalue().decode()
 
 
