--- a/runspool/config/__init__.py
+++ b/runspool/config/__init__.py
@@ -4,8 +4,8 @@
 from runspool.config.schema import (
     EndpointListConfig,
     EngineClientConfig,
-    FrontBoundsConfig,
     FrontConfig,
+    FrontLimitsConfig,
     FrontProcessConfig,
 )
 
@@ -13,8 +13,8 @@
     "ConfigFault",
     "EndpointListConfig",
     "EngineClientConfig",
-    "FrontBoundsConfig",
     "FrontConfig",
+    "FrontLimitsConfig",
     "FrontProcessConfig",
     "InvalidConfigError",
     "load_config",
--- a/runspool/config/schema.py
+++ b/runspool/config/schema.py
@@ -216,7 +216,7 @@
     port: Port
 
 
-class FrontBoundsConfig(ConfigSection):
+class FrontLimitsConfig(ConfigSection):
     """Limits and timeouts of a front's connections from clients (`bounds`).
 
     A request beyond a limit is refused before it is accepted.
@@ -315,7 +315,7 @@
     listen: ListenConfig
     default_tariff: Name | None
     model: Name
-    bounds: FrontBoundsConfig
+    bounds: FrontLimitsConfig
     engines: EngineClientConfig
     list: EndpointListConfig
     memory_file: str | None
