--- a/runspool/config/__init__.py
+++ b/runspool/config/__init__.py
@@ -1,6 +1,6 @@
 """A front's configuration: evaluate Jsonnet templates, validate them, derive the scheduler's settings."""
 
-from runspool.config.loader import ConfigFault, InvalidConfigError, load_config, parse_config
+from runspool.config.loader import ConfigErrorDetails, InvalidConfigError, load_config, parse_config
 from runspool.config.schema import (
     EndpointListConfig,
     EngineClientConfig,
@@ -10,7 +10,7 @@
 )
 
 __all__ = [
-    "ConfigFault",
+    "ConfigErrorDetails",
     "EndpointListConfig",
     "EngineClientConfig",
     "FrontConfig",
--- a/runspool/config/loader.py
+++ b/runspool/config/loader.py
@@ -20,21 +20,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ConfigFault:
+class ConfigErrorDetails:
     """One error in a configuration.
 
     Attributes:
         path: the field with the error, as a path of keys separated by dots.
         value: the value of the field, as JSON.
-        allowed: what the field may contain.
+        message: what is wrong with the value, or what the field may contain.
     """
 
     path: str
     value: str
-    allowed: str
+    message: str
 
     def __str__(self) -> str:
-        return f"{self.path}: {self.value} - {self.allowed}"
+        return f"{self.path}: {self.value} - {self.message}"
 
 
 class InvalidConfigError(RunspoolError):
@@ -42,14 +42,14 @@
 
     Attributes:
         source: the file or other origin of the configuration.
-        faults: all errors that were found in it.
+        errors: all errors that were found in it.
     """
 
-    def __init__(self, source: str, faults: list[ConfigFault]) -> None:
-        header = f"{source}: {len(faults)} error(s)"
-        super().__init__("\n".join([header, *(f"  {fault}" for fault in faults)]))
+    def __init__(self, source: str, errors: list[ConfigErrorDetails]) -> None:
+        header = f"{source}: {len(errors)} error(s)"
+        super().__init__("\n".join([header, *(f"  {details}" for details in errors)]))
         self.source = source
-        self.faults = faults
+        self.errors = errors
 
 
 def evaluate(path: Path, variables: Mapping[str, str] | None = None) -> dict[str, Any]:
@@ -69,12 +69,12 @@
         )
     except (RuntimeError, OSError) as error:
         message = " ".join(str(error).split())
-        fault = ConfigFault("(template)", message, "must be a Jsonnet file without errors")
-        raise InvalidConfigError(str(path), [fault]) from None
+        details = ConfigErrorDetails("(template)", message, "must be a Jsonnet file without errors")
+        raise InvalidConfigError(str(path), [details]) from None
     data = json.loads(text)
     if not isinstance(data, dict):
-        fault = ConfigFault("(top)", type(data).__name__, "must be an object with house and front")
-        raise InvalidConfigError(str(path), [fault])
+        details = ConfigErrorDetails("(top)", type(data).__name__, "must be an object with house and front")
+        raise InvalidConfigError(str(path), [details])
     return data
 
 
@@ -91,7 +91,7 @@
     try:
         return FrontConfig.model_validate(data)
     except ValidationError as error:
-        raise InvalidConfigError(source, [_to_config_fault(details) for details in error.errors()]) from None
+        raise InvalidConfigError(source, [_to_error_details(details) for details in error.errors()]) from None
 
 
 def load_config(path: Path, variables: Mapping[str, str] | None = None) -> FrontConfig:
@@ -107,18 +107,19 @@
     return parse_config(evaluate(path, variables), str(path))
 
 
-def _to_config_fault(details: ErrorDetails) -> ConfigFault:
+def _to_error_details(details: ErrorDetails) -> ConfigErrorDetails:
     # For an invalid key of a mapping, pydantic appends "[key]" after the key itself.
     path = ".".join(str(part) for part in details["loc"] if part != "[key]") or "(top)"
     value = details.get("input")
     if details["type"] == "extra_forbidden":
-        return ConfigFault(path, _shorten_json(value), "no such field")
+        return ConfigErrorDetails(path, _shorten_json(value), "no such field")
     if details["type"] == "missing":
-        return ConfigFault(path, "missing", "must be given")
-    return ConfigFault(path, _shorten_json(value), str(details["msg"]).removeprefix("Value error, "))
+        return ConfigErrorDetails(path, "missing", "must be given")
+    return ConfigErrorDetails(path, _shorten_json(value), str(details["msg"]).removeprefix("Value error, "))
 
 
 def _shorten_json(value: object) -> str:
+    """Return a value as JSON, cut to `MAX_QUOTED_CHARACTERS`."""
     text = json.dumps(value, default=str)
     if len(text) <= MAX_QUOTED_CHARACTERS:
         return text
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -44,7 +44,7 @@
     del config["front"]["list"]["quiet_ms"]
     with pytest.raises(InvalidConfigError) as error:
         parse_config(config)
-    faults = {fault.path: fault for fault in error.value.faults}
+    faults = {fault.path: fault for fault in error.value.errors}
     assert set(faults) == {
         "house.tariffs.staff-ask.due_ms",
         "house.tariffs.payout-close.effect",
@@ -53,9 +53,9 @@
         "front.bounds.querries",
         "front.list.quiet_ms",
     }
-    assert faults["front.bounds.querries"].allowed == "no such field"
+    assert faults["front.bounds.querries"].message == "no such field"
     assert faults["house.tariffs.staff-ask.due_ms"].value == "-1"
-    assert "'ticketed'" in faults["house.tariffs.payout-close.effect"].allowed
+    assert "'ticketed'" in faults["house.tariffs.payout-close.effect"].message
 
 
 @pytest.mark.parametrize(
