--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -18,7 +18,7 @@
 from runspool.cli.cell_output import console, print_differences, print_front_statuses, print_map
 from runspool.cli.front_files import FrontFiles, report_refusals
 from runspool.cli.terms import ExternalVariables
-from runspool.config.loader import evaluate
+from runspool.config.loader import evaluate_jsonnet
 from runspool.service.clock import unix_ms
 
 EXIT_NOT_SETTLED = 3  # exit status for a move that did not settle at every front in time
@@ -155,7 +155,7 @@
         InvalidConfigError: the file cannot be evaluated.
         CorruptFileError: the value is not a valid map.
     """
-    fields = evaluate(source)
+    fields = evaluate_jsonnet(source)
     fields["version"] = (before.version if before else 0) + 1
     return cell_store.decode_map(json.dumps(fields).encode(), str(source))
 
--- a/runspool/config/loader.py
+++ b/runspool/config/loader.py
@@ -52,7 +52,7 @@
         self.errors = errors
 
 
-def evaluate(path: Path, variables: Mapping[str, str] | None = None) -> dict[str, Any]:
+def evaluate_jsonnet(path: Path, variables: Mapping[str, str] | None = None) -> dict[str, Any]:
     """Return the object that a Jsonnet file evaluates to.
 
     Args:
@@ -104,7 +104,7 @@
     Raises:
         InvalidConfigError: the file cannot be evaluated or is not a valid configuration.
     """
-    return parse_config(evaluate(path, variables), str(path))
+    return parse_config(evaluate_jsonnet(path, variables), str(path))
 
 
 def _to_error_details(details: ErrorDetails) -> ConfigErrorDetails:
