--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -14,11 +14,11 @@
 from runspool.scheduling.fleet_statistics import EVIDENCE_STREAMS, decode_cost, refresh_fleet_statistics
 from runspool.scheduling.front_state import FrontState, QueuePosition, TenantArrivals
 from runspool.scheduling.latency_estimator import (
-    decay,
-    decode_wait,
+    decay_factor,
+    predicted_decode_wait,
     predicted_first_token_time,
+    predicted_queue_time,
     prefill_rate,
-    queue_time,
 )
 from runspool.scheduling.prefix_affinity import affinity_candidates, tokens_to_prefill
 from runspool.scheduling.request_lifecycle import reservation_time
@@ -115,7 +115,7 @@
     if request.tenant is None:
         return False
     count, updated_at = front.tenant_arrivals[request.tenant]
-    count = count * decay(front, updated_at, ARRIVAL_HALF_LIFE_SECONDS * SECOND) + 1
+    count = count * decay_factor(front, updated_at, ARRIVAL_HALF_LIFE_SECONDS * SECOND) + 1
     front.tenant_arrivals[request.tenant] = TenantArrivals(count, front.now)
     rate = front.settings.tenants[request.tenant].requests_per_second
     # The decayed count to which arrivals at the tenant's share of the rate converge.
@@ -155,7 +155,7 @@
     decode_capable = engines_in_view(front, request, Role.MIXED)
     decode_capable += engines_in_view(front, request, Role.DECODE)
     own_time = tokens_to_prefill(front, engine, request) / prefill_rate(front, engine)
-    shortest_decode_wait = min((decode_wait(front, e) for e in decode_capable), default=0)
+    shortest_decode_wait = min((predicted_decode_wait(front, e) for e in decode_capable), default=0)
     wait = predicted_first_token_time(front, engine, request) - own_time + shortest_decode_wait
     # The random factor varies the decision between requests; otherwise all fronts would reject, or admit,
     # everything at the same time.
@@ -164,7 +164,7 @@
     if not progress.attempts and wait * (0.5 + request.request_draw) > spare:
         progress.is_given_up = True
         return None
-    if queue_time(front, engine) > progress.queue_limit:
+    if predicted_queue_time(front, engine) > progress.queue_limit:
         return None
     # While all decode engines are full, a completed prefill would only wait, or be given up and computed
     # again.
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -6,7 +6,7 @@
 
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.front_state import RACK_BALANCE_INTERVAL, FrontState
-from runspool.scheduling.latency_estimator import current_load_report, decay, decode_wait
+from runspool.scheduling.latency_estimator import current_load_report, decay_factor, predicted_decode_wait
 from runspool.scheduling.slow_start import warmup_fraction
 from runspool.scheduling.time_units import MILLISECOND, SECOND
 from runspool.scheduling.types import Request, Role
@@ -74,7 +74,7 @@
 
 def decode_cost(front: FrontState, engine: Engine, request: Request) -> float:
     """Return the load plus the cost of the wait for a first token, so that a hung engine looks expensive."""
-    return load(front, engine, request) + decode_wait(front, engine) / FULL_LOAD_WAIT
+    return load(front, engine, request) + predicted_decode_wait(front, engine) / FULL_LOAD_WAIT
 
 
 def carries_streams(front: FrontState, engine: Engine) -> bool:
@@ -126,8 +126,8 @@
     prefill = Counter(e.rack for e in front.ready_engines(Role.PREFILL))
     fleet_ratio = max(1, with_room.total()) / max(1, prefill.total())
     transfer_delay, queueing_delay = front.usual_transfer_delay, front.usual_queueing_delays[Role.PREFILL]
-    transfer = transfer_delay.time * decay(front, transfer_delay.updated_at)
-    queueing = queueing_delay.time * decay(front, queueing_delay.updated_at)
+    transfer = transfer_delay.time * decay_factor(front, transfer_delay.updated_at)
+    queueing = queueing_delay.time * decay_factor(front, queueing_delay.updated_at)
     exponent = MAX_RACK_BALANCE_EXPONENT * transfer / (transfer + queueing + RACK_BALANCE_REFERENCE_DELAY)
     return {
         rack: min(max(with_room[rack] / count / fleet_ratio, MIN_RACK_BALANCE), MAX_RACK_BALANCE) ** exponent
--- a/runspool/scheduling/latency_estimator.py
+++ b/runspool/scheduling/latency_estimator.py
@@ -35,24 +35,27 @@
 MIN_PREFILL_RATE = 0.01
 
 
-def decay(front: FrontState, since: int, half_life: int = ESTIMATE_HALF_LIFE) -> float:
+def decay_factor(front: FrontState, since: int, half_life: int = ESTIMATE_HALF_LIFE) -> float:
     """Return the remaining weight, from 1 to 0, of what was learned at the time `since`."""
     return exp2((since - front.now) / half_life)
 
 
-def value_at(front: FrontState, own: DecayingEstimate, peers: DecayingEstimate) -> float:
+def current_estimate(front: FrontState, own: DecayingEstimate, peers: DecayingEstimate) -> float:
     """Return an engine's estimate now: it decays to its peers' estimate, and that decays to 0."""
-    peer_estimate = peers.time * decay(front, peers.updated_at)
-    return peer_estimate + (own.time - peer_estimate) * decay(front, own.updated_at)
+    peer_estimate = peers.time * decay_factor(front, peers.updated_at)
+    return peer_estimate + (own.time - peer_estimate) * decay_factor(front, own.updated_at)
 
 
-def update(front: FrontState, own: DecayingEstimate, peers: DecayingEstimate, time: float) -> None:
+def update_estimate(front: FrontState, own: DecayingEstimate, peers: DecayingEstimate, time: float) -> None:
     """Update an engine's estimate and its peers' estimate with a measured time."""
-    peer_estimate, own_estimate = peers.time * decay(front, peers.updated_at), value_at(front, own, peers)
+    peer_estimate, own_estimate = (
+        peers.time * decay_factor(front, peers.updated_at),
+        current_estimate(front, own, peers),
+    )
     # The older the estimates, the more the new sample weighs. A front that measures only one prefill every
     # few seconds must not rely during congestion on what it learned before.
-    sample_weight = 1 - decay(front, peers.updated_at, SAMPLE_HALF_LIFE)
-    own_sample_weight = 1 - decay(front, own.updated_at, SAMPLE_HALF_LIFE)
+    sample_weight = 1 - decay_factor(front, peers.updated_at, SAMPLE_HALF_LIFE)
+    own_sample_weight = 1 - decay_factor(front, own.updated_at, SAMPLE_HALF_LIFE)
     # The sample is capped in the peers' estimate: a few engines that hang must not make all look slow.
     sample = min(time, 3 * peer_estimate + OUTLIER_ALLOWANCE)
     peers.time = peer_estimate + (sample - peer_estimate) * max(
@@ -62,7 +65,7 @@
     peers.updated_at = own.updated_at = front.now
 
 
-def queueing_delay(front: FrontState, engine: Engine) -> float:
+def predicted_queueing_delay(front: FrontState, engine: Engine) -> float:
     """Return the predicted delay of a prefill due to other fronts' prefills or a slow engine.
 
     An engine without recent samples is assumed to behave like its peers.
@@ -71,14 +74,14 @@
     # congested.
     is_warm = warmup_fraction(front, engine) == 1.0
     peers = front.usual_queueing_delays[engine.role] if is_warm else DecayingEstimate()
-    return value_at(front, engine.queueing_delay, peers)
+    return current_estimate(front, engine.queueing_delay, peers)
 
 
-def decode_wait(front: FrontState, engine: Engine) -> int:
+def predicted_decode_wait(front: FrontState, engine: Engine) -> int:
     """Return the predicted time from sending a decode to an engine until its first token."""
     waiting = engine.waiting_decodes
     oldest = next(iter(waiting.values())) if waiting else front.now
-    expected = value_at(front, engine.decode_wait, front.usual_decode_waits[engine.role])
+    expected = current_estimate(front, engine.decode_wait, front.usual_decode_waits[engine.role])
     return max(int(expected), front.now - oldest)
 
 
@@ -102,10 +105,10 @@
 def predicted_first_token_time(front: FrontState, engine: Engine, request: Request) -> int:
     """Return how long a prefill that is sent to an engine now would take."""
     own_time = tokens_to_prefill(front, engine, request) / prefill_rate(front, engine)
-    return queue_time(front, engine) + int(own_time + queueing_delay(front, engine))
+    return predicted_queue_time(front, engine) + int(own_time + predicted_queueing_delay(front, engine))
 
 
-def queue_time(front: FrontState, engine: Engine) -> int:
+def predicted_queue_time(front: FrontState, engine: Engine) -> int:
     """Return how long an engine needs for the prefills that are known to be in its queue."""
     report = current_load_report(front, engine)
     reported = 0.0
--- a/runspool/scheduling/prefill_selection.py
+++ b/runspool/scheduling/prefill_selection.py
@@ -18,9 +18,9 @@
 from runspool.scheduling.front_state import FrontState
 from runspool.scheduling.latency_estimator import (
     predicted_first_token_time,
+    predicted_queue_time,
+    predicted_queueing_delay,
     prefill_rate,
-    queue_time,
-    queueing_delay,
 )
 from runspool.scheduling.prefix_affinity import tokens_to_prefill
 from runspool.scheduling.transfer_cost import placement_cost
@@ -60,7 +60,7 @@
     if _responses_have_spare_time(front, request) or not has_no_fleet_signal(front):
         engines += [e for e in mixed if not has_active_streams(front, e)]
     best = _soonest(front, request, eligible_engines(front, request, engines, failed, first_executed))
-    if best and queue_time(front, best) + queueing_delay(front, best) <= 2 * queue_limit:
+    if best and predicted_queue_time(front, best) + predicted_queueing_delay(front, best) <= 2 * queue_limit:
         return best
     # A prefill interrupts the engine's streams, so only one that is short compared with a response may spill.
     time_per_token = class_state.settings.time_per_output_token
--- a/runspool/scheduling/retry_policy.py
+++ b/runspool/scheduling/retry_policy.py
@@ -10,7 +10,7 @@
 from runspool.scheduling.admission import retry_after
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.front_state import FrontState
-from runspool.scheduling.latency_estimator import decode_wait, predicted_first_token_time
+from runspool.scheduling.latency_estimator import predicted_decode_wait, predicted_first_token_time
 from runspool.scheduling.request_progress import RequestProgress
 from runspool.scheduling.time_units import MILLISECOND
 from runspool.scheduling.transfer_cost import transfer_delay
@@ -98,7 +98,7 @@
     prefill_engine = progress.prefill_engine
     if prefill_engine is None:
         return predicted_first_token_time(front, engine, progress.request)
-    wait = decode_wait(front, engine)
+    wait = predicted_decode_wait(front, engine)
     if prefill_engine.rack != engine.rack:
         wait += int(transfer_delay(front, prefill_engine.rack))
     return wait
--- a/runspool/scheduling/transfer_cost.py
+++ b/runspool/scheduling/transfer_cost.py
@@ -8,7 +8,7 @@
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.fleet_statistics import FULL_LOAD_WAIT, refresh_fleet_statistics
 from runspool.scheduling.front_state import FrontState
-from runspool.scheduling.latency_estimator import value_at
+from runspool.scheduling.latency_estimator import current_estimate
 from runspool.scheduling.types import Role
 
 # Wait, in first-token objectives, that is equivalent to a price of one request's weight.
@@ -41,7 +41,7 @@
 
 def transfer_delay(front: FrontState, rack: int) -> float:
     """Return the estimated time that a state transfer out of a rack adds to the wait for a first token."""
-    return value_at(front, front.rack_transfer_delays[rack], front.usual_transfer_delay)
+    return current_estimate(front, front.rack_transfer_delays[rack], front.usual_transfer_delay)
 
 
 def transfer_cost(front: FrontState, engine: Engine, prefill_engine: Engine) -> float:
--- a/tests/test_queueing_delay.py
+++ b/tests/test_queueing_delay.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from runspool.scheduling.latency_estimator import queueing_delay, update
+from runspool.scheduling.latency_estimator import predicted_queueing_delay, update_estimate
 from runspool.scheduling.slow_start import warmup_fraction
 from runspool.scheduling.time_units import SECOND
 from runspool.scheduling.types import AttemptStatus, Role
@@ -15,7 +15,7 @@
     host.end_attempt(request, AttemptStatus.TIMED_OUT, duration=30_000)
     scheduler = host.driver.scheduler
     peer = scheduler.engines[1 - host.attempts[0].engine]
-    assert queueing_delay(scheduler, peer) < 2_000
+    assert predicted_queueing_delay(scheduler, peer) < 2_000
 
 
 def test_one_timed_prefill_tells_the_delay_of_an_engine_not_used_for_long() -> None:
@@ -23,7 +23,7 @@
     request = host.submit(500)
     host.end_attempt(request, AttemptStatus.TIMED_OUT, duration=20_000)
     slow_engine = host.driver.scheduler.engines[host.attempts[0].engine]
-    assert queueing_delay(host.driver.scheduler, slow_engine) > 15_000
+    assert predicted_queueing_delay(host.driver.scheduler, slow_engine) > 15_000
 
 
 def test_front_that_seldom_uses_each_engine_knows_congestion_after_three_prefills() -> None:
@@ -42,10 +42,12 @@
     scheduler = host.driver.scheduler
     usual_delay = scheduler.usual_queueing_delays[Role.PREFILL]
     for engine in (0, 1):
-        update(scheduler, scheduler.engines[engine].queueing_delay, usual_delay, SECOND)
+        update_estimate(scheduler, scheduler.engines[engine].queueing_delay, usual_delay, SECOND)
     host.update_engine(2, started_at=host.now - SECOND)
     cold_engine = scheduler.engines[2]
-    assert warmup_fraction(scheduler, cold_engine) < 1 and queueing_delay(scheduler, cold_engine) == 0
-    assert queueing_delay(scheduler, scheduler.engines[0]) > 0
-    update(scheduler, cold_engine.queueing_delay, usual_delay, SECOND)
-    assert queueing_delay(scheduler, cold_engine) > 0
+    assert (
+        warmup_fraction(scheduler, cold_engine) < 1 and predicted_queueing_delay(scheduler, cold_engine) == 0
+    )
+    assert predicted_queueing_delay(scheduler, scheduler.engines[0]) > 0
+    update_estimate(scheduler, cold_engine.queueing_delay, usual_delay, SECOND)
+    assert predicted_queueing_delay(scheduler, cold_engine) > 0
