--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -24,7 +24,9 @@
 RESPONSE_TIME_SAMPLES = 32
 
 
-def record_start(front: FrontState, request: Request, engine: Engine, prefill_engine: Engine | None) -> None:
+def record_attempt_start(
+    front: FrontState, request: Request, engine: Engine, prefill_engine: Engine | None
+) -> None:
     """Count an attempt on its engine; `prefill_engine` holds the prefill state that a decode attempt uses."""
     front.open_attempts[request.index] = OpenAttempt(engine, front.now)
     front.active_engines[engine.id] = engine
@@ -38,7 +40,7 @@
         engine.stream_tokens += engine.streams[request.index]
 
 
-def record_end(
+def record_attempt_end(
     front: FrontState,
     request: Request,
     outcome: AttemptOutcome,
@@ -187,7 +189,7 @@
     class_state.mean_output_tokens = tokens if not mean else mean + (tokens - mean) / RUNNING_MEAN_SAMPLES
 
 
-def forget_request(front: FrontState, request: Request) -> None:
+def remove_request(front: FrontState, request: Request) -> None:
     """Remove all entries of a request from its engine.
 
     An entry that is never removed would make its engine look more overdue as time passes.
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -33,10 +33,10 @@
     retry_time,
 )
 from runspool.scheduling.attempt_accounting import (
-    forget_request,
-    record_end,
-    record_start,
+    record_attempt_end,
+    record_attempt_start,
     record_stream_end,
+    remove_request,
 )
 from runspool.scheduling.decode_selection import select_decode
 from runspool.scheduling.endpoint_updates import apply_endpoint_update
@@ -48,7 +48,7 @@
     attempt_timeout,
     final_response,
     may_continue,
-    record_attempt,
+    record_attempt_outcome,
     reservation_ends_before_connect,
     take_retry_token,
 )
@@ -70,7 +70,7 @@
             else:
                 yield from self._serve(begin_request(self, request))
         except BaseException:
-            forget_request(self, request)
+            remove_request(self, request)
             raise
         finally:
             self.prefill_queue = [
@@ -133,14 +133,14 @@
         request, prefill_engine, sent_at = progress.request, progress.prefill_engine, self.now
         progress.attempts += 1
         timeout = attempt_timeout(self, progress, engine)
-        record_start(self, request, engine, prefill_engine)
+        record_attempt_start(self, request, engine, prefill_engine)
         outcome: AttemptOutcome = yield StartAttempt(engine.id, timeout)
-        record_end(self, request, outcome, prefill_engine)
+        record_attempt_end(self, request, outcome, prefill_engine)
         if outcome.status is AttemptStatus.STREAM_STARTED:
             completion: AttemptOutcome = yield AwaitCompletion()
             record_stream_end(self, request, completion, 0 if prefill_engine else outcome.duration)
             return True
-        if record_attempt(self, progress, engine, outcome, sent_at):
+        if record_attempt_outcome(self, progress, engine, outcome, sent_at):
             yield ReleaseState()
             progress.prefill_engine = None
         return False
