--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -84,14 +84,14 @@
 ) -> None:
     """Learn how much longer a decode waited than one that needs no transfer between racks."""
     if outcome.status in (AttemptStatus.STREAM_STARTED, AttemptStatus.TIMED_OUT):
-        usual = front.usual_decode_waits[engine.role]
+        usual = front.role_decode_waits[engine.role]
         extra = outcome.duration - current_estimate(front, engine.decode_wait, usual)
         own = front.rack_transfer_delays[prefill_engine.rack]
-        update_estimate(front, own, front.usual_transfer_delay, max(0.0, extra))
+        update_estimate(front, own, front.fleet_transfer_delay, max(0.0, extra))
 
 
 def _learn_decode_wait(front: FrontState, engine: Engine, outcome: AttemptOutcome) -> None:
-    update_estimate(front, engine.decode_wait, front.usual_decode_waits[engine.role], outcome.duration)
+    update_estimate(front, engine.decode_wait, front.role_decode_waits[engine.role], outcome.duration)
 
 
 def _learn_from_prefill(
@@ -113,7 +113,7 @@
     if outcome.status is not AttemptStatus.STREAM_STARTED:
         record_prefill_rate(front, engine, queued_tokens, outcome.duration)
     delay = max(0.0, outcome.duration - queued_tokens / front.prefill_rates[engine.role])
-    update_estimate(front, engine.queueing_delay, front.usual_queueing_delays[engine.role], delay)
+    update_estimate(front, engine.queueing_delay, front.role_queueing_delays[engine.role], delay)
     record_cached_texts(engine, request)
 
 
@@ -125,7 +125,7 @@
         # The engine cannot compute its queue within the objective. A recorded delay of at least the objective
         # keeps hundreds of fronts from sending to it again at once.
         delay = max(outcome.duration, front.class_state(request).settings.first_token_objective)
-        update_estimate(front, engine.queueing_delay, front.usual_queueing_delays[engine.role], delay)
+        update_estimate(front, engine.queueing_delay, front.role_queueing_delays[engine.role], delay)
     if engine.role is not Role.PREFILL and not engine.observed_capacity:
         present = engine.stream_tokens + int(tokens_of_other_fronts(front, engine))
         engine.observed_capacity = max(present, engine.memory_tokens // 2)
@@ -139,7 +139,7 @@
     if timed_out and tokens:
         # Without this sample only attempts that finished in time would determine the estimate.
         update_estimate(
-            front, engine.queueing_delay, front.usual_queueing_delays[engine.role], outcome.duration
+            front, engine.queueing_delay, front.role_queueing_delays[engine.role], outcome.duration
         )
     elif timed_out and is_local_decode:
         _learn_decode_wait(front, engine, outcome)
--- a/runspool/scheduling/front_state.py
+++ b/runspool/scheduling/front_state.py
@@ -81,12 +81,12 @@
         # Tokens per tenth of a millisecond, by role.
         self.prefill_rates = dict.fromkeys(Role, INITIAL_PREFILL_RATE)
         # Queueing delays of prefills and waits of decodes, over all engines of a role.
-        self.usual_queueing_delays = {role: DecayingEstimate() for role in Role}
-        self.usual_decode_waits = {role: DecayingEstimate() for role in Role}
+        self.role_queueing_delays = {role: DecayingEstimate() for role in Role}
+        self.role_decode_waits = {role: DecayingEstimate() for role in Role}
         self.rack_transfer_delays: defaultdict[int, DecayingEstimate] = defaultdict(DecayingEstimate)
         """By rack: the time that a state transfer out of the rack adds to the wait for a first token."""
         # time that a state transfer adds to a wait, over all racks
-        self.usual_transfer_delay = DecayingEstimate()
+        self.fleet_transfer_delay = DecayingEstimate()
         # Decayed sum of the durations of responses from mixed engines.
         self.mixed_answer_time = 0.0
         # Decayed sum of the durations that the objectives per output token allow for responses of mixed
--- a/runspool/scheduling/latency_estimator.py
+++ b/runspool/scheduling/latency_estimator.py
@@ -73,7 +73,7 @@
     # The queue of a starting engine is as young as the engine, so congested peers must not make it look
     # congested.
     is_warm = warmup_fraction(front, engine) == 1.0
-    peers = front.usual_queueing_delays[engine.role] if is_warm else DecayingEstimate()
+    peers = front.role_queueing_delays[engine.role] if is_warm else DecayingEstimate()
     return current_estimate(front, engine.queueing_delay, peers)
 
 
@@ -81,7 +81,7 @@
     """Return the predicted time from sending a decode to an engine until its first token."""
     waiting = engine.waiting_decodes
     oldest = next(iter(waiting.values())) if waiting else front.now
-    expected = current_estimate(front, engine.decode_wait, front.usual_decode_waits[engine.role])
+    expected = current_estimate(front, engine.decode_wait, front.role_decode_waits[engine.role])
     return max(int(expected), front.now - oldest)
 
 
--- a/runspool/scheduling/transfer_cost.py
+++ b/runspool/scheduling/transfer_cost.py
@@ -41,7 +41,7 @@
 
 def transfer_delay(front: FrontState, rack: int) -> float:
     """Return the estimated time that a state transfer out of a rack adds to the wait for a first token."""
-    return current_estimate(front, front.rack_transfer_delays[rack], front.usual_transfer_delay)
+    return current_estimate(front, front.rack_transfer_delays[rack], front.fleet_transfer_delay)
 
 
 def transfer_cost(front: FrontState, engine: Engine, prefill_engine: Engine) -> float:
--- a/tests/test_prefill_selection.py
+++ b/tests/test_prefill_selection.py
@@ -98,8 +98,8 @@
     host = FakeSchedulerHost([PREFILL, PREFILL, DECODE])
     scheduler = host.driver.scheduler
     scheduler.engines[1].rack = 1
-    scheduler.usual_transfer_delay.time = SECOND
-    scheduler.usual_transfer_delay.updated_at = host.now
+    scheduler.fleet_transfer_delay.time = SECOND
+    scheduler.fleet_transfer_delay.updated_at = host.now
     scheduler.fleet_statistics_at = -1
     refresh_fleet_statistics(scheduler)
     assert scheduler.rack_balance[1] < 0.5
--- a/tests/test_queueing_delay.py
+++ b/tests/test_queueing_delay.py
@@ -34,13 +34,13 @@
         host.end_attempt(request, AttemptStatus.PREFILL_COMPLETE, duration=15_000)
         host.start_stream(request)
         host.end_attempt(request, AttemptStatus.SUCCEEDED, finished=True)
-    assert host.driver.scheduler.usual_queueing_delays[Role.PREFILL].time > 3_500
+    assert host.driver.scheduler.role_queueing_delays[Role.PREFILL].time > 3_500
 
 
 def test_engine_in_slow_start_has_no_delay_but_that_of_its_own_prefills() -> None:
     host = FakeSchedulerHost([PREFILL, PREFILL, PREFILL, DECODE], routing_settings(front_count=100))
     scheduler = host.driver.scheduler
-    usual_delay = scheduler.usual_queueing_delays[Role.PREFILL]
+    usual_delay = scheduler.role_queueing_delays[Role.PREFILL]
     for engine in (0, 1):
         update_estimate(scheduler, scheduler.engines[engine].queueing_delay, usual_delay, SECOND)
     host.update_engine(2, started_at=host.now - SECOND)
