--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -59,7 +59,7 @@
     would be extrapolated to a full engine.
     """
     refresh_fleet_statistics(front)
-    mean_tokens = front.mean_memory_use * (engine.memory_tokens or 1)
+    mean_tokens = front.mean_memory_share * (engine.memory_tokens or 1)
     evidence = EVIDENCE_STREAMS + len(engine.streams)
     estimated = (
         (front.settings.front_count - 1) * mean_tokens * evidence / (EVIDENCE_STREAMS + front.mean_streams)
@@ -108,7 +108,7 @@
     index = front.engine_index
     own = [e for e in front.active_engines.values() if e.ready and e.role is not Role.PREFILL]
     front.mean_streams = sum(len(e.streams) for e in own) / max(1, index.peer_count(Role.DECODE))
-    front.mean_memory_use = sum(e.stream_tokens for e in own) / max(1, index.decode_memory_tokens)
+    front.mean_memory_share = sum(e.stream_tokens for e in own) / max(1, index.decode_memory_tokens)
     if index.is_large(Role.PREFILL) and front.now < front.rack_balance_at + RACK_BALANCE_INTERVAL:
         return
     front.rack_balance_at = front.now
--- a/runspool/scheduling/prefill_selection.py
+++ b/runspool/scheduling/prefill_selection.py
@@ -81,8 +81,8 @@
 
 def _responses_have_spare_time(front: FrontState, request: Request) -> bool:
     """Return whether responses from mixed engines take well under the time allowed for their tokens."""
-    allowed = SPARE_RESPONSE_TIME_FRACTION * front.mixed_answer_time_allowed
-    return request.expected_output_tokens > 0 and front.mixed_answer_time <= allowed
+    allowed = SPARE_RESPONSE_TIME_FRACTION * front.mixed_response_time_allowed
+    return request.expected_output_tokens > 0 and front.mixed_response_time <= allowed
 
 
 def _soonest(front: FrontState, request: Request, engines: list[Engine]) -> Engine | None:
