--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from runspool.scheduling.engine_state import NO_PREFILL, Engine, QueuedPrefill
-from runspool.scheduling.fleet_statistics import memory_weight, tokens_of_other_fronts
+from runspool.scheduling.fleet_statistics import expected_memory_tokens, tokens_of_other_fronts
 from runspool.scheduling.front_state import FrontState, OpenAttempt
 from runspool.scheduling.latency_estimator import current_estimate, record_prefill_rate, update_estimate
 from runspool.scheduling.outlier_detection import record_failure
@@ -36,7 +36,7 @@
         engine.prefills[request.index] = QueuedPrefill(front.now, tokens, engine.prefill_tokens)
     if engine.role is not Role.PREFILL:
         engine.waiting_decodes[request.index] = front.now
-        engine.streams[request.index] = memory_weight(front, request)
+        engine.streams[request.index] = expected_memory_tokens(front, request)
         engine.stream_tokens += engine.streams[request.index]
 
 
--- a/runspool/scheduling/decode_selection.py
+++ b/runspool/scheduling/decode_selection.py
@@ -4,7 +4,7 @@
 
 from runspool.scheduling.engine_eligibility import eligible_engines, engines_in_view
 from runspool.scheduling.engine_state import Engine
-from runspool.scheduling.fleet_statistics import PACKING_THRESHOLD, carries_streams, decode_cost, load
+from runspool.scheduling.fleet_statistics import PACKING_THRESHOLD, decode_cost, load, may_have_streams
 from runspool.scheduling.front_state import FrontState
 from runspool.scheduling.latency_estimator import predicted_first_token_time
 from runspool.scheduling.transfer_cost import transfer_cost
@@ -61,7 +61,7 @@
     """Return the most loaded mixed engine in use; the reserved one is preferred if in the prefill's rack."""
     reserved = front.reserved_decode_engine
     return max(
-        (e for e in with_room if carries_streams(front, e) or e is reserved),
+        (e for e in with_room if may_have_streams(front, e) or e is reserved),
         default=None,
         key=lambda e: (
             e is reserved and e.rack == prefill_engine.rack,
@@ -74,7 +74,7 @@
 def _soonest_without_streams(front: FrontState, request: Request, with_room: list[Engine]) -> Engine | None:
     """Return the mixed engine without streams that can start a prefill soonest, or None."""
     reserved = front.reserved_prefill_engine
-    free = [e for e in with_room if not carries_streams(front, e) and e is not reserved]
+    free = [e for e in with_room if not may_have_streams(front, e) and e is not reserved]
     return min(
         free,
         default=None,
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -15,7 +15,7 @@
 PACKING_THRESHOLD = 0.8
 # Own streams on an engine at which the estimate of other fronts' streams there relies on them as much as on
 # the fleet's mean.
-EVIDENCE_STREAMS = 4
+PRIOR_STREAMS = 4
 # Wait for a first token, or for a rack's link, that costs as much as a fully loaded engine.
 FULL_LOAD_WAIT = SECOND
 # Upper bound on a rack's spare decode capacity per prefill engine, relative to the fleet's mean.
@@ -29,7 +29,7 @@
 RACK_BALANCE_REFERENCE_DELAY = 300 * MILLISECOND
 
 
-def memory_weight(front: FrontState, request: Request) -> int:
+def expected_memory_tokens(front: FrontState, request: Request) -> int:
     """Return the tokens that a request is expected to occupy in a decode engine's memory."""
     return request.prompt_tokens + int(front.class_state(request).mean_output_tokens)
 
@@ -40,7 +40,7 @@
     The load counts this front's streams, the estimated streams of other fronts and, if given, a further
     request. If the engine itself reports a higher utilization, that is used.
     """
-    own = engine.stream_tokens + (memory_weight(front, request) if request else 0)
+    own = engine.stream_tokens + (expected_memory_tokens(front, request) if request else 0)
     capacity = engine.observed_capacity or engine.memory_tokens
     report = current_load_report(front, engine)
     reported = max(report.memory_utilization or 0.0, report.slot_utilization or 0.0) if report else 0.0
@@ -60,9 +60,9 @@
     """
     refresh_fleet_statistics(front)
     mean_tokens = front.mean_memory_share * (engine.memory_tokens or 1)
-    evidence = EVIDENCE_STREAMS + len(engine.streams)
+    evidence = PRIOR_STREAMS + len(engine.streams)
     estimated = (
-        (front.settings.front_count - 1) * mean_tokens * evidence / (EVIDENCE_STREAMS + front.mean_streams)
+        (front.settings.front_count - 1) * mean_tokens * evidence / (PRIOR_STREAMS + front.mean_streams)
     )
     if front.mean_streams >= 1 or not engine.memory_tokens:
         return estimated
@@ -77,9 +77,9 @@
     return load(front, engine, request) + predicted_decode_wait(front, engine) / FULL_LOAD_WAIT
 
 
-def carries_streams(front: FrontState, engine: Engine) -> bool:
+def may_have_streams(front: FrontState, engine: Engine) -> bool:
     """Return whether an engine has streams, or may have some that this front cannot know of."""
-    return has_active_streams(front, engine) or has_no_fleet_signal(front)
+    return has_active_streams(front, engine) or lacks_stream_evidence(front)
 
 
 def has_active_streams(front: FrontState, engine: Engine) -> bool:
@@ -88,7 +88,7 @@
     return bool(engine.streams or (report and report.requests_in_flight))
 
 
-def has_no_fleet_signal(front: FrontState) -> bool:
+def lacks_stream_evidence(front: FrontState) -> bool:
     """Return whether this front has less than one stream per engine that can decode.
 
     The absence of own streams on an engine then does not show that other fronts have none there.
--- a/runspool/scheduling/prefill_selection.py
+++ b/runspool/scheduling/prefill_selection.py
@@ -10,10 +10,10 @@
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.fleet_statistics import (
     PACKING_THRESHOLD,
-    carries_streams,
     has_active_streams,
-    has_no_fleet_signal,
+    lacks_stream_evidence,
     load,
+    may_have_streams,
 )
 from runspool.scheduling.front_state import FrontState
 from runspool.scheduling.latency_estimator import (
@@ -57,7 +57,7 @@
     engines = engines_in_view(front, request, Role.PREFILL) if can_decode else []
     # A prefill interrupts the engine's streams, which this front may not know of. It is therefore allowed
     # only if responses have time to spare.
-    if _responses_have_spare_time(front, request) or not has_no_fleet_signal(front):
+    if _responses_have_spare_time(front, request) or not lacks_stream_evidence(front):
         engines += [e for e in mixed if not has_active_streams(front, e)]
     best = _soonest(front, request, eligible_engines(front, request, engines, failed, first_executed))
     if best and predicted_queue_time(front, best) + predicted_queueing_delay(front, best) <= 2 * queue_limit:
@@ -67,7 +67,7 @@
     engines += [
         e
         for e in mixed
-        if carries_streams(front, e)
+        if may_have_streams(front, e)
         and load(front, e, request) < PACKING_THRESHOLD
         and tokens_to_prefill(front, e, request) / prefill_rate(front, e)
         < MAX_SPILL_FRACTION * class_state.mean_output_tokens * time_per_token
