--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -9,7 +9,7 @@
 
 from bisect import insort
 
-from runspool.scheduling.engine_eligibility import engines_in_view
+from runspool.scheduling.engine_eligibility import candidate_engines
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.fleet_statistics import PRIOR_STREAMS, decode_cost, refresh_fleet_statistics
 from runspool.scheduling.front_state import FrontState, QueuePosition, TenantArrivals
@@ -152,8 +152,8 @@
     If the request cannot start in time on any engine, it is marked as given up.
     """
     request = progress.request
-    decode_capable = engines_in_view(front, request, Role.MIXED)
-    decode_capable += engines_in_view(front, request, Role.DECODE)
+    decode_capable = candidate_engines(front, request, Role.MIXED)
+    decode_capable += candidate_engines(front, request, Role.DECODE)
     own_time = tokens_to_prefill(front, engine, request) / prefill_rate(front, engine)
     shortest_decode_wait = min((predicted_decode_wait(front, e) for e in decode_capable), default=0)
     wait = predicted_first_token_time(front, engine, request) - own_time + shortest_decode_wait
@@ -173,7 +173,7 @@
     return engine
 
 
-def next_look(front: FrontState, progress: RequestProgress) -> int | None:
+def next_selection_time(front: FrontState, progress: RequestProgress) -> int | None:
     """Return when to select an engine again, or None once the first token is due."""
     is_prefill = not progress.prefill_engine
     if is_prefill:
@@ -196,7 +196,7 @@
 
 def retry_after(front: FrontState, request: Request) -> int:
     """Return how long a rejected client is asked to wait before it retries; 0 if it is not told."""
-    engines = engines_in_view(front, request, Role.PREFILL)
+    engines = candidate_engines(front, request, Role.PREFILL)
     soonest = min((predicted_first_token_time(front, e, request) for e in engines), default=0)
     # Clients that retry during the congestion that caused their rejection would only add to it.
     wait = max(MIN_RETRY_AFTER, RETRY_AFTER_FACTOR * soonest)
--- a/runspool/scheduling/decode_selection.py
+++ b/runspool/scheduling/decode_selection.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from runspool.scheduling.engine_eligibility import eligible_engines, engines_in_view
+from runspool.scheduling.engine_eligibility import candidate_engines, eligible_engines
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.fleet_statistics import PACKING_THRESHOLD, decode_cost, load, may_have_streams
 from runspool.scheduling.front_state import FrontState
@@ -32,7 +32,7 @@
     """
     mixed, decode = (
         eligible_engines(
-            front, request, engines_in_view(front, request, role, prefill_engine), failed, first_executed
+            front, request, candidate_engines(front, request, role, prefill_engine), failed, first_executed
         )
         for role in (Role.MIXED, Role.DECODE)
     )
--- a/runspool/scheduling/endpoint_updates.py
+++ b/runspool/scheduling/endpoint_updates.py
@@ -9,7 +9,7 @@
 from runspool.scheduling.types import EndpointUpdate, EngineRecord, EngineState, Role
 
 # Engines that have left the list whose learned estimates are kept, in case they return.
-DEPARTED_ENGINES_KEPT = 50
+MAX_DEPARTED_ENGINES = 50
 
 
 def apply_endpoint_update(front: FrontState, update: EndpointUpdate) -> None:
@@ -69,7 +69,7 @@
 def _remove_departed_engines(front: FrontState) -> None:
     """Remove all but the latest departed engines, whose records would otherwise accumulate over weeks."""
     departed = [e.id for e in front.engines.values() if not (e.ready or e.prefills or e.streams)]
-    for engine_id in departed[: max(0, len(departed) - DEPARTED_ENGINES_KEPT)]:
+    for engine_id in departed[: max(0, len(departed) - MAX_DEPARTED_ENGINES)]:
         del front.engines[engine_id]
     for rack in front.rack_transfer_delays.keys() - {e.rack for e in front.engines.values()}:
         del front.rack_transfer_delays[rack]
--- a/runspool/scheduling/engine_eligibility.py
+++ b/runspool/scheduling/engine_eligibility.py
@@ -4,7 +4,7 @@
 
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.front_state import FrontState
-from runspool.scheduling.outlier_detection import without_outliers
+from runspool.scheduling.outlier_detection import exclude_ejected
 from runspool.scheduling.slow_start import admits_during_slow_start
 from runspool.scheduling.types import DeduplicationScope, Idempotency, Request, Role
 
@@ -12,7 +12,7 @@
 MAX_AFFINITY_CANDIDATES = 8
 
 
-def engines_in_view(
+def candidate_engines(
     front: FrontState, request: Request, role: Role, prefill_engine: Engine | None = None
 ) -> list[Engine]:
     """Return the ready engines of a role that one decision examines: all, or a sample of a large fleet.
@@ -61,7 +61,7 @@
         and admits_during_slow_start(front, e, draw)
     ]
     engines = [e for e in engines if e.id not in failed] or engines
-    return without_outliers(front, engines)
+    return exclude_ejected(front, engines)
 
 
 def _in_deduplication_scope(
--- a/runspool/scheduling/outlier_detection.py
+++ b/runspool/scheduling/outlier_detection.py
@@ -22,7 +22,7 @@
     engine.consecutive_failures += 1
 
 
-def without_outliers(front: FrontState, engines: list[Engine]) -> list[Engine]:
+def exclude_ejected(front: FrontState, engines: list[Engine]) -> list[Engine]:
     """Return the engines that are not ejected.
 
     Engines that have an attempt in progress after an ejection are left out as well, unless no others remain.
--- a/runspool/scheduling/prefill_selection.py
+++ b/runspool/scheduling/prefill_selection.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from runspool.scheduling.engine_eligibility import eligible_engines, engines_in_view
+from runspool.scheduling.engine_eligibility import candidate_engines, eligible_engines
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.fleet_statistics import (
     PACKING_THRESHOLD,
@@ -51,10 +51,10 @@
         queue_limit: A duration. If the wait on the best engine is over twice this, engines that have streams
             are considered too.
     """
-    mixed, class_state = engines_in_view(front, request, Role.MIXED), front.class_state(request)
+    mixed, class_state = candidate_engines(front, request, Role.MIXED), front.class_state(request)
     # Without an engine that can decode, the prefill's state would be computed only to be released.
     can_decode = mixed or front.ready_engines(Role.DECODE)
-    engines = engines_in_view(front, request, Role.PREFILL) if can_decode else []
+    engines = candidate_engines(front, request, Role.PREFILL) if can_decode else []
     # A prefill interrupts the engine's streams, which this front may not know of. It is therefore allowed
     # only if responses have time to spare.
     if _responses_have_spare_time(front, request) or not lacks_stream_evidence(front):
@@ -75,7 +75,7 @@
     if not engines:
         engines = mixed
     if not engines and front.settings.decode_engines_prefill:
-        engines = engines_in_view(front, request, Role.DECODE)
+        engines = candidate_engines(front, request, Role.DECODE)
     return _soonest(front, request, eligible_engines(front, request, engines, failed, first_executed))
 
 
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -29,7 +29,7 @@
     begin_request,
     leave_queue,
     must_wait_in_queue,
-    next_look,
+    next_selection_time,
     retry_time,
 )
 from runspool.scheduling.attempt_accounting import (
@@ -108,7 +108,7 @@
         """Sleep until an engine is to be selected again; return False if the request is given up instead."""
         if progress.is_given_up:
             return False
-        wake_at = next_look(self, progress)
+        wake_at = next_selection_time(self, progress)
         if wake_at is None:
             return False
         if progress.reservation_ends_before(wake_at):
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from runspool.scheduling.endpoint_updates import DEPARTED_ENGINES_KEPT
+from runspool.scheduling.endpoint_updates import MAX_DEPARTED_ENGINES
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.time_units import SECOND
 from runspool.scheduling.transfer_cost import transfer_delay
@@ -63,8 +63,8 @@
             record = EngineRecord(number, PREFILL, 0, number, 0, state)
             host.driver.update_endpoints(host.now, EndpointUpdate(False, [record]))
             transfer_delay(scheduler, number)
-    assert len(scheduler.engines) <= DEPARTED_ENGINES_KEPT + 2
-    assert len(scheduler.rack_transfer_delays) <= DEPARTED_ENGINES_KEPT + 2
+    assert len(scheduler.engines) <= MAX_DEPARTED_ENGINES + 2
+    assert len(scheduler.rack_transfer_delays) <= MAX_DEPARTED_ENGINES + 2
 
 
 def test_engine_does_not_equal_another_with_the_same_values() -> None:
