--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -68,7 +68,7 @@
     class_state = front.class_state(request)
     deadline = front.now + request.time_budget - DEADLINE_MARGIN
     due = _first_token_due(front, request, deadline)
-    patience = _max_wait_fraction(front, request)
+    max_wait_fraction = _max_wait_fraction(front, request)
     is_over_share = _count_arrival(front, request)
     queue_limit = OVER_SHARE_QUEUE_LIMIT_FRACTION if is_over_share else QUEUE_LIMIT_FRACTION
     # A higher priority weight gives an earlier queue position. So does a longer wait, so that no class
@@ -80,8 +80,8 @@
         class_state=class_state,
         deadline=deadline,
         first_token_due=due,
-        patience=patience,
-        latest_queueing=front.now + int((due - front.now) * patience),
+        max_wait_fraction=max_wait_fraction,
+        queued_until=front.now + int((due - front.now) * max_wait_fraction),
         queue_limit=int(front.shortest_objective() * queue_limit),
         queue_position=QueuePosition(is_over_share, priority_time, request.index),
         # Without a release timeout of the platform, state may stay reserved for the request's time budget.
@@ -104,10 +104,10 @@
     refresh_fleet_statistics(front)
     # A front that has few streams, and so knows little about the queues, relies less on its predictions.
     evidence = front.mean_streams / (PRIOR_STREAMS + front.mean_streams)
-    patience = (
+    max_wait_fraction = (
         MAX_WAIT_FRACTION_WITHOUT_STREAMS + (MAX_WAIT_FRACTION - MAX_WAIT_FRACTION_WITHOUT_STREAMS) * evidence
     )
-    return patience * (CLIENT_RETRY_WAIT_FACTOR if request.is_client_retry else 1)
+    return max_wait_fraction * (CLIENT_RETRY_WAIT_FACTOR if request.is_client_retry else 1)
 
 
 def _count_arrival(front: FrontState, request: Request) -> bool:
@@ -126,7 +126,7 @@
 def must_wait_in_queue(front: FrontState, progress: RequestProgress) -> bool:
     """Return whether a request has to wait behind others in the prefill queue, and queue it if so."""
     queue = front.prefill_queue
-    if progress.prefill_engine or not queue or front.now >= progress.latest_queueing:
+    if progress.prefill_engine or not queue or front.now >= progress.queued_until:
         return False
     if queue[0] >= progress.queue_position:
         return False
@@ -159,7 +159,7 @@
     wait = predicted_first_token_time(front, engine, request) - own_time + shortest_decode_wait
     # The random factor varies the decision between requests; otherwise all fronts would reject, or admit,
     # everything at the same time.
-    left = (progress.first_token_due - front.now - own_time) * progress.patience
+    left = (progress.first_token_due - front.now - own_time) * progress.max_wait_fraction
     spare = max(MIN_SPARE_TIME, left)
     if not progress.attempts and wait * (0.5 + request.request_draw) > spare:
         progress.is_given_up = True
@@ -178,7 +178,7 @@
     is_prefill = not progress.prefill_engine
     if is_prefill:
         _enter_queue(front, progress)
-    # Past their `latest_queueing` time, requests evaluate the engines even if others are ahead of them. In a
+    # Past their `queued_until` time, requests evaluate the engines even if others are ahead of them. In a
     # long queue each of them does so less often, which saves CPU time.
     intervals = 1
     if is_prefill and front.prefill_queue[0] != progress.queue_position:
--- a/runspool/scheduling/decode_selection.py
+++ b/runspool/scheduling/decode_selection.py
@@ -15,8 +15,8 @@
     front: FrontState,
     request: Request,
     prefill_engine: Engine,
-    failed: list[int],
-    first_executed: Engine | None,
+    failed_engine_ids: list[int],
+    first_execution_engine: Engine | None,
 ) -> Engine | None:
     """Return the engine to decode a request, or None if no engine can.
 
@@ -27,12 +27,16 @@
         front: The front's state.
         request: The request to decode.
         prefill_engine: The engine that holds the prefill's state.
-        failed: Ids of engines to avoid while others are available.
-        first_executed: The engine of the first attempt that may have been executed, if any.
+        failed_engine_ids: Ids of engines to avoid while others are available.
+        first_execution_engine: The engine of the first attempt that may have been executed, if any.
     """
     mixed, decode = (
         eligible_engines(
-            front, request, candidate_engines(front, request, role, prefill_engine), failed, first_executed
+            front,
+            request,
+            candidate_engines(front, request, role, prefill_engine),
+            failed_engine_ids,
+            first_execution_engine,
         )
         for role in (Role.MIXED, Role.DECODE)
     )
--- a/runspool/scheduling/engine_eligibility.py
+++ b/runspool/scheduling/engine_eligibility.py
@@ -38,8 +38,8 @@
     front: FrontState,
     request: Request,
     engines: list[Engine],
-    failed: list[int],
-    first_executed: Engine | None,
+    failed_engine_ids: list[int],
+    first_execution_engine: Engine | None,
 ) -> list[Engine]:
     """Return those of the engines that a request may be sent to now.
 
@@ -47,12 +47,12 @@
         front: The front's state.
         request: The request to send.
         engines: The engines to choose from.
-        failed: Ids of engines to avoid while others are available.
-        first_executed: The engine of the first attempt that may have been executed. A repeat has to reach an
+        failed_engine_ids: Ids of engines to avoid while others are available.
+        first_execution_engine: The engine of the first attempt that may have been executed. A repeat has to reach an
             engine that shares its deduplication scope.
     """
-    if first_executed:
-        engines = _in_deduplication_scope(front, request, engines, first_executed)
+    if first_execution_engine:
+        engines = _in_deduplication_scope(front, request, engines, first_execution_engine)
     prompt_tokens, draw = request.prompt_tokens, request.request_draw
     engines = [
         e
@@ -60,14 +60,14 @@
         if (not e.memory_tokens or e.memory_tokens > prompt_tokens)
         and admits_during_slow_start(front, e, draw)
     ]
-    engines = [e for e in engines if e.id not in failed] or engines
+    engines = [e for e in engines if e.id not in failed_engine_ids] or engines
     return exclude_ejected(front, engines)
 
 
 def _in_deduplication_scope(
-    front: FrontState, request: Request, engines: list[Engine], first_executed: Engine
+    front: FrontState, request: Request, engines: list[Engine], first_execution_engine: Engine
 ) -> list[Engine]:
-    """Return the engines that recognize a repeat of an attempt that `first_executed` may have executed."""
+    """Return the engines that recognize a repeat of an attempt that `first_execution_engine` may have executed."""
     settings = front.class_state(request).settings
     scope = settings.deduplication_scope
     if settings.idempotency is not Idempotency.KEYED or scope is DeduplicationScope.ALL:
@@ -75,6 +75,6 @@
     return [
         e
         for e in engines
-        if e.zone == first_executed.zone
-        and (scope is DeduplicationScope.ZONE or e.rack == first_executed.rack)
+        if e.zone == first_execution_engine.zone
+        and (scope is DeduplicationScope.ZONE or e.rack == first_execution_engine.rack)
     ]
--- a/runspool/scheduling/prefill_selection.py
+++ b/runspool/scheduling/prefill_selection.py
@@ -37,7 +37,11 @@
 
 
 def select_prefill(
-    front: FrontState, request: Request, failed: list[int], first_executed: Engine | None, queue_limit: int
+    front: FrontState,
+    request: Request,
+    failed_engine_ids: list[int],
+    first_execution_engine: Engine | None,
+    queue_limit: int,
 ) -> Engine | None:
     """Return the engine to prefill a request, or None if no engine can.
 
@@ -46,8 +50,8 @@
     Args:
         front: The front's state.
         request: The request to prefill.
-        failed: Ids of engines to avoid while others are available.
-        first_executed: The engine of the first attempt that may have been executed, if any.
+        failed_engine_ids: Ids of engines to avoid while others are available.
+        first_execution_engine: The engine of the first attempt that may have been executed, if any.
         queue_limit: A duration. If the wait on the best engine is over twice this, engines that have streams
             are considered too.
     """
@@ -59,7 +63,9 @@
     # only if responses have time to spare.
     if _responses_have_spare_time(front, request) or not lacks_stream_evidence(front):
         engines += [e for e in mixed if not has_active_streams(front, e)]
-    best = _soonest(front, request, eligible_engines(front, request, engines, failed, first_executed))
+    best = _soonest(
+        front, request, eligible_engines(front, request, engines, failed_engine_ids, first_execution_engine)
+    )
     if best and predicted_queue_time(front, best) + predicted_queueing_delay(front, best) <= 2 * queue_limit:
         return best
     # A prefill interrupts the engine's streams, so only one that is short compared with a response may spill.
@@ -76,7 +82,9 @@
         engines = mixed
     if not engines and front.settings.decode_engines_prefill:
         engines = candidate_engines(front, request, Role.DECODE)
-    return _soonest(front, request, eligible_engines(front, request, engines, failed, first_executed))
+    return _soonest(
+        front, request, eligible_engines(front, request, engines, failed_engine_ids, first_execution_engine)
+    )
 
 
 def _responses_have_spare_time(front: FrontState, request: Request) -> bool:
--- a/runspool/scheduling/request_progress.py
+++ b/runspool/scheduling/request_progress.py
@@ -21,9 +21,9 @@
     deadline: int
     """The client's time limit less a margin; nothing is started after it."""
     first_token_due: int
-    patience: float
+    max_wait_fraction: float
     """Fraction of the time until `first_token_due` that a predicted wait may take."""
-    latest_queueing: int
+    queued_until: int
     """Until this time the request waits behind those ahead of it without evaluating engines."""
     queue_limit: int
     """Duration of a prefill engine's queue above which the request waits at the front."""
@@ -34,21 +34,21 @@
     """The engine that holds the prefill's state."""
     reserved_since: int = 0
     attempts: int = 0
-    connect_time_lost: int = 0
+    unsent_attempt_duration: int = 0
     """Duration of the last decode attempt if it was never sent, else 0."""
     needs_retry_token: bool = False
     """Whether the next prefill counts against the retry budget, because one timed out or was refused."""
-    first_executed: Engine | None = None
+    first_execution_engine: Engine | None = None
     """The engine of the first attempt that may have been executed."""
-    first_executed_at: int = 0
+    first_execution_at: int = 0
     """The time at which that attempt was sent."""
-    failed: list[int] = field(default_factory=list)
+    failed_engine_ids: list[int] = field(default_factory=list)
     """Ids of the engines that failed in the current stage, prefill or decode."""
-    unreached: list[int] = field(default_factory=list)
+    unresponsive_engine_ids: list[int] = field(default_factory=list)
     """Ids of the engines that did not respond to an attempt."""
     is_given_up: bool = False
     """Whether no engine can start the request in time."""
 
-    def reservation_ends_before(self, time: int) -> bool:
+    def reservation_expires_before(self, time: int) -> bool:
         """Return whether the prefill's state, if there is any, expires before the given time."""
         return self.prefill_engine is not None and time > self.reserved_since + self.reservation_duration
--- a/runspool/scheduling/retry_policy.py
+++ b/runspool/scheduling/retry_policy.py
@@ -46,20 +46,21 @@
         or front.now >= progress.deadline
     ):
         return False
-    if not progress.first_executed:
+    if not progress.first_execution_engine:
         return True
     settings = progress.class_state.settings
     if settings.idempotency is Idempotency.KEYED:
-        return front.now < progress.first_executed_at + settings.deduplication_window
+        return front.now < progress.first_execution_at + settings.deduplication_window
     return settings.idempotency is not Idempotency.AT_MOST_ONCE
 
 
-def reservation_ends_before_connect(front: FrontState, progress: RequestProgress) -> bool:
+def reservation_may_expire_during_connect(front: FrontState, progress: RequestProgress) -> bool:
     """Return whether a prefill's state may expire while another connection is tried."""
     # If connections to one decode engine after another fail, the state stays reserved meanwhile. The next
     # attempt may take as long as the last one, and the release needs time as well.
     return progress.prefill_engine is not None and (
-        front.now + progress.connect_time_lost >= progress.reserved_since + progress.reservation_duration
+        front.now + progress.unsent_attempt_duration
+        >= progress.reserved_since + progress.reservation_duration
     )
 
 
@@ -110,18 +111,21 @@
     """Update a request with the end of an attempt; return whether the prefill's state has to be released."""
     must_release = False
     if not (outcome.reached_engine or outcome.status is AttemptStatus.NOT_SENT):
-        progress.unreached.append(engine.id)
+        progress.unresponsive_engine_ids.append(engine.id)
     if outcome.status is AttemptStatus.PREFILL_COMPLETE:
         progress.prefill_engine, progress.reserved_since = engine, front.now
-        progress.failed, progress.connect_time_lost = list(progress.unreached), 0
+        progress.failed_engine_ids, progress.unsent_attempt_duration = (
+            list(progress.unresponsive_engine_ids),
+            0,
+        )
         front.retry_budget = min(MAX_RETRY_BUDGET, front.retry_budget + RETRY_TOKENS_PER_PREFILL)
     elif outcome.status is AttemptStatus.STATE_MISSING:
         progress.prefill_engine = None
     elif outcome.status is not AttemptStatus.SUCCEEDED:
         must_release = _record_failed_attempt(front, progress, engine, outcome)
     may_have_executed = engine.role is not Role.PREFILL and outcome.status not in NOT_EXECUTED
-    if may_have_executed and not progress.first_executed:
-        progress.first_executed, progress.first_executed_at = engine, sent_at
+    if may_have_executed and not progress.first_execution_engine:
+        progress.first_execution_engine, progress.first_execution_at = engine, sent_at
     return must_release
 
 
@@ -130,10 +134,10 @@
 ) -> bool:
     """Update a request with a failed attempt; return whether the prefill's state has to be released."""
     # An attempt that did not reach its engine has not stopped the state's time limit.
-    progress.connect_time_lost = outcome.duration if outcome.status in UNSENT_STATUSES else 0
+    progress.unsent_attempt_duration = outcome.duration if outcome.status in UNSENT_STATUSES else 0
     if outcome.reached_engine:
         progress.reserved_since = front.now
-    progress.failed.append(engine.id)
+    progress.failed_engine_ids.append(engine.id)
     progress.needs_retry_token = (
         not progress.prefill_engine
         and not progress.request.is_continuation
@@ -147,7 +151,7 @@
 def final_response(front: FrontState, progress: RequestProgress) -> Action:
     """Return the response to a request that was not completed, depending on whether a retry is safe."""
     settings = progress.class_state.settings
-    is_retry_harmful = progress.first_executed is not None and (
+    is_retry_harmful = progress.first_execution_engine is not None and (
         settings.idempotency is Idempotency.AT_MOST_ONCE
         or (
             settings.idempotency is Idempotency.KEYED
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -49,7 +49,7 @@
     final_response,
     may_continue,
     record_attempt_outcome,
-    reservation_ends_before_connect,
+    reservation_may_expire_during_connect,
     take_retry_token,
 )
 from runspool.scheduling.stream_migration import migrate_before_shutdown, stream_to_migrate
@@ -80,14 +80,14 @@
     def _serve(self, progress: RequestProgress) -> Generator[Action, Any, None]:
         """Take a request through prefill, decode and repeats to its final response."""
         while may_continue(self, progress):
-            if reservation_ends_before_connect(self, progress):
+            if reservation_may_expire_during_connect(self, progress):
                 yield ReleaseState()
                 progress.prefill_engine = None
                 # Without this pause a prefill that is sent at once could arrive before the release.
                 yield Sleep(retry_time(self, progress.deadline))
                 continue
             if must_wait_in_queue(self, progress):
-                yield Sleep(retry_time(self, progress.latest_queueing))
+                yield Sleep(retry_time(self, progress.queued_until))
                 continue
             engine = self.select_engine(progress)
             if engine is None:
@@ -111,7 +111,7 @@
         wake_at = next_selection_time(self, progress)
         if wake_at is None:
             return False
-        if progress.reservation_ends_before(wake_at):
+        if progress.reservation_expires_before(wake_at):
             yield ReleaseState()
             progress.prefill_engine = None
         yield Sleep(wake_at)
@@ -122,10 +122,18 @@
 
         May mark the request as given up.
         """
-        request, failed, first_executed = progress.request, progress.failed, progress.first_executed
+        request, failed_engine_ids, first_execution_engine = (
+            progress.request,
+            progress.failed_engine_ids,
+            progress.first_execution_engine,
+        )
         if progress.prefill_engine:
-            return select_decode(self, request, progress.prefill_engine, failed, first_executed)
-        engine = select_prefill(self, request, failed, first_executed, progress.queue_limit)
+            return select_decode(
+                self, request, progress.prefill_engine, failed_engine_ids, first_execution_engine
+            )
+        engine = select_prefill(
+            self, request, failed_engine_ids, first_execution_engine, progress.queue_limit
+        )
         return admit_prefill(self, progress, engine) if engine else None
 
     def _attempt(self, progress: RequestProgress, engine: Engine) -> Generator[Action, Any, bool]:
