--- a/runspool/scheduling/engine_eligibility.py
+++ b/runspool/scheduling/engine_eligibility.py
@@ -48,8 +48,8 @@
         request: The request to send.
         engines: The engines to choose from.
         failed_engine_ids: Ids of engines to avoid while others are available.
-        first_execution_engine: The engine of the first attempt that may have been executed. A repeat has to reach an
-            engine that shares its deduplication scope.
+        first_execution_engine: The engine of the first attempt that may have been executed, if any. A repeat
+            has to reach an engine that shares its deduplication scope.
     """
     if first_execution_engine:
         engines = _in_deduplication_scope(front, request, engines, first_execution_engine)
@@ -67,7 +67,7 @@
 def _in_deduplication_scope(
     front: FrontState, request: Request, engines: list[Engine], first_execution_engine: Engine
 ) -> list[Engine]:
-    """Return the engines that recognize a repeat of an attempt that `first_execution_engine` may have executed."""
+    """Return the engines that recognize a repeat of an attempt that may have been executed already."""
     settings = front.class_state(request).settings
     scope = settings.deduplication_scope
     if settings.idempotency is not Idempotency.KEYED or scope is DeduplicationScope.ALL:
