--- a/runspool/wire/completions.py
+++ b/runspool/wire/completions.py
@@ -88,21 +88,19 @@
     request_class, class_config = _parse_request_class(headers, config)
     tenant = headers.get("runspool-tenant")
     if tenant is not None and tenant not in config.house.tenants:
-        raise InvalidRequestError("runspool-tenant", f"{tenant!r} is not a known tenant")
+        raise InvalidRequestError("runspool-tenant", f"{tenant!r} is not known here")
     estimated_tokens = _estimate_prompt_tokens(parameters)
     prompt_tokens = _parse_integer_header(
         headers, "runspool-prompt-tokens", estimated_tokens, 1, MAX_PROMPT_TOKENS
     )
     max_output_tokens = _parse_max_output_tokens(parameters)
     if _parse_parameter(parameters, "n", int, 1) != 1:
-        raise InvalidRequestError("n", "must be 1: only one completion per request is supported")
+        raise InvalidRequestError("n", "only one answer a query is made")
     prefix = _parse_name_header(headers, "runspool-beginning")
     prefix_tokens = _parse_integer_header(headers, "runspool-beginning-tokens", 0, 0, prompt_tokens)
     idempotency_key = _parse_name_header(headers, "runspool-ticket")
     if class_config.effect == "ticketed" and idempotency_key is None:
-        raise InvalidRequestError(
-            "runspool-ticket", f"required for tariff {request_class}, which is ticketed"
-        )
+        raise InvalidRequestError("runspool-ticket", f"missing, and tariff {request_class} is ticketed")
     return CompletionRequest(
         request_class=request_class,
         tenant=tenant,
@@ -129,17 +127,17 @@
     classes = config.house.tariffs
     name = headers.get("runspool-tariff") or config.front.default_tariff
     if name is None:
-        raise InvalidRequestError("runspool-tariff", "required, as this front has no default tariff")
+        raise InvalidRequestError("runspool-tariff", "missing, and this front has no default tariff")
     class_config = classes.get(name)
     if class_config is None:
-        raise InvalidRequestError("runspool-tariff", f"{name!r} is not one of {', '.join(classes)}")
+        raise InvalidRequestError("runspool-tariff", f"{name!r} is none of {', '.join(classes)}")
     return name, class_config
 
 
 def _parse_max_output_tokens(parameters: dict[str, msgspec.Raw]) -> int:
     tokens = _parse_parameter(parameters, "max_tokens", int, DEFAULT_OUTPUT_TOKENS)
     if not 1 <= tokens <= MAX_OUTPUT_TOKENS:
-        raise InvalidRequestError("max_tokens", f"{tokens} is not between 1 and {MAX_OUTPUT_TOKENS}")
+        raise InvalidRequestError("max_tokens", f"{tokens} is not from 1 to {MAX_OUTPUT_TOKENS}")
     return tokens
 
 
@@ -187,7 +185,7 @@
     """Return the prompt's length in tokens: exact for a list of tokens, estimated by its bytes for a text."""
     raw = parameters.get("prompt")
     if raw is None:
-        raise InvalidRequestError("prompt", "required")
+        raise InvalidRequestError("prompt", "missing")
     encoded = bytes(raw)
     if encoded[:1] == b'"':
         text_bytes = len(encoded) - 2  # the quotation marks are not counted
@@ -195,7 +193,7 @@
     try:
         return max(1, len(msgspec.json.decode(encoded, type=list[int])))
     except JSON_DECODE_ERRORS:
-        raise InvalidRequestError("prompt", "must be one string or one list of token ids") from None
+        raise InvalidRequestError("prompt", "must be one text or one list of token numbers") from None
 
 
 def error_body(error_type: str, code: str, message: str) -> bytes:
--- a/runspool/wire/fields.py
+++ b/runspool/wire/fields.py
@@ -50,7 +50,7 @@
     is_integer = value.isascii() and value.isdigit() and len(value) <= MAX_INTEGER_DIGITS
     if not is_integer or not minimum <= int(value) <= maximum:
         raise InvalidRequestError(
-            field_name, f"{value[:MAX_QUOTED_LENGTH]!r} is not an integer between {minimum} and {maximum}"
+            field_name, f"{value[:MAX_QUOTED_LENGTH]!r} is no whole number from {minimum} to {maximum}"
         )
     return int(value)
 
@@ -62,5 +62,5 @@
         InvalidRequestError: The name is empty or longer than `MAX_NAME_LENGTH` characters.
     """
     if value is not None and not 0 < len(value) <= MAX_NAME_LENGTH:
-        raise InvalidRequestError(field_name, f"must have 1 to {MAX_NAME_LENGTH} characters")
+        raise InvalidRequestError(field_name, f"must have 1 to {MAX_NAME_LENGTH} bytes")
     return value
--- a/runspool/wire/http_requests.py
+++ b/runspool/wire/http_requests.py
@@ -107,13 +107,13 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._record_error(400, "malformed", "protocol upgrades are not supported")
+            self._record_error(400, "malformed", "no other protocol is spoken here")
         except httptools.HttpParserError as error:
             self._record_error(400, "malformed", str(error))
         last = self.ready[-1] if self.ready else None
         in_head = last is None or not last.head_complete
         if in_head and self._unparsed_head_bytes > self.head_bytes:
-            self._record_error(431, "malformed", f"request head exceeds {self.head_bytes} bytes")
+            self._record_error(431, "malformed", f"a head of over {self.head_bytes} bytes")
         if self._error is not None:
             while len(self.ready) > self._complete_before_error:
                 self.ready.pop()
@@ -149,9 +149,9 @@
         headers = self.ready[-1].headers
         key = name.decode("latin-1").lower()
         if len(headers) >= MAX_HEADERS:
-            self._record_error(431, "malformed", f"request has more than {MAX_HEADERS} headers")
+            self._record_error(431, "malformed", f"more than {MAX_HEADERS} headers")
         elif key in headers and key.startswith(self.unique_prefixes):
-            self._record_error(400, "malformed", f"{key} is repeated")
+            self._record_error(400, "malformed", f"{key} is said twice")
         else:
             headers[key] = value.decode("latin-1")
 
@@ -164,19 +164,17 @@
         self._unparsed_head_bytes = 0
         length = int(request.headers.get("content-length", "0"))  # validated by httptools
         if request.version not in ("1.0", "1.1"):
-            self._record_error(505, "malformed", f"HTTP/{request.version} is not supported")
+            self._record_error(505, "malformed", f"HTTP/{request.version} is not spoken here")
         elif request.version == "1.1" and "host" not in request.headers:
-            self._record_error(400, "malformed", "missing host header")
+            self._record_error(400, "malformed", "no host header")
         elif length > self.body_bytes:
-            self._record_error(
-                413, "query_bytes", f"request body of {length} bytes, maximum is {self.body_bytes} bytes"
-            )
+            self._record_error(413, "query_bytes", f"a body of {length} bytes, {self.body_bytes} are taken")
 
     def on_body(self, part: bytes) -> None:
         """Append a part of the body; record an error if it exceeds the size limit."""
         body = self.ready[-1].body
         if len(body) + len(part) > self.body_bytes:
-            self._record_error(413, "query_bytes", f"request body exceeds {self.body_bytes} bytes")
+            self._record_error(413, "query_bytes", f"a body of over {self.body_bytes} bytes")
         elif self._error is None:
             body += part
 
