--- a/runspool/cli/main.py
+++ b/runspool/cli/main.py
@@ -11,7 +11,7 @@
 
 from runspool.cli import cells as cells_commands
 from runspool.cli import terms as terms_commands
-from runspool.logs import start_logs
+from runspool.logs import configure_logging
 from runspool.service.front_server import run_front
 
 # In the benchmark of a front, uvloop needed a sixth less CPU time than the standard library's event loop.
@@ -47,7 +47,7 @@
 ) -> None:
     """Run one front until SIGTERM. Write logs as JSON lines to standard error."""
     config = terms_commands.load_or_exit(file, var)
-    start_logs(config.front.log_level)
+    configure_logging(config.front.log_level)
     try:
         anyio.run(partial(run_front, config, recording, seed), backend_options=EVENT_LOOP_OPTIONS)
     except* OSError as errors:
--- a/runspool/logs.py
+++ b/runspool/logs.py
@@ -15,11 +15,11 @@
 # Maximum number of bytes per write: a pipe that is reported writable accepts PIPE_BUF bytes without blocking.
 MAX_WRITE_BYTES = 4_096
 STANDARD_ERROR_DESCRIPTOR = 2
-LINES_PER_SECOND = 20.0  # long-term average rate of a BoundedLog
-LINES_AT_ONCE = 200.0  # largest burst of a BoundedLog, in lines
+LINES_PER_SECOND = 20.0  # long-term average rate of a RateLimitedLog
+MAX_BURST_LINES = 200.0  # largest burst of a RateLimitedLog, in lines
 
 
-class SafeSink:
+class NonBlockingLogFile:
     """A log file on a file descriptor that drops and counts the lines that it cannot write immediately.
 
     A full pipe without a reader therefore cannot block the process, and a failed disk or a closed pipe
@@ -73,7 +73,7 @@
         return any(event & select.POLLOUT for _, event in self._poll.poll(0))
 
 
-class BoundedLog:
+class RateLimitedLog:
     """A logger with a rate limit (token bucket).
 
     After lines were suppressed, the next logged line holds their number in the field "left_out_before".
@@ -81,7 +81,7 @@
     Attributes:
         clock: Returns the current time in seconds.
         available_lines: Number of lines that may be logged now. It grows by `LINES_PER_SECOND` per second, up
-            to `LINES_AT_ONCE`.
+            to `MAX_BURST_LINES`.
         updated_at: Time at which `available_lines` was computed, in seconds.
         suppressed_lines: Number of lines suppressed since the last logged line.
     """
@@ -89,7 +89,7 @@
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
         self.log = structlog.get_logger()
-        self.available_lines = LINES_AT_ONCE
+        self.available_lines = MAX_BURST_LINES
         self.updated_at = clock()
         self.suppressed_lines = 0
 
@@ -97,7 +97,7 @@
         """Log an event at level "info", or count it as suppressed where the rate limit is exceeded."""
         now = self.clock()
         elapsed = now - self.updated_at
-        self.available_lines = min(LINES_AT_ONCE, self.available_lines + elapsed * LINES_PER_SECOND)
+        self.available_lines = min(MAX_BURST_LINES, self.available_lines + elapsed * LINES_PER_SECOND)
         self.updated_at = now
         if self.available_lines < 1:
             self.suppressed_lines += 1
@@ -109,7 +109,7 @@
         self.log.info(event, **fields)
 
 
-def keep_standard_descriptors() -> None:
+def open_standard_descriptors() -> None:
     """Open the null device in place of a standard input, output or error that is closed.
 
     Otherwise the next socket would get the number of the closed descriptor, and output for standard output or
@@ -122,7 +122,7 @@
             os.open(os.devnull, os.O_RDWR)  # open() returns the lowest free descriptor, which is this one
 
 
-def start_logs(level: str) -> None:
+def configure_logging(level: str) -> None:
     """Configure structlog to write JSON lines with event, time and level to standard error.
 
     Args:
@@ -138,7 +138,7 @@
             structlog.processors.JSONRenderer(serializer=_encode_event),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(getattr(logging, level.upper(), logging.INFO)),
-        logger_factory=structlog.BytesLoggerFactory(file=SafeSink(STANDARD_ERROR_DESCRIPTOR)),  # type: ignore[arg-type]
+        logger_factory=structlog.BytesLoggerFactory(file=NonBlockingLogFile(STANDARD_ERROR_DESCRIPTOR)),  # type: ignore[arg-type]
         cache_logger_on_first_use=True,
     )
 
--- a/runspool/node/__main__.py
+++ b/runspool/node/__main__.py
@@ -18,12 +18,12 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     import anyio
 
-    from runspool.logs import keep_standard_descriptors, start_logs
+    from runspool.logs import configure_logging, open_standard_descriptors
     from runspool.node.config import InvalidNodeConfigError
     from runspool.node.server import run_node
 
-    keep_standard_descriptors()
-    start_logs(os.environ.get("RUNSPOOL_LOG", "info"))
+    open_standard_descriptors()
+    configure_logging(os.environ.get("RUNSPOOL_LOG", "info"))
     try:
         anyio.run(run_node, os.environ, backend_options={"use_uvloop": True})
     except InvalidNodeConfigError as error:
--- a/runspool/node/discovery_call_log.py
+++ b/runspool/node/discovery_call_log.py
@@ -8,7 +8,7 @@
 import structlog
 
 from runspool.discovery.endpoint_tracker import EndpointTracker
-from runspool.logs import BoundedLog
+from runspool.logs import RateLimitedLog
 from runspool.node.discovery_call import DiscoveryCall
 from runspool.node.discovery_call_planner import DiscoveryCallPlanner, DiscoveryState
 from runspool.units import TENTHS
@@ -30,8 +30,8 @@
 class DiscoveryCallLog:
     """Logs noteworthy calls and every change of the discovery state, and counts all calls.
 
-    Noteworthy calls and state changes are logged at level info, subject to the rate limit of BoundedLog; all
-    other calls are logged at level debug.
+    Noteworthy calls and state changes are logged at level info, subject to the rate limit of RateLimitedLog;
+    all other calls are logged at level debug.
 
     Attributes:
         tracker: The endpoint list as it is known; its version is logged.
@@ -46,7 +46,7 @@
         self.given_up = 0
         self.is_interrupted = True
         self.log = structlog.get_logger()
-        self.bounded_log = BoundedLog()
+        self.bounded_log = RateLimitedLog()
 
     def ended(
         self, call: DiscoveryCall, end: CallEnd, now: int, planner: DiscoveryCallPlanner, reason: str = ""
--- a/runspool/service/request_ledger.py
+++ b/runspool/service/request_ledger.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from runspool.discovery.endpoint_tracker import EndpointTracker
-from runspool.logs import BoundedLog
+from runspool.logs import RateLimitedLog
 from runspool.scheduling.request_lifecycle import InvariantMonitor, InvariantViolation
 from runspool.scheduling.settings import RoutingSettings
 from runspool.service import final_responses
@@ -39,7 +39,7 @@
         """Initialize an empty ledger; `engine_types` and `zones` map configured names to their indices."""
         super().__init__()
         self.settings = settings
-        self.trace = BoundedLog()
+        self.trace = RateLimitedLog()
         self.invariants = InvariantMonitor(self._report_violation)
         wall_clock = WallClock(lambda: unix_ms_at_zero())
         self.registry = EndpointRegistry(settings, engine_types, zones, wall_clock)
--- a/runspool/service/request_log.py
+++ b/runspool/service/request_log.py
@@ -9,7 +9,7 @@
 
 from structlog.typing import FilteringBoundLogger
 
-from runspool.logs import BoundedLog
+from runspool.logs import RateLimitedLog
 from runspool.service.endpoint_registry import EngineReplacement
 from runspool.service.pending_request import PendingRequest
 from runspool.units import TENTHS
@@ -50,7 +50,7 @@
 
 
 def log_replacements(
-    log: BoundedLog, replacements: Iterable[EngineReplacement], requests: Iterable[PendingRequest]
+    log: RateLimitedLog, replacements: Iterable[EngineReplacement], requests: Iterable[PendingRequest]
 ) -> None:
     """Log engines that were replaced while they were processing requests, with these requests."""
     running: defaultdict[int, list[PendingRequest]] = defaultdict(list)
--- a/tests/fleet/light_nodes.py
+++ b/tests/fleet/light_nodes.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from runspool.discovery.endpoint_tracker import EndpointTracker
-from runspool.logs import start_logs
+from runspool.logs import configure_logging
 from runspool.node.discovery_call_planner import DiscoveryCallPlanner
 from runspool.node.discovery_client import DiscoveryClient
 from runspool.node.server import DISCOVERY_CONNECTIONS
@@ -79,7 +79,7 @@
 
 
 if __name__ == "__main__":
-    start_logs("error")
+    configure_logging("error")
     port_list, node_seed, engines_port, request_rate, sabotage = sys.argv[1:]
     if sabotage:
         SABOTAGE[sabotage]()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from runspool.logs import LINES_AT_ONCE, BoundedLog, SafeSink
+from runspool.logs import MAX_BURST_LINES, NonBlockingLogFile, RateLimitedLog
 from tests.node_platform.client import post
 from tests.node_platform.platform import Platform
 
@@ -21,7 +21,7 @@
 def test_a_pipe_that_nobody_reads_takes_what_it_holds_and_dropped_lines_are_counted() -> None:
     read_end, write_end = os.pipe()
     fcntl.fcntl(write_end, fcntl.F_SETPIPE_SZ, 4_096)
-    sink = SafeSink(write_end)
+    sink = NonBlockingLogFile(write_end)
     for _ in range(50):
         sink.write(LINE)
     output = os.read(read_end, 65_536)
@@ -38,7 +38,7 @@
 
 def test_a_closed_pipe_and_a_closed_descriptor_raise_nothing() -> None:
     read_end, write_end = os.pipe()
-    sink = SafeSink(write_end)
+    sink = NonBlockingLogFile(write_end)
     os.close(read_end)
     sink.write(LINE)
     os.close(write_end)
@@ -48,7 +48,7 @@
 
 def test_a_full_disk_raises_nothing() -> None:
     full_device = os.open("/dev/full", os.O_WRONLY)
-    sink = SafeSink(full_device)
+    sink = NonBlockingLogFile(full_device)
     sink.write(LINE)
     os.close(full_device)
     assert sink.dropped == 1
@@ -56,13 +56,13 @@
 
 def test_a_bounded_log_reports_how_many_lines_it_left_out(capsys: pytest.CaptureFixture[str]) -> None:
     time = 0.0
-    log = BoundedLog(lambda: time)
-    for number in range(int(LINES_AT_ONCE) + 30):
+    log = RateLimitedLog(lambda: time)
+    for number in range(int(MAX_BURST_LINES) + 30):
         log.info("attempt_ended", number=number)
     time = 1.0
     log.info("attempt_ended", number=-1)
     output = capsys.readouterr().out
-    assert output.count("attempt_ended") == LINES_AT_ONCE + 1
+    assert output.count("attempt_ended") == MAX_BURST_LINES + 1
     assert "left_out_before=30" in output
 
 
