--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -41,7 +41,7 @@
 from runspool.lab.scenario_runner import ScenarioRunner
 from runspool.runtime.scheduler_driver import SchedulerDriver
 from runspool.scheduling.types import EndpointUpdate, EngineRecord, EngineState, Request, Role
-from runspool.units import UNITS_PER_SECOND
+from runspool.units import TENTHS_PER_SECOND
 
 FAULTY_TENANT = "tenant-0"  # the one whose requests or cell have the fault
 STUDENT_T = {2: 12.706, 3: 4.303, 4: 3.182, 5: 2.776, 6: 2.571, 8: 2.365, 10: 2.262}  # two-sided, 95%
@@ -69,7 +69,7 @@
     values: dict[str, tuple[float, float]] = {}
     for attempts in by_request.values():
         asked = attempts[0].asked
-        if not start <= (asked["t"] - begin) / UNITS_PER_SECOND < end:
+        if not start <= (asked["t"] - begin) / TENTHS_PER_SECOND < end:
             continue
         if any(attempt.answer and attempt.answer["kind"] == "left" for attempt in attempts):
             continue
@@ -184,7 +184,7 @@
         if attempt.answer
         and attempt.answer["kind"] == "dismissed"
         and attempt.asked["tenant"] == FAULTY_TENANT
-        and 8 * UNITS_PER_SECOND <= attempt.asked["t"] - begin < 18 * UNITS_PER_SECOND
+        and 8 * TENTHS_PER_SECOND <= attempt.asked["t"] - begin < 18 * TENTHS_PER_SECOND
     ]
 
 
--- a/runspool/cells/admission_policy.py
+++ b/runspool/cells/admission_policy.py
@@ -12,7 +12,7 @@
 from math import exp2
 
 from runspool.cells.cell_map import CellMap
-from runspool.units import tenths
+from runspool.units import ms_to_tenths
 
 OUTCOME_HALF_LIFE = 20_000  # half-life of a recorded request outcome, in tenths of a millisecond
 # The rejected share of a cell counts as 0 while the decayed number of its outcomes is below this number. With
@@ -166,7 +166,7 @@
     def _update_share(self, now: int, state: CellOverflowState) -> None:
         """Start or end the overflow of a cell, and increase its overflow share after each settling time."""
         rules = self.cell_map.overflow
-        settle_time = tenths(rules.settle_ms)
+        settle_time = ms_to_tenths(rules.settle_ms)
         if not state.overflowing and state.rejected_share > rules.from_turned_away:
             state.overflowing = True
             state.share_increased_at = now - settle_time
--- a/runspool/cli/front_files.py
+++ b/runspool/cli/front_files.py
@@ -16,7 +16,7 @@
 from runspool.config.loader import InvalidConfigError
 from runspool.config.schema import ROLES
 from runspool.discovery import snapshot
-from runspool.units import tenths
+from runspool.units import ms_to_tenths
 
 EXIT_REFUSED = 1  # exit status for a change that is not allowed, or for a damaged file
 
@@ -98,7 +98,7 @@
         limit = self.terms.front.bounds.longest_limit_ms
         return max(
             (
-                tenths(request_class.window_ms + limit)
+                ms_to_tenths(request_class.window_ms + limit)
                 for request_class in self.terms.house.tariffs.values()
                 if request_class.effect == "ticketed" and request_class.group != "all"
             ),
--- a/runspool/config/schema.py
+++ b/runspool/config/schema.py
@@ -17,7 +17,7 @@
     TenantSettings,
 )
 from runspool.scheduling.types import DeduplicationScope, Idempotency, Role
-from runspool.units import tenths
+from runspool.units import ms_to_tenths
 
 MILLISECONDS_PER_DAY = 86_400_000
 
@@ -87,14 +87,14 @@
     def request_class_settings(self) -> RequestClassSettings:
         """Return the scheduler's settings for this class, with times in tenths of a millisecond."""
         return RequestClassSettings(
-            first_token_objective=tenths(self.due_ms),
-            first_token_objective_per_1000_tokens=tenths(self.due_per_1000_tokens_ms),
-            time_per_output_token=tenths(self.pace_ms_per_token),
+            first_token_objective=ms_to_tenths(self.due_ms),
+            first_token_objective_per_1000_tokens=ms_to_tenths(self.due_per_1000_tokens_ms),
+            time_per_output_token=ms_to_tenths(self.pace_ms_per_token),
             priority_weight=self.gain,
             late_value=self.late_share,
             idempotency=IDEMPOTENCY[self.effect],
             deduplication_scope=DEDUPLICATION_SCOPES[self.group],
-            deduplication_window=tenths(self.window_ms),
+            deduplication_window=ms_to_tenths(self.window_ms),
         )
 
 
@@ -367,19 +367,19 @@
                 for engine_type in house.kinds.values()
             ],
             over_quota_value=house.over_share,
-            response_slack=tenths(rules.answer_slack_ms),
+            response_slack=ms_to_tenths(rules.answer_slack_ms),
             slow_start_initial_fraction=rules.cold_from,
-            slow_start_duration=tenths(rules.cold_ms),
+            slow_start_duration=ms_to_tenths(rules.cold_ms),
             slow_start_overload_multiple=rules.fall_multiple,
-            slow_start_overload_window=tenths(rules.fall_ms),
-            state_release_timeout=tenths(rules.release_within_ms),
+            slow_start_overload_window=ms_to_tenths(rules.fall_ms),
+            state_release_timeout=ms_to_tenths(rules.release_within_ms),
             max_attempts=limits.max_shots,
             may_hedge=limits.second_copies,
             may_cancel=True,
             may_probe=False,
             may_reserve=False,
             may_send_retry_after=True,
-            max_retry_after=tenths(limits.longest_wait_told_ms),
+            max_retry_after=ms_to_tenths(limits.longest_wait_told_ms),
             streams_can_resume=False,  # another engine cannot continue an interrupted stream
             decode_engines_prefill=limits.writers_read,
             must_subscribe=False,
--- a/runspool/engines/connection_pool.py
+++ b/runspool/engines/connection_pool.py
@@ -11,7 +11,7 @@
 from runspool.engines.response_parser import ResponseParser
 from runspool.errors import RunspoolError
 from runspool.transport.tcp import TcpConnection, connect
-from runspool.units import TENTHS, tenths
+from runspool.units import TENTHS_PER_MS, ms_to_tenths
 
 MAX_HEAD_BYTES = 65536  # maximum size of a response head
 
@@ -149,7 +149,7 @@
 
     def close_idle(self) -> None:
         """Close all connections that have been idle for longer than `idle_ms`."""
-        oldest = self.now() - tenths(self.settings.idle_ms)
+        oldest = self.now() - ms_to_tenths(self.settings.idle_ms)
         for address, idle in list(self.idle.items()):
             while idle and idle[0].idle_since < oldest:
                 self.discard(idle.popleft())
@@ -185,7 +185,7 @@
         self.idle[connection.address].remove(connection)
         if (
             not connection.has_unsolicited_data()
-            and self.now() - connection.idle_since < self.settings.idle_ms * TENTHS
+            and self.now() - connection.idle_since < self.settings.idle_ms * TENTHS_PER_MS
         ):
             return True
         self.discard(connection)
--- a/runspool/engines/exchange_timer.py
+++ b/runspool/engines/exchange_timer.py
@@ -8,7 +8,7 @@
 import anyio
 
 from runspool.engines.failure_classification import ExchangeAbortedError, FailureCause
-from runspool.units import TENTHS, UNITS_PER_SECOND
+from runspool.units import TENTHS_PER_MS, TENTHS_PER_SECOND
 
 
 class ExchangeTimer:
@@ -25,7 +25,7 @@
     __slots__ = ("scope", "timeout_cause")
 
     def __init__(self, timeout: int) -> None:
-        self.scope = anyio.CancelScope(deadline=anyio.current_time() + timeout / UNITS_PER_SECOND)
+        self.scope = anyio.CancelScope(deadline=anyio.current_time() + timeout / TENTHS_PER_SECOND)
         self.timeout_cause = FailureCause.CONNECT_FAILED
 
     def remove_limit(self, cause: FailureCause) -> None:
@@ -42,11 +42,11 @@
 
     def extend(self, time: int) -> None:
         """Move the deadline to `time` from now, unless it is already later."""
-        self.scope.deadline = max(self.scope.deadline, anyio.current_time() + time / UNITS_PER_SECOND)
+        self.scope.deadline = max(self.scope.deadline, anyio.current_time() + time / TENTHS_PER_SECOND)
 
     def remaining(self) -> int:
         """Return the time until the deadline."""
-        return int((self.scope.deadline - anyio.current_time()) * 1000 * TENTHS)
+        return int((self.scope.deadline - anyio.current_time()) * 1000 * TENTHS_PER_MS)
 
     def cancel(self) -> None:
         """End the exchange now, as if the deadline had passed."""
--- a/runspool/engines/http_exchange.py
+++ b/runspool/engines/http_exchange.py
@@ -23,7 +23,7 @@
 from runspool.engines.response_parser import MalformedHttpResponseError, ResponseParser
 from runspool.engines.send_permit import UNRESTRICTED, SendPermit
 from runspool.transport.tcp import ConnectionClosedError
-from runspool.units import UNITS_PER_SECOND, tenths
+from runspool.units import TENTHS_PER_SECOND, ms_to_tenths
 
 # Upper bound, in tenths of a millisecond, for the round-trip time for which a reused connection is observed
 # before the last byte of a request is sent. The round-trip time is estimated by the time taken to connect,
@@ -91,9 +91,9 @@
         """
         self.settings = settings
         self.now = now
-        self.idle_timeout = tenths(idle_timeout_ms)
+        self.idle_timeout = ms_to_tenths(idle_timeout_ms)
         self.watchdog = IdleWatchdog(now)
-        self.pool = ConnectionPool(settings, now, max_connections, tenths(quiet_ms))
+        self.pool = ConnectionPool(settings, now, max_connections, ms_to_tenths(quiet_ms))
 
     def classify_response(self, response: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
         """Return the failure cause of a response with an unexpected status, and a description for the log."""
@@ -192,7 +192,7 @@
         try:
             await connection.tcp.send(request[:-1])
             if observation_time:
-                await connection.tcp.stays_silent(observation_time / UNITS_PER_SECOND)
+                await connection.tcp.stays_silent(observation_time / TENTHS_PER_SECOND)
             if connection.has_unsolicited_data():
                 raise ExchangeAbortedError(
                     FailureCause.CLOSED_WHILE_SENDING,
--- a/runspool/lab/audit/drains.py
+++ b/runspool/lab/audit/drains.py
@@ -8,7 +8,7 @@
 from runspool.lab.audit.history import History
 from runspool.lab.audit.verdict import RuleVerdict
 from runspool.lab.recording import Event
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 
 ACTIVE = "on"
 REMOVED = "gone"
@@ -36,7 +36,7 @@
             continue
         drained_at = _drained_since(changes, attempt.arrived_at)
         if drained_at is not None and attempt.arrived_at > drained_at + grace:
-            elapsed = (attempt.arrived_at - drained_at) / TENTHS
+            elapsed = (attempt.arrived_at - drained_at) / TENTHS_PER_MS
             verdict.add_violation(
                 f"{attempt.request_id}: {front} sent to {engine} "
                 f"{elapsed:.0f} ms after it was told of its drain"
--- a/runspool/lab/audit/lost_requests.py
+++ b/runspool/lab/audit/lost_requests.py
@@ -4,7 +4,7 @@
 
 from runspool.lab.audit.history import NO_ANSWER, ClientAttemptRecord, History
 from runspool.lab.audit.verdict import RuleVerdict
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 
 UNANSWERED = frozenset({"lost", NO_ANSWER})
 DISCONNECTED = "left"  # the kind of answer of a client that disconnected by itself
@@ -62,7 +62,9 @@
         begun_at = _answered_at(history, attempt)
     late = begun_at - _deadline(attempt)
     if late > history.tolerance.late_answer:
-        verdict.add_violation(f"{name}: {kind} came {late / TENTHS:.0f} ms after the client's time was up")
+        verdict.add_violation(
+            f"{name}: {kind} came {late / TENTHS_PER_MS:.0f} ms after the client's time was up"
+        )
 
 
 def _judge_attempts_after_the_end(
@@ -79,5 +81,5 @@
         late = engine_attempt.arrived_at - end
         if late > allowed:
             verdict.add_violation(
-                f"{name}: sent to {engine_attempt.engine} {late / TENTHS:.0f} ms after its end"
+                f"{name}: sent to {engine_attempt.engine} {late / TENTHS_PER_MS:.0f} ms after its end"
             )
--- a/runspool/lab/audit/repeated_execution.py
+++ b/runspool/lab/audit/repeated_execution.py
@@ -7,7 +7,7 @@
 from runspool.lab.audit.history import KILLED, ClientAttemptRecord, EngineAttemptRecord, History
 from runspool.lab.audit.verdict import RuleVerdict
 from runspool.lab.plan import EnginePlan, RequestClassPlan
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 
 REJECTED = frozenset({"dismissed", "refused"})  # answers which say that nothing was executed
 
@@ -85,7 +85,7 @@
         delay = repeat.arrived_at - first.arrived_at
         if delay > self.window:
             self.verdict.add_violation(
-                f"{self.request}: ticketed, sent again {delay / TENTHS:.0f} ms after the first"
+                f"{self.request}: ticketed, sent again {delay / TENTHS_PER_MS:.0f} ms after the first"
             )
 
     def _in_scope(self, first: str, repeat: str) -> bool:
--- a/runspool/lab/audit/retained_state.py
+++ b/runspool/lab/audit/retained_state.py
@@ -5,7 +5,7 @@
 from runspool.lab.audit.history import ClientAttemptRecord, History
 from runspool.lab.audit.verdict import RuleVerdict
 from runspool.lab.recording import Event
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 
 RELEASES = frozenset({"taken", "released", "dropped", "expired"})  # the kinds of events that end a holding
 NEVER_RELEASED = "never let go"
@@ -50,7 +50,7 @@
         longest = _longest_idle_time(client_attempt, holding["t"], end)
         if longest > self._allowed(holding["t"], end):
             self.verdict.add_violation(
-                f"{holding['state']}: held at {holding['engine']} for {longest / TENTHS:.0f} ms "
+                f"{holding['state']}: held at {holding['engine']} for {longest / TENTHS_PER_MS:.0f} ms "
                 f"with no shot out ({how})"
             )
 
--- a/runspool/lab/client_messages.py
+++ b/runspool/lab/client_messages.py
@@ -6,7 +6,7 @@
 
 from runspool.lab.plan import ScenarioPlan
 from runspool.lab.workload import PlannedRequest, prompt_text
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 
 MAX_OUTPUT_TOKENS = 800  # that every request allows
 
@@ -27,7 +27,7 @@
         ("Runspool-Tenant", plan.tenants[request.tenant_index].name),
         ("Runspool-Session", request.session),
         ("Runspool-Prompt-Tokens", str(request.prompt_tokens)),
-        ("Runspool-Limit-Ms", str(max(1, time_limit // TENTHS))),
+        ("Runspool-Limit-Ms", str(max(1, time_limit // TENTHS_PER_MS))),
         ("Runspool-Likely-Tokens", str(request.output_tokens)),
         ("Runspool-Mark", attempt_id),
         ("Runspool-Try", attempt_id.rpartition(".")[2]),
--- a/runspool/lab/front_configuration.py
+++ b/runspool/lab/front_configuration.py
@@ -13,7 +13,7 @@
 
 from runspool.config.loader import LIBRARY_DIRECTORY
 from runspool.lab.plan import FrontPlan, RequestClassPlan, ScenarioPlan
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 
 Section = dict[str, Any]  # part of a configuration, as decoded from JSON
 
@@ -69,15 +69,15 @@
 
 def _request_class_section(row: RequestClassPlan) -> Section:
     return {
-        "due_ms": row.first_token_objective / TENTHS,
-        "due_per_1000_tokens_ms": row.first_token_objective_per_1000_tokens / TENTHS,
-        "limit_ms": row.time_limit / TENTHS,
-        "pace_ms_per_token": row.time_per_output_token / TENTHS,
+        "due_ms": row.first_token_objective / TENTHS_PER_MS,
+        "due_per_1000_tokens_ms": row.first_token_objective_per_1000_tokens / TENTHS_PER_MS,
+        "limit_ms": row.time_limit / TENTHS_PER_MS,
+        "pace_ms_per_token": row.time_per_output_token / TENTHS_PER_MS,
         "gain": row.priority_weight,
         "late_share": row.late_value,
         "effect": row.idempotency,
         "group": row.deduplication_scope,
-        "window_ms": row.deduplication_window / TENTHS,
+        "window_ms": row.deduplication_window / TENTHS_PER_MS,
     }
 
 
@@ -97,12 +97,12 @@
 
 def _rules_section(plan: ScenarioPlan) -> Section:
     return {
-        "drain_grace_ms": plan.drain_grace / TENTHS,
+        "drain_grace_ms": plan.drain_grace / TENTHS_PER_MS,
         "cold_from": plan.slow_start_initial_fraction,
-        "cold_ms": plan.slow_start_duration / TENTHS,
+        "cold_ms": plan.slow_start_duration / TENTHS_PER_MS,
         "fall_multiple": plan.slow_start_overload_multiple,
-        "fall_ms": plan.slow_start_overload_window / TENTHS,
-        "release_within_ms": plan.state_release_timeout / TENTHS,
+        "fall_ms": plan.slow_start_overload_window / TENTHS_PER_MS,
+        "release_within_ms": plan.state_release_timeout / TENTHS_PER_MS,
     }
 
 
@@ -134,7 +134,7 @@
 
 
 def _bounds_section(plan: ScenarioPlan) -> Section:
-    return {"longest_limit_ms": plan.max_time_limit / TENTHS} if plan.max_time_limit else {}
+    return {"longest_limit_ms": plan.max_time_limit / TENTHS_PER_MS} if plan.max_time_limit else {}
 
 
 def _cells_file(plan: ScenarioPlan, front: FrontPlan, folder: Path) -> str | None:
--- a/runspool/lab/migration_script.py
+++ b/runspool/lab/migration_script.py
@@ -17,7 +17,7 @@
 from runspool.lab.plan import SECOND, FaultPlan, ScenarioPlan
 from runspool.lab.recording import Recorder
 from runspool.service.clock import unix_ms
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 
 MS_PER_SECOND = 1000
 
@@ -105,7 +105,7 @@
                 undone = tenant_migration.undo_move(self.cell_map, move.id, unix_ms())
                 self._publish(tasks, undone, fault.magnitude, "undone", move.id)
             else:
-                await anyio.sleep((self.longest_binding() / TENTHS + FINISH_MARGIN_MS) / MS_PER_SECOND)
+                await anyio.sleep((self.longest_binding() / TENTHS_PER_MS + FINISH_MARGIN_MS) / MS_PER_SECOND)
                 finished = tenant_migration.finish_move(
                     self.cell_map, move.id, unix_ms(), self.longest_binding()
                 )
--- a/runspool/lab/report.py
+++ b/runspool/lab/report.py
@@ -17,7 +17,7 @@
 from runspool.lab.audit import ClientAttemptRecord, History, RuleVerdict, judge, read_history
 from runspool.lab.plan import SECOND, ScenarioPlan
 from runspool.lab.recording import Event
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 
 MAX_FIRST_TOKEN_TIME = 10_000_000  # tenths of a millisecond that the histogram can hold
 HISTOGRAM_DIGITS = 3
@@ -159,7 +159,7 @@
 def _summarize_faults(events: list[Event]) -> list[FaultSummary]:
     begin = next((event["at"] for event in events if event["what"] == "begin"), 0)
     return [
-        {"kind": event["kind"], "at_ms": round(event["t"] / TENTHS - begin / TENTHS)}
+        {"kind": event["kind"], "at_ms": round(event["t"] / TENTHS_PER_MS - begin / TENTHS_PER_MS)}
         for event in events
         if event["what"] == "trouble"
     ]
@@ -202,4 +202,7 @@
         if attempt.first_token_at is not None and attempt.asked["stream"]:
             elapsed = attempt.first_token_at - attempt.asked["t"]
             histogram.record_value(max(1, min(MAX_FIRST_TOKEN_TIME, elapsed)))
-    return {f"p{quantile:g}": histogram.get_value_at_percentile(quantile) / TENTHS for quantile in QUANTILES}
+    return {
+        f"p{quantile:g}": histogram.get_value_at_percentile(quantile) / TENTHS_PER_MS
+        for quantile in QUANTILES
+    }
--- a/runspool/lab/response_reader.py
+++ b/runspool/lab/response_reader.py
@@ -13,7 +13,7 @@
 from runspool.lab.recording import Recorder
 from runspool.lab.workload import PlannedRequest
 from runspool.service.clock import now
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 from runspool.wire.engine_messages import EventSplitter
 
 IDLE_TIMEOUT = 20.0  # seconds after which a silent stream is given up
@@ -227,7 +227,7 @@
     if error.get("type") == "dismissed":
         kind = "refused" if code in REFUSAL_CODES else "dismissed"
         headers = {key.decode(): value.decode() for key, value in head.headers}
-        retry_after = int(float(headers.get("retry-after-ms", 0)) * TENTHS)
+        retry_after = int(float(headers.get("retry-after-ms", 0)) * TENTHS_PER_MS)
         return ClientOutcome(kind, code, retry_after, ended_at)
     if error.get("type") == "scrapped":
         return ClientOutcome("scrapped", code, ended_at=ended_at)
--- a/runspool/node/discovery_call_log.py
+++ b/runspool/node/discovery_call_log.py
@@ -11,7 +11,7 @@
 from runspool.logs import RateLimitedLog
 from runspool.node.discovery_call import DiscoveryCall
 from runspool.node.discovery_call_planner import DiscoveryCallPlanner, DiscoveryState
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 
 # A response that is complete so long after the end of the call's wait is logged at level info; tenths of a
 # millisecond.
@@ -113,7 +113,7 @@
         return {
             "calls_out": len(planner.calls_out),
             "calls_owed": planner.calls_owed,
-            "answer_time_ms": planner.answer_time / TENTHS,
+            "answer_time_ms": planner.answer_time / TENTHS_PER_MS,
             "version": self.tracker.version,
             "confirmed_ms_ago": _milliseconds_between(self.tracker.confirmed_at, now),
         }
@@ -125,10 +125,10 @@
         "after": call.after_version,
         "local_port": call.local_port,
         "position": call.position,
-        "age_ms": (now - call.made_at) / TENTHS,
+        "age_ms": (now - call.made_at) / TENTHS_PER_MS,
         "first_byte_ms": _milliseconds_between(call.made_at, call.first_byte_at),
     }
 
 
 def _milliseconds_between(since: int | None, until: int | None) -> float | None:
-    return None if since is None or until is None else (until - since) / TENTHS
+    return None if since is None or until is None else (until - since) / TENTHS_PER_MS
--- a/runspool/node/discovery_client.py
+++ b/runspool/node/discovery_client.py
@@ -20,7 +20,7 @@
 from runspool.node.discovery_call_log import CallEnd, DiscoveryCallLog
 from runspool.node.discovery_call_planner import DiscoveryCallPlanner, DiscoveryState
 from runspool.node.endpoint_list import InvalidEndpointListError, decode_endpoint_list, request_target
-from runspool.units import TENTHS, UNITS_PER_SECOND
+from runspool.units import TENTHS_PER_MS, TENTHS_PER_SECOND
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
 
 # Timeout of a call to the discovery agent, in tenths of a millisecond: one hour. It only ends calls to a peer
@@ -119,7 +119,7 @@
     async def _wait_for_next_call(self) -> None:
         while (due := self.planner.next_call_at(self.now()) - self.now()) > 0:
             self._replan = anyio.Event()
-            with anyio.move_on_after(due / UNITS_PER_SECOND):
+            with anyio.move_on_after(due / TENTHS_PER_SECOND):
                 await self._replan.wait()
 
     def _plan_changed(self) -> None:
@@ -192,7 +192,7 @@
         """
         exchange = _DiscoveryExchange(call)
         host, port = call.address
-        target = request_target(call.after_version, call.wait // TENTHS)
+        target = request_target(call.after_version, call.wait // TENTHS_PER_MS)
         request = encode_request("GET", target, {"Host": f"{host}:{port}"})
         with self._start_timer(MAX_CALL_DURATION) as timer, self._managed_connection(exchange):
             await self._send_request(
@@ -200,7 +200,7 @@
                 timer,
                 call.address,
                 lambda _remaining: request,
-                connect_ms=MAX_CALL_DURATION / TENTHS,
+                connect_ms=MAX_CALL_DURATION / TENTHS_PER_MS,
             )
             call.local_port = exchange.connection.tcp.local_port
             call.position = exchange.connection.exchanges_begun
--- a/runspool/node/engine_client.py
+++ b/runspool/node/engine_client.py
@@ -16,7 +16,7 @@
 from runspool.node.event_stream import EventStreamParser, MalformedEventStreamError
 from runspool.node.request_parser import ClientRequest
 from runspool.scheduling.types import AttemptStatus
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 from runspool.wire.fields import JSON_DECODE_ERRORS
 
 # Status codes of successful responses to the three requests.
@@ -159,7 +159,7 @@
                     timer,
                     address,
                     lambda remaining: encode_request("DELETE", f"/state/{request}", {"Host": HOST}),
-                    connect_ms=limit / TENTHS,
+                    connect_ms=limit / TENTHS_PER_MS,
                 )
                 await self._read_head(exchange, RELEASED_STATUS)
                 await self._read_body(exchange)
@@ -224,7 +224,7 @@
             "Host": HOST,
             "Content-Type": "application/json",
             "Req-Id": request.id,
-            "Req-Deadline": f"{max(1, remaining) * 1000 // TENTHS}u",
+            "Req-Deadline": f"{max(1, remaining) * 1000 // TENTHS_PER_MS}u",
         },
         request.body,
     )
--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -19,7 +19,7 @@
 from runspool.service.pending_request import Endpoint, PendingRequest, RequestNotAcceptedError
 from runspool.service.request_executor import RequestExecutor
 from runspool.service.response_relay import ResponseRelay
-from runspool.units import UNITS_PER_SECOND, tenths
+from runspool.units import TENTHS_PER_SECOND, ms_to_tenths
 from runspool.wire.fields import InvalidRequestError
 
 # Maximum number of session and prefix names that are interned. Beyond it, the least recently used is dropped.
@@ -109,7 +109,7 @@
         )
         self.state_releaser = StateReleaser(
             self.engine_client,
-            self.settings.state_release_timeout or tenths(DEFAULT_RELEASE_TIMEOUT_MS),
+            self.settings.state_release_timeout or ms_to_tenths(DEFAULT_RELEASE_TIMEOUT_MS),
             self._engines_by_last_response,
             self._count_release,
         )
@@ -261,7 +261,7 @@
         """
         if endpoint.role is Role.PREFILL:
             # After the end of its attempts, only the deadline guard could respond to the request.
-            remaining = (self.deadline_guard.attempts_end_at(pending) - now()) / UNITS_PER_SECOND
+            remaining = (self.deadline_guard.attempts_end_at(pending) - now()) / TENTHS_PER_SECOND
             await self.state_releaser.wait_settled(pending.id, max(0.0, min(RELEASE_WAIT_SECONDS, remaining)))
 
     def after_attempt(
--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -14,7 +14,7 @@
 from runspool.node.config import NodeConfig
 from runspool.node.executor import NodeExecutor
 from runspool.service.clock import now
-from runspool.units import TENTHS, UNITS_PER_SECOND
+from runspool.units import TENTHS_PER_MS, TENTHS_PER_SECOND
 
 # After SIGTERM, the platform waits at least for the longest deadline of its request classes, limited to
 # MAX_COUNTED_DEADLINE, and then for KILL_DELAY before it kills a node.
@@ -82,7 +82,7 @@
         self.executor.closing = not accepts_requests
         self._log_stopping(accept_until)
         self.executor.begin_shutdown(self.deadline)
-        await anyio.sleep(max(0, accept_until - now()) / UNITS_PER_SECOND)
+        await anyio.sleep(max(0, accept_until - now()) / TENTHS_PER_SECOND)
         self.executor.closing = True
         self.log.info("node_accepting_ended", **self._open_counts())
         if not await self._wait_until_idle(self.deadline):
@@ -127,10 +127,10 @@
             "node_stopping",
             node=self.config.name,
             **self._open_counts(),
-            accept_until_ms=(accept_until - now()) / TENTHS,
-            answer_until_ms=(self.deadline - now()) / TENTHS,
-            kill_expected_ms=(self.deadline + KILL_MARGIN - now()) / TENTHS,
-            requested_ms_ago=(now() - self.requested_at) / TENTHS,
+            accept_until_ms=(accept_until - now()) / TENTHS_PER_MS,
+            answer_until_ms=(self.deadline - now()) / TENTHS_PER_MS,
+            kill_expected_ms=(self.deadline + KILL_MARGIN - now()) / TENTHS_PER_MS,
+            requested_ms_ago=(now() - self.requested_at) / TENTHS_PER_MS,
             streams_can_resume=self.executor.settings.streams_can_resume,
         )
 
--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -16,7 +16,7 @@
 from runspool.service.pending_request import FinalResponse, RequestNotAcceptedError, ResponseKind
 from runspool.service.streaming_response import StreamingResponse
 from runspool.transport.tcp import ConnectionClosedError, TcpConnection
-from runspool.units import UNITS_PER_SECOND
+from runspool.units import TENTHS_PER_SECOND
 from runspool.wire.fields import InvalidRequestError
 from runspool.wire.http_requests import CHUNKS_END, HttpRequest, InvalidHttpRequestError, chunk, head
 
@@ -189,7 +189,7 @@
                 raise ConnectionClosedError("the stream was interrupted")
             await streaming.forward(CHUNKS_END)
         elif final.kind is ResponseKind.REJECTED:
-            seconds = final.retry_after / UNITS_PER_SECOND
+            seconds = final.retry_after / TENTHS_PER_SECOND
             headers = [("Retry-After", f"{seconds:.3f}")] if final.retry_after else []
             await self.send_response(REJECTED_STATUS, self.error_body(final.code, final.message), headers)
         else:
--- a/runspool/node/request_parser.py
+++ b/runspool/node/request_parser.py
@@ -12,7 +12,7 @@
 from runspool.runtime.interning import stable_hash
 from runspool.runtime.platform_settings import UNIT_US, PlatformSettings
 from runspool.scheduling.types import Request
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 from runspool.wire import fields
 from runspool.wire.fields import BYTES_PER_TOKEN, InvalidRequestError
 
@@ -170,7 +170,7 @@
     match = DEADLINE.fullmatch(value or "")
     if match is None:
         raise InvalidRequestError("Req-Deadline", f"{_quote(value)} is not a whole number followed by m or u")
-    limit = int(match[1]) * TENTHS if match[2] == "m" else int(match[1]) // UNIT_US
+    limit = int(match[1]) * TENTHS_PER_MS if match[2] == "m" else int(match[1]) // UNIT_US
     if not 0 < limit <= MAX_TIME_LIMIT:
         raise InvalidRequestError("Req-Deadline", f"{_quote(value)} is not more than 0 and at most one hour")
     return limit
--- a/runspool/node/state_releaser.py
+++ b/runspool/node/state_releaser.py
@@ -23,7 +23,7 @@
 from runspool.engines.failure_classification import FailureCause
 from runspool.node.release_budget import ReleaseBudget
 from runspool.service.pending_request import Endpoint
-from runspool.units import UNITS_PER_SECOND
+from runspool.units import TENTHS_PER_SECOND
 
 # A round calls one engine after another at such intervals that this many calls start within half of the
 # release timeout.
@@ -262,7 +262,7 @@
         Returns:
             Whether an engine has confirmed the release.
         """
-        interval = self.timeout // (2 * ENGINES_IN_HALF_TIMEOUT) / UNITS_PER_SECOND  # seconds
+        interval = self.timeout // (2 * ENGINES_IN_HALF_TIMEOUT) / TENTHS_PER_SECOND  # seconds
         confirmed = False
         async with anyio.create_task_group() as tasks:
 
--- a/runspool/service/completion_admission.py
+++ b/runspool/service/completion_admission.py
@@ -7,7 +7,7 @@
 from runspool.cells.cell_router import AdmissionRefusal, AdmissionRequest
 from runspool.config import FrontConfig
 from runspool.service.pending_request import RequestNotAcceptedError, ResponseKind
-from runspool.units import tenths
+from runspool.units import ms_to_tenths
 from runspool.wire.completions import CompletionRequest
 
 POISONOUS_MESSAGE = "engines were lost with this query; it is sent nowhere"
@@ -44,7 +44,7 @@
         completion.session,
         completion.idempotency_key if is_bound else None,
         completion.is_client_retry or completion.is_continuation,
-        tenths(class_config.window_ms + config.front.bounds.longest_limit_ms) if is_bound else 0,
+        ms_to_tenths(class_config.window_ms + config.front.bounds.longest_limit_ms) if is_bound else 0,
         completion.body_bytes,
         _fingerprint(completion),
     )
--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -19,7 +19,7 @@
 from runspool.service.pending_request import FinalResponse, RequestNotAcceptedError, ResponseKind
 from runspool.service.streaming_response import StreamingResponse
 from runspool.transport.tcp import ConnectionClosedError, TcpConnection
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 from runspool.wire import completions as wire
 from runspool.wire.fields import InvalidRequestError
 from runspool.wire.http_requests import CHUNKS_END, HttpRequest, chunk, head
@@ -171,7 +171,7 @@
 
     `retry_after` is in tenths of a millisecond.
     """
-    retry_after_ms = retry_after / TENTHS
+    retry_after_ms = retry_after / TENTHS_PER_MS
     if not retry_after_ms:
         return []
     return [
--- a/runspool/service/front_server.py
+++ b/runspool/service/front_server.py
@@ -24,7 +24,7 @@
 from runspool.service.completions_handler import CompletionsHandler
 from runspool.service.front import Front
 from runspool.transport.tcp import ConnectionClosedError, TcpConnection
-from runspool.units import tenths
+from runspool.units import ms_to_tenths
 from runspool.wire.completions import error_body
 from runspool.wire.endpoint_list import EndpointEntry
 
@@ -137,7 +137,7 @@
         """Wait for accepted requests, fail those that exceed the drain time, and wait for the last writes."""
         front, settings = self.front, self.config.front
         self.log.info("front_stopping", front=settings.name, queries=len(front.requests))
-        front.shutdown_deadline = now() + tenths(settings.bounds.drain_ms)
+        front.shutdown_deadline = now() + ms_to_tenths(settings.bounds.drain_ms)
         with anyio.move_on_after(settings.bounds.drain_ms / MS_PER_SECOND):
             while front.requests:
                 await front.idle.wait()
--- a/runspool/service/request_log.py
+++ b/runspool/service/request_log.py
@@ -12,7 +12,7 @@
 from runspool.logs import RateLimitedLog
 from runspool.service.endpoint_registry import EngineReplacement
 from runspool.service.pending_request import PendingRequest
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 
 MAX_LOGGED_REQUESTS = 20  # requests listed in one log line; for the rest only their number is logged
 
@@ -45,7 +45,7 @@
         begun=pending.stream_started,
         attempt=pending.attempt_count,
         engine=endpoint and endpoint.name,
-        left_ms=time_left / TENTHS,
+        left_ms=time_left / TENTHS_PER_MS,
     )
 
 
--- a/runspool/service/streaming_response.py
+++ b/runspool/service/streaming_response.py
@@ -8,7 +8,7 @@
 from runspool.engines.idle_watchdog import IdleWatchdog, WatchedWait
 from runspool.service.clock import now
 from runspool.transport.tcp import TcpConnection
-from runspool.units import tenths
+from runspool.units import ms_to_tenths
 
 
 class StreamingLimits(Protocol):
@@ -51,7 +51,7 @@
 
     def watch(self, on_timeout: Callable[[], None]) -> None:
         """Call `on_timeout` if a write waits for the client longer than the write limit."""
-        timeout = tenths(self.connection.limits.answer_write_ms)
+        timeout = ms_to_tenths(self.connection.limits.answer_write_ms)
         self.watched_wait = self.watchdog.watch(timeout, on_timeout)
 
     def unwatch(self) -> None:
--- a/runspool/service/timer_queue.py
+++ b/runspool/service/timer_queue.py
@@ -11,7 +11,7 @@
 import structlog
 
 from runspool.service.clock import now
-from runspool.units import UNITS_PER_SECOND
+from runspool.units import TENTHS_PER_SECOND
 
 # Delay of a timer, in tenths of a millisecond, above which a warning is logged: the process lacks CPU time,
 # and responses may be late.
@@ -97,7 +97,7 @@
             if not self.heap:
                 await self.earlier_scheduled.wait()
                 continue
-            with anyio.move_on_after(max(0.0, (self.heap[0][0] - now()) / UNITS_PER_SECOND)):
+            with anyio.move_on_after(max(0.0, (self.heap[0][0] - now()) / TENTHS_PER_SECOND)):
                 await self.earlier_scheduled.wait()
 
     def _fire(self, timer: Timer) -> None:
--- a/runspool/service/wall_clock.py
+++ b/runspool/service/wall_clock.py
@@ -11,7 +11,7 @@
 
 from collections.abc import Callable
 
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 
 # Offsets that differ by at most this many milliseconds are considered equal, because slewing a clock changes
 # its offset slightly without a step.
@@ -42,7 +42,7 @@
         if not unix_ms:
             return 0
         self._record_offset()
-        starts = [round((unix_ms - offset) * TENTHS) for offset in self.offsets]
+        starts = [round((unix_ms - offset) * TENTHS_PER_MS) for offset in self.offsets]
         past = [start for start in starts if start <= now + MAX_CLOCK_SKEW]
         # If the start lies in the future with every offset, the engine is assumed to have started just now.
         return max(1, max(past, default=now))
--- a/runspool/wire/completions.py
+++ b/runspool/wire/completions.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from runspool.config.schema import FrontConfig, RequestClassConfig
-from runspool.units import TENTHS, tenths
+from runspool.units import TENTHS_PER_MS, ms_to_tenths
 from runspool.wire import fields
 from runspool.wire.fields import BYTES_PER_TOKEN, JSON_DECODE_ERRORS, InvalidRequestError
 
@@ -153,8 +153,8 @@
     # The default grows with the prompt's length at twice the rate of the first-token objective.
     default_ms = class_config.limit_ms + 2 * class_config.due_per_1000_tokens_ms * prompt_tokens / 1000
     if headers.get("runspool-limit-ms") is None:
-        return tenths(min(default_ms, longest_ms))
-    return _parse_integer_header(headers, "runspool-limit-ms", 0, 1, int(longest_ms)) * TENTHS
+        return ms_to_tenths(min(default_ms, longest_ms))
+    return _parse_integer_header(headers, "runspool-limit-ms", 0, 1, int(longest_ms)) * TENTHS_PER_MS
 
 
 def _parse_integer_header(
--- a/tests/test_discovery_call_planner.py
+++ b/tests/test_discovery_call_planner.py
@@ -18,12 +18,12 @@
     DiscoveryCallPlanner,
     DiscoveryState,
 )
-from runspool.units import UNITS_PER_SECOND
+from runspool.units import TENTHS_PER_SECOND
 
 AGENT, SECOND_AGENT = ("127.0.0.1", 1), ("127.0.0.1", 2)
 MOST_CALLS_PER_SECOND = 25
 RETURN_SEEN_WITHIN = 1_000  # tenths of a millisecond, of an agent that answers what it was asked in an outage
-KNOWN_WITHIN = 6 * UNITS_PER_SECOND  # after the agent could be reached, whatever it does
+KNOWN_WITHIN = 6 * TENTHS_PER_SECOND  # after the agent could be reached, whatever it does
 CALLS_AT_ANY_OUTAGE = 3  # that it may owe: the watches, and one more
 STEP = 50  # tenths of a millisecond
 
@@ -72,37 +72,37 @@
 
 
 def most_in_a_second(times: list[int]) -> int:
-    return max(sum(at <= other < at + UNITS_PER_SECOND for other in times) for at in times)
+    return max(sum(at <= other < at + TENTHS_PER_SECOND for other in times) for at in times)
 
 
 @settings(max_examples=60, deadline=None)
-@given(latency=st.integers(0, 60 * UNITS_PER_SECOND))
+@given(latency=st.integers(0, 60 * TENTHS_PER_SECOND))
 def test_agent_of_any_latency_is_heard_and_not_flooded(latency: int) -> None:
     # A call that is given up before its answer comes is never answered, however often it is repeated.
-    made, answered = simulate(SimulatedAgent(latency), 3 * latency + 10 * UNITS_PER_SECOND)
+    made, answered = simulate(SimulatedAgent(latency), 3 * latency + 10 * TENTHS_PER_SECOND)
     assert answered
     assert answered[0] <= latency + STEP
     assert most_in_a_second(made) <= MOST_CALLS_PER_SECOND
     gaps = [later - earlier for earlier, later in pairwise(answered)]
-    assert all(gap <= latency + 2 * UNITS_PER_SECOND for gap in gaps)
+    assert all(gap <= latency + 2 * TENTHS_PER_SECOND for gap in gaps)
 
 
 @settings(max_examples=60, deadline=None)
 @given(
     drops=st.booleans(),
-    down_from=st.integers(0, 3 * UNITS_PER_SECOND),
-    lasts=st.integers(0, 60 * UNITS_PER_SECOND),
+    down_from=st.integers(0, 3 * TENTHS_PER_SECOND),
+    lasts=st.integers(0, 60 * TENTHS_PER_SECOND),
 )
 def test_return_from_an_outage_of_any_length_is_seen(drops: bool, down_from: int, lasts: int) -> None:
     agent = SimulatedAgent(0, down_from, down_from + lasts, drops)
-    made, answered = simulate(agent, agent.down_until + 6 * UNITS_PER_SECOND)
+    made, answered = simulate(agent, agent.down_until + 6 * TENTHS_PER_SECOND)
     first = min(at for at in answered if at >= agent.down_until)
     if not drops:
         assert first <= agent.down_until + RETURN_SEEN_WITHIN + STEP
         return
     # A watch that an outage of less than a second has met is found out after its wait.
     noticed = max(agent.down_until, down_from + 15_000)
-    assert first <= noticed + max(UNITS_PER_SECOND, lasts // 10 + STEP) + STEP
+    assert first <= noticed + max(TENTHS_PER_SECOND, lasts // 10 + STEP) + STEP
     assert first <= noticed + KNOWN_WITHIN
     assert most_in_a_second(made) <= MOST_CALLS_PER_SECOND
 
@@ -110,14 +110,14 @@
 @settings(max_examples=60, deadline=None)
 @given(
     drops=st.booleans(),
-    down_from=st.integers(0, 3 * UNITS_PER_SECOND),
-    lasts=st.integers(0, 600 * UNITS_PER_SECOND),
+    down_from=st.integers(0, 3 * TENTHS_PER_SECOND),
+    lasts=st.integers(0, 600 * TENTHS_PER_SECOND),
 )
 def test_calls_made_in_an_outage_of_any_length_are_bounded(drops: bool, down_from: int, lasts: int) -> None:
     # Ten calls a second were made as long as an outage lasted; after it the agent had to work them off.
     agent = SimulatedAgent(0, down_from, down_from + lasts, drops)
     simulate(agent, agent.down_until)
-    seconds = lasts / UNITS_PER_SECOND
+    seconds = lasts / TENTHS_PER_SECOND
     assert agent.met <= CALLS_AT_ANY_OUTAGE + min(seconds, 10) + max(0, min(seconds, 40) - 10) + seconds / 3.5
 
 
@@ -155,7 +155,7 @@
     planner = DiscoveryCallPlanner(AGENT, Random(1).random)
     planner.answered(planner.make_call(0).call, 1, 0)
     made: list[DiscoveryCall] = []
-    for now in range(0, 20 * UNITS_PER_SECOND, STEP):
+    for now in range(0, 20 * TENTHS_PER_SECOND, STEP):
         while planner.next_call_at(now) <= now:
             made.append(planner.make_call(now).call)
     assert sum(call.after_version is not None for call in made) == 2
--- a/tests/test_endpoint_watch_faults.py
+++ b/tests/test_endpoint_watch_faults.py
@@ -17,7 +17,7 @@
 from runspool.node.search_pace import MAX_INTERVAL, MIN_INTERVAL
 from runspool.scheduling.types import EngineState
 from runspool.service.clock import now
-from runspool.units import TENTHS, tenths
+from runspool.units import TENTHS_PER_MS, ms_to_tenths
 from tests.node_platform.client import post
 from tests.node_platform.http_messages import http_response
 from tests.node_platform.inspection import until
@@ -107,13 +107,13 @@
 async def test_a_reset_watch_is_opened_anew_without_a_pause(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(search_pace, "MIN_INTERVAL", tenths(600_000))
-    monkeypatch.setattr(search_pace, "MAX_INTERVAL", tenths(600_000))
+    monkeypatch.setattr(search_pace, "MIN_INTERVAL", ms_to_tenths(600_000))
+    monkeypatch.setattr(search_pace, "MAX_INTERVAL", ms_to_tenths(600_000))
     platform = Platform(tmp_path, PAIR | {"s": "prefill"})
     async with platform.inside() as running:
         await platform.until(lambda: any("after=" in target for target in platform.lists))
         # It has stood for as long as two calls lie apart.
-        running.discovery.planner._last_made_at = now() - tenths(600_000)
+        running.discovery.planner._last_made_at = now() - ms_to_tenths(600_000)
         await reset_connections(platform)
         platform.tell(s="leaving")  # changed while no watch is open
         await platform.until(lambda: any("after=2" in target for target in platform.lists))
@@ -135,10 +135,10 @@
 
 
 async def test_silence_of_the_agent_is_noticed_within_what_the_platform_allows() -> None:
-    noticed_after_ms = (WATCH_WAIT + MIN_PATIENCE) / TENTHS
+    noticed_after_ms = (WATCH_WAIT + MIN_PATIENCE) / TENTHS_PER_MS
     assert noticed_after_ms < 2_000  # an outage lasts some seconds
-    assert MIN_INTERVAL / TENTHS <= 1_000  # where the agent has dropped what it was asked in one
-    assert noticed_after_ms + MAX_INTERVAL / TENTHS < 6_000  # after any silence
+    assert MIN_INTERVAL / TENTHS_PER_MS <= 1_000  # where the agent has dropped what it was asked in one
+    assert noticed_after_ms + MAX_INTERVAL / TENTHS_PER_MS < 6_000  # after any silence
 
 
 @pytest.mark.parametrize(
--- a/tests/test_node_state_release.py
+++ b/tests/test_node_state_release.py
@@ -22,7 +22,7 @@
 from runspool.service.clock import now
 from runspool.service.pending_request import Endpoint
 from runspool.transport.tcp import TcpConnection, connect
-from runspool.units import UNITS_PER_SECOND, tenths
+from runspool.units import TENTHS_PER_SECOND, ms_to_tenths
 from tests.node_platform.client import post
 from tests.node_platform.engine import never_responds
 from tests.node_platform.http_messages import WAIT, ReceivedRequest
@@ -200,11 +200,11 @@
 
         node.state_releaser.wait_settled = record_wait  # type: ignore[method-assign]
         pending = PendingNodeRequest(
-            0, "q1", 0, now() + tenths(40), cast(Any, None), client_request=cast(Any, None)
+            0, "q1", 0, now() + ms_to_tenths(40), cast(Any, None), client_request=cast(Any, None)
         )
         left = node.deadline_guard.attempts_end_at(pending) - now()
         await node.before_attempt(pending, endpoint)
-        assert waits[0] <= left / UNITS_PER_SECOND
+        assert waits[0] <= left / TENTHS_PER_SECOND
 
 
 async def test_a_release_is_confirmed_by_engines_that_answer_later_than_a_round_waits(tmp_path: Path) -> None:
@@ -217,8 +217,8 @@
         async def release(address: Address, request: str, limit: int) -> FailureCause | None:
             nonlocal calls
             calls += 1
-            with anyio.move_on_after(limit / UNITS_PER_SECOND):
-                await asyncio.sleep(4 * releaser.timeout / UNITS_PER_SECOND)
+            with anyio.move_on_after(limit / TENTHS_PER_SECOND):
+                await asyncio.sleep(4 * releaser.timeout / TENTHS_PER_SECOND)
                 return None
             return FailureCause.TIMED_OUT_BEFORE_RESPONSE
 
@@ -259,11 +259,11 @@
         async def release_state(self, address: Address, request: str, limit: int) -> FailureCause | None:
             nonlocal calls
             calls += 1
-            await anyio.sleep(limit / UNITS_PER_SECOND if wait else 0)
+            await anyio.sleep(limit / TENTHS_PER_SECOND if wait else 0)
             return failure
 
     engines = [Endpoint(index, f"w{index}", ("127.0.0.1", index), Role.DECODE, 0) for index in range(18)]
-    releaser = StateReleaser(FailingEngines(), tenths(300), lambda: engines, lambda change: None)
+    releaser = StateReleaser(FailingEngines(), ms_to_tenths(300), lambda: engines, lambda change: None)
     with anyio.move_on_after(seconds):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(releaser.run)
