--- a/tests/test_auditor_rejects_forged_recordings.py
+++ b/tests/test_auditor_rejects_forged_recordings.py
@@ -145,17 +145,17 @@
     async def answer(one: CompletionsHandler, *said: Any) -> None:
         raise ConnectionClosedError("swallowed")
 
-    patch.setattr(CompletionsHandler, "_answer", answer)
+    patch.setattr(CompletionsHandler, "_send_final_response", answer)
 
 
 def answers_late(patch: pytest.MonkeyPatch) -> None:
-    sound = CompletionsHandler._answer
+    sound = CompletionsHandler._send_final_response
 
     async def answer(one: CompletionsHandler, taken: Any, reply: Any, final: Any) -> None:
         await anyio.sleep(max(0, taken.deadline + 10_000 - now()) / 10_000)
         await sound(one, taken, reply, final)
 
-    patch.setattr(CompletionsHandler, "_answer", answer)
+    patch.setattr(CompletionsHandler, "_send_final_response", answer)
 
 
 def speaks_after_the_end(patch: pytest.MonkeyPatch) -> None:
