--- a/runspool/service/attempt_runner.py
+++ b/runspool/service/attempt_runner.py
@@ -16,15 +16,17 @@
 from runspool.service.attempt_permit import AttemptPermit
 from runspool.service.cell_scheduler import CellScheduler
 from runspool.service.clock import now
+from runspool.service.executor_base import RequestExecutorBase
 from runspool.service.pending_request import Endpoint, FinalResponse, RequestT, ResponseKind
 from runspool.service.release_check import ReleaseCheck
-from runspool.service.request_ledger import RequestLedger
 
 
 class AttemptRunner(Generic[RequestT]):
     """Runs the attempts of an executor, whose subclasses implement the protocol between front and engines."""
 
-    def __init__(self, executor: RequestLedger[RequestT], release_check: ReleaseCheck[RequestT]) -> None:
+    def __init__(
+        self, executor: RequestExecutorBase[RequestT], release_check: ReleaseCheck[RequestT]
+    ) -> None:
         self.executor = executor
         self.release_check = release_check
 
--- a/runspool/service/request_ledger.py
+++ b/runspool/service/executor_base.py
@@ -22,7 +22,7 @@
 from runspool.service.wall_clock import WallClock
 
 
-class RequestLedger(TaskSpawner, ProtocolHooks[RequestT]):
+class RequestExecutorBase(TaskSpawner, ProtocolHooks[RequestT]):
     """The open requests, their timers and final responses, and the known engines.
 
     It is the base of RequestExecutor, which carries out the scheduler's actions. All times are in tenths of a
@@ -36,7 +36,7 @@
         engine_types: dict[str, int],
         zones: dict[str, int],
     ) -> None:
-        """Initialize an empty ledger; `engine_types` and `zones` map configured names to their indices."""
+        """Initialize without requests; `engine_types` and `zones` map configured names to their indices."""
         super().__init__()
         self.settings = settings
         self.trace = BoundedLog()
--- a/runspool/service/last_resort.py
+++ b/runspool/service/last_resort.py
@@ -7,15 +7,15 @@
 from runspool.scheduling.request_lifecycle import DenialReason, InvariantViolation
 from runspool.service import final_responses
 from runspool.service.clock import now
+from runspool.service.executor_base import RequestExecutorBase
 from runspool.service.pending_request import RequestT
-from runspool.service.request_ledger import RequestLedger
 from runspool.service.request_log import ShutdownDecision, log_shutdown_decision
 
 
 class LastResort(Generic[RequestT]):
     """Ends every open request whose lifecycle does not permit it to stay open."""
 
-    def __init__(self, executor: RequestLedger[RequestT]) -> None:
+    def __init__(self, executor: RequestExecutorBase[RequestT]) -> None:
         self.executor = executor
 
     def end_open_requests(self, process_ends: bool = False, streams: bool = True) -> None:
--- a/runspool/service/release_check.py
+++ b/runspool/service/release_check.py
@@ -5,15 +5,15 @@
 from typing import Generic
 
 from runspool.service.clock import now
+from runspool.service.executor_base import RequestExecutorBase
 from runspool.service.pending_request import RequestT
-from runspool.service.request_ledger import RequestLedger
 from runspool.service.timer_queue import ReleaseCheckTimer
 
 
 class ReleaseCheck(Generic[RequestT]):
     """Schedules a timer for each prefill state at the latest time at which its release must start."""
 
-    def __init__(self, executor: RequestLedger[RequestT]) -> None:
+    def __init__(self, executor: RequestExecutorBase[RequestT]) -> None:
         self.executor = executor
 
     def schedule(self, pending: RequestT) -> None:
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -3,7 +3,7 @@
 This module makes no scheduling decisions and implements no protocol. Its parts are:
 
 - `protocol_hooks`: the methods with which subclasses implement a protocol
-- `request_ledger`: the open requests and their final responses
+- `executor_base`: the open requests and their final responses
 - `attempt_runner`: runs single attempts
 - `deadline_guard`: answers requests shortly before their deadlines
 - `release_check`: releases prefill states in time
@@ -30,10 +30,10 @@
 from runspool.service.attempt_runner import AttemptRunner
 from runspool.service.cell_scheduler import CellScheduler
 from runspool.service.clock import now
+from runspool.service.executor_base import RequestExecutorBase
 from runspool.service.last_resort import LastResort
 from runspool.service.pending_request import RequestT
 from runspool.service.release_check import ReleaseCheck
-from runspool.service.request_ledger import RequestLedger
 from runspool.service.request_log import ShutdownDecision, log_replacements
 from runspool.service.timer_queue import (
     DeadlineGuardTimer,
@@ -48,7 +48,7 @@
 TEXT_RETENTION = 6_000_000
 
 
-class RequestExecutor(RequestLedger[RequestT]):
+class RequestExecutor(RequestExecutorBase[RequestT]):
     """Carries out scheduler actions in a single event loop; no method blocks.
 
     All times are in tenths of a millisecond on the front's clock. `closing` is set when a shutdown begins.
--- a/tests/simulated_clock.py
+++ b/tests/simulated_clock.py
@@ -23,7 +23,7 @@
 MODULES_WITH_CLOCK = (
     "front",
     "request_executor",
-    "request_ledger",
+    "executor_base",
     "attempt_runner",
     "attempt_permit",
     "deadline_guard",
@@ -86,7 +86,7 @@
     for module in MODULES_WITH_CLOCK:
         monkeypatch.setattr(f"runspool.service.{module}.now", now)
     monkeypatch.setattr("runspool.service.front.unix_ms", unix_ms)
-    monkeypatch.setattr("runspool.service.request_ledger.unix_ms_at_zero", lambda: UNIX_MS_AT_ZERO)
+    monkeypatch.setattr("runspool.service.executor_base.unix_ms_at_zero", lambda: UNIX_MS_AT_ZERO)
 
 
 def run(work: Coroutine[Any, Any, None]) -> None:
--- a/tests/test_front_endpoint_list.py
+++ b/tests/test_front_endpoint_list.py
@@ -72,7 +72,7 @@
                 await anyio.sleep(0.005)
         known = scheduler.engines[1].started_at
         monkeypatch.setattr(
-            "runspool.service.request_ledger.unix_ms_at_zero", lambda: unix_ms_at_zero() - hour
+            "runspool.service.executor_base.unix_ms_at_zero", lambda: unix_ms_at_zero() - hour
         )
         fleet.tell(1, "draining")
         fleet.started[2] = unix_ms() - hour
