--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -92,7 +92,7 @@
         """End everything that must not be open at the time of the kill, whatever the scheduler decided."""
         self._log_timeout()
         # Requests whose deadlines are later than the kill must be ended, and their state released, before it.
-        self.executor.last_resort.end_open_requests(streams=False)
+        self.executor.request_terminator.end_open_requests(include_streams=False)
         if await self._wait_until_idle(now() + DECISION_GRACE):
             return
         # If the process was suspended, the scheduler's timers may be due at this moment too. Run them first.
@@ -100,11 +100,11 @@
         end_at = self.requested_at + MAX_SHUTDOWN_DURATION
         if await self._wait_until_idle(end_at, self._end_open_requests):
             return
-        self.executor.last_resort.end_open_requests(process_ends=True)
+        self.executor.request_terminator.end_open_requests(process_ends=True)
         await self._wait_until_idle(end_at + FINAL_WRITE_DURATION)
 
     def _end_open_requests(self) -> None:
-        self.executor.last_resort.end_open_requests()
+        self.executor.request_terminator.end_open_requests()
         for handler in list(self.connections.handlers):
             handler.refuse_incomplete()
 
--- a/runspool/service/front_server.py
+++ b/runspool/service/front_server.py
@@ -141,7 +141,7 @@
         with anyio.move_on_after(settings.bounds.drain_ms / MS_PER_SECOND):
             while front.requests:
                 await front.idle.wait()
-        front.last_resort.end_open_requests(process_ends=True)
+        front.request_terminator.end_open_requests(process_ends=True)
         with anyio.move_on_after(FINAL_WRITE_TIMEOUT):
             # Release calls are awaited too. A state whose call is cut off stays reserved until the engine's
             # own timeout.
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -7,7 +7,7 @@
 - `attempt_runner`: runs single attempts
 - `deadline_guard`: answers requests shortly before their deadlines
 - `release_check`: releases prefill states in time
-- `last_resort`: ends requests that a shutdown must not leave open
+- `request_terminator`: ends requests that a shutdown must not leave open
 - `task_spawner`: isolates tasks from each other's exceptions
 - `endpoint_registry`: the known engines
 """
@@ -31,10 +31,10 @@
 from runspool.service.cell_scheduler import CellScheduler
 from runspool.service.clock import now
 from runspool.service.executor_base import RequestExecutorBase
-from runspool.service.last_resort import LastResort
 from runspool.service.pending_request import RequestT
 from runspool.service.release_check import ReleaseCheck
 from runspool.service.request_log import ShutdownDecision, log_replacements
+from runspool.service.request_terminator import RequestTerminator
 from runspool.service.timer_queue import (
     DeadlineGuardTimer,
     ExecutorTimer,
@@ -73,7 +73,7 @@
         super().__init__(settings, engine_types, zones)
         self.text_interner = Interner(text_capacity, TEXT_RETENTION)
         self.release_check = ReleaseCheck(self)
-        self.last_resort = LastResort(self)
+        self.request_terminator = RequestTerminator(self)
         self.attempt_runner = AttemptRunner(self, self.release_check)
         self.accepted_count = 0
         self.closing = False
@@ -157,7 +157,7 @@
         if self.finish(pending, final_responses.stream_migrated()):
             self.counts["migrated"] += 1
             if self.shutdown_deadline:
-                self.last_resort.log_decision(
+                self.request_terminator.log_decision(
                     pending, ShutdownDecision.MOVED, "the scheduler migrated the stream"
                 )
             pending.cancel_attempt()
--- a/runspool/service/last_resort.py
+++ b/runspool/service/request_terminator.py
@@ -12,23 +12,23 @@
 from runspool.service.request_log import ShutdownDecision, log_shutdown_decision
 
 
-class LastResort(Generic[RequestT]):
+class RequestTerminator(Generic[RequestT]):
     """Ends every open request whose lifecycle does not permit it to stay open."""
 
     def __init__(self, executor: RequestExecutorBase[RequestT]) -> None:
         self.executor = executor
 
-    def end_open_requests(self, process_ends: bool = False, streams: bool = True) -> None:
+    def end_open_requests(self, process_ends: bool = False, include_streams: bool = True) -> None:
         """End every request that may not stay open now.
 
         Args:
             process_ends: Whether the process is about to exit by itself; see
                 RequestLifecycle.deny_staying_open().
-            streams: Whether requests with a started stream are included. If not, the schedulers may still
-                migrate these streams.
+            include_streams: Whether to end requests with a started stream as well. If not, the schedulers may
+                still migrate these streams.
         """
         for pending in list(self.executor.requests.values()):
-            if pending.final_response is not None or (pending.stream_started and not streams):
+            if pending.final_response is not None or (pending.stream_started and not include_streams):
                 continue
             denial = pending.lifecycle.deny_staying_open(process_ends)
             if denial is None:
--- a/tests/soak/sabotage.py
+++ b/tests/soak/sabotage.py
@@ -116,7 +116,7 @@
 
 
 def leave_streams_open() -> None:
-    """End no stream in a shutdown, as decisions or as the last resort."""
+    """End no stream in a shutdown, as decisions or by the request terminator."""
     original = RequestLifecycle.deny_staying_open
 
     def deny_unanswered_only(self: RequestLifecycle, process_ends: bool) -> DenialReason | None:
@@ -137,7 +137,7 @@
 
 
 def cut_all_streams() -> None:
-    """Treat every stream as one that can be resumed, as the last resort does."""
+    """Treat every stream as one that can be resumed, as the request terminator does."""
     original = AttemptPolicy.for_class.__func__  # type: ignore[attr-defined]
     AttemptPolicy.for_class = classmethod(  # type: ignore[method-assign, assignment]
         lambda cls, *arguments: replace(original(cls, *arguments), stream_can_resume=True)
--- a/tests/test_node_stop_before_kill.py
+++ b/tests/test_node_stop_before_kill.py
@@ -8,7 +8,7 @@
 
 The streams that a shutdown moves were looked up in the records of the engines where they ran. A change that
 says an engine was started anew, or has another role, put a new and empty record in the place of the old one,
-so the shutdown saw no stream there. Behind the decisions, the executor's last resort passed over all streams
+so the shutdown saw no stream there. Behind the decisions, the request terminator passed over all streams
 that had begun. On the failed code a stream ended 2.2 s after SIGTERM where the list did not change, with
 events or silent, and was open at 3.7 s where the list named its engine with a later start.
 """
