--- a/runspool/node/discovery_call_log.py
+++ b/runspool/node/discovery_call_log.py
@@ -8,10 +8,10 @@
 import structlog
 
 from runspool.discovery.endpoint_tracker import EndpointTracker
-from runspool.logs import BoundedLog
+from runspool.logs import RateLimitedLog
 from runspool.node.discovery_call import DiscoveryCall
 from runspool.node.discovery_call_planner import DiscoveryCallPlanner, DiscoveryState
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 
 # A response that is complete so long after the end of the call's wait is logged at level info; tenths of a
 # millisecond.
@@ -30,8 +30,8 @@
 class DiscoveryCallLog:
     """Logs noteworthy calls and every change of the discovery state, and counts all calls.
 
-    Noteworthy calls and state changes are logged at level info, subject to the rate limit of BoundedLog; all
-    other calls are logged at level debug.
+    Noteworthy calls and state changes are logged at level info, subject to the rate limit of RateLimitedLog;
+    all other calls are logged at level debug.
 
     Attributes:
         tracker: The endpoint list as it is known; its version is logged.
@@ -46,7 +46,7 @@
         self.given_up = 0
         self.is_interrupted = True
         self.log = structlog.get_logger()
-        self.bounded_log = BoundedLog()
+        self.bounded_log = RateLimitedLog()
 
     def ended(
         self, call: DiscoveryCall, end: CallEnd, now: int, planner: DiscoveryCallPlanner, reason: str = ""
@@ -113,7 +113,7 @@
         return {
             "calls_out": len(planner.calls_out),
             "calls_owed": planner.calls_owed,
-            "answer_time_ms": planner.answer_time / TENTHS,
+            "answer_time_ms": planner.answer_time / TENTHS_PER_MS,
             "version": self.tracker.version,
             "confirmed_ms_ago": _milliseconds_between(self.tracker.confirmed_at, now),
         }
@@ -125,10 +125,10 @@
         "after": call.after_version,
         "local_port": call.local_port,
         "position": call.position,
-        "age_ms": (now - call.made_at) / TENTHS,
+        "age_ms": (now - call.made_at) / TENTHS_PER_MS,
         "first_byte_ms": _milliseconds_between(call.made_at, call.first_byte_at),
     }
 
 
 def _milliseconds_between(since: int | None, until: int | None) -> float | None:
-    return None if since is None or until is None else (until - since) / TENTHS
+    return None if since is None or until is None else (until - since) / TENTHS_PER_MS
--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -14,7 +14,7 @@
 from runspool.node.config import NodeConfig
 from runspool.node.executor import NodeExecutor
 from runspool.service.clock import now
-from runspool.units import TENTHS, UNITS_PER_SECOND
+from runspool.units import TENTHS_PER_MS, TENTHS_PER_SECOND
 
 # After SIGTERM, the platform waits at least for the longest deadline of its request classes, limited to
 # MAX_COUNTED_DEADLINE, and then for KILL_DELAY before it kills a node.
@@ -82,7 +82,7 @@
         self.executor.closing = not accepts_requests
         self._log_stopping(accept_until)
         self.executor.begin_shutdown(self.deadline)
-        await anyio.sleep(max(0, accept_until - now()) / UNITS_PER_SECOND)
+        await anyio.sleep(max(0, accept_until - now()) / TENTHS_PER_SECOND)
         self.executor.closing = True
         self.log.info("node_accepting_ended", **self._open_counts())
         if not await self._wait_until_idle(self.deadline):
@@ -92,7 +92,7 @@
         """End everything that must not be open at the time of the kill, whatever the scheduler decided."""
         self._log_timeout()
         # Requests whose deadlines are later than the kill must be ended, and their state released, before it.
-        self.executor.last_resort.end_open_requests(streams=False)
+        self.executor.request_terminator.end_open_requests(include_streams=False)
         if await self._wait_until_idle(now() + DECISION_GRACE):
             return
         # If the process was suspended, the scheduler's timers may be due at this moment too. Run them first.
@@ -100,11 +100,11 @@
         end_at = self.requested_at + MAX_SHUTDOWN_DURATION
         if await self._wait_until_idle(end_at, self._end_open_requests):
             return
-        self.executor.last_resort.end_open_requests(process_ends=True)
+        self.executor.request_terminator.end_open_requests(process_ends=True)
         await self._wait_until_idle(end_at + FINAL_WRITE_DURATION)
 
     def _end_open_requests(self) -> None:
-        self.executor.last_resort.end_open_requests()
+        self.executor.request_terminator.end_open_requests()
         for handler in list(self.connections.handlers):
             handler.refuse_incomplete()
 
@@ -127,10 +127,10 @@
             "node_stopping",
             node=self.config.name,
             **self._open_counts(),
-            accept_until_ms=(accept_until - now()) / TENTHS,
-            answer_until_ms=(self.deadline - now()) / TENTHS,
-            kill_expected_ms=(self.deadline + KILL_MARGIN - now()) / TENTHS,
-            requested_ms_ago=(now() - self.requested_at) / TENTHS,
+            accept_until_ms=(accept_until - now()) / TENTHS_PER_MS,
+            answer_until_ms=(self.deadline - now()) / TENTHS_PER_MS,
+            kill_expected_ms=(self.deadline + KILL_MARGIN - now()) / TENTHS_PER_MS,
+            requested_ms_ago=(now() - self.requested_at) / TENTHS_PER_MS,
             streams_can_resume=self.executor.settings.streams_can_resume,
         )
 
--- a/runspool/service/request_ledger.py
+++ b/runspool/service/executor_base.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from runspool.discovery.endpoint_tracker import EndpointTracker
-from runspool.logs import BoundedLog
+from runspool.logs import RateLimitedLog
 from runspool.scheduling.request_lifecycle import InvariantMonitor, InvariantViolation
 from runspool.scheduling.settings import RoutingSettings
 from runspool.service import final_responses
@@ -22,7 +22,7 @@
 from runspool.service.wall_clock import WallClock
 
 
-class RequestLedger(TaskSpawner, ProtocolHooks[RequestT]):
+class RequestExecutorBase(TaskSpawner, ProtocolHooks[RequestT]):
     """The open requests, their timers and final responses, and the known engines.
 
     It is the base of RequestExecutor, which carries out the scheduler's actions. All times are in tenths of a
@@ -36,10 +36,10 @@
         engine_types: dict[str, int],
         zones: dict[str, int],
     ) -> None:
-        """Initialize an empty ledger; `engine_types` and `zones` map configured names to their indices."""
+        """Initialize without requests; `engine_types` and `zones` map configured names to their indices."""
         super().__init__()
         self.settings = settings
-        self.trace = BoundedLog()
+        self.trace = RateLimitedLog()
         self.invariants = InvariantMonitor(self._report_violation)
         wall_clock = WallClock(lambda: unix_ms_at_zero())
         self.registry = EndpointRegistry(settings, engine_types, zones, wall_clock)
--- a/runspool/service/request_log.py
+++ b/runspool/service/request_log.py
@@ -9,10 +9,10 @@
 
 from structlog.typing import FilteringBoundLogger
 
-from runspool.logs import BoundedLog
+from runspool.logs import RateLimitedLog
 from runspool.service.endpoint_registry import EngineReplacement
 from runspool.service.pending_request import PendingRequest
-from runspool.units import TENTHS
+from runspool.units import TENTHS_PER_MS
 
 MAX_LOGGED_REQUESTS = 20  # requests listed in one log line; for the rest only their number is logged
 
@@ -45,12 +45,12 @@
         begun=pending.stream_started,
         attempt=pending.attempt_count,
         engine=endpoint and endpoint.name,
-        left_ms=time_left / TENTHS,
+        left_ms=time_left / TENTHS_PER_MS,
     )
 
 
 def log_replacements(
-    log: BoundedLog, replacements: Iterable[EngineReplacement], requests: Iterable[PendingRequest]
+    log: RateLimitedLog, replacements: Iterable[EngineReplacement], requests: Iterable[PendingRequest]
 ) -> None:
     """Log engines that were replaced while they were processing requests, with these requests."""
     running: defaultdict[int, list[PendingRequest]] = defaultdict(list)
