--- a/runspool/simulator_adapter/__main__.py
+++ b/runspool/simulator_adapter/__main__.py
@@ -5,7 +5,7 @@
 import sys
 
 from runspool.simulator_adapter.host import FrontHost
-from runspool.simulator_adapter.wire import MalformedLineError
+from runspool.simulator_adapter.line_protocol import MalformedLineError
 
 EXIT_MALFORMED_INPUT = 2  # exit status for a line that the protocol does not allow
 
--- a/runspool/simulator_adapter/host.py
+++ b/runspool/simulator_adapter/host.py
@@ -21,12 +21,12 @@
     EngineRecord,
     Request,
 )
-from runspool.simulator_adapter.wire import (
+from runspool.simulator_adapter.line_protocol import (
+    ATTEMPT_STATUSES,
+    ENGINE_STATES,
     QUOTED_LENGTH,
-    STATES,
-    STATUSES,
     MalformedLineError,
-    WireLine,
+    ProtocolLine,
 )
 
 MAX_INTERNED_NAMES = 200_000  # names of sessions and prefixes per front; the oldest are dropped
@@ -38,7 +38,7 @@
 
 # Whether a kind of endpoint update is a complete snapshot. `cached` is the last list that the platform knew,
 # which may be outdated.
-SNAPSHOT_BY_KIND = {"delta": False, "full": True, "cached": True}
+IS_SNAPSHOT_BY_KIND = {"delta": False, "full": True, "cached": True}
 
 
 def _parse_settings(text: str) -> PlatformSettings:
@@ -64,7 +64,7 @@
     longer known.
     """
 
-    def __init__(self, name: str, line: WireLine, now: int, reply: list[str]) -> None:
+    def __init__(self, name: str, line: ProtocolLine, now: int, reply: list[str]) -> None:
         """Create a front and its scheduler.
 
         Args:
@@ -130,7 +130,7 @@
         """Remove a request that has ended; the simulator may use its name again."""
         self.request_indices.pop(self.request_names.pop(request), None)
 
-    def request_received(self, now: int, line: WireLine) -> None:
+    def request_received(self, now: int, line: ProtocolLine) -> None:
         """Submit a new request (`inbound`)."""
         name = line.text("req")
         index = self.request_count
@@ -139,7 +139,7 @@
         self.request_indices[name] = index
         self.driver.submit(now, self._parse_request(index, line))
 
-    def _parse_request(self, index: int, line: WireLine) -> Request:
+    def _parse_request(self, index: int, line: ProtocolLine) -> Request:
         request_class = self.settings.request_classes.get(line.text("qos"))
         expected_output_tokens = self._expected_output_tokens(request_class, line)
         session, prefix = line.optional_text("thread"), line.optional_text("prefix-id")
@@ -161,7 +161,7 @@
             prefix_hash=stable_hash(prefix or ""),
         )
 
-    def _expected_output_tokens(self, request_class: int | None, line: WireLine) -> int:
+    def _expected_output_tokens(self, request_class: int | None, line: ProtocolLine) -> int:
         """Return the expected number of output tokens, or 0 if it is unknown.
 
         The client's hint is a duration, which is divided by the class's objective for the time per token.
@@ -172,7 +172,7 @@
         time_per_token = self.settings.routing.request_classes[request_class].time_per_output_token
         return hint // time_per_token if time_per_token else 0
 
-    def stream_started(self, now: int, line: WireLine) -> None:
+    def stream_started(self, now: int, line: ProtocolLine) -> None:
         """Report the first token of an attempt to the scheduler (`under_way`)."""
         index = self.request_indices.get(line.text("req"))
         if index is not None:
@@ -180,10 +180,10 @@
             attempt = line.integer("leg") + 1
             self.driver.stream_started(now, index, attempt, line.duration("delay-seen-us", 0))
 
-    def attempt_ended(self, now: int, line: WireLine) -> None:
+    def attempt_ended(self, now: int, line: ProtocolLine) -> None:
         """Report the end of an attempt to the scheduler (`closed_attempt`)."""
         index = self.request_indices.get(line.text("req"))
-        status = line.choice("ending", STATUSES)
+        status = line.choice("ending", ATTEMPT_STATUSES)
         detail = line.integer("detail", 0)
         if index is None:
             return
@@ -193,26 +193,26 @@
         outcome = AttemptOutcome(status, duration, detail, line.load_report())
         self.driver.attempt_ended(now, index, line.integer("leg") + 1, outcome, line.flag("complete"))
 
-    def client_disconnected(self, now: int, line: WireLine) -> None:
+    def client_disconnected(self, now: int, line: ProtocolLine) -> None:
         """Report to the scheduler that a request's client has disconnected (`withdrawn`)."""
         index = self.request_indices.get(line.text("req"))
         if index is not None:
             self.driver.client_disconnected(now, index)
 
-    def timer_fired(self, now: int, line: WireLine) -> None:
+    def timer_fired(self, now: int, line: ProtocolLine) -> None:
         """Report to the scheduler that a timer has fired (`bell`)."""
         self.driver.timer_fired(now, line.text("token"))
 
-    def endpoints_updated(self, now: int, line: WireLine, entries: list[WireLine]) -> None:
+    def endpoints_updated(self, now: int, line: ProtocolLine, entries: list[ProtocolLine]) -> None:
         """Report an update of the endpoint list, or the loss of the subscription (`registry`)."""
         if line.text("kind") == "failed":
             self.driver.subscription_lost(now)
             return
-        is_snapshot = line.choice("kind", SNAPSHOT_BY_KIND)
+        is_snapshot = line.choice("kind", IS_SNAPSHOT_BY_KIND)
         records = [self._engine_record(entry) for entry in entries]
         self.driver.update_endpoints(now, EndpointUpdate(is_snapshot, records))
 
-    def _engine_record(self, entry: WireLine) -> EngineRecord:
+    def _engine_record(self, entry: ProtocolLine) -> EngineRecord:
         name = entry.text("engine")
         index = self.engine_interner.intern(name)
         if index == len(self.engine_names):
@@ -225,12 +225,12 @@
             zone=self.settings.zones.get(entry.optional_text("zone") or "", UNKNOWN_ZONE),
             rack=entry.integer("pod", UNKNOWN_RACK),
             started_at=entry.duration("started-at-us", 0),
-            state=entry.choice("lifecycle", STATES),
+            state=entry.choice("lifecycle", ENGINE_STATES),
             stable_hash=stable_hash(name),
         )
 
 
-EVENT_HANDLERS: dict[str, Callable[[SimulatedFront, int, WireLine], None]] = {
+EVENT_HANDLERS: dict[str, Callable[[SimulatedFront, int, ProtocolLine], None]] = {
     "inbound": SimulatedFront.request_received,
     "under_way": SimulatedFront.stream_started,
     "closed_attempt": SimulatedFront.attempt_ended,
@@ -255,7 +255,7 @@
         self.source = source
         self.sink = sink
         self.fronts: dict[str, SimulatedFront] = {}
-        self.endpoint_lists: dict[int, list[WireLine]] = {}
+        self.endpoint_lists: dict[int, list[ProtocolLine]] = {}
         self.reply: list[str] = []
         self.failed: set[str] = set()
 
@@ -268,7 +268,7 @@
         while (text := self._next_text()) is not None:
             if not text:
                 continue
-            tick = WireLine(text)
+            tick = ProtocolLine(text)
             if tick.name != "tick":
                 raise MalformedLineError(f"a batch must start with tick, not {text[:QUOTED_LENGTH]!r}")
             self._serve_batch(tick.duration("time-us"))
@@ -286,11 +286,11 @@
         except UnicodeDecodeError as error:
             raise MalformedLineError(f"a line is not valid UTF-8: {error}") from None
 
-    def _next_line(self) -> WireLine:
+    def _next_line(self) -> ProtocolLine:
         text = self._next_text()
         if text is None:
             raise MalformedLineError("the input ends inside a batch")
-        return WireLine(text)
+        return ProtocolLine(text)
 
     def _serve_batch(self, now: int) -> None:
         while (line := self._next_line()).name != "eof_batch":
@@ -300,7 +300,7 @@
             elif line.optional_text("front") is not None:
                 self._handle_event(now, line.text("front"), line)
 
-    def _next_entry(self) -> WireLine:
+    def _next_entry(self) -> ProtocolLine:
         entry = self._next_line()
         if entry.name != "engine":
             raise MalformedLineError(
@@ -308,7 +308,7 @@
             )
         return entry
 
-    def _handle_event(self, now: int, name: str, line: WireLine) -> None:
+    def _handle_event(self, now: int, name: str, line: ProtocolLine) -> None:
         """Handle one event of a front.
 
         If the scheduler raises an exception, report it to the simulator and ignore further events of the
@@ -329,7 +329,7 @@
             reason = " ".join(f"{type(error).__name__}: {error}".split())
             self.reply.append(f"bail_out front={name} reason-text={reason}")
 
-    def _dispatch(self, now: int, name: str, line: WireLine) -> None:
+    def _dispatch(self, now: int, name: str, line: ProtocolLine) -> None:
         front = self.fronts.get(name)
         if front is None:
             raise MalformedLineError(f"{line.name} is for the front {name}, which has not been attached")
--- a/runspool/simulator_adapter/wire.py
+++ b/runspool/simulator_adapter/line_protocol.py
@@ -1,7 +1,7 @@
 """Parser for the lines of the simulator's protocol.
 
 A line consists of a name and `key=value` fields, separated by single spaces. The simulator defines the names
-and keys. STATUSES and STATES map its words for statuses and states to the router's types.
+and keys. ATTEMPT_STATUSES and ENGINE_STATES map its words for statuses and states to the router's types.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 QUOTED_LENGTH = 200  # maximum length of the part of a line that an error message quotes, in characters
 TOKENS_PER_THOUSAND = 1000  # the field `x1` of a load report is in thousands of tokens
 
-STATUSES = {
+ATTEMPT_STATUSES = {
     "completed": AttemptStatus.SUCCEEDED,
     "errored": AttemptStatus.SERVER_ERROR,
     "saturated": AttemptStatus.OVERLOADED,
@@ -31,14 +31,14 @@
     "superseded": AttemptStatus.NOT_SENT,
     "handover": AttemptStatus.PREFILL_COMPLETE,
 }
-STATES = {"on": EngineState.READY, "fading": EngineState.DRAINING, "off": EngineState.REMOVED}
+ENGINE_STATES = {"on": EngineState.READY, "fading": EngineState.DRAINING, "off": EngineState.REMOVED}
 
 
 class MalformedLineError(RunspoolError):
     """A line violates the protocol; the adapter then stops reading from the simulator."""
 
 
-class WireLine:
+class ProtocolLine:
     """One parsed line. Every accessor of a field raises MalformedLineError for a value that is invalid.
 
     Attributes:
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -7,7 +7,7 @@
 import pytest
 
 from runspool.simulator_adapter.host import FrontHost
-from runspool.simulator_adapter.wire import MalformedLineError
+from runspool.simulator_adapter.line_protocol import MalformedLineError
 
 ATTACH = 'attach front=front/0 random-seed=1 profile-data={"classes":[{"name":"a"}]}'
 
