--- a/runspool/cli/front_files.py
+++ b/runspool/cli/front_files.py
@@ -14,7 +14,7 @@
 from runspool.cli.terms import EXIT_INVALID, load_config_or_exit
 from runspool.config import FrontConfig
 from runspool.config.loader import InvalidConfigError
-from runspool.config.schema import ROLES
+from runspool.config.schema import ROLE_BY_NAME
 from runspool.discovery import snapshot
 from runspool.units import ms_to_tenths
 
@@ -84,7 +84,9 @@
         last = snapshot.load_snapshot(Path(self.config.front.memory_file or ""))
         kinds = self.config.house.kinds
         return [
-            EngineDescriptor(entry.engine, ROLES[kinds[entry.engine_type].role], entry.zone, entry.rack)
+            EngineDescriptor(
+                entry.engine, ROLE_BY_NAME[kinds[entry.engine_type].role], entry.zone, entry.rack
+            )
             for entry in (last.engines if last else [])
             if entry.state == "on" and entry.engine_type in kinds
         ]
--- a/runspool/config/schema.py
+++ b/runspool/config/schema.py
@@ -31,17 +31,17 @@
 
 
 # The scheduler's types, by the words that configuration files use for them.
-IDEMPOTENCY = {
+IDEMPOTENCY_BY_EFFECT = {
     "rerunnable": Idempotency.IDEMPOTENT,
     "ticketed": Idempotency.KEYED,
     "exclusive": Idempotency.AT_MOST_ONCE,
 }
-DEDUPLICATION_SCOPES = {
+DEDUPLICATION_SCOPE_BY_GROUP = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "rack": DeduplicationScope.RACK,
 }
-ROLES = {"reader": Role.PREFILL, "writer": Role.DECODE, "mixed": Role.MIXED}
+ROLE_BY_NAME = {"reader": Role.PREFILL, "writer": Role.DECODE, "mixed": Role.MIXED}
 
 
 class ConfigSection(BaseModel):
@@ -92,8 +92,8 @@
             time_per_output_token=ms_to_tenths(self.pace_ms_per_token),
             priority_weight=self.gain,
             late_value=self.late_share,
-            idempotency=IDEMPOTENCY[self.effect],
-            deduplication_scope=DEDUPLICATION_SCOPES[self.group],
+            idempotency=IDEMPOTENCY_BY_EFFECT[self.effect],
+            deduplication_scope=DEDUPLICATION_SCOPE_BY_GROUP[self.group],
             deduplication_window=ms_to_tenths(self.window_ms),
         )
 
@@ -363,7 +363,7 @@
             ],
             tenants=[TenantSettings(tenant.queries_per_second) for tenant in house.tenants.values()],
             engine_types=[
-                EngineTypeSettings(ROLES[engine_type.role], engine_type.memory_tokens)
+                EngineTypeSettings(ROLE_BY_NAME[engine_type.role], engine_type.memory_tokens)
                 for engine_type in house.kinds.values()
             ],
             over_quota_value=house.over_share,
