--- a/runspool/cells/cell_store.py
+++ b/runspool/cells/cell_store.py
@@ -51,7 +51,7 @@
     cell_map: msgspec.Raw = msgspec.field(name="chart")
 
 
-def write_checked(path: Path, body: bytes) -> None:
+def write_with_checksum(path: Path, body: bytes) -> None:
     """Replace a file atomically, with a checksum before `body`, and sync its directory.
 
     Without the sync of the directory, a power loss could undo the replacement.
@@ -107,7 +107,9 @@
     Raises:
         OSError: the file could not be written.
     """
-    write_checked(path, msgspec.json.encode(AdoptedMap(adopted_unix_ms, msgspec.Raw(encode_map(cell_map)))))
+    write_with_checksum(
+        path, msgspec.json.encode(AdoptedMap(adopted_unix_ms, msgspec.Raw(encode_map(cell_map))))
+    )
 
 
 def load_adopted_map(path: Path) -> tuple[CellMap, int] | None:
@@ -193,7 +195,7 @@
     change = MapChange(unix_ms, description, cell_map.version, msgspec.Raw(encode_map(cell_map)))
     lines = [msgspec.json.encode(entry) for entry in [*earlier_changes[-MAX_LOGGED_CHANGES + 1 :], change]]
     replace_file(change_log_path(path), b"".join(b"%08x %b\n" % (crc32(line), line) for line in lines))
-    write_checked(path, encode_map(cell_map))
+    write_with_checksum(path, encode_map(cell_map))
 
 
 def recover_map(path: Path) -> CellMap | None:
@@ -215,7 +217,7 @@
     changes = read_change_log(path)
     if changes and (cell_map is None or changes[-1].version > cell_map.version):
         cell_map = decode_map(bytes(changes[-1].cell_map), str(change_log_path(path)))
-        write_checked(path, encode_map(cell_map))
+        write_with_checksum(path, encode_map(cell_map))
     return cell_map
 
 
@@ -233,5 +235,5 @@
     "record_change",
     "recover_map",
     "save_adopted_map",
-    "write_checked",
+    "write_with_checksum",
 ]
--- a/runspool/lab/migration_script.py
+++ b/runspool/lab/migration_script.py
@@ -153,4 +153,4 @@
     def _write(self, front_index: int, cell_map: CellMap) -> None:
         self.written_versions[front_index] = cell_map.version
         path = self.folder / f"{self.plan.fronts[front_index].name}.map"
-        cell_store.write_checked(path, cell_store.encode_map(cell_map))
+        cell_store.write_with_checksum(path, cell_store.encode_map(cell_map))
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -99,7 +99,7 @@
         if cells is not None:
             self.plan.cells = cells.model_dump()
             self.map_file = folder / "front-0.map"
-            cell_store.write_checked(self.map_file, cell_store.encode_map(cells))
+            cell_store.write_with_checksum(self.map_file, cell_store.encode_map(cells))
         self.file = folder / "small-fleet.jsonl"
         self.record = Recorder(self.file)
         self.listing = EndpointListService(self.record, 0)
--- a/tests/test_front_cells.py
+++ b/tests/test_front_cells.py
@@ -18,7 +18,7 @@
 
 async def adopt(fleet: SmallFleet, cell_map: CellMap) -> None:
     """Write a map and wait until the front has adopted it."""
-    cell_store.write_checked(fleet.map_file, cell_store.encode_map(cell_map))
+    cell_store.write_with_checksum(fleet.map_file, cell_store.encode_map(cell_map))
     with anyio.fail_after(10):
         while fleet.running.front.cell_router.cell_map.version < cell_map.version:
             await anyio.sleep(0.005)
@@ -142,7 +142,7 @@
             with anyio.fail_after(10):
                 while watcher.last_file_version == version_before:
                     await anyio.sleep(0.005)
-        cell_store.write_checked(fleet.map_file, cell_store.encode_map(CELL_MAP))
+        cell_store.write_with_checksum(fleet.map_file, cell_store.encode_map(CELL_MAP))
         assert (await fleet.ask(runspool_tenant="one", runspool_mark="q")).status == 200
         assert fleet.running.front.cell_router.cell_map.version == 2
 
