--- a/runspool/node/client_connections.py
+++ b/runspool/node/client_connections.py
@@ -10,14 +10,14 @@
 from runspool.node.executor import NodeExecutor
 from runspool.node.request_handler import RequestHandler
 from runspool.transport.tcp import ConnectionClosedError, TcpConnection
-from runspool.wire.http_requests import head
+from runspool.wire.http_requests import encode_response_head
 
 # Rejected connections whose incoming data is read and discarded at the same time. Further ones are closed
 # without reading.
 MAX_DRAINED_REJECTIONS = 8
 REJECTION_DRAIN_SECONDS = 0.5  # longest time for which the data of a rejected connection is discarded
 
-REJECTION_RESPONSE = head(503, [("Connection", "close"), ("Content-Length", "0")])
+REJECTION_RESPONSE = encode_response_head(503, [("Connection", "close"), ("Content-Length", "0")])
 
 
 class ClientConnections:
--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -18,7 +18,13 @@
 from runspool.transport.tcp import ConnectionClosedError, TcpConnection
 from runspool.units import TENTHS_PER_SECOND
 from runspool.wire.fields import InvalidRequestError
-from runspool.wire.http_requests import CHUNKS_END, HttpRequest, InvalidHttpRequestError, chunk, head
+from runspool.wire.http_requests import (
+    LAST_CHUNK,
+    HttpRequest,
+    InvalidHttpRequestError,
+    encode_chunk,
+    encode_response_head,
+)
 
 HEALTH_PATH = "/_health"
 COMPLETIONS_PATH = "/v1/chat/completions"
@@ -187,7 +193,7 @@
                 # Close without the last chunk. The client detects the incomplete stream and may resume it.
                 self.tcp.close()
                 raise ConnectionClosedError("the stream was interrupted")
-            await streaming.forward(CHUNKS_END)
+            await streaming.forward(LAST_CHUNK)
         elif final.kind is ResponseKind.REJECTED:
             seconds = final.retry_after / TENTHS_PER_SECOND
             headers = [("Retry-After", f"{seconds:.3f}")] if final.retry_after else []
@@ -209,7 +215,7 @@
         fields = [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")]
         if self.connection.closes_after_response:
             fields.append(("Connection", "close"))
-        self._unsent_head = head(200, fields)
+        self._unsent_head = encode_response_head(200, fields)
 
     async def data_received(self, data: bytes) -> None:
         """Forward events to the client.
@@ -220,4 +226,4 @@
         # Send the head together with the first events: sent alone, it would commit the node to a stream of
         # which no event may ever arrive.
         unsent_head, self._unsent_head = self._unsent_head, b""
-        await self.forward(unsent_head + chunk(data))
+        await self.forward(unsent_head + encode_chunk(data))
--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -22,7 +22,7 @@
 from runspool.units import TENTHS_PER_MS
 from runspool.wire import completions as wire
 from runspool.wire.fields import InvalidRequestError
-from runspool.wire.http_requests import CHUNKS_END, HttpRequest, chunk, head
+from runspool.wire.http_requests import LAST_CHUNK, HttpRequest, encode_chunk, encode_response_head
 
 # A rejection invites a retry. An indeterminate response needs a status that client libraries do not retry
 # automatically: a retry could execute a request twice that must run at most once.
@@ -215,7 +215,7 @@
         ]
         if not self.handler.keeps_alive:
             fields.append(("Connection", "close"))
-        await self.forward(head(200, fields))
+        await self.forward(encode_response_head(200, fields))
 
     async def data_received(self, text: str) -> None:
         await self.forward(self.chunks.text(text))
@@ -238,4 +238,4 @@
         else:
             last_event = wire.error_event(final.code, final.message)
         with anyio.fail_after(self.handler.write_timeout_seconds):
-            await self.forward(chunk(last_event) + CHUNKS_END)
+            await self.forward(encode_chunk(last_event) + LAST_CHUNK)
--- a/runspool/service/http_connection.py
+++ b/runspool/service/http_connection.py
@@ -18,11 +18,11 @@
 from runspool.service.streaming_response import StreamingResponse
 from runspool.transport.tcp import ConnectionClosedError, TcpConnection
 from runspool.wire.http_requests import (
-    CONTINUE,
+    CONTINUE_RESPONSE,
     HttpRequest,
     HttpRequestParser,
     InvalidHttpRequestError,
-    head,
+    encode_response_head,
 )
 
 # After a request was refused, further bytes from the client are read and discarded for at most this time and
@@ -227,7 +227,7 @@
         if request.complete:
             return
         if request.expects_continue:
-            await self.send(CONTINUE)
+            await self.send(CONTINUE_RESPONSE)
         with anyio.CancelScope(deadline=self._deadline_after(self.limits.body_ms)) as self._body_scope:
             try:
                 while not request.complete:
@@ -252,7 +252,7 @@
         fields = [("Content-Type", "application/json"), ("Content-Length", str(len(body))), *(headers or [])]
         if self.closes_after_response:
             fields.append(("Connection", "close"))
-        await self.send(head(status, fields) + body)
+        await self.send(encode_response_head(status, fields) + body)
 
     async def _refuse(self, status: int, code: str, message: str) -> None:
         """Respond to an invalid or incomplete request; the connection closes afterwards."""
--- a/runspool/wire/http_requests.py
+++ b/runspool/wire/http_requests.py
@@ -17,8 +17,8 @@
 MAX_HEADERS = 100  # per request
 REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}  # reason phrase by HTTP status
 
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-CHUNKS_END = b"0\r\n\r\n"  # last chunk of a chunked body
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"  # last chunk of a chunked body
 
 
 class InvalidHttpRequestError(RunspoolError):
@@ -184,12 +184,12 @@
         self.ready[-1].keeps_alive = self._parser.should_keep_alive()
 
 
-def head(status: int, headers: list[tuple[str, str]]) -> bytes:
+def encode_response_head(status: int, headers: list[tuple[str, str]]) -> bytes:
     """Return the encoded head of a response. The caller must have validated the header names and values."""
     lines = "".join(f"{name}: {value}\r\n" for name, value in headers)
     return f"HTTP/1.1 {status} {REASON_PHRASES.get(status, '')}\r\n{lines}\r\n".encode("latin-1")
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     """Return `data` encoded as one chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
