--- a/runspool/lab/standin_messages.py
+++ b/runspool/lab/standin_messages.py
@@ -14,7 +14,7 @@
 
 from runspool.lab.http_server import ReceivedRequest
 from runspool.lab.model import BLOCK_TOKENS, Job
-from runspool.wire.completions import DONE, chunk
+from runspool.wire.completions import DONE_EVENT, completion_event
 from runspool.wire.fields import BYTES_PER_TOKEN
 
 MODEL_NAME = "standin"
@@ -155,12 +155,12 @@
 
 def token_event(job: Job, text: str) -> bytes:
     """Return the event of one token of a stream."""
-    return chunk(job.request_id, MODEL_NAME, 0, text)
+    return completion_event(job.request_id, MODEL_NAME, 0, text)
 
 
 def final_events(job: Job, max_tokens: int) -> bytes:
     """Return a stream's last events: the finish reason, the counts of tokens, the end."""
     finish_reason = "length" if job.generated_tokens >= max_tokens else "stop"
-    finish = chunk(job.request_id, MODEL_NAME, 0, "", finish_reason)
+    finish = completion_event(job.request_id, MODEL_NAME, 0, "", finish_reason)
     counts = b"data: " + msgspec.json.encode({"choices": [], "usage": usage(job)}) + b"\n\n"
-    return finish + counts + DONE
+    return finish + counts + DONE_EVENT
--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -206,7 +206,7 @@
 
     async def stream_started(self) -> None:
         self.opened = True
-        self.chunks = wire.CompletionChunks(self.request_id, self.model, self.created_at)
+        self.chunks = wire.CompletionEventEncoder(self.request_id, self.model, self.created_at)
         fields = [
             ("Content-Type", "text/event-stream"),
             ("Cache-Control", "no-store"),
@@ -234,7 +234,10 @@
             await self.stream_started()
         if final.kind is ResponseKind.SUCCEEDED:
             reason = final.result.finish_reason if final.result else "stop"
-            last_event = wire.chunk(self.request_id, self.model, self.created_at, "", reason) + wire.DONE
+            last_event = (
+                wire.completion_event(self.request_id, self.model, self.created_at, "", reason)
+                + wire.DONE_EVENT
+            )
         else:
             last_event = wire.error_event(final.code, final.message)
         with anyio.fail_after(self.handler.write_timeout_seconds):
--- a/runspool/wire/completions.py
+++ b/runspool/wire/completions.py
@@ -24,7 +24,7 @@
 MAX_OUTPUT_TOKENS = 1_000_000  # largest value accepted for `max_tokens`
 MAX_PROMPT_TOKENS = 100_000_000  # largest value accepted for the header `runspool-prompt-tokens`
 MAX_CLIENT_ATTEMPTS = 1_000  # largest value accepted for the header `runspool-try`
-DONE = b"data: [DONE]\n\n"  # last event of a complete stream
+DONE_EVENT = b"data: [DONE]\n\n"  # last event of a complete stream
 
 
 @dataclass(slots=True)
@@ -203,7 +203,9 @@
     )
 
 
-def chunk(request_id: str, model: str, created: int, text: str, finish_reason: str | None = None) -> bytes:
+def completion_event(
+    request_id: str, model: str, created: int, text: str, finish_reason: str | None = None
+) -> bytes:
     """Return one server-sent event of a streamed response; `created` is a Unix time in seconds."""
     return (
         b"data: "
@@ -220,12 +222,12 @@
     )
 
 
-class CompletionChunks:
+class CompletionEventEncoder:
     """Encodes the events of one streamed response; the part common to all of them is encoded only once."""
 
     def __init__(self, request_id: str, model: str, created: int) -> None:
         placeholder = "\0"
-        event = chunk(request_id, model, created, placeholder)
+        event = completion_event(request_id, model, created, placeholder)
         self._event_start, self._event_end = event.split(msgspec.json.encode(placeholder))
 
     def text(self, text: str) -> bytes:
--- a/tests/test_auditor_rejects_forged_recordings.py
+++ b/tests/test_auditor_rejects_forged_recordings.py
@@ -163,7 +163,7 @@
 
     async def finish(one: _EventStreamResponse, final: Any) -> None:
         await sound(one, final)
-        one.handler.tcp.write(wire.DONE)
+        one.handler.tcp.write(wire.DONE_EVENT)
 
     patch.setattr(_EventStreamResponse, "finish", finish)
 
--- a/tests/test_engine_responses.py
+++ b/tests/test_engine_responses.py
@@ -16,7 +16,7 @@
 
 @given(st.lists(st.text(max_size=20), max_size=6), st.lists(st.integers(1, 40), min_size=1, max_size=30))
 def test_events_come_out_whole_however_the_bytes_were_cut(texts: list[str], cuts: list[int]) -> None:
-    chunks = completions.CompletionChunks("q", "m", 0)
+    chunks = completions.CompletionEventEncoder("q", "m", 0)
     body = b"".join(chunks.text(text) for text in texts) + b"0\r\n\r\n"
     raw = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: y\r\n\r\n" + body
     response, splitter, events = ResponseParser(MAX_BYTES), messages.EventSplitter(MAX_BYTES), []
