--- a/runspool/cells/cell_store.py
+++ b/runspool/cells/cell_store.py
@@ -18,7 +18,7 @@
 
 from runspool.cells.cell_map import CellMap
 from runspool.cells.tenant_migration import MigrationRefusedError
-from runspool.storage.atomic_file import CorruptFileError, add_checksum, read_checked, replace_file
+from runspool.storage.atomic_file import CorruptFileError, add_checksum, read_checksummed, replace_file
 
 MAX_LOGGED_CHANGES = 1_000  # lines kept in a change log; older lines are dropped
 
@@ -97,7 +97,7 @@
     Raises:
         CorruptFileError: the file is damaged or holds no valid map.
     """
-    body = read_checked(path)
+    body = read_checksummed(path)
     return None if body is None else decode_map(body, str(path))
 
 
@@ -119,7 +119,7 @@
     Raises:
         CorruptFileError: the file is damaged or holds no valid map.
     """
-    body = read_checked(path)
+    body = read_checksummed(path)
     if body is None:
         return None
     try:
--- a/runspool/discovery/snapshot.py
+++ b/runspool/discovery/snapshot.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from runspool.storage.atomic_file import CorruptFileError, add_checksum, read_checked, replace_file
+from runspool.storage.atomic_file import CorruptFileError, add_checksum, read_checksummed, replace_file
 from runspool.wire.endpoint_list import EndpointEntry, parse_address
 
 
@@ -41,7 +41,7 @@
     Raises:
         CorruptFileError: The file is damaged, or holds an address that is not of the form host:port.
     """
-    body = read_checked(path)
+    body = read_checksummed(path)
     if body is None:
         return None
     try:
--- a/runspool/engines/completions_client.py
+++ b/runspool/engines/completions_client.py
@@ -37,7 +37,7 @@
 
     def classify_response(self, response: ResponseParser, body: bytes) -> tuple[FailureCause, str]:
         """Return the failure cause of a response with an unexpected status, and its error code."""
-        code = wire.error_code(body)
+        code = wire.parse_error_code(body)
         return classify_http_status(response.status, code), code
 
     async def prefill(
@@ -62,7 +62,7 @@
                 request = _encode_post(address, headers, wire.prefill_body(query))
                 await self._send_request(exchange, timer, address, lambda remaining: request)
                 head = await self._read_head(exchange)
-                load_report = wire.load_report(head.headers.get(wire.LOAD_REPORT_HEADER))
+                load_report = wire.parse_load_report(head.headers.get(wire.LOAD_REPORT_HEADER))
                 response = wire.parse_response(await self._read_body(exchange))
                 if not response.kv_transfer_params:
                     raise ExchangeAbortedError(
@@ -132,7 +132,7 @@
                 request = _encode_post(address, headers, wire.decode_body(query, state))
                 await self._send_request(exchange, timer, address, lambda remaining: request)
                 head = await self._read_head(exchange)
-                result.load_report = wire.load_report(head.headers.get(wire.LOAD_REPORT_HEADER))
+                result.load_report = wire.parse_load_report(head.headers.get(wire.LOAD_REPORT_HEADER))
                 text = await stream.read_first(exchange)
                 with self._watched_stream(timer) as wait:
                     await self._forward_text(exchange, stream, text, wait, listener)
--- a/runspool/lab/http_server.py
+++ b/runspool/lab/http_server.py
@@ -14,7 +14,7 @@
 from anyio.abc import SocketAttribute, SocketListener, SocketStream, TaskGroup
 
 from runspool.errors import RunspoolError
-from runspool.transport.tcp import next_connection
+from runspool.transport.tcp import accept_socket
 
 RECEIVE_BYTES = 65_536
 MAX_HEAD_BYTES = 65_536
@@ -115,7 +115,7 @@
     """Start `serve` for each connection, until cancelled."""
     raw_socket = listener.extra(SocketAttribute.raw_socket)
     while True:
-        tasks.start_soon(serve, await SocketStream.from_socket(await next_connection(raw_socket)))
+        tasks.start_soon(serve, await SocketStream.from_socket(await accept_socket(raw_socket)))
 
 
 async def serve_requests(stream: SocketStream, handle: Callable[[ReceivedRequest], Awaitable[None]]) -> None:
--- a/runspool/storage/atomic_file.py
+++ b/runspool/storage/atomic_file.py
@@ -57,7 +57,7 @@
     return _checksum(body) + b"\n" + body
 
 
-def read_checked(path: Path) -> bytes | None:
+def read_checksummed(path: Path) -> bytes | None:
     """Read a checksummed file.
 
     Returns:
--- a/runspool/transport/tcp.py
+++ b/runspool/transport/tcp.py
@@ -263,7 +263,7 @@
     return connection
 
 
-async def next_connection(listener: socket) -> socket:
+async def accept_socket(listener: socket) -> socket:
     """Accept the next connection of a listening, non-blocking socket.
 
     A cancelled call accepts no connection.
@@ -287,7 +287,7 @@
     Raises:
         OSError: The connection cannot be accepted.
     """
-    accepted = await next_connection(listener)
+    accepted = await accept_socket(listener)
     try:
         _, connection = await asyncio.get_running_loop().connect_accepted_socket(TcpConnection, accepted)
     except BaseException:
--- a/runspool/wire/engine_messages.py
+++ b/runspool/wire/engine_messages.py
@@ -139,7 +139,7 @@
         raise MalformedResponseError(str(error)) from None
 
 
-def error_code(raw: bytes) -> str:
+def parse_error_code(raw: bytes) -> str:
     """Return the code of an error body; return an empty string if it has none or cannot be parsed."""
     try:
         error = parse_response(raw).error
@@ -148,7 +148,7 @@
     return str(error.code or "") if isinstance(error, EngineError) else ""
 
 
-def load_report(header: str | None) -> LoadReport | None:
+def parse_load_report(header: str | None) -> LoadReport | None:
     """Parse the header of a load report; return None if it is absent or cannot be parsed."""
     if header is None or not header.startswith(LOAD_REPORT_FORMAT):
         return None
--- a/tests/test_engine_responses.py
+++ b/tests/test_engine_responses.py
@@ -39,19 +39,19 @@
 
 @given(st.binary(max_size=200))
 def test_no_bytes_make_a_load_report_or_an_error_code_raise(raw: bytes) -> None:
-    messages.load_report("JSON " + raw.decode("latin-1"))
-    assert isinstance(messages.error_code(raw), str)
+    messages.parse_load_report("JSON " + raw.decode("latin-1"))
+    assert isinstance(messages.parse_error_code(raw), str)
 
 
 def test_load_report_in_the_published_form_is_parsed() -> None:
     header = msgspec.json.encode(
         {"named_metrics": {"kv_cache_usage_perc": 0.25, "prompt_tokens_waiting": 800}}
     )
-    report = messages.load_report("JSON " + header.decode())
+    report = messages.parse_load_report("JSON " + header.decode())
     assert report is not None
     assert (report.memory_utilization, report.queued_prompt_tokens, report.slot_utilization) == (
         0.25,
         800,
         None,
     )
-    assert messages.load_report(None) is messages.load_report("TEXT a=1") is None
+    assert messages.parse_load_report(None) is messages.parse_load_report("TEXT a=1") is None
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -165,16 +165,16 @@
 
     async def fail(listener: socket.socket) -> socket.socket:
         nonlocal failures
-        accepted = await next_connection(listener)
+        accepted = await accept_socket(listener)
         if failures:
             failures -= 1
             accepted.close()
             raise error_of(fault)
         return accepted
 
-    next_connection = tcp.next_connection
+    accept_socket = tcp.accept_socket
     async with platform.inside() as server:
-        monkeypatch.setattr(tcp, "next_connection", fail)
+        monkeypatch.setattr(tcp, "accept_socket", fail)
         await connect_until(platform, lambda: not failures)
         assert (await platform.ask(post("q1"))).complete
         assert not platform.run.done() and server.port == platform.port
