--- a/runspool/engines/completions_client.py
+++ b/runspool/engines/completions_client.py
@@ -43,9 +43,9 @@
     async def prefill(
         self,
         address: Address,
-        query: PrefillState,
+        parameters: PrefillState,
         headers: Mapping[str, str],
-        limit: int,
+        time_limit: int,
         permit: SendPermit,
     ) -> AttemptResult:
         """Make an attempt that only prefills the prompt. The arguments are those of decode().
@@ -58,8 +58,8 @@
         load_report: LoadReport | None = None
         exchange = Exchange(permit)
         try:
-            with self._start_timer(limit) as timer, self._managed_connection(exchange):
-                request = _encode_post(address, headers, wire.prefill_body(query))
+            with self._start_timer(time_limit) as timer, self._managed_connection(exchange):
+                request = _encode_post(address, headers, wire.prefill_body(parameters))
                 await self._send_request(exchange, timer, address, lambda remaining: request)
                 head = await self._read_head(exchange)
                 load_report = wire.parse_load_report(head.headers.get(wire.LOAD_REPORT_HEADER))
@@ -97,10 +97,10 @@
     async def decode(
         self,
         address: Address,
-        query: PrefillState,
+        parameters: PrefillState,
         state: PrefillState | None,
         headers: Mapping[str, str],
-        limit: int,
+        time_limit: int,
         permit: SendPermit,
         max_output_tokens: int,
         listener: ResponseListener[str],
@@ -111,11 +111,11 @@
 
         Args:
             address: Host and port of the engine.
-            query: Parameters of the client's request body.
+            parameters: Parameters of the client's request body.
             state: Prefill state to continue from; None to prefill at this engine.
             headers: Additional headers of the request.
-            limit: Time limit until the first token, in tenths of a millisecond. After the first token only
-                the idle timeout applies.
+            time_limit: Time limit until the first token, in tenths of a millisecond. After the first token
+                only the idle timeout applies.
             permit: Asked before the first and the last byte of the request are sent, and notified when the
                 request has been sent and when the first byte of the response arrives.
             max_output_tokens: Number of tokens past which the response is treated as malformed.
@@ -128,8 +128,8 @@
         stream = _TokenStream(self._read_more, result, self.settings.line_bytes, max_output_tokens)
         exchange = Exchange(permit)
         try:
-            with self._start_timer(limit) as timer, self._managed_connection(exchange):
-                request = _encode_post(address, headers, wire.decode_body(query, state))
+            with self._start_timer(time_limit) as timer, self._managed_connection(exchange):
+                request = _encode_post(address, headers, wire.decode_body(parameters, state))
                 await self._send_request(exchange, timer, address, lambda remaining: request)
                 head = await self._read_head(exchange)
                 result.load_report = wire.parse_load_report(head.headers.get(wire.LOAD_REPORT_HEADER))
@@ -148,7 +148,7 @@
         return result
 
     async def release_state(
-        self, address: Address, state: PrefillState | None, request: str, limit: int
+        self, address: Address, state: PrefillState | None, request_id: str, time_limit: int
     ) -> FailureCause | None:
         """Release a prefill state.
 
@@ -157,17 +157,17 @@
         Args:
             address: Host and port of the engine.
             state: The prefill state; None if the prefill's response, which would identify it, was lost.
-            request: Request id of the prefill.
-            limit: Time limit in tenths of a millisecond.
+            request_id: Request id of the prefill.
+            time_limit: Time limit in tenths of a millisecond.
 
         Returns:
             None once the engine has confirmed the release, otherwise the cause of the failure.
         """
         exchange = Exchange()
         try:
-            with self._start_timer(limit) as timer, self._managed_connection(exchange):
-                encoded = _encode_post(address, {}, wire.release_body(state, request), wire.RELEASE_PATH)
-                await self._send_request(exchange, timer, address, lambda remaining: encoded)
+            with self._start_timer(time_limit) as timer, self._managed_connection(exchange):
+                request = _encode_post(address, {}, wire.release_body(state, request_id), wire.RELEASE_PATH)
+                await self._send_request(exchange, timer, address, lambda remaining: request)
                 await self._read_head(exchange)
                 await self._read_body(exchange)
         except ExchangeAbortedError as error:
--- a/runspool/wire/engine_messages.py
+++ b/runspool/wire/engine_messages.py
@@ -116,15 +116,15 @@
     return msgspec.json.encode(fields)
 
 
-def release_body(state: dict[str, msgspec.Raw] | None, request: str) -> bytes:
+def release_body(state: dict[str, msgspec.Raw] | None, request_id: str) -> bytes:
     """Return the request body that releases a prefill state.
 
     Args:
         state: Parameters from the prefill's response; None if that response was lost. The engine then
-            identifies the state by `request`.
-        request: Request id of the prefill.
+            identifies the state by `request_id`.
+        request_id: Request id of the prefill.
     """
-    return msgspec.json.encode({"kv_transfer_params": state, "request_id": request})
+    return msgspec.json.encode({"kv_transfer_params": state, "request_id": request_id})
 
 
 def parse_response(raw: bytes) -> CompletionResponse:
