--- a/runspool/discovery/endpoint_tracker.py
+++ b/runspool/discovery/endpoint_tracker.py
@@ -109,7 +109,7 @@
         timed_out = self.gap_since is not None and now - self.gap_since >= GAP_TIMEOUT
         return timed_out or len(self.versions_ahead) > MAX_VERSIONS_AHEAD
 
-    def active_entries(self) -> list[EndpointEntry]:
+    def listed_entries(self) -> list[EndpointEntry]:
         """Return the entries of all active and draining engines."""
         return [entry for entry in self.entries.values() if entry.state != "gone"]
 
@@ -122,7 +122,7 @@
             return []  # an outdated list that arrived late
         listed = {entry.engine for entry in message.engines}
         changed = [entry for entry in message.engines if self._apply_entry(entry, message.version)]
-        for entry in self.active_entries():
+        for entry in self.listed_entries():
             if entry.engine not in listed and self.last_versions[entry.engine] <= message.version:
                 gone = msgspec.structs.replace(entry, state="gone")
                 self._apply_entry(gone, message.version)
--- a/runspool/engines/connection_pool.py
+++ b/runspool/engines/connection_pool.py
@@ -57,7 +57,7 @@
 class PooledConnection:
     """A connection of the pool, with the parser of the response that is read from it."""
 
-    __slots__ = ("address", "exchanges_begun", "idle_since", "response", "round_trip", "tcp")
+    __slots__ = ("address", "exchange_count", "idle_since", "response", "round_trip", "tcp")
 
     def __init__(self, address: Address, tcp: TcpConnection, round_trip: int) -> None:
         """Wrap an open connection.
@@ -73,7 +73,7 @@
         self.response = ResponseParser(MAX_HEAD_BYTES)
         self.round_trip = round_trip
         self.idle_since = 0  # tenths of a millisecond; 0 until the first exchange has ended
-        self.exchanges_begun = 0
+        self.exchange_count = 0
 
     def has_unsolicited_data(self) -> bool:
         """Return whether the peer has closed, reset or sent data; if so, no request may be sent."""
--- a/runspool/engines/http_exchange.py
+++ b/runspool/engines/http_exchange.py
@@ -159,7 +159,7 @@
             raise ExchangeAbortedError(
                 FailureCause.CONNECT_FAILED, str(error) or type(error).__name__
             ) from None
-        exchange.connection.exchanges_begun += 1
+        exchange.connection.exchange_count += 1
         exchange.timer = timer
         timer.timeout_cause = FailureCause.TIMED_OUT_WHILE_SENDING
         await self._transmit(exchange, timer, encode)
--- a/runspool/service/front_server.py
+++ b/runspool/service/front_server.py
@@ -203,7 +203,7 @@
             tracker = self.front.endpoint_tracker
             try:
                 await anyio.to_thread.run_sync(
-                    save_snapshot, self.snapshot_file, tracker.version, tracker.active_entries()
+                    save_snapshot, self.snapshot_file, tracker.version, tracker.listed_entries()
                 )
             except OSError as error:
                 self._log_error("endpoint_snapshot_not_written", error)
--- a/runspool/service/http_connection.py
+++ b/runspool/service/http_connection.py
@@ -288,7 +288,7 @@
         if streaming is not None:
             streaming.watch(lambda: executor.client_disconnected(pending))
         # Bytes of pipelined requests stay buffered in the connection, up to a limit.
-        self.tcp.on_lost(lambda: executor.client_disconnected(pending))
+        self.tcp.on_disconnect(lambda: executor.client_disconnected(pending))
         try:
             if self.tcp.closed:
                 executor.client_disconnected(pending)
@@ -297,7 +297,7 @@
             executor.client_disconnected(pending)  # this task is being cancelled, so no response can be sent
             raise
         finally:
-            self.tcp.lost_callback = None
+            self.tcp.disconnect_callback = None
             if streaming is not None:
                 streaming.unwatch()
         assert pending.final_response is not None
--- a/runspool/transport/tcp.py
+++ b/runspool/transport/tcp.py
@@ -21,8 +21,8 @@
 
 # Number of buffered bytes above which reading from the socket is paused.
 MAX_BUFFERED_BYTES = 65_536
-# Number of bytes that are read and discarded while on_lost() is in effect. A peer that sends more is treated
-# as gone.
+# Number of bytes that are read and discarded while on_disconnect() is in effect. A peer that sends more is
+# treated as gone.
 MAX_DISCARDED_BYTES = 8 << 20
 
 
@@ -35,14 +35,14 @@
 
     Attributes:
         transport: Set by the event loop once the connection is established.
-        lost_callback: Called once when the peer has gone; see on_lost().
+        disconnect_callback: Called once when the peer has gone; see on_disconnect().
         discarded_bytes: Number of received bytes that were discarded. If it is not 0, receive() raises an
             error after the buffered data.
     """
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport
-        self.lost_callback: Callable[[], None] | None = None
+        self.disconnect_callback: Callable[[], None] | None = None
         self.discarded_bytes = 0
         self._buffer: list[bytes] = []
         self._buffered_bytes = 0
@@ -63,13 +63,13 @@
         """True once the peer has closed or was lost, even if received data is still buffered."""
         return self._peer_closed
 
-    def on_lost(self, callback: Callable[[], None]) -> None:
-        """Call `callback` once when the peer has gone. Set `lost_callback` to None to cancel this.
+    def on_disconnect(self, callback: Callable[[], None]) -> None:
+        """Call `callback` once when the peer has gone. Set `disconnect_callback` to None to cancel this.
 
         While a callback is set, reading is not paused; otherwise the end of the connection could not be
         detected behind unread data. Data beyond MAX_BUFFERED_BYTES is read and discarded.
         """
-        self.lost_callback = callback
+        self.disconnect_callback = callback
         self._resume_reading()
 
     @property
@@ -176,7 +176,7 @@
 
     def close(self) -> None:
         """Close immediately; data that the kernel has not taken is discarded."""
-        self.lost_callback = None
+        self.disconnect_callback = None
         self.transport.abort()
 
     def _resume_reading(self) -> None:
@@ -194,7 +194,7 @@
     def data_received(self, data: bytes) -> None:
         """Buffer `data`; if the buffer is full, pause reading or, while a callback is set, discard data."""
         if self.discarded_bytes or (
-            self.lost_callback is not None and self._buffered_bytes > MAX_BUFFERED_BYTES
+            self.disconnect_callback is not None and self._buffered_bytes > MAX_BUFFERED_BYTES
         ):
             self.discarded_bytes += len(data)
             if self.discarded_bytes > MAX_DISCARDED_BYTES:
@@ -205,7 +205,7 @@
         if (
             self._buffered_bytes > MAX_BUFFERED_BYTES
             and not self._reading_paused
-            and self.lost_callback is None
+            and self.disconnect_callback is None
         ):
             self._reading_paused = True
             self.transport.pause_reading()
@@ -235,9 +235,9 @@
     def _handle_peer_gone(self) -> None:
         self._peer_closed = True
         _wake(self._receive_waiter)
-        if self.lost_callback is not None:
-            callback = self.lost_callback
-            self.lost_callback = None  # cleared so that it is called only once
+        if self.disconnect_callback is not None:
+            callback = self.disconnect_callback
+            self.disconnect_callback = None  # cleared so that it is called only once
             callback()
 
 
--- a/tests/fleet/light_nodes.py
+++ b/tests/fleet/light_nodes.py
@@ -38,7 +38,7 @@
     """Sends requests to engines, as the node at an agent's port knows them."""
     while True:
         await anyio.sleep(random.expovariate(rate))
-        active = [entry.engine for entry in tracker.active_entries() if entry.state == "on"]
+        active = [entry.engine for entry in tracker.listed_entries() if entry.state == "on"]
         if active:
             engine = random.choice(active)
             sent.append(Sent(port, engine, time.monotonic()))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -48,7 +48,7 @@
             assert message.version >= last_versions.get(changed.engine, -1)
             last_versions[changed.engine] = message.version
     last_states = dict(states)
-    assert {active.engine: active.state for active in tracker.active_entries()} == {
+    assert {active.engine: active.state for active in tracker.listed_entries()} == {
         name: state for name, state in last_states.items() if state != "gone"
     }
     assert (tracker.version, tracker.versions_ahead, tracker.gap_since) == (len(states), set(), None)
