--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -164,7 +164,7 @@
                 request.target, request.headers, bytes(request.body), self.executor.platform_settings
             )
             if request.version == "1.0":
-                raise InvalidRequestError("version", "a streamed response requires HTTP/1.1", 505)
+                raise InvalidRequestError("version", "an answer in parts needs HTTP/1.1", 505)
             streaming = EventStreamResponse(self)
             pending = self.executor.submit(client_request, streaming, received_at)
         except InvalidRequestError as error:
--- a/runspool/node/request_parser.py
+++ b/runspool/node/request_parser.py
@@ -104,7 +104,7 @@
     """
     request_id = headers.get("req-id")
     if request_id is None or not REQUEST_ID.fullmatch(request_id):
-        raise InvalidRequestError("Req-Id", "missing or not a valid id")
+        raise InvalidRequestError("Req-Id", "missing or no id")
     request_class = _request_class(headers.get("req-kind"), settings)
     tenant = _tenant(headers.get("req-owner"), settings)
     _check_body(body)
@@ -114,7 +114,7 @@
     prefix = extras.get("prefix") or None
     retry = headers.get("req-retry", "0")
     if retry not in ("0", "1", "again"):
-        raise InvalidRequestError("Req-Retry", f"{_quote(retry)} is not one of 0, 1, again")
+        raise InvalidRequestError("Req-Retry", f"{_quote(retry)} is neither 1 nor again")
     time_per_token = settings.routing.request_classes[request_class].time_per_output_token
     return ClientRequest(
         id=request_id,
@@ -139,7 +139,7 @@
 def _request_class(name: str | None, settings: PlatformSettings) -> int:
     index = settings.request_classes.get(name or "")
     if index is None:
-        raise InvalidRequestError("Req-Kind", f"{_quote(name)} is unknown")
+        raise InvalidRequestError("Req-Kind", f"{_quote(name)} is not known here")
     return index
 
 
@@ -147,7 +147,7 @@
     """Return the tenant's index; None if the request names none, or if the platform has no tenants."""
     index = settings.tenants.get(name) if name is not None else None
     if settings.tenants and name is not None and index is None:
-        raise InvalidRequestError("Req-Owner", f"{_quote(name)} is unknown")
+        raise InvalidRequestError("Req-Owner", f"{_quote(name)} is not known here")
     return index
 
 
@@ -156,7 +156,7 @@
     try:
         msgspec.json.decode(body, type=dict[str, msgspec.Raw])
     except fields.JSON_DECODE_ERRORS as error:
-        raise InvalidRequestError("body", f"not a JSON object ({error})") from None
+        raise InvalidRequestError("body", f"no JSON object ({error})") from None
 
 
 def _max_prompt_tokens(settings: PlatformSettings) -> int:
@@ -169,10 +169,10 @@
     """Return the time limit in tenths of a millisecond; it is at least 1."""
     match = DEADLINE.fullmatch(value or "")
     if match is None:
-        raise InvalidRequestError("Req-Deadline", f"{_quote(value)} is not a whole number followed by m or u")
+        raise InvalidRequestError("Req-Deadline", f"{_quote(value)} is no whole number with m or u")
     limit = int(match[1]) * TENTHS if match[2] == "m" else int(match[1]) // UNIT_US
     if not 0 < limit <= MAX_TIME_LIMIT:
-        raise InvalidRequestError("Req-Deadline", f"{_quote(value)} is not more than 0 and at most one hour")
+        raise InvalidRequestError("Req-Deadline", f"{_quote(value)} is no time a client waits")
     return limit
 
 
@@ -181,9 +181,9 @@
     try:
         cost_us = float(value or 0)
     except ValueError:
-        raise InvalidRequestError("Req-Cost", f"{_quote(value)} is not a number") from None
+        raise InvalidRequestError("Req-Cost", f"{_quote(value)} is no number") from None
     if not isfinite(cost_us) or not 0 <= cost_us < MAX_COST_US:
-        raise InvalidRequestError("Req-Cost", f"{_quote(value)} is not a valid time")
+        raise InvalidRequestError("Req-Cost", f"{_quote(value)} is no time")
     return int(cost_us) // UNIT_US
 
 
@@ -193,9 +193,7 @@
     for pair in value.split(",") if value else ():
         key, equals, text = pair.strip().partition("=")
         if not equals or not key or key in extras:
-            raise InvalidRequestError(
-                "Req-Extra", f"{_quote(pair)} is not of the form name=value, or its name is repeated"
-            )
+            raise InvalidRequestError("Req-Extra", f"{_quote(pair)} is no name=value, or said twice")
         extras[key] = text
     return extras
 
