--- a/runspool/node/answer_time.py
+++ b/runspool/node/agent_latency.py
@@ -5,7 +5,7 @@
 from runspool.node.discovery_call import DiscoveryCall
 
 
-class AnswerTime:
+class AgentLatencyEstimator:
     """An estimate of the discovery agent's response latency.
 
     Only calls that were made after the response to the previously measured call are measured. A call that is
--- a/runspool/node/discovery_call_log.py
+++ b/runspool/node/discovery_call_log.py
@@ -113,7 +113,7 @@
         return {
             "calls_out": len(planner.calls_out),
             "calls_owed": planner.calls_owed,
-            "answer_time_ms": planner.answer_time / TENTHS,
+            "answer_time_ms": planner.agent_latency / TENTHS,
             "version": self.tracker.version,
             "confirmed_ms_ago": _milliseconds_between(self.tracker.confirmed_at, now),
         }
--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -19,7 +19,7 @@
 
 from runspool.discovery.concurrent_calls import age_ratio
 from runspool.engines.connection_pool import Address
-from runspool.node.answer_time import AnswerTime
+from runspool.node.agent_latency import AgentLatencyEstimator
 from runspool.node.discovery_call import DiscoveryCall
 from runspool.node.search_pace import SearchPace
 from runspool.node.second_watch import SecondWatch
@@ -93,7 +93,7 @@
         self.address = address
         self.random = random
         self.calls_made = 0
-        self._answer_time = AnswerTime()
+        self._latency_estimator = AgentLatencyEstimator()
         self.restart()
 
     def restart(self) -> None:
@@ -122,7 +122,7 @@
         dropped = [call for call in self.calls_out if call is not former_watch]
         self.restart()
         self.address = address
-        self._answer_time = AnswerTime()
+        self._latency_estimator = AgentLatencyEstimator()
         if former_watch is not None:
             self.calls_out.append(former_watch)
         return dropped
@@ -133,9 +133,9 @@
         return len(self.calls_out) + len(self.given_up)
 
     @property
-    def answer_time(self) -> int:
+    def agent_latency(self) -> int:
         """The estimated time that the agent takes to start a response; 0 if it is unknown."""
-        return self._answer_time.estimate
+        return self._latency_estimator.estimate
 
     @property
     def watch(self) -> DiscoveryCall | None:
@@ -185,7 +185,7 @@
             self._give_up(given_up)
         self.calls_out.append(call)
         self._last_made_at = now
-        self._pace.called(now, self.answer_time)
+        self._pace.called(now, self.agent_latency)
         return PlannedCall(call, given_up)
 
     def answered(self, call: DiscoveryCall, version: int, now: int) -> Answer:
@@ -221,8 +221,8 @@
         self.given_up = deque(
             (number for number in self.given_up if number > call.number), maxlen=MAX_COUNTED_GIVEN_UP
         )
-        self._answer_time.measure(call, now)
-        self._only_call_age = max(MIN_ONLY_CALL_AGE, 2 * self.answer_time)
+        self._latency_estimator.measure(call, now)
+        self._only_call_age = max(MIN_ONLY_CALL_AGE, 2 * self.agent_latency)
         is_newer = self._applied_at is None or call.made_at >= self._applied_at
         is_usable = is_newer or version > self._version
         if is_usable:
@@ -280,7 +280,7 @@
         If its response has started, the watch is overdue MIN_PATIENCE after the first byte at the latest,
         because the list in a response that takes long to arrive is outdated.
         """
-        patience = min(max(self.answer_time * 3 // 2, MIN_PATIENCE), MAX_PATIENCE)
+        patience = min(max(self.agent_latency * 3 // 2, MIN_PATIENCE), MAX_PATIENCE)
         overdue_at = watch.made_at + watch.wait + patience
         return (
             overdue_at if watch.first_byte_at is None else min(overdue_at, watch.first_byte_at + MIN_PATIENCE)
--- a/runspool/node/search_pace.py
+++ b/runspool/node/search_pace.py
@@ -45,17 +45,17 @@
         """Record that a call has failed: the next one is made after RETRY_INTERVAL."""
         self.interval = self._jittered(RETRY_INTERVAL)
 
-    def called(self, now: int, answer_time: int) -> None:
+    def called(self, now: int, agent_latency: int) -> None:
         """Record that a call was made at `now`, and compute the interval to the next one.
 
         Args:
             now: The current time.
-            answer_time: The estimated time that the agent takes to start a response; 0 if unknown.
+            agent_latency: The estimated time that the agent takes to start a response; 0 if unknown.
         """
         if self._silent_since is None:
             self._silent_since = now
         backoff = max((now - self._silent_since) // SILENCE_DIVISOR, MIN_INTERVAL)
-        slow_agent_minimum = min(answer_time // 2, MAX_INTERVAL_OF_SLOW_AGENT)
+        slow_agent_minimum = min(agent_latency // 2, MAX_INTERVAL_OF_SLOW_AGENT)
         self.interval = self._jittered(max(min(backoff, MAX_INTERVAL), slow_agent_minimum))
 
     def _jittered(self, interval: int) -> int:
