--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -21,7 +21,7 @@
 from runspool.engines.connection_pool import Address
 from runspool.node.agent_latency import AgentLatencyEstimator
 from runspool.node.discovery_call import DiscoveryCall
-from runspool.node.search_pace import SearchPace
+from runspool.node.search_backoff import SearchBackoff
 from runspool.node.second_watch import SecondWatch
 
 WATCH_WAIT = 10_000  # how long the agent may delay its response to a watch while nothing changes
@@ -107,7 +107,7 @@
         self.given_up: deque[int] = deque(maxlen=MAX_COUNTED_GIVEN_UP)
         self._last_made_at: int | None = None
         self._last_watch_at: int | None = None
-        self._pace = SearchPace(self.random)
+        self._backoff = SearchBackoff(self.random)
         self._only_call_age = MIN_ONLY_CALL_AGE
 
     def change_address(self, address: Address) -> list[DiscoveryCall]:
@@ -162,7 +162,7 @@
             return now if self._last_watch_at is None else self._last_watch_at + MIN_WATCH_INTERVAL
         if self._last_made_at is None:
             return now
-        search_at = self._last_made_at + self._pace.interval
+        search_at = self._last_made_at + self._backoff.interval
         return search_at if self._watch is None else max(search_at, self._overdue_at(self._watch))
 
     def make_call(self, now: int) -> PlannedCall:
@@ -185,7 +185,7 @@
             self._give_up(given_up)
         self.calls_out.append(call)
         self._last_made_at = now
-        self._pace.called(now, self.agent_latency)
+        self._backoff.record_call(now, self.agent_latency)
         return PlannedCall(call, given_up)
 
     def answered(self, call: DiscoveryCall, version: int, now: int) -> Answer:
@@ -207,7 +207,7 @@
         self.calls_out.remove(call)
         if call.address != self.address:
             return Answer(is_usable=True, superseded=[])  # the agent at the new address has not responded yet
-        self._pace.answered(now)
+        self._backoff.record_response(now)
         superseded = [
             other
             for other in self.calls_out
@@ -243,7 +243,7 @@
         if call not in self.calls_out:
             return None
         self._remove(call)
-        self._pace.failed()
+        self._backoff.record_failure()
         is_refused = call.number == self.calls_made and call.first_byte_at is None
         if not is_refused or not self.calls_out or self.state(now) is DiscoveryState.WATCHING:
             return None
--- a/runspool/node/search_pace.py
+++ b/runspool/node/search_backoff.py
@@ -24,7 +24,7 @@
 JITTER = 0.1  # largest fraction by which an interval is shortened at random
 
 
-class SearchPace:
+class SearchBackoff:
     """The interval from the latest call to the next one.
 
     Attributes:
@@ -37,15 +37,15 @@
         self.interval = MIN_INTERVAL
         self._silent_since: int | None = None  # time of the last response or, before any, of the first call
 
-    def answered(self, now: int) -> None:
+    def record_response(self, now: int) -> None:
         """Record that a response was received at `now`."""
         self._silent_since = now
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Record that a call has failed: the next one is made after RETRY_INTERVAL."""
         self.interval = self._jittered(RETRY_INTERVAL)
 
-    def called(self, now: int, agent_latency: int) -> None:
+    def record_call(self, now: int, agent_latency: int) -> None:
         """Record that a call was made at `now`, and compute the interval to the next one.
 
         Args:
@@ -54,9 +54,9 @@
         """
         if self._silent_since is None:
             self._silent_since = now
-        backoff = max((now - self._silent_since) // SILENCE_DIVISOR, MIN_INTERVAL)
+        growing_interval = max((now - self._silent_since) // SILENCE_DIVISOR, MIN_INTERVAL)
         slow_agent_minimum = min(agent_latency // 2, MAX_INTERVAL_OF_SLOW_AGENT)
-        self.interval = self._jittered(max(min(backoff, MAX_INTERVAL), slow_agent_minimum))
+        self.interval = self._jittered(max(min(growing_interval, MAX_INTERVAL), slow_agent_minimum))
 
     def _jittered(self, interval: int) -> int:
         return int(interval * (1 - JITTER * self.random()))
--- a/tests/soak/sabotage.py
+++ b/tests/soak/sabotage.py
@@ -16,7 +16,7 @@
 
 from runspool.engines import http_exchange as exchange
 from runspool.node import __main__ as program
-from runspool.node import discovery_client, search_pace
+from runspool.node import discovery_client, search_backoff
 from runspool.node import engine_client as calls
 from runspool.node.client_connections import ClientConnections
 from runspool.node.executor import NodeExecutor
@@ -151,19 +151,19 @@
 
 def ask_rarely() -> None:
     """Ask an agent that does not answer only every other second."""
-    search_pace.MIN_INTERVAL = search_pace.MAX_INTERVAL
+    search_backoff.MIN_INTERVAL = search_backoff.MAX_INTERVAL
 
 
 def ask_without_pause() -> None:
     """Ask an agent that does not answer a hundred times a second."""
-    search_pace.MIN_INTERVAL = 100
-    search_pace.MAX_INTERVAL = 100
+    search_backoff.MIN_INTERVAL = 100
+    search_backoff.MAX_INTERVAL = 100
 
 
 def ask_often() -> None:
     """Ask an agent that does not answer ten times a second."""
-    search_pace.MIN_INTERVAL = 1_000
-    search_pace.MAX_INTERVAL = 1_000
+    search_backoff.MIN_INTERVAL = 1_000
+    search_backoff.MAX_INTERVAL = 1_000
 
 
 SABOTAGE: dict[str, Callable[[], None]] = {
--- a/tests/test_endpoint_watch_faults.py
+++ b/tests/test_endpoint_watch_faults.py
@@ -11,10 +11,10 @@
 import pytest
 from msgspec.structs import replace
 
-from runspool.node import search_pace
+from runspool.node import search_backoff
 from runspool.node import server as node_server
 from runspool.node.discovery_call_planner import MIN_PATIENCE, WATCH_WAIT
-from runspool.node.search_pace import MAX_INTERVAL, MIN_INTERVAL
+from runspool.node.search_backoff import MAX_INTERVAL, MIN_INTERVAL
 from runspool.scheduling.types import EngineState
 from runspool.service.clock import now
 from runspool.units import TENTHS, tenths
@@ -107,8 +107,8 @@
 async def test_a_reset_watch_is_opened_anew_without_a_pause(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(search_pace, "MIN_INTERVAL", tenths(600_000))
-    monkeypatch.setattr(search_pace, "MAX_INTERVAL", tenths(600_000))
+    monkeypatch.setattr(search_backoff, "MIN_INTERVAL", tenths(600_000))
+    monkeypatch.setattr(search_backoff, "MAX_INTERVAL", tenths(600_000))
     platform = Platform(tmp_path, PAIR | {"s": "prefill"})
     async with platform.inside() as running:
         await platform.until(lambda: any("after=" in target for target in platform.lists))
