--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -20,9 +20,9 @@
 from runspool.discovery.concurrent_calls import age_ratio
 from runspool.engines.connection_pool import Address
 from runspool.node.agent_latency import AgentLatencyEstimator
+from runspool.node.backup_watch import BackupWatch
 from runspool.node.discovery_call import DiscoveryCall
 from runspool.node.search_backoff import SearchBackoff
-from runspool.node.second_watch import SecondWatch
 
 WATCH_WAIT = 10_000  # how long the agent may delay its response to a watch while nothing changes
 # Bounds of the time from the end of a watch's wait until the watch counts as overdue. In between, this time
@@ -100,7 +100,7 @@
         """Forget the open calls; the next call is due at once."""
         self.calls_out: list[DiscoveryCall] = []
         self._watch: DiscoveryCall | None = None
-        self._second_watch = SecondWatch()
+        self._backup_watch = BackupWatch()
         self._needs_watch = False  # a response has been received, and no watch is open
         self._version = 0  # the version after which the next watch requests changes
         self._applied_at: int | None = None  # when the latest response was applied; None at a new address
@@ -153,11 +153,11 @@
     def next_call_at(self, now: int) -> int:
         """Return when the next call is due, provided that nothing happens before."""
         at = self._next_required_at(now)
-        second_watch_at = self._second_watch.due_at()
-        return at if second_watch_at is None else min(at, second_watch_at)
+        backup_watch_at = self._backup_watch.due_at()
+        return at if backup_watch_at is None else min(at, backup_watch_at)
 
     def _next_required_at(self, now: int) -> int:
-        """Return when the next call is due that is not a second watch."""
+        """Return when the next call is due that is not a backup watch."""
         if self._needs_watch:
             return now if self._last_watch_at is None else self._last_watch_at + MIN_WATCH_INTERVAL
         if self._last_made_at is None:
@@ -168,18 +168,18 @@
     def make_call(self, now: int) -> PlannedCall:
         """Create the call that is due at `now` and record it as made.
 
-        The call is a watch if a response has been received and no watch is open, a second watch if one is
+        The call is a watch if a response has been received and no watch is open, a backup watch if one is
         due, and otherwise a call for the whole list.
         """
-        second_watch_at = self._second_watch.due_at()
+        backup_watch_at = self._backup_watch.due_at()
         self.calls_made += 1
         call = DiscoveryCall(self.calls_made, self.address, None, 0, now)
         if self._needs_watch and self._next_required_at(now) <= now:
             call.after_version, call.wait = self._version, WATCH_WAIT
             self._watch, self._needs_watch, self._last_watch_at = call, False, now
-        elif second_watch_at is not None and second_watch_at <= now:
+        elif backup_watch_at is not None and backup_watch_at <= now:
             call.after_version = self._version
-            self._second_watch.made(call)
+            self._backup_watch.record_call(call)
         given_up = self._least_useful(now) if len(self.calls_out) >= MAX_CALLS_OUT else None
         if given_up is not None:
             self._give_up(given_up)
@@ -203,7 +203,7 @@
         if call not in self.calls_out:
             return Answer(is_usable=False, superseded=[])
         was_interrupted = self.state(now) is not DiscoveryState.WATCHING
-        is_second_watch = call is self._second_watch.call
+        is_backup_watch = call is self._backup_watch.call
         self.calls_out.remove(call)
         if call.address != self.address:
             return Answer(is_usable=True, superseded=[])  # the agent at the new address has not responded yet
@@ -211,13 +211,13 @@
         superseded = [
             other
             for other in self.calls_out
-            if other.number < call.number and not (is_second_watch and self._is_watch_after(other, version))
+            if other.number < call.number and not (is_backup_watch and self._is_watch_after(other, version))
         ]
         for other in superseded:
             self._remove(other)
         if was_interrupted:
-            self._second_watch.begin(now)
-        self._second_watch.answered(call, now)
+            self._backup_watch.start(now)
+        self._backup_watch.record_response(call, now)
         self.given_up = deque(
             (number for number in self.given_up if number > call.number), maxlen=MAX_COUNTED_GIVEN_UP
         )
@@ -270,7 +270,7 @@
 
     def _remove(self, call: DiscoveryCall) -> None:
         self.calls_out.remove(call)
-        self._second_watch.dropped(call)
+        self._backup_watch.record_loss(call)
         if call is self._watch:
             self._watch = None
 
--- a/tests/fleet/sabotage.py
+++ b/tests/fleet/sabotage.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Callable
 
-from runspool.node import second_watch
+from runspool.node import backup_watch
 from tests.soak.sabotage import ask_often, ask_without_pause
 
 
 def hold_one_watch() -> None:
-    """Hold no second watch after an interruption."""
-    second_watch.WAITS = ()
+    """Hold no backup watch after an interruption."""
+    backup_watch.WAITS = ()
 
 
 SABOTAGE: dict[str, Callable[[], None]] = {
--- a/tests/test_discovery_call_planner.py
+++ b/tests/test_discovery_call_planner.py
@@ -150,7 +150,7 @@
     assert planner.state(overdue_at) is DiscoveryState.SUSPECT
 
 
-def test_a_second_watch_that_is_given_up_in_an_outage_is_not_made_again() -> None:
+def test_a_backup_watch_that_is_given_up_in_an_outage_is_not_made_again() -> None:
     # It was made again in the same moment, so that the agent had one more call to work off.
     planner = DiscoveryCallPlanner(AGENT, Random(1).random)
     planner.answered(planner.make_call(0).call, 1, 0)
