--- a/runspool/node/discovery_call_log.py
+++ b/runspool/node/discovery_call_log.py
@@ -111,8 +111,8 @@
 
     def _planner_fields(self, now: int, planner: DiscoveryCallPlanner) -> dict[str, object]:
         return {
-            "calls_out": len(planner.calls_out),
-            "calls_owed": planner.calls_owed,
+            "calls_out": len(planner.open_calls),
+            "calls_owed": planner.agent_backlog,
             "answer_time_ms": planner.agent_latency / TENTHS,
             "version": self.tracker.version,
             "confirmed_ms_ago": _milliseconds_between(self.tracker.confirmed_at, now),
--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -35,7 +35,7 @@
 MAX_RECEIVE_DURATION = (
     30_000  # after this time since its first byte, a response counts as stalled in any case
 )
-MAX_CALLS_OUT = 6  # maximum number of open calls
+MAX_OPEN_CALLS = 6  # maximum number of open calls
 MAX_COUNTED_GIVEN_UP = 1_000  # maximum number of given-up calls that are remembered
 # An agent may refuse a second connection. The only open call is then given up in favour of a new one once it
 # has been open for at least this time beyond its wait.
@@ -83,7 +83,7 @@
         address: The address of the agent.
         random: Returns random numbers from 0 to 1.
         calls_made: The number of calls made by this process.
-        calls_out: The open calls, oldest first.
+        open_calls: The open calls, oldest first.
         given_up: The numbers of the given-up calls that the agent may still have to process: it has not
             responded to any later call.
     """
@@ -98,7 +98,7 @@
 
     def restart(self) -> None:
         """Forget the open calls; the next call is due at once."""
-        self.calls_out: list[DiscoveryCall] = []
+        self.open_calls: list[DiscoveryCall] = []
         self._watch: DiscoveryCall | None = None
         self._backup_watch = BackupWatch()
         self._needs_watch = False  # a response has been received, and no watch is open
@@ -119,18 +119,18 @@
             The open calls that are no longer needed.
         """
         former_watch = self._watch
-        dropped = [call for call in self.calls_out if call is not former_watch]
+        dropped = [call for call in self.open_calls if call is not former_watch]
         self.restart()
         self.address = address
         self._latency_estimator = AgentLatencyEstimator()
         if former_watch is not None:
-            self.calls_out.append(former_watch)
+            self.open_calls.append(former_watch)
         return dropped
 
     @property
-    def calls_owed(self) -> int:
+    def agent_backlog(self) -> int:
         """The number of calls that the agent may still have to process, including those given up."""
-        return len(self.calls_out) + len(self.given_up)
+        return len(self.open_calls) + len(self.given_up)
 
     @property
     def agent_latency(self) -> int:
@@ -180,10 +180,10 @@
         elif backup_watch_at is not None and backup_watch_at <= now:
             call.after_version = self._version
             self._backup_watch.record_call(call)
-        given_up = self._least_useful(now) if len(self.calls_out) >= MAX_CALLS_OUT else None
+        given_up = self._least_useful(now) if len(self.open_calls) >= MAX_OPEN_CALLS else None
         if given_up is not None:
             self._give_up(given_up)
-        self.calls_out.append(call)
+        self.open_calls.append(call)
         self._last_made_at = now
         self._backoff.record_call(now, self.agent_latency)
         return PlannedCall(call, given_up)
@@ -200,17 +200,17 @@
             version: The version of the list in the response.
             now: When the response was received.
         """
-        if call not in self.calls_out:
+        if call not in self.open_calls:
             return Answer(is_usable=False, superseded=[])
         was_interrupted = self.state(now) is not DiscoveryState.WATCHING
         is_backup_watch = call is self._backup_watch.call
-        self.calls_out.remove(call)
+        self.open_calls.remove(call)
         if call.address != self.address:
             return Answer(is_usable=True, superseded=[])  # the agent at the new address has not responded yet
         self._backoff.record_response(now)
         superseded = [
             other
-            for other in self.calls_out
+            for other in self.open_calls
             if other.number < call.number and not (is_backup_watch and self._is_watch_after(other, version))
         ]
         for other in superseded:
@@ -240,12 +240,12 @@
             agent may limit the number of its connections and refuse new ones, although it has dropped the
             calls on the connections that it holds.
         """
-        if call not in self.calls_out:
+        if call not in self.open_calls:
             return None
         self._remove(call)
         self._backoff.record_failure()
         is_refused = call.number == self.calls_made and call.first_byte_at is None
-        if not is_refused or not self.calls_out or self.state(now) is DiscoveryState.WATCHING:
+        if not is_refused or not self.open_calls or self.state(now) is DiscoveryState.WATCHING:
             return None
         given_up = self._least_useful(now) or self._expired_only_call(now)
         if given_up is not None:
@@ -254,7 +254,7 @@
 
     def _expired_only_call(self, now: int) -> DiscoveryCall | None:
         """Return the oldest open call if it has reached the age limit, and double the limit; else None."""
-        oldest = self.calls_out[0]
+        oldest = self.open_calls[0]
         if now - oldest.made_at - oldest.wait < self._only_call_age:
             return None
         self._only_call_age *= 2
@@ -269,7 +269,7 @@
         self.given_up.append(call.number)
 
     def _remove(self, call: DiscoveryCall) -> None:
-        self.calls_out.remove(call)
+        self.open_calls.remove(call)
         self._backup_watch.record_loss(call)
         if call is self._watch:
             self._watch = None
@@ -293,17 +293,17 @@
         call is never chosen, because a slow agent responds to it first, and neither is the watch. A call
         whose response is being received is chosen only if this is so for all candidates.
         """
-        made_at = [*(call.made_at for call in self.calls_out), now]
+        made_at = [*(call.made_at for call in self.open_calls), now]
 
         def usefulness(position: int) -> tuple[bool, float]:
-            return _is_receiving(self.calls_out[position], now), age_ratio(made_at, position, now)
+            return _is_receiving(self.open_calls[position], now), age_ratio(made_at, position, now)
 
         candidates = [
             position
-            for position in range(1, len(self.calls_out))
-            if self.calls_out[position] is not self._watch
+            for position in range(1, len(self.open_calls))
+            if self.open_calls[position] is not self._watch
         ]
-        return self.calls_out[min(candidates, key=usefulness)] if candidates else None
+        return self.open_calls[min(candidates, key=usefulness)] if candidates else None
 
 
 def _is_receiving(call: DiscoveryCall, now: int) -> bool:
--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -21,7 +21,7 @@
     UnreadableNodeConfigError,
     read_node_config,
 )
-from runspool.node.discovery_call_planner import MAX_CALLS_OUT, DiscoveryCallPlanner
+from runspool.node.discovery_call_planner import MAX_OPEN_CALLS, DiscoveryCallPlanner
 from runspool.node.discovery_client import DiscoveryClient
 from runspool.node.executor import ConnectionSettings, NodeExecutor
 from runspool.node.graceful_shutdown import GracefulShutdown
@@ -53,7 +53,7 @@
 DISCOVERY_CONNECTIONS = ConnectionSettings(
     connect_ms=1_000,
     idle_ms=60_000,
-    connections_each=MAX_CALLS_OUT + CLOSING_DISCOVERY_CONNECTIONS,
+    connections_each=MAX_OPEN_CALLS + CLOSING_DISCOVERY_CONNECTIONS,
     idle_each=1,
     read_answer_bytes=MAX_LIST_BYTES,
 )
--- a/tests/test_discovery_call_planner.py
+++ b/tests/test_discovery_call_planner.py
@@ -13,7 +13,7 @@
 
 from runspool.node.discovery_call import DiscoveryCall
 from runspool.node.discovery_call_planner import (
-    MAX_CALLS_OUT,
+    MAX_OPEN_CALLS,
     MIN_PATIENCE,
     DiscoveryCallPlanner,
     DiscoveryState,
@@ -60,14 +60,14 @@
     made: list[int] = []
     answered: list[int] = []
     for now in range(0, duration, STEP):
-        for call in list(planner.calls_out):
-            if call in planner.calls_out and agent.answers_at.get(call.number, duration) <= now:
+        for call in list(planner.open_calls):
+            if call in planner.open_calls and agent.answers_at.get(call.number, duration) <= now:
                 planner.answered(call, 1, now)
                 answered.append(now)
         while planner.next_call_at(now) <= now:
             agent.receive(planner.make_call(now).call)
             made.append(now)
-            assert len(planner.calls_out) <= MAX_CALLS_OUT
+            assert len(planner.open_calls) <= MAX_OPEN_CALLS
     return made, answered
 
 
@@ -189,10 +189,10 @@
         self.contents[call.number] = self.version, self.now
         self.made.append(self.now)
 
-    @precondition(lambda self: self.planner.calls_out)
+    @precondition(lambda self: self.planner.open_calls)
     @rule(data=st.data())
     def answer(self, data: st.DataObject) -> None:
-        call = data.draw(st.sampled_from(self.planner.calls_out))
+        call = data.draw(st.sampled_from(self.planner.open_calls))
         version, settled_at = self.contents[call.number]
         if call.after_version is not None and version < call.after_version:
             self.planner.failed(call, self.now)  # changes that begin before what was asked for
@@ -201,10 +201,10 @@
             assert settled_at >= self.applied_at, "an older list has undone a newer one"
             self.applied_at = settled_at
 
-    @precondition(lambda self: self.planner.calls_out)
+    @precondition(lambda self: self.planner.open_calls)
     @rule(data=st.data())
     def fail(self, data: st.DataObject) -> None:
-        self.planner.failed(data.draw(st.sampled_from(self.planner.calls_out)), self.now)
+        self.planner.failed(data.draw(st.sampled_from(self.planner.open_calls)), self.now)
 
     @rule()
     def change_address(self) -> None:
@@ -215,7 +215,7 @@
 
     @invariant()
     def calls_out_are_bounded(self) -> None:
-        assert len(self.planner.calls_out) <= MAX_CALLS_OUT
+        assert len(self.planner.open_calls) <= MAX_OPEN_CALLS
 
     @invariant()
     def another_call_is_due_in_bounded_time(self) -> None:
