--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ResponseDecision:
     """The decision on a response.
 
     Attributes:
@@ -84,8 +84,8 @@
         random: Returns random numbers from 0 to 1.
         calls_made: The number of calls made by this process.
         open_calls: The open calls, oldest first.
-        given_up: The numbers of the given-up calls that the agent may still have to process: it has not
-            responded to any later call.
+        given_up_numbers: The numbers of the given-up calls that the agent may still have to process, because
+            it has not responded to any later call.
     """
 
     def __init__(self, address: Address, random: Callable[[], float]) -> None:
@@ -94,9 +94,9 @@
         self.random = random
         self.calls_made = 0
         self._latency_estimator = AgentLatencyEstimator()
-        self.restart()
+        self.reset()
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Forget the open calls; the next call is due at once."""
         self.open_calls: list[DiscoveryCall] = []
         self._watch: DiscoveryCall | None = None
@@ -104,7 +104,7 @@
         self._needs_watch = False  # a response has been received, and no watch is open
         self._version = 0  # the version after which the next watch requests changes
         self._applied_at: int | None = None  # when the latest response was applied; None at a new address
-        self.given_up: deque[int] = deque(maxlen=MAX_COUNTED_GIVEN_UP)
+        self.given_up_numbers: deque[int] = deque(maxlen=MAX_COUNTED_GIVEN_UP)
         self._last_made_at: int | None = None
         self._last_watch_at: int | None = None
         self._backoff = SearchBackoff(self.random)
@@ -120,7 +120,7 @@
         """
         former_watch = self._watch
         dropped = [call for call in self.open_calls if call is not former_watch]
-        self.restart()
+        self.reset()
         self.address = address
         self._latency_estimator = AgentLatencyEstimator()
         if former_watch is not None:
@@ -130,7 +130,7 @@
     @property
     def agent_backlog(self) -> int:
         """The number of calls that the agent may still have to process, including those given up."""
-        return len(self.open_calls) + len(self.given_up)
+        return len(self.open_calls) + len(self.given_up_numbers)
 
     @property
     def agent_latency(self) -> int:
@@ -188,7 +188,7 @@
         self._backoff.record_call(now, self.agent_latency)
         return PlannedCall(call, given_up)
 
-    def answered(self, call: DiscoveryCall, version: int, now: int) -> Answer:
+    def record_response(self, call: DiscoveryCall, version: int, now: int) -> ResponseDecision:
         """Record a valid response to a call, and decide whether it may be applied.
 
         A response is newer than everything that had been received when its call was made, whatever its
@@ -201,12 +201,13 @@
             now: When the response was received.
         """
         if call not in self.open_calls:
-            return Answer(is_usable=False, superseded=[])
+            return ResponseDecision(is_usable=False, superseded=[])
         was_interrupted = self.state(now) is not DiscoveryState.WATCHING
         is_backup_watch = call is self._backup_watch.call
         self.open_calls.remove(call)
         if call.address != self.address:
-            return Answer(is_usable=True, superseded=[])  # the agent at the new address has not responded yet
+            # This is the watch at the former address; the agent at the new one has not responded yet.
+            return ResponseDecision(is_usable=True, superseded=[])
         self._backoff.record_response(now)
         superseded = [
             other
@@ -218,8 +219,8 @@
         if was_interrupted:
             self._backup_watch.start(now)
         self._backup_watch.record_response(call, now)
-        self.given_up = deque(
-            (number for number in self.given_up if number > call.number), maxlen=MAX_COUNTED_GIVEN_UP
+        self.given_up_numbers = deque(
+            (number for number in self.given_up_numbers if number > call.number), maxlen=MAX_COUNTED_GIVEN_UP
         )
         self._latency_estimator.measure(call, now)
         self._only_call_age = max(MIN_ONLY_CALL_AGE, 2 * self.agent_latency)
@@ -230,9 +231,9 @@
         if call is self._watch:
             self._watch = None
         self._needs_watch = self._watch is None
-        return Answer(is_usable, superseded)
+        return ResponseDecision(is_usable, superseded)
 
-    def failed(self, call: DiscoveryCall, now: int) -> DiscoveryCall | None:
+    def record_failure(self, call: DiscoveryCall, now: int) -> DiscoveryCall | None:
         """Record that a call failed: its connection was refused or lost, or its response was invalid.
 
         Returns:
@@ -266,7 +267,7 @@
 
     def _give_up(self, call: DiscoveryCall) -> None:
         self._remove(call)
-        self.given_up.append(call.number)
+        self.given_up_numbers.append(call.number)
 
     def _remove(self, call: DiscoveryCall) -> None:
         self.open_calls.remove(call)
--- a/runspool/node/discovery_client.py
+++ b/runspool/node/discovery_client.py
@@ -100,7 +100,7 @@
 
     async def follow(self) -> None:
         """Make calls until cancelled; the known endpoint list is kept through failures and cancellation."""
-        self.planner.restart()
+        self.planner.reset()
         try:
             async with anyio.create_task_group() as calls:
                 while True:
@@ -112,7 +112,7 @@
                     calls.start_soon(self._run_call, planned.call, scope)
                     self._update_state()
         finally:
-            self.planner.restart()
+            self.planner.reset()
             self._call_scopes.clear()
             self.pool.close()
 
@@ -147,7 +147,7 @@
             try:
                 self._process_response(call, await self._exchange(call))
             except (ExchangeAbortedError, InvalidEndpointListError) as error:
-                given_up = self.planner.failed(call, self.now())
+                given_up = self.planner.record_failure(call, self.now())
                 self.listener.connection_lost(error)
                 self.call_log.ended(call, CallEnd.FAILED, self.now(), self.planner, str(error))
                 if given_up is not None:
@@ -168,13 +168,13 @@
         """
         message, problems = decode_endpoint_list(body, call.after_version)
         _check_matches_call(call, message)
-        answer = self.planner.answered(call, message.version, self.now())
-        self._cancel(answer.superseded, CallEnd.SUPERSEDED)
+        decision = self.planner.record_response(call, message.version, self.now())
+        self._cancel(decision.superseded, CallEnd.SUPERSEDED)
         # Wake the task that makes calls first, so that the next watch is not delayed by work on the changes.
         self._replan.set()
         for problem in problems[:MAX_LOGGED_PROBLEMS]:
             self.log.warning("endpoint_list_line_unusable", fault=problem)
-        if answer.is_usable:
+        if decision.is_usable:
             self._apply(message)
         self.call_log.ended(call, CallEnd.ANSWERED, self.now(), self.planner)
 
--- a/tests/test_discovery_call_planner.py
+++ b/tests/test_discovery_call_planner.py
@@ -62,7 +62,7 @@
     for now in range(0, duration, STEP):
         for call in list(planner.open_calls):
             if call in planner.open_calls and agent.answers_at.get(call.number, duration) <= now:
-                planner.answered(call, 1, now)
+                planner.record_response(call, 1, now)
                 answered.append(now)
         while planner.next_call_at(now) <= now:
             agent.receive(planner.make_call(now).call)
@@ -125,7 +125,7 @@
     """Has a watch made and answered, its answer `took` after its wait; returns when that was."""
     watch = planner.make_call(made_at).call
     answered_at = made_at + watch.wait + took
-    planner.answered(watch, 1, answered_at)
+    planner.record_response(watch, 1, answered_at)
     return answered_at
 
 
@@ -153,7 +153,7 @@
 def test_a_backup_watch_that_is_given_up_in_an_outage_is_not_made_again() -> None:
     # It was made again in the same moment, so that the agent had one more call to work off.
     planner = DiscoveryCallPlanner(AGENT, Random(1).random)
-    planner.answered(planner.make_call(0).call, 1, 0)
+    planner.record_response(planner.make_call(0).call, 1, 0)
     made: list[DiscoveryCall] = []
     for now in range(0, 20 * UNITS_PER_SECOND, STEP):
         while planner.next_call_at(now) <= now:
@@ -195,16 +195,19 @@
         call = data.draw(st.sampled_from(self.planner.open_calls))
         version, settled_at = self.contents[call.number]
         if call.after_version is not None and version < call.after_version:
-            self.planner.failed(call, self.now)  # changes that begin before what was asked for
+            self.planner.record_failure(call, self.now)  # changes that begin before what was asked for
             return
-        if self.planner.answered(call, version, self.now).is_usable and call.address == self.planner.address:
+        if (
+            self.planner.record_response(call, version, self.now).is_usable
+            and call.address == self.planner.address
+        ):
             assert settled_at >= self.applied_at, "an older list has undone a newer one"
             self.applied_at = settled_at
 
     @precondition(lambda self: self.planner.open_calls)
     @rule(data=st.data())
     def fail(self, data: st.DataObject) -> None:
-        self.planner.failed(data.draw(st.sampled_from(self.planner.open_calls)), self.now)
+        self.planner.record_failure(data.draw(st.sampled_from(self.planner.open_calls)), self.now)
 
     @rule()
     def change_address(self) -> None:
@@ -214,7 +217,7 @@
         self.applied_at = -1
 
     @invariant()
-    def calls_out_are_bounded(self) -> None:
+    def open_calls_are_bounded(self) -> None:
         assert len(self.planner.open_calls) <= MAX_OPEN_CALLS
 
     @invariant()
