--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -28,8 +28,8 @@
 # Bounds of the time from the end of a watch's wait until the watch counts as overdue. In between, this time
 # depends on the agent's response latency. The upper bound applies to slow agents too, because an agent that
 # has stopped responding must be detected within seconds.
-MIN_PATIENCE = 4_000
-MAX_PATIENCE = 20_000
+MIN_OVERDUE_MARGIN = 4_000
+MAX_OVERDUE_MARGIN = 20_000
 MIN_WATCH_INTERVAL = 500  # shortest interval between two watches, even if the agent responds to each at once
 RECEIVE_TIMEOUT = 4_000  # a response counts as stalled if no further bytes of it arrive for this time
 MAX_RECEIVE_DURATION = (
@@ -278,13 +278,15 @@
     def _overdue_at(self, watch: DiscoveryCall) -> int:
         """Return when a watch counts as overdue.
 
-        If its response has started, the watch is overdue MIN_PATIENCE after the first byte at the latest,
+        If its response has started, it is overdue at the latest MIN_OVERDUE_MARGIN after the first byte,
         because the list in a response that takes long to arrive is outdated.
         """
-        patience = min(max(self.agent_latency * 3 // 2, MIN_PATIENCE), MAX_PATIENCE)
-        overdue_at = watch.made_at + watch.wait + patience
+        overdue_margin = min(max(self.agent_latency * 3 // 2, MIN_OVERDUE_MARGIN), MAX_OVERDUE_MARGIN)
+        overdue_at = watch.made_at + watch.wait + overdue_margin
         return (
-            overdue_at if watch.first_byte_at is None else min(overdue_at, watch.first_byte_at + MIN_PATIENCE)
+            overdue_at
+            if watch.first_byte_at is None
+            else min(overdue_at, watch.first_byte_at + MIN_OVERDUE_MARGIN)
         )
 
     def _least_useful(self, now: int) -> DiscoveryCall | None:
--- a/tests/test_discovery_call_planner.py
+++ b/tests/test_discovery_call_planner.py
@@ -14,7 +14,7 @@
 from runspool.node.discovery_call import DiscoveryCall
 from runspool.node.discovery_call_planner import (
     MAX_OPEN_CALLS,
-    MIN_PATIENCE,
+    MIN_OVERDUE_MARGIN,
     DiscoveryCallPlanner,
     DiscoveryState,
 )
@@ -130,22 +130,24 @@
 
 
 @pytest.mark.parametrize(
-    ("took", "patience"),
+    ("took", "overdue_margin"),
     [
-        ((0, 50_000), MIN_PATIENCE),  # the second one was held through an outage
-        ((50_000, 0), MIN_PATIENCE),
+        ((0, 50_000), MIN_OVERDUE_MARGIN),  # the second one was held through an outage
+        ((50_000, 0), MIN_OVERDUE_MARGIN),
         ((8_000, 8_000), 12_000),
         ((8_000, 16_000, 8_000), 12_000),
     ],
 )
-def test_an_outage_is_not_taken_for_the_slowness_of_the_agent(took: tuple[int, ...], patience: int) -> None:
-    # One call that an outage had met doubled the patience with the watches after it.
+def test_an_outage_is_not_taken_for_the_slowness_of_the_agent(
+    took: tuple[int, ...], overdue_margin: int
+) -> None:
+    # One call that an outage had met doubled the overdue margin of the watches after it.
     planner = DiscoveryCallPlanner(AGENT, Random(1).random)
     now = 0
     for each in took:
         now = answer_watch(planner, now, each)
     watch = planner.make_call(now).call
-    overdue_at = watch.made_at + watch.wait + patience
+    overdue_at = watch.made_at + watch.wait + overdue_margin
     assert planner.state(overdue_at - 1) is DiscoveryState.WATCHING
     assert planner.state(overdue_at) is DiscoveryState.SUSPECT
 
--- a/tests/test_endpoint_watch_faults.py
+++ b/tests/test_endpoint_watch_faults.py
@@ -13,7 +13,7 @@
 
 from runspool.node import search_backoff
 from runspool.node import server as node_server
-from runspool.node.discovery_call_planner import MIN_PATIENCE, WATCH_WAIT
+from runspool.node.discovery_call_planner import MIN_OVERDUE_MARGIN, WATCH_WAIT
 from runspool.node.search_backoff import MAX_INTERVAL, MIN_INTERVAL
 from runspool.scheduling.types import EngineState
 from runspool.service.clock import now
@@ -135,7 +135,7 @@
 
 
 async def test_silence_of_the_agent_is_noticed_within_what_the_platform_allows() -> None:
-    noticed_after_ms = (WATCH_WAIT + MIN_PATIENCE) / TENTHS
+    noticed_after_ms = (WATCH_WAIT + MIN_OVERDUE_MARGIN) / TENTHS
     assert noticed_after_ms < 2_000  # an outage lasts some seconds
     assert MIN_INTERVAL / TENTHS <= 1_000  # where the agent has dropped what it was asked in one
     assert noticed_after_ms + MAX_INTERVAL / TENTHS < 6_000  # after any silence
