--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -9,16 +9,16 @@
 
 from bisect import insort
 
-from runspool.scheduling.engine_eligibility import engines_in_view
+from runspool.scheduling.engine_eligibility import candidate_engines
 from runspool.scheduling.engine_state import Engine
-from runspool.scheduling.fleet_statistics import EVIDENCE_STREAMS, decode_cost, refresh_fleet_statistics
+from runspool.scheduling.fleet_statistics import PRIOR_STREAMS, decode_cost, refresh_fleet_statistics
 from runspool.scheduling.front_state import FrontState, QueuePosition, TenantArrivals
 from runspool.scheduling.latency_estimator import (
-    decay,
-    decode_wait,
+    decay_factor,
+    predicted_decode_wait,
     predicted_first_token_time,
+    predicted_queue_time,
     prefill_rate,
-    queue_time,
 )
 from runspool.scheduling.prefix_affinity import affinity_candidates, tokens_to_prefill
 from runspool.scheduling.request_lifecycle import reservation_time
@@ -68,7 +68,7 @@
     class_state = front.class_state(request)
     deadline = front.now + request.time_budget - DEADLINE_MARGIN
     due = _first_token_due(front, request, deadline)
-    patience = _max_wait_fraction(front, request)
+    max_wait_fraction = _max_wait_fraction(front, request)
     is_over_share = _count_arrival(front, request)
     queue_limit = OVER_SHARE_QUEUE_LIMIT_FRACTION if is_over_share else QUEUE_LIMIT_FRACTION
     # A higher priority weight gives an earlier queue position. So does a longer wait, so that no class
@@ -80,8 +80,8 @@
         class_state=class_state,
         deadline=deadline,
         first_token_due=due,
-        patience=patience,
-        latest_queueing=front.now + int((due - front.now) * patience),
+        max_wait_fraction=max_wait_fraction,
+        queued_until=front.now + int((due - front.now) * max_wait_fraction),
         queue_limit=int(front.shortest_objective() * queue_limit),
         queue_position=QueuePosition(is_over_share, priority_time, request.index),
         # Without a release timeout of the platform, state may stay reserved for the request's time budget.
@@ -103,11 +103,11 @@
     """Return the fraction of the time until a request's first token is due that a predicted wait may take."""
     refresh_fleet_statistics(front)
     # A front that has few streams, and so knows little about the queues, relies less on its predictions.
-    evidence = front.mean_streams / (EVIDENCE_STREAMS + front.mean_streams)
-    patience = (
+    evidence = front.mean_streams / (PRIOR_STREAMS + front.mean_streams)
+    max_wait_fraction = (
         MAX_WAIT_FRACTION_WITHOUT_STREAMS + (MAX_WAIT_FRACTION - MAX_WAIT_FRACTION_WITHOUT_STREAMS) * evidence
     )
-    return patience * (CLIENT_RETRY_WAIT_FACTOR if request.is_client_retry else 1)
+    return max_wait_fraction * (CLIENT_RETRY_WAIT_FACTOR if request.is_client_retry else 1)
 
 
 def _count_arrival(front: FrontState, request: Request) -> bool:
@@ -115,7 +115,7 @@
     if request.tenant is None:
         return False
     count, updated_at = front.tenant_arrivals[request.tenant]
-    count = count * decay(front, updated_at, ARRIVAL_HALF_LIFE_SECONDS * SECOND) + 1
+    count = count * decay_factor(front, updated_at, ARRIVAL_HALF_LIFE_SECONDS * SECOND) + 1
     front.tenant_arrivals[request.tenant] = TenantArrivals(count, front.now)
     rate = front.settings.tenants[request.tenant].requests_per_second
     # The decayed count to which arrivals at the tenant's share of the rate converge.
@@ -126,7 +126,7 @@
 def must_wait_in_queue(front: FrontState, progress: RequestProgress) -> bool:
     """Return whether a request has to wait behind others in the prefill queue, and queue it if so."""
     queue = front.prefill_queue
-    if progress.prefill_engine or not queue or front.now >= progress.latest_queueing:
+    if progress.prefill_engine or not queue or front.now >= progress.queued_until:
         return False
     if queue[0] >= progress.queue_position:
         return False
@@ -152,19 +152,19 @@
     If the request cannot start in time on any engine, it is marked as given up.
     """
     request = progress.request
-    decode_capable = engines_in_view(front, request, Role.MIXED)
-    decode_capable += engines_in_view(front, request, Role.DECODE)
+    decode_capable = candidate_engines(front, request, Role.MIXED)
+    decode_capable += candidate_engines(front, request, Role.DECODE)
     own_time = tokens_to_prefill(front, engine, request) / prefill_rate(front, engine)
-    shortest_decode_wait = min((decode_wait(front, e) for e in decode_capable), default=0)
+    shortest_decode_wait = min((predicted_decode_wait(front, e) for e in decode_capable), default=0)
     wait = predicted_first_token_time(front, engine, request) - own_time + shortest_decode_wait
     # The random factor varies the decision between requests; otherwise all fronts would reject, or admit,
     # everything at the same time.
-    left = (progress.first_token_due - front.now - own_time) * progress.patience
+    left = (progress.first_token_due - front.now - own_time) * progress.max_wait_fraction
     spare = max(MIN_SPARE_TIME, left)
     if not progress.attempts and wait * (0.5 + request.request_draw) > spare:
         progress.is_given_up = True
         return None
-    if queue_time(front, engine) > progress.queue_limit:
+    if predicted_queue_time(front, engine) > progress.queue_limit:
         return None
     # While all decode engines are full, a completed prefill would only wait, or be given up and computed
     # again.
@@ -173,12 +173,12 @@
     return engine
 
 
-def next_look(front: FrontState, progress: RequestProgress) -> int | None:
+def next_selection_time(front: FrontState, progress: RequestProgress) -> int | None:
     """Return when to select an engine again, or None once the first token is due."""
     is_prefill = not progress.prefill_engine
     if is_prefill:
         _enter_queue(front, progress)
-    # Past their `latest_queueing` time, requests evaluate the engines even if others are ahead of them. In a
+    # Past their `queued_until` time, requests evaluate the engines even if others are ahead of them. In a
     # long queue each of them does so less often, which saves CPU time.
     intervals = 1
     if is_prefill and front.prefill_queue[0] != progress.queue_position:
@@ -196,7 +196,7 @@
 
 def retry_after(front: FrontState, request: Request) -> int:
     """Return how long a rejected client is asked to wait before it retries; 0 if it is not told."""
-    engines = engines_in_view(front, request, Role.PREFILL)
+    engines = candidate_engines(front, request, Role.PREFILL)
     soonest = min((predicted_first_token_time(front, e, request) for e in engines), default=0)
     # Clients that retry during the congestion that caused their rejection would only add to it.
     wait = max(MIN_RETRY_AFTER, RETRY_AFTER_FACTOR * soonest)
--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from runspool.scheduling.engine_state import NO_PREFILL, Engine, QueuedPrefill
-from runspool.scheduling.fleet_statistics import memory_weight, tokens_of_other_fronts
+from runspool.scheduling.fleet_statistics import expected_memory_tokens, tokens_of_other_fronts
 from runspool.scheduling.front_state import FrontState, OpenAttempt
-from runspool.scheduling.latency_estimator import record_prefill_rate, update, value_at
+from runspool.scheduling.latency_estimator import current_estimate, record_prefill_rate, update_estimate
 from runspool.scheduling.outlier_detection import record_failure
 from runspool.scheduling.prefix_affinity import (
     record_cached_texts,
@@ -24,7 +24,9 @@
 RESPONSE_TIME_SAMPLES = 32
 
 
-def record_start(front: FrontState, request: Request, engine: Engine, prefill_engine: Engine | None) -> None:
+def record_attempt_start(
+    front: FrontState, request: Request, engine: Engine, prefill_engine: Engine | None
+) -> None:
     """Count an attempt on its engine; `prefill_engine` holds the prefill state that a decode attempt uses."""
     front.open_attempts[request.index] = OpenAttempt(engine, front.now)
     front.active_engines[engine.id] = engine
@@ -34,11 +36,11 @@
         engine.prefills[request.index] = QueuedPrefill(front.now, tokens, engine.prefill_tokens)
     if engine.role is not Role.PREFILL:
         engine.waiting_decodes[request.index] = front.now
-        engine.streams[request.index] = memory_weight(front, request)
+        engine.streams[request.index] = expected_memory_tokens(front, request)
         engine.stream_tokens += engine.streams[request.index]
 
 
-def record_end(
+def record_attempt_end(
     front: FrontState,
     request: Request,
     outcome: AttemptOutcome,
@@ -82,14 +84,14 @@
 ) -> None:
     """Learn how much longer a decode waited than one that needs no transfer between racks."""
     if outcome.status in (AttemptStatus.STREAM_STARTED, AttemptStatus.TIMED_OUT):
-        usual = front.usual_decode_waits[engine.role]
-        extra = outcome.duration - value_at(front, engine.decode_wait, usual)
+        usual = front.role_decode_waits[engine.role]
+        extra = outcome.duration - current_estimate(front, engine.decode_wait, usual)
         own = front.rack_transfer_delays[prefill_engine.rack]
-        update(front, own, front.usual_transfer_delay, max(0.0, extra))
+        update_estimate(front, own, front.fleet_transfer_delay, max(0.0, extra))
 
 
 def _learn_decode_wait(front: FrontState, engine: Engine, outcome: AttemptOutcome) -> None:
-    update(front, engine.decode_wait, front.usual_decode_waits[engine.role], outcome.duration)
+    update_estimate(front, engine.decode_wait, front.role_decode_waits[engine.role], outcome.duration)
 
 
 def _learn_from_prefill(
@@ -111,7 +113,7 @@
     if outcome.status is not AttemptStatus.STREAM_STARTED:
         record_prefill_rate(front, engine, queued_tokens, outcome.duration)
     delay = max(0.0, outcome.duration - queued_tokens / front.prefill_rates[engine.role])
-    update(front, engine.queueing_delay, front.usual_queueing_delays[engine.role], delay)
+    update_estimate(front, engine.queueing_delay, front.role_queueing_delays[engine.role], delay)
     record_cached_texts(engine, request)
 
 
@@ -123,7 +125,7 @@
         # The engine cannot compute its queue within the objective. A recorded delay of at least the objective
         # keeps hundreds of fronts from sending to it again at once.
         delay = max(outcome.duration, front.class_state(request).settings.first_token_objective)
-        update(front, engine.queueing_delay, front.usual_queueing_delays[engine.role], delay)
+        update_estimate(front, engine.queueing_delay, front.role_queueing_delays[engine.role], delay)
     if engine.role is not Role.PREFILL and not engine.observed_capacity:
         present = engine.stream_tokens + int(tokens_of_other_fronts(front, engine))
         engine.observed_capacity = max(present, engine.memory_tokens // 2)
@@ -136,7 +138,9 @@
     timed_out = outcome.status is AttemptStatus.TIMED_OUT
     if timed_out and tokens:
         # Without this sample only attempts that finished in time would determine the estimate.
-        update(front, engine.queueing_delay, front.usual_queueing_delays[engine.role], outcome.duration)
+        update_estimate(
+            front, engine.queueing_delay, front.role_queueing_delays[engine.role], outcome.duration
+        )
     elif timed_out and is_local_decode:
         _learn_decode_wait(front, engine, outcome)
     if not timed_out or engine.consecutive_failures:
@@ -177,15 +181,15 @@
         # twice its first value; otherwise a single response would determine whether responses have time to
         # spare.
         allowed = request.expected_output_tokens * time_per_token
-        total = front.mixed_answer_time_allowed
-        front.mixed_answer_time_allowed += allowed - total / RESPONSE_TIME_SAMPLES if total else 2 * allowed
-        front.mixed_answer_time += outcome.duration - front.mixed_answer_time / RESPONSE_TIME_SAMPLES
+        total = front.mixed_response_time_allowed
+        front.mixed_response_time_allowed += allowed - total / RESPONSE_TIME_SAMPLES if total else 2 * allowed
+        front.mixed_response_time += outcome.duration - front.mixed_response_time / RESPONSE_TIME_SAMPLES
     tokens = request.expected_output_tokens or outcome.duration / max(1, time_per_token)
     mean = class_state.mean_output_tokens
     class_state.mean_output_tokens = tokens if not mean else mean + (tokens - mean) / RUNNING_MEAN_SAMPLES
 
 
-def forget_request(front: FrontState, request: Request) -> None:
+def remove_request(front: FrontState, request: Request) -> None:
     """Remove all entries of a request from its engine.
 
     An entry that is never removed would make its engine look more overdue as time passes.
--- a/runspool/scheduling/decode_selection.py
+++ b/runspool/scheduling/decode_selection.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from runspool.scheduling.engine_eligibility import eligible_engines, engines_in_view
+from runspool.scheduling.engine_eligibility import candidate_engines, eligible_engines
 from runspool.scheduling.engine_state import Engine
-from runspool.scheduling.fleet_statistics import PACKING_THRESHOLD, carries_streams, decode_cost, load
+from runspool.scheduling.fleet_statistics import PACKING_THRESHOLD, decode_cost, load, may_have_streams
 from runspool.scheduling.front_state import FrontState
 from runspool.scheduling.latency_estimator import predicted_first_token_time
 from runspool.scheduling.transfer_cost import transfer_cost
@@ -15,8 +15,8 @@
     front: FrontState,
     request: Request,
     prefill_engine: Engine,
-    failed: list[int],
-    first_executed: Engine | None,
+    failed_engine_ids: list[int],
+    first_execution_engine: Engine | None,
 ) -> Engine | None:
     """Return the engine to decode a request, or None if no engine can.
 
@@ -27,12 +27,16 @@
         front: The front's state.
         request: The request to decode.
         prefill_engine: The engine that holds the prefill's state.
-        failed: Ids of engines to avoid while others are available.
-        first_executed: The engine of the first attempt that may have been executed, if any.
+        failed_engine_ids: Ids of engines to avoid while others are available.
+        first_execution_engine: The engine of the first attempt that may have been executed, if any.
     """
     mixed, decode = (
         eligible_engines(
-            front, request, engines_in_view(front, request, role, prefill_engine), failed, first_executed
+            front,
+            request,
+            candidate_engines(front, request, role, prefill_engine),
+            failed_engine_ids,
+            first_execution_engine,
         )
         for role in (Role.MIXED, Role.DECODE)
     )
@@ -61,7 +65,7 @@
     """Return the most loaded mixed engine in use; the reserved one is preferred if in the prefill's rack."""
     reserved = front.reserved_decode_engine
     return max(
-        (e for e in with_room if carries_streams(front, e) or e is reserved),
+        (e for e in with_room if may_have_streams(front, e) or e is reserved),
         default=None,
         key=lambda e: (
             e is reserved and e.rack == prefill_engine.rack,
@@ -74,7 +78,7 @@
 def _soonest_without_streams(front: FrontState, request: Request, with_room: list[Engine]) -> Engine | None:
     """Return the mixed engine without streams that can start a prefill soonest, or None."""
     reserved = front.reserved_prefill_engine
-    free = [e for e in with_room if not carries_streams(front, e) and e is not reserved]
+    free = [e for e in with_room if not may_have_streams(front, e) and e is not reserved]
     return min(
         free,
         default=None,
