--- a/runspool/config/__init__.py
+++ b/runspool/config/__init__.py
@@ -1,20 +1,20 @@
 """A front's configuration: evaluate Jsonnet templates, validate them, derive the scheduler's settings."""
 
-from runspool.config.loader import ConfigFault, InvalidConfigError, load_config, parse_config
+from runspool.config.loader import ConfigErrorDetails, InvalidConfigError, load_config, parse_config
 from runspool.config.schema import (
     EndpointListConfig,
     EngineClientConfig,
-    FrontBoundsConfig,
     FrontConfig,
+    FrontLimitsConfig,
     FrontProcessConfig,
 )
 
 __all__ = [
-    "ConfigFault",
+    "ConfigErrorDetails",
     "EndpointListConfig",
     "EngineClientConfig",
-    "FrontBoundsConfig",
     "FrontConfig",
+    "FrontLimitsConfig",
     "FrontProcessConfig",
     "InvalidConfigError",
     "load_config",
--- a/runspool/service/cell_scheduler_registry.py
+++ b/runspool/service/cell_scheduler_registry.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from runspool.cells.cell_router import CellRouter
-from runspool.cells.engine_placement import EnginePlace, Placement
+from runspool.cells.engine_placement import EngineDescriptor, Placement
 from runspool.runtime.interning import stable_hash
 from runspool.scheduling.settings import RoutingSettings
 from runspool.scheduling.types import EngineRecord, EngineState
@@ -51,7 +51,7 @@
         self.seed = seed
         self.recording_path = recording_path
         self.schedulers: dict[str, CellScheduler] = {}
-        self.scheduler(self.cell_router.cell_map.names()[0])
+        self.scheduler(self.cell_router.cell_map.cell_names()[0])
 
     def scheduler(self, name: str) -> CellScheduler:
         """Return a cell's scheduler; if there is none yet, create it and send it the cell's engines."""
@@ -85,12 +85,12 @@
     def close_if_unused(self, name: str) -> None:
         """Close the cell's scheduler if the cell is no longer on the cell map and has no open requests."""
         scheduler = self.schedulers[name]
-        if not scheduler.open_requests and name not in self.cell_router.cell_map.names():
+        if not scheduler.open_requests and name not in self.cell_router.cell_map.cell_names():
             scheduler.recorder.close()
             del self.schedulers[name]
 
     def _create(self, name: str) -> CellScheduler:
-        is_first_cell = not self.schedulers and name == self.cell_router.cell_map.names()[0]
+        is_first_cell = not self.schedulers and name == self.cell_router.cell_map.cell_names()[0]
         return CellScheduler(
             name,
             self._cell_settings(),
@@ -112,8 +112,8 @@
             return self.recording_path
         return self.recording_path.with_name(f"{self.recording_path.name}.{name}")
 
-    def _engine_place(self, name: str, record: EngineRecord) -> EnginePlace:
-        return EnginePlace(
+    def _engine_place(self, name: str, record: EngineRecord) -> EngineDescriptor:
+        return EngineDescriptor(
             name,
             self.endpoint_registry.endpoints[record.engine].role,
             self.zones[record.zone] if record.zone >= 0 else "",
