--- a/runspool/cells/cell_router.py
+++ b/runspool/cells/cell_router.py
@@ -22,7 +22,7 @@
     is_panicking,
 )
 from runspool.cells.cell_map import CellMap
-from runspool.cells.engine_placement import EnginePlace, Placement, place_engines
+from runspool.cells.engine_placement import EngineDescriptor, Placement, place_engines
 from runspool.cells.tenant_migration import TenantMigrations
 
 
@@ -42,20 +42,20 @@
     Attributes:
         tenant: the tenant's name, if known.
         session: the session's name, if known.
-        ticket: the idempotency key, if its deduplication scope is smaller than the whole fleet; otherwise
-            None, because then any cell drops a duplicate.
+        idempotency_key: the key by which engines recognize a duplicate, if its deduplication scope is smaller
+            than the whole fleet; otherwise None, because then any cell drops a duplicate.
         is_retry: whether the client has sent the request before.
-        binding_time: how long the idempotency key binds retries to the cell, in tenths of a millisecond: the
-            deduplication window plus the longest deadline.
+        key_binding_time: how long the idempotency key binds retries to the cell, in tenths of a millisecond:
+            the deduplication window plus the longest deadline.
         size_bytes: the memory that the front holds for the request until it ends.
         fingerprint: a hash of the tenant and the prompt, the same for every repetition of the request.
     """
 
     tenant: str | None
     session: str | None
-    ticket: str | None
+    idempotency_key: str | None
     is_retry: bool
-    binding_time: int
+    key_binding_time: int
     size_bytes: int
     fingerprint: str
 
@@ -108,7 +108,7 @@
         self.poison_detector = PoisonDetector(self.cell_map.poison_after)
         self.request_budget = Budget(self.max_requests, {})
         self.byte_budget = Budget(self.max_bytes, {})
-        self.engines: list[EnginePlace] = []
+        self.engines: list[EngineDescriptor] = []
         self.unavailable: set[str] = set()
         self._update_weights()
 
@@ -124,14 +124,14 @@
         self.poison_detector.loss_threshold = cell_map.poison_after
         # A removed cell can no longer overflow, but requests of it that are still at the reserve must be
         # counted until they end.
-        for name in self.overflow_policy.states.keys() - set(cell_map.names()):
+        for name in self.overflow_policy.states.keys() - set(cell_map.cell_names()):
             if not self.overflow_policy.states[name].requests_at_reserve:
                 del self.overflow_policy.states[name]
         self._update_weights()
         self.update_engines(self.engines, self.unavailable)
         return True
 
-    def update_engines(self, engines: list[EnginePlace], unavailable: set[str]) -> Placement:
+    def update_engines(self, engines: list[EngineDescriptor], unavailable: set[str]) -> Placement:
         """Assign the available engines to the cells, and return the placement.
 
         `engines` also lists those in `unavailable`, which are draining or have disappeared. A cell receives
@@ -179,7 +179,9 @@
         cell = home if reserve is None else self._home_or_reserve(now, home, reserve, request)
         self.request_budget.acquire(home)
         self.byte_budget.acquire(home, request.size_bytes)
-        self.migrations.record_admission(now, request.tenant, cell, request.ticket, request.binding_time)
+        self.migrations.record_admission(
+            now, request.tenant, cell, request.idempotency_key, request.key_binding_time
+        )
         return CellAdmission(cell, home, request)
 
     def finish(self, now: int, admission: CellAdmission, rejected: bool | None) -> None:
@@ -216,17 +218,17 @@
             unix_ms,
             request.tenant,
             request.session,
-            request.ticket,
+            request.idempotency_key,
             request.is_retry,
-            request.binding_time,
+            request.key_binding_time,
         )
         if choice.earlier_cell_unknown:
             return None
-        if choice.cell in self.cell_map.names():
+        if choice.cell in self.cell_map.cell_names():
             return choice.cell
         # The cell has been removed from the map. The earlier try of a retry may have executed there, and no
         # other cell would recognize the idempotency key.
-        if request.ticket is not None and request.is_retry:
+        if request.idempotency_key is not None and request.is_retry:
             return None
         return self.migrations.home_cell(unix_ms, request.tenant, request.session)
 
@@ -236,7 +238,7 @@
         Draw one random number, unless the request is a retry with an idempotency key or the cell panics.
         """
         # Only the cell of the earlier try, which `home` is for a retry, can recognize the idempotency key.
-        if request.ticket is not None and request.is_retry:
+        if request.idempotency_key is not None and request.is_retry:
             return home
         if home in self.panicking_cells or self.overflow_policy.use_reserve(now, home, self.draw_random()):
             return reserve
@@ -244,6 +246,6 @@
 
     def _update_weights(self) -> None:
         cells = self.cell_map.cells
-        names = [name for name in self.cell_map.names() if name != self.cell_map.reserve]
+        names = [name for name in self.cell_map.cell_names() if name != self.cell_map.reserve]
         weights = {name: cells[name].weight if name in cells else 1.0 for name in names}
         self.request_budget.weights = self.byte_budget.weights = weights
--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -19,23 +19,23 @@
 
 from runspool.discovery.concurrent_calls import age_ratio
 from runspool.engines.connection_pool import Address
-from runspool.node.answer_time import AnswerTime
+from runspool.node.agent_latency import AgentLatencyEstimator
+from runspool.node.backup_watch import BackupWatch
 from runspool.node.discovery_call import DiscoveryCall
-from runspool.node.search_pace import SearchPace
-from runspool.node.second_watch import SecondWatch
+from runspool.node.search_backoff import SearchBackoff
 
 WATCH_WAIT = 10_000  # how long the agent may delay its response to a watch while nothing changes
 # Bounds of the time from the end of a watch's wait until the watch counts as overdue. In between, this time
 # depends on the agent's response latency. The upper bound applies to slow agents too, because an agent that
 # has stopped responding must be detected within seconds.
-MIN_PATIENCE = 4_000
-MAX_PATIENCE = 20_000
+MIN_OVERDUE_MARGIN = 4_000
+MAX_OVERDUE_MARGIN = 20_000
 MIN_WATCH_INTERVAL = 500  # shortest interval between two watches, even if the agent responds to each at once
 RECEIVE_TIMEOUT = 4_000  # a response counts as stalled if no further bytes of it arrive for this time
 MAX_RECEIVE_DURATION = (
     30_000  # after this time since its first byte, a response counts as stalled in any case
 )
-MAX_CALLS_OUT = 6  # maximum number of open calls
+MAX_OPEN_CALLS = 6  # maximum number of open calls
 MAX_COUNTED_GIVEN_UP = 1_000  # maximum number of given-up calls that are remembered
 # An agent may refuse a second connection. The only open call is then given up in favour of a new one once it
 # has been open for at least this time beyond its wait.
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ResponseDecision:
     """The decision on a response.
 
     Attributes:
@@ -83,9 +83,9 @@
         address: The address of the agent.
         random: Returns random numbers from 0 to 1.
         calls_made: The number of calls made by this process.
-        calls_out: The open calls, oldest first.
-        given_up: The numbers of the given-up calls that the agent may still have to process: it has not
-            responded to any later call.
+        open_calls: The open calls, oldest first.
+        given_up_numbers: The numbers of the given-up calls that the agent may still have to process, because
+            it has not responded to any later call.
     """
 
     def __init__(self, address: Address, random: Callable[[], float]) -> None:
@@ -93,21 +93,21 @@
         self.address = address
         self.random = random
         self.calls_made = 0
-        self._answer_time = AnswerTime()
-        self.restart()
+        self._latency_estimator = AgentLatencyEstimator()
+        self.reset()
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Forget the open calls; the next call is due at once."""
-        self.calls_out: list[DiscoveryCall] = []
+        self.open_calls: list[DiscoveryCall] = []
         self._watch: DiscoveryCall | None = None
-        self._second_watch = SecondWatch()
+        self._backup_watch = BackupWatch()
         self._needs_watch = False  # a response has been received, and no watch is open
         self._version = 0  # the version after which the next watch requests changes
         self._applied_at: int | None = None  # when the latest response was applied; None at a new address
-        self.given_up: deque[int] = deque(maxlen=MAX_COUNTED_GIVEN_UP)
+        self.given_up_numbers: deque[int] = deque(maxlen=MAX_COUNTED_GIVEN_UP)
         self._last_made_at: int | None = None
         self._last_watch_at: int | None = None
-        self._pace = SearchPace(self.random)
+        self._backoff = SearchBackoff(self.random)
         self._only_call_age = MIN_ONLY_CALL_AGE
 
     def change_address(self, address: Address) -> list[DiscoveryCall]:
@@ -119,23 +119,23 @@
             The open calls that are no longer needed.
         """
         former_watch = self._watch
-        dropped = [call for call in self.calls_out if call is not former_watch]
-        self.restart()
+        dropped = [call for call in self.open_calls if call is not former_watch]
+        self.reset()
         self.address = address
-        self._answer_time = AnswerTime()
+        self._latency_estimator = AgentLatencyEstimator()
         if former_watch is not None:
-            self.calls_out.append(former_watch)
+            self.open_calls.append(former_watch)
         return dropped
 
     @property
-    def calls_owed(self) -> int:
+    def agent_backlog(self) -> int:
         """The number of calls that the agent may still have to process, including those given up."""
-        return len(self.calls_out) + len(self.given_up)
+        return len(self.open_calls) + len(self.given_up_numbers)
 
     @property
-    def answer_time(self) -> int:
+    def agent_latency(self) -> int:
         """The estimated time that the agent takes to start a response; 0 if it is unknown."""
-        return self._answer_time.estimate
+        return self._latency_estimator.estimate
 
     @property
     def watch(self) -> DiscoveryCall | None:
@@ -153,42 +153,42 @@
     def next_call_at(self, now: int) -> int:
         """Return when the next call is due, provided that nothing happens before."""
         at = self._next_required_at(now)
-        second_watch_at = self._second_watch.due_at()
-        return at if second_watch_at is None else min(at, second_watch_at)
+        backup_watch_at = self._backup_watch.due_at()
+        return at if backup_watch_at is None else min(at, backup_watch_at)
 
     def _next_required_at(self, now: int) -> int:
-        """Return when the next call is due that is not a second watch."""
+        """Return when the next call is due that is not a backup watch."""
         if self._needs_watch:
             return now if self._last_watch_at is None else self._last_watch_at + MIN_WATCH_INTERVAL
         if self._last_made_at is None:
             return now
-        search_at = self._last_made_at + self._pace.interval
+        search_at = self._last_made_at + self._backoff.interval
         return search_at if self._watch is None else max(search_at, self._overdue_at(self._watch))
 
     def make_call(self, now: int) -> PlannedCall:
         """Create the call that is due at `now` and record it as made.
 
-        The call is a watch if a response has been received and no watch is open, a second watch if one is
+        The call is a watch if a response has been received and no watch is open, a backup watch if one is
         due, and otherwise a call for the whole list.
         """
-        second_watch_at = self._second_watch.due_at()
+        backup_watch_at = self._backup_watch.due_at()
         self.calls_made += 1
         call = DiscoveryCall(self.calls_made, self.address, None, 0, now)
         if self._needs_watch and self._next_required_at(now) <= now:
             call.after_version, call.wait = self._version, WATCH_WAIT
             self._watch, self._needs_watch, self._last_watch_at = call, False, now
-        elif second_watch_at is not None and second_watch_at <= now:
+        elif backup_watch_at is not None and backup_watch_at <= now:
             call.after_version = self._version
-            self._second_watch.made(call)
-        given_up = self._least_useful(now) if len(self.calls_out) >= MAX_CALLS_OUT else None
+            self._backup_watch.record_call(call)
+        given_up = self._least_useful(now) if len(self.open_calls) >= MAX_OPEN_CALLS else None
         if given_up is not None:
             self._give_up(given_up)
-        self.calls_out.append(call)
+        self.open_calls.append(call)
         self._last_made_at = now
-        self._pace.called(now, self.answer_time)
+        self._backoff.record_call(now, self.agent_latency)
         return PlannedCall(call, given_up)
 
-    def answered(self, call: DiscoveryCall, version: int, now: int) -> Answer:
+    def record_response(self, call: DiscoveryCall, version: int, now: int) -> ResponseDecision:
         """Record a valid response to a call, and decide whether it may be applied.
 
         A response is newer than everything that had been received when its call was made, whatever its
@@ -200,29 +200,30 @@
             version: The version of the list in the response.
             now: When the response was received.
         """
-        if call not in self.calls_out:
-            return Answer(is_usable=False, superseded=[])
+        if call not in self.open_calls:
+            return ResponseDecision(is_usable=False, superseded=[])
         was_interrupted = self.state(now) is not DiscoveryState.WATCHING
-        is_second_watch = call is self._second_watch.call
-        self.calls_out.remove(call)
+        is_backup_watch = call is self._backup_watch.call
+        self.open_calls.remove(call)
         if call.address != self.address:
-            return Answer(is_usable=True, superseded=[])  # the agent at the new address has not responded yet
-        self._pace.answered(now)
+            # This is the watch at the former address; the agent at the new one has not responded yet.
+            return ResponseDecision(is_usable=True, superseded=[])
+        self._backoff.record_response(now)
         superseded = [
             other
-            for other in self.calls_out
-            if other.number < call.number and not (is_second_watch and self._is_watch_after(other, version))
+            for other in self.open_calls
+            if other.number < call.number and not (is_backup_watch and self._is_watch_after(other, version))
         ]
         for other in superseded:
             self._remove(other)
         if was_interrupted:
-            self._second_watch.begin(now)
-        self._second_watch.answered(call, now)
-        self.given_up = deque(
-            (number for number in self.given_up if number > call.number), maxlen=MAX_COUNTED_GIVEN_UP
+            self._backup_watch.start(now)
+        self._backup_watch.record_response(call, now)
+        self.given_up_numbers = deque(
+            (number for number in self.given_up_numbers if number > call.number), maxlen=MAX_COUNTED_GIVEN_UP
         )
-        self._answer_time.measure(call, now)
-        self._only_call_age = max(MIN_ONLY_CALL_AGE, 2 * self.answer_time)
+        self._latency_estimator.measure(call, now)
+        self._only_call_age = max(MIN_ONLY_CALL_AGE, 2 * self.agent_latency)
         is_newer = self._applied_at is None or call.made_at >= self._applied_at
         is_usable = is_newer or version > self._version
         if is_usable:
@@ -230,9 +231,9 @@
         if call is self._watch:
             self._watch = None
         self._needs_watch = self._watch is None
-        return Answer(is_usable, superseded)
+        return ResponseDecision(is_usable, superseded)
 
-    def failed(self, call: DiscoveryCall, now: int) -> DiscoveryCall | None:
+    def record_failure(self, call: DiscoveryCall, now: int) -> DiscoveryCall | None:
         """Record that a call failed: its connection was refused or lost, or its response was invalid.
 
         Returns:
@@ -240,12 +241,12 @@
             agent may limit the number of its connections and refuse new ones, although it has dropped the
             calls on the connections that it holds.
         """
-        if call not in self.calls_out:
+        if call not in self.open_calls:
             return None
         self._remove(call)
-        self._pace.failed()
+        self._backoff.record_failure()
         is_refused = call.number == self.calls_made and call.first_byte_at is None
-        if not is_refused or not self.calls_out or self.state(now) is DiscoveryState.WATCHING:
+        if not is_refused or not self.open_calls or self.state(now) is DiscoveryState.WATCHING:
             return None
         given_up = self._least_useful(now) or self._expired_only_call(now)
         if given_up is not None:
@@ -254,7 +255,7 @@
 
     def _expired_only_call(self, now: int) -> DiscoveryCall | None:
         """Return the oldest open call if it has reached the age limit, and double the limit; else None."""
-        oldest = self.calls_out[0]
+        oldest = self.open_calls[0]
         if now - oldest.made_at - oldest.wait < self._only_call_age:
             return None
         self._only_call_age *= 2
@@ -266,24 +267,26 @@
 
     def _give_up(self, call: DiscoveryCall) -> None:
         self._remove(call)
-        self.given_up.append(call.number)
+        self.given_up_numbers.append(call.number)
 
     def _remove(self, call: DiscoveryCall) -> None:
-        self.calls_out.remove(call)
-        self._second_watch.dropped(call)
+        self.open_calls.remove(call)
+        self._backup_watch.record_loss(call)
         if call is self._watch:
             self._watch = None
 
     def _overdue_at(self, watch: DiscoveryCall) -> int:
         """Return when a watch counts as overdue.
 
-        If its response has started, the watch is overdue MIN_PATIENCE after the first byte at the latest,
+        If its response has started, it is overdue at the latest MIN_OVERDUE_MARGIN after the first byte,
         because the list in a response that takes long to arrive is outdated.
         """
-        patience = min(max(self.answer_time * 3 // 2, MIN_PATIENCE), MAX_PATIENCE)
-        overdue_at = watch.made_at + watch.wait + patience
+        overdue_margin = min(max(self.agent_latency * 3 // 2, MIN_OVERDUE_MARGIN), MAX_OVERDUE_MARGIN)
+        overdue_at = watch.made_at + watch.wait + overdue_margin
         return (
-            overdue_at if watch.first_byte_at is None else min(overdue_at, watch.first_byte_at + MIN_PATIENCE)
+            overdue_at
+            if watch.first_byte_at is None
+            else min(overdue_at, watch.first_byte_at + MIN_OVERDUE_MARGIN)
         )
 
     def _least_useful(self, now: int) -> DiscoveryCall | None:
@@ -293,17 +296,17 @@
         call is never chosen, because a slow agent responds to it first, and neither is the watch. A call
         whose response is being received is chosen only if this is so for all candidates.
         """
-        made_at = [*(call.made_at for call in self.calls_out), now]
+        made_at = [*(call.made_at for call in self.open_calls), now]
 
         def usefulness(position: int) -> tuple[bool, float]:
-            return _is_receiving(self.calls_out[position], now), age_ratio(made_at, position, now)
+            return _is_receiving(self.open_calls[position], now), age_ratio(made_at, position, now)
 
         candidates = [
             position
-            for position in range(1, len(self.calls_out))
-            if self.calls_out[position] is not self._watch
+            for position in range(1, len(self.open_calls))
+            if self.open_calls[position] is not self._watch
         ]
-        return self.calls_out[min(candidates, key=usefulness)] if candidates else None
+        return self.open_calls[min(candidates, key=usefulness)] if candidates else None
 
 
 def _is_receiving(call: DiscoveryCall, now: int) -> bool:
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -6,7 +6,7 @@
 
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.front_state import RACK_BALANCE_INTERVAL, FrontState
-from runspool.scheduling.latency_estimator import current_load_report, decay, decode_wait
+from runspool.scheduling.latency_estimator import current_load_report, decay_factor, predicted_decode_wait
 from runspool.scheduling.slow_start import warmup_fraction
 from runspool.scheduling.time_units import MILLISECOND, SECOND
 from runspool.scheduling.types import Request, Role
@@ -15,7 +15,7 @@
 PACKING_THRESHOLD = 0.8
 # Own streams on an engine at which the estimate of other fronts' streams there relies on them as much as on
 # the fleet's mean.
-EVIDENCE_STREAMS = 4
+PRIOR_STREAMS = 4
 # Wait for a first token, or for a rack's link, that costs as much as a fully loaded engine.
 FULL_LOAD_WAIT = SECOND
 # Upper bound on a rack's spare decode capacity per prefill engine, relative to the fleet's mean.
@@ -29,7 +29,7 @@
 RACK_BALANCE_REFERENCE_DELAY = 300 * MILLISECOND
 
 
-def memory_weight(front: FrontState, request: Request) -> int:
+def expected_memory_tokens(front: FrontState, request: Request) -> int:
     """Return the tokens that a request is expected to occupy in a decode engine's memory."""
     return request.prompt_tokens + int(front.class_state(request).mean_output_tokens)
 
@@ -40,7 +40,7 @@
     The load counts this front's streams, the estimated streams of other fronts and, if given, a further
     request. If the engine itself reports a higher utilization, that is used.
     """
-    own = engine.stream_tokens + (memory_weight(front, request) if request else 0)
+    own = engine.stream_tokens + (expected_memory_tokens(front, request) if request else 0)
     capacity = engine.observed_capacity or engine.memory_tokens
     report = current_load_report(front, engine)
     reported = max(report.memory_utilization or 0.0, report.slot_utilization or 0.0) if report else 0.0
@@ -59,10 +59,10 @@
     would be extrapolated to a full engine.
     """
     refresh_fleet_statistics(front)
-    mean_tokens = front.mean_memory_use * (engine.memory_tokens or 1)
-    evidence = EVIDENCE_STREAMS + len(engine.streams)
+    mean_tokens = front.mean_memory_share * (engine.memory_tokens or 1)
+    evidence = PRIOR_STREAMS + len(engine.streams)
     estimated = (
-        (front.settings.front_count - 1) * mean_tokens * evidence / (EVIDENCE_STREAMS + front.mean_streams)
+        (front.settings.front_count - 1) * mean_tokens * evidence / (PRIOR_STREAMS + front.mean_streams)
     )
     if front.mean_streams >= 1 or not engine.memory_tokens:
         return estimated
@@ -74,12 +74,12 @@
 
 def decode_cost(front: FrontState, engine: Engine, request: Request) -> float:
     """Return the load plus the cost of the wait for a first token, so that a hung engine looks expensive."""
-    return load(front, engine, request) + decode_wait(front, engine) / FULL_LOAD_WAIT
+    return load(front, engine, request) + predicted_decode_wait(front, engine) / FULL_LOAD_WAIT
 
 
-def carries_streams(front: FrontState, engine: Engine) -> bool:
+def may_have_streams(front: FrontState, engine: Engine) -> bool:
     """Return whether an engine has streams, or may have some that this front cannot know of."""
-    return has_active_streams(front, engine) or has_no_fleet_signal(front)
+    return has_active_streams(front, engine) or lacks_stream_evidence(front)
 
 
 def has_active_streams(front: FrontState, engine: Engine) -> bool:
@@ -88,7 +88,7 @@
     return bool(engine.streams or (report and report.requests_in_flight))
 
 
-def has_no_fleet_signal(front: FrontState) -> bool:
+def lacks_stream_evidence(front: FrontState) -> bool:
     """Return whether this front has less than one stream per engine that can decode.
 
     The absence of own streams on an engine then does not show that other fronts have none there.
@@ -108,7 +108,7 @@
     index = front.engine_index
     own = [e for e in front.active_engines.values() if e.ready and e.role is not Role.PREFILL]
     front.mean_streams = sum(len(e.streams) for e in own) / max(1, index.peer_count(Role.DECODE))
-    front.mean_memory_use = sum(e.stream_tokens for e in own) / max(1, index.decode_memory_tokens)
+    front.mean_memory_share = sum(e.stream_tokens for e in own) / max(1, index.decode_memory_tokens)
     if index.is_large(Role.PREFILL) and front.now < front.rack_balance_at + RACK_BALANCE_INTERVAL:
         return
     front.rack_balance_at = front.now
@@ -125,9 +125,9 @@
     )
     prefill = Counter(e.rack for e in front.ready_engines(Role.PREFILL))
     fleet_ratio = max(1, with_room.total()) / max(1, prefill.total())
-    transfer_delay, queueing_delay = front.usual_transfer_delay, front.usual_queueing_delays[Role.PREFILL]
-    transfer = transfer_delay.time * decay(front, transfer_delay.updated_at)
-    queueing = queueing_delay.time * decay(front, queueing_delay.updated_at)
+    transfer_delay, queueing_delay = front.fleet_transfer_delay, front.role_queueing_delays[Role.PREFILL]
+    transfer = transfer_delay.time * decay_factor(front, transfer_delay.updated_at)
+    queueing = queueing_delay.time * decay_factor(front, queueing_delay.updated_at)
     exponent = MAX_RACK_BALANCE_EXPONENT * transfer / (transfer + queueing + RACK_BALANCE_REFERENCE_DELAY)
     return {
         rack: min(max(with_room[rack] / count / fleet_ratio, MIN_RACK_BALANCE), MAX_RACK_BALANCE) ** exponent
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -29,14 +29,14 @@
     begin_request,
     leave_queue,
     must_wait_in_queue,
-    next_look,
+    next_selection_time,
     retry_time,
 )
 from runspool.scheduling.attempt_accounting import (
-    forget_request,
-    record_end,
-    record_start,
+    record_attempt_end,
+    record_attempt_start,
     record_stream_end,
+    remove_request,
 )
 from runspool.scheduling.decode_selection import select_decode
 from runspool.scheduling.endpoint_updates import apply_endpoint_update
@@ -48,8 +48,8 @@
     attempt_timeout,
     final_response,
     may_continue,
-    record_attempt,
-    reservation_ends_before_connect,
+    record_attempt_outcome,
+    reservation_may_expire_during_connect,
     take_retry_token,
 )
 from runspool.scheduling.stream_migration import migrate_before_shutdown, stream_to_migrate
@@ -70,7 +70,7 @@
             else:
                 yield from self._serve(begin_request(self, request))
         except BaseException:
-            forget_request(self, request)
+            remove_request(self, request)
             raise
         finally:
             self.prefill_queue = [
@@ -80,14 +80,14 @@
     def _serve(self, progress: RequestProgress) -> Generator[Action, Any, None]:
         """Take a request through prefill, decode and repeats to its final response."""
         while may_continue(self, progress):
-            if reservation_ends_before_connect(self, progress):
+            if reservation_may_expire_during_connect(self, progress):
                 yield ReleaseState()
                 progress.prefill_engine = None
                 # Without this pause a prefill that is sent at once could arrive before the release.
                 yield Sleep(retry_time(self, progress.deadline))
                 continue
             if must_wait_in_queue(self, progress):
-                yield Sleep(retry_time(self, progress.latest_queueing))
+                yield Sleep(retry_time(self, progress.queued_until))
                 continue
             engine = self.select_engine(progress)
             if engine is None:
@@ -108,10 +108,10 @@
         """Sleep until an engine is to be selected again; return False if the request is given up instead."""
         if progress.is_given_up:
             return False
-        wake_at = next_look(self, progress)
+        wake_at = next_selection_time(self, progress)
         if wake_at is None:
             return False
-        if progress.reservation_ends_before(wake_at):
+        if progress.reservation_expires_before(wake_at):
             yield ReleaseState()
             progress.prefill_engine = None
         yield Sleep(wake_at)
@@ -122,10 +122,18 @@
 
         May mark the request as given up.
         """
-        request, failed, first_executed = progress.request, progress.failed, progress.first_executed
+        request, failed_engine_ids, first_execution_engine = (
+            progress.request,
+            progress.failed_engine_ids,
+            progress.first_execution_engine,
+        )
         if progress.prefill_engine:
-            return select_decode(self, request, progress.prefill_engine, failed, first_executed)
-        engine = select_prefill(self, request, failed, first_executed, progress.queue_limit)
+            return select_decode(
+                self, request, progress.prefill_engine, failed_engine_ids, first_execution_engine
+            )
+        engine = select_prefill(
+            self, request, failed_engine_ids, first_execution_engine, progress.queue_limit
+        )
         return admit_prefill(self, progress, engine) if engine else None
 
     def _attempt(self, progress: RequestProgress, engine: Engine) -> Generator[Action, Any, bool]:
@@ -133,14 +141,14 @@
         request, prefill_engine, sent_at = progress.request, progress.prefill_engine, self.now
         progress.attempts += 1
         timeout = attempt_timeout(self, progress, engine)
-        record_start(self, request, engine, prefill_engine)
+        record_attempt_start(self, request, engine, prefill_engine)
         outcome: AttemptOutcome = yield StartAttempt(engine.id, timeout)
-        record_end(self, request, outcome, prefill_engine)
+        record_attempt_end(self, request, outcome, prefill_engine)
         if outcome.status is AttemptStatus.STREAM_STARTED:
             completion: AttemptOutcome = yield AwaitCompletion()
             record_stream_end(self, request, completion, 0 if prefill_engine else outcome.duration)
             return True
-        if record_attempt(self, progress, engine, outcome, sent_at):
+        if record_attempt_outcome(self, progress, engine, outcome, sent_at):
             yield ReleaseState()
             progress.prefill_engine = None
         return False
