--- a/tests/test_front_attempts.py
+++ b/tests/test_front_attempts.py
@@ -123,7 +123,7 @@
 ) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
         front = fleet.running.front
-        monkeypatch.setattr("runspool.scheduling.attempt_accounting.update", lambda *_: 1 // 0)
+        monkeypatch.setattr("runspool.scheduling.attempt_accounting.update_estimate", lambda *_: 1 // 0)
         response = await fleet.ask(out=200)
         if response.status == 200:
             assert b"scrapped" in response.body
--- a/tests/test_scheduler_driver.py
+++ b/tests/test_scheduler_driver.py
@@ -290,12 +290,14 @@
         assert [place[2] for place in scheduler.prefill_queue] == [request]
     elif when == "prefill ends":
         raise_in(
-            attempt_accounting, "update", lambda: host.end_attempt(request, AttemptStatus.PREFILL_COMPLETE)
+            attempt_accounting,
+            "update_estimate",
+            lambda: host.end_attempt(request, AttemptStatus.PREFILL_COMPLETE),
         )
     else:
         host.end_attempt(request, AttemptStatus.PREFILL_COMPLETE)
         if when == "stream starts":
-            raise_in(attempt_accounting, "update", lambda: host.start_stream(request))
+            raise_in(attempt_accounting, "update_estimate", lambda: host.start_stream(request))
         else:
             host.start_stream(request)
             raise_in(
