--- a/tests/migration_model.py
+++ b/tests/migration_model.py
@@ -14,7 +14,7 @@
 
 from runspool.cells import tenant_migration
 from runspool.cells.cell_map import CellMap, Move
-from runspool.cells.tenant_migration import CellChoice, MigrationRefusedError, TenantMigrations
+from runspool.cells.tenant_migration import CellChoice, MapChangeRefusedError, TenantMigrations
 from tests.cell_maps import cell_map_with
 
 WINDOW = 50_000  # in which repeats with a ticket are recognized; tenths of a millisecond
@@ -170,14 +170,14 @@
     now = state.tick * TICK
     migrations = TenantMigrations(front.cell_map, front.adopted_unix_ms)
     if front.ticket is not None:
-        migrations.tickets[TICKET] = front.ticket
+        migrations.key_bindings[TICKET] = front.ticket
     ticket = TICKET if state.idempotency == KEYED else None
     is_retry = state.attempts > 0
     choice = choose_cell(migrations, now, state.unix_ms, "t", None, ticket, is_retry, BINDING_TIME)
     if choice.earlier_cell_unknown:
         return []
     migrations.record_admission(now, "t", choice.cell, ticket, BINDING_TIME)
-    admitted = _with_front(state, number, replace(front, ticket=migrations.tickets.get(TICKET)))
+    admitted = _with_front(state, number, replace(front, ticket=migrations.key_bindings.get(TICKET)))
     return [
         replace(
             admitted,
@@ -194,11 +194,11 @@
 def _changes(newest: CellMap, name: str, unix_ms: int) -> list[CellMap]:
     """The maps that an operator may publish next."""
     changes = []
-    with suppress(MigrationRefusedError):
+    with suppress(MapChangeRefusedError):
         changes.append(tenant_migration.plan_move(newest, move(name, unix_ms + TICK_MS), []))
-    with suppress(MigrationRefusedError):
+    with suppress(MapChangeRefusedError):
         changes.append(tenant_migration.undo_move(newest, newest.moves[-1].id, unix_ms))
-    with suppress(MigrationRefusedError):
+    with suppress(MapChangeRefusedError):
         changes.append(tenant_migration.finish_move(newest, newest.moves[-1].id, unix_ms, BINDING_TIME))
     return changes
 
--- a/tests/test_discovery_call_planner.py
+++ b/tests/test_discovery_call_planner.py
@@ -13,8 +13,8 @@
 
 from runspool.node.discovery_call import DiscoveryCall
 from runspool.node.discovery_call_planner import (
-    MAX_CALLS_OUT,
-    MIN_PATIENCE,
+    MAX_OPEN_CALLS,
+    MIN_OVERDUE_MARGIN,
     DiscoveryCallPlanner,
     DiscoveryState,
 )
@@ -60,14 +60,14 @@
     made: list[int] = []
     answered: list[int] = []
     for now in range(0, duration, STEP):
-        for call in list(planner.calls_out):
-            if call in planner.calls_out and agent.answers_at.get(call.number, duration) <= now:
-                planner.answered(call, 1, now)
+        for call in list(planner.open_calls):
+            if call in planner.open_calls and agent.answers_at.get(call.number, duration) <= now:
+                planner.record_response(call, 1, now)
                 answered.append(now)
         while planner.next_call_at(now) <= now:
             agent.receive(planner.make_call(now).call)
             made.append(now)
-            assert len(planner.calls_out) <= MAX_CALLS_OUT
+            assert len(planner.open_calls) <= MAX_OPEN_CALLS
     return made, answered
 
 
@@ -125,35 +125,37 @@
     """Has a watch made and answered, its answer `took` after its wait; returns when that was."""
     watch = planner.make_call(made_at).call
     answered_at = made_at + watch.wait + took
-    planner.answered(watch, 1, answered_at)
+    planner.record_response(watch, 1, answered_at)
     return answered_at
 
 
 @pytest.mark.parametrize(
-    ("took", "patience"),
+    ("took", "overdue_margin"),
     [
-        ((0, 50_000), MIN_PATIENCE),  # the second one was held through an outage
-        ((50_000, 0), MIN_PATIENCE),
+        ((0, 50_000), MIN_OVERDUE_MARGIN),  # the second one was held through an outage
+        ((50_000, 0), MIN_OVERDUE_MARGIN),
         ((8_000, 8_000), 12_000),
         ((8_000, 16_000, 8_000), 12_000),
     ],
 )
-def test_an_outage_is_not_taken_for_the_slowness_of_the_agent(took: tuple[int, ...], patience: int) -> None:
-    # One call that an outage had met doubled the patience with the watches after it.
+def test_an_outage_is_not_taken_for_the_slowness_of_the_agent(
+    took: tuple[int, ...], overdue_margin: int
+) -> None:
+    # One call that an outage had met doubled the overdue margin of the watches after it.
     planner = DiscoveryCallPlanner(AGENT, Random(1).random)
     now = 0
     for each in took:
         now = answer_watch(planner, now, each)
     watch = planner.make_call(now).call
-    overdue_at = watch.made_at + watch.wait + patience
+    overdue_at = watch.made_at + watch.wait + overdue_margin
     assert planner.state(overdue_at - 1) is DiscoveryState.WATCHING
     assert planner.state(overdue_at) is DiscoveryState.SUSPECT
 
 
-def test_a_second_watch_that_is_given_up_in_an_outage_is_not_made_again() -> None:
+def test_a_backup_watch_that_is_given_up_in_an_outage_is_not_made_again() -> None:
     # It was made again in the same moment, so that the agent had one more call to work off.
     planner = DiscoveryCallPlanner(AGENT, Random(1).random)
-    planner.answered(planner.make_call(0).call, 1, 0)
+    planner.record_response(planner.make_call(0).call, 1, 0)
     made: list[DiscoveryCall] = []
     for now in range(0, 20 * TENTHS_PER_SECOND, STEP):
         while planner.next_call_at(now) <= now:
@@ -189,22 +191,25 @@
         self.contents[call.number] = self.version, self.now
         self.made.append(self.now)
 
-    @precondition(lambda self: self.planner.calls_out)
+    @precondition(lambda self: self.planner.open_calls)
     @rule(data=st.data())
     def answer(self, data: st.DataObject) -> None:
-        call = data.draw(st.sampled_from(self.planner.calls_out))
+        call = data.draw(st.sampled_from(self.planner.open_calls))
         version, settled_at = self.contents[call.number]
         if call.after_version is not None and version < call.after_version:
-            self.planner.failed(call, self.now)  # changes that begin before what was asked for
+            self.planner.record_failure(call, self.now)  # changes that begin before what was asked for
             return
-        if self.planner.answered(call, version, self.now).is_usable and call.address == self.planner.address:
+        if (
+            self.planner.record_response(call, version, self.now).is_usable
+            and call.address == self.planner.address
+        ):
             assert settled_at >= self.applied_at, "an older list has undone a newer one"
             self.applied_at = settled_at
 
-    @precondition(lambda self: self.planner.calls_out)
+    @precondition(lambda self: self.planner.open_calls)
     @rule(data=st.data())
     def fail(self, data: st.DataObject) -> None:
-        self.planner.failed(data.draw(st.sampled_from(self.planner.calls_out)), self.now)
+        self.planner.record_failure(data.draw(st.sampled_from(self.planner.open_calls)), self.now)
 
     @rule()
     def change_address(self) -> None:
@@ -214,8 +219,8 @@
         self.applied_at = -1
 
     @invariant()
-    def calls_out_are_bounded(self) -> None:
-        assert len(self.planner.calls_out) <= MAX_CALLS_OUT
+    def open_calls_are_bounded(self) -> None:
+        assert len(self.planner.open_calls) <= MAX_OPEN_CALLS
 
     @invariant()
     def another_call_is_due_in_bounded_time(self) -> None:
