--- a/runspool/node/search_pace.py
+++ b/runspool/node/search_backoff.py
@@ -24,7 +24,7 @@
 JITTER = 0.1  # largest fraction by which an interval is shortened at random
 
 
-class SearchPace:
+class SearchBackoff:
     """The interval from the latest call to the next one.
 
     Attributes:
@@ -37,26 +37,26 @@
         self.interval = MIN_INTERVAL
         self._silent_since: int | None = None  # time of the last response or, before any, of the first call
 
-    def answered(self, now: int) -> None:
+    def record_response(self, now: int) -> None:
         """Record that a response was received at `now`."""
         self._silent_since = now
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Record that a call has failed: the next one is made after RETRY_INTERVAL."""
         self.interval = self._jittered(RETRY_INTERVAL)
 
-    def called(self, now: int, answer_time: int) -> None:
+    def record_call(self, now: int, agent_latency: int) -> None:
         """Record that a call was made at `now`, and compute the interval to the next one.
 
         Args:
             now: The current time.
-            answer_time: The estimated time that the agent takes to start a response; 0 if unknown.
+            agent_latency: The estimated time that the agent takes to start a response; 0 if unknown.
         """
         if self._silent_since is None:
             self._silent_since = now
-        backoff = max((now - self._silent_since) // SILENCE_DIVISOR, MIN_INTERVAL)
-        slow_agent_minimum = min(answer_time // 2, MAX_INTERVAL_OF_SLOW_AGENT)
-        self.interval = self._jittered(max(min(backoff, MAX_INTERVAL), slow_agent_minimum))
+        growing_interval = max((now - self._silent_since) // SILENCE_DIVISOR, MIN_INTERVAL)
+        slow_agent_minimum = min(agent_latency // 2, MAX_INTERVAL_OF_SLOW_AGENT)
+        self.interval = self._jittered(max(min(growing_interval, MAX_INTERVAL), slow_agent_minimum))
 
     def _jittered(self, interval: int) -> int:
         return int(interval * (1 - JITTER * self.random()))
