--- a/runspool/config/schema.py
+++ b/runspool/config/schema.py
@@ -113,7 +113,7 @@
 
     Attributes:
         role: "reader" for prefill, "writer" for decode, or "mixed".
-        memory_tokens: the number of cached tokens that an engine's memory holds.
+        memory_tokens: the number of cached tokens that an engine's memory holds; 0 if it is not known.
     """
 
     role: Literal["reader", "writer", "mixed"]
