--- a/runspool/node/discovery_call.py
+++ b/runspool/node/discovery_call.py
@@ -36,7 +36,7 @@
     local_port: int | None = None
     position: int = 0
 
-    def received_bytes(self, now: int) -> None:
+    def record_received_bytes(self, now: int) -> None:
         """Record that bytes of the response were received at `now`."""
         self.first_byte_at = now if self.first_byte_at is None else self.first_byte_at
         self.last_byte_at = now
--- a/runspool/node/discovery_call_log.py
+++ b/runspool/node/discovery_call_log.py
@@ -18,7 +18,7 @@
 SLOW_RESPONSE_THRESHOLD = 1_000
 
 
-class CallEnd(Enum):
+class CallOutcome(Enum):
     """How a call to the discovery agent ended; the values are written to logs and metrics."""
 
     ANSWERED = "answered"
@@ -36,60 +36,65 @@
     Attributes:
         tracker: The endpoint list as it is known; its version is logged.
         counts: The number of calls by how they ended, of state changes and of overdue watches.
-        given_up: The number of calls given up since the last response.
+        consecutive_given_up: The number of calls given up since the last response.
         is_interrupted: Whether the watch has been lost or overdue since the last response.
     """
 
     def __init__(self, tracker: EndpointTracker, counts: Counter[str]) -> None:
         self.tracker = tracker
         self.counts = counts
-        self.given_up = 0
+        self.consecutive_given_up = 0
         self.is_interrupted = True
         self.log = structlog.get_logger()
         self.bounded_log = RateLimitedLog()
 
-    def ended(
-        self, call: DiscoveryCall, end: CallEnd, now: int, planner: DiscoveryCallPlanner, reason: str = ""
+    def log_end(
+        self,
+        call: DiscoveryCall,
+        outcome: CallOutcome,
+        now: int,
+        planner: DiscoveryCallPlanner,
+        reason: str = "",
     ) -> None:
         """Log and count the end of a call.
 
         Args:
             call: The call.
-            end: How it ended.
+            outcome: How it ended.
             now: The current time in tenths of a millisecond.
             planner: The planner of the call.
             reason: Why the call failed; empty if it did not.
         """
-        self.counts[f"discovery_call_{end.value}"] += 1
-        write = self.bounded_log.info if self._is_noteworthy(call, end, now) else self.log.debug
+        self.counts[f"discovery_call_{outcome.value}"] += 1
+        write = self.bounded_log.info if self._is_noteworthy(call, outcome, now) else self.log.debug
         write(
             "discovery_call_ended",
-            how=end.value,
+            how=outcome.value,
             reason=reason,
             **_call_fields(call, now),
             **self._planner_fields(now, planner),
         )
 
-    def _is_noteworthy(self, call: DiscoveryCall, end: CallEnd, now: int) -> bool:
+    def _is_noteworthy(self, call: DiscoveryCall, outcome: CallOutcome, now: int) -> bool:
         """Update the state that spans calls, and return whether the end of this one is logged at level info.
 
         This applies to failures, to slow responses, to the first response after an interruption, and to the
         1st, 2nd, 4th, 8th and so on of the calls given up in a row.
         """
-        match end:
-            case CallEnd.ANSWERED:
-                self.given_up = 0
+        match outcome:
+            case CallOutcome.ANSWERED:
+                self.consecutive_given_up = 0
                 is_first, self.is_interrupted = self.is_interrupted, False
                 return is_first or now - call.made_at - call.wait >= SLOW_RESPONSE_THRESHOLD
-            case CallEnd.GIVEN_UP:
-                self.given_up += 1
-                return self.given_up.bit_count() == 1
-            case CallEnd.FAILED:
+            case CallOutcome.GIVEN_UP:
+                self.consecutive_given_up += 1
+                return self.consecutive_given_up.bit_count() == 1
+            case CallOutcome.FAILED:
                 return True
-            case CallEnd.SUPERSEDED:
+            case CallOutcome.SUPERSEDED:
                 return False
 
-    def state_changed(
+    def log_state_change(
         self, former: DiscoveryState, state: DiscoveryState, now: int, planner: DiscoveryCallPlanner
     ) -> None:
         """Log and count a change of the discovery state at `now`."""
@@ -102,7 +107,7 @@
             **self._planner_fields(now, planner),
         )
 
-    def watch_overdue(self, watch: DiscoveryCall, now: int, planner: DiscoveryCallPlanner) -> None:
+    def log_overdue_watch(self, watch: DiscoveryCall, now: int, planner: DiscoveryCallPlanner) -> None:
         """Log and count a watch whose response is overdue at `now`."""
         self.counts["discovery_watch_overdue"] += 1
         self.bounded_log.info(
--- a/runspool/node/discovery_client.py
+++ b/runspool/node/discovery_client.py
@@ -17,7 +17,7 @@
 from runspool.engines.response_parser import ResponseParser
 from runspool.errors import RunspoolError
 from runspool.node.discovery_call import DiscoveryCall
-from runspool.node.discovery_call_log import CallEnd, DiscoveryCallLog
+from runspool.node.discovery_call_log import CallOutcome, DiscoveryCallLog
 from runspool.node.discovery_call_planner import DiscoveryCallPlanner, DiscoveryState
 from runspool.node.endpoint_list import InvalidEndpointListError, decode_endpoint_list, request_target
 from runspool.units import TENTHS_PER_MS, TENTHS_PER_SECOND
@@ -95,7 +95,7 @@
         """Follow the endpoint list at another address from now on."""
         if address == self.planner.address:
             return
-        self._cancel(self.planner.change_address(address), CallEnd.SUPERSEDED)
+        self._cancel(self.planner.change_address(address), CallOutcome.SUPERSEDED)
         self._replan.set()
 
     async def follow(self) -> None:
@@ -107,7 +107,7 @@
                     await self._wait_for_next_call()
                     planned = self.planner.make_call(self.now())
                     if planned.given_up is not None:
-                        self._cancel([planned.given_up], CallEnd.GIVEN_UP)
+                        self._cancel([planned.given_up], CallOutcome.GIVEN_UP)
                     scope = self._call_scopes[planned.call.number] = anyio.CancelScope()
                     calls.start_soon(self._run_call, planned.call, scope)
                     self._update_state()
@@ -133,13 +133,13 @@
         former, self._state = self._state, state
         if state is former:
             return
-        self.call_log.state_changed(former, state, now, self.planner)
+        self.call_log.log_state_change(former, state, now, self.planner)
         if former is DiscoveryState.WATCHING:
             self.listener.on_lost()
         if state is DiscoveryState.SUSPECT:
             self.listener.connection_lost(WatchOverdueError("the watch is overdue"))
             if self.planner.watch is not None:
-                self.call_log.watch_overdue(self.planner.watch, now, self.planner)
+                self.call_log.log_overdue_watch(self.planner.watch, now, self.planner)
 
     async def _run_call(self, call: DiscoveryCall, scope: anyio.CancelScope) -> None:
         """Make one call and process its response; cancelling `scope` ends it without a reported result."""
@@ -149,16 +149,16 @@
             except (ExchangeAbortedError, InvalidEndpointListError) as error:
                 given_up = self.planner.record_failure(call, self.now())
                 self.listener.connection_lost(error)
-                self.call_log.ended(call, CallEnd.FAILED, self.now(), self.planner, str(error))
+                self.call_log.log_end(call, CallOutcome.FAILED, self.now(), self.planner, str(error))
                 if given_up is not None:
-                    self._cancel([given_up], CallEnd.GIVEN_UP)
+                    self._cancel([given_up], CallOutcome.GIVEN_UP)
         self._call_scopes.pop(call.number, None)
         self._plan_changed()
 
-    def _cancel(self, calls: list[DiscoveryCall], end: CallEnd) -> None:
+    def _cancel(self, calls: list[DiscoveryCall], outcome: CallOutcome) -> None:
         for call in calls:
             self._call_scopes.pop(call.number, anyio.CancelScope()).cancel()
-            self.call_log.ended(call, end, self.now(), self.planner)
+            self.call_log.log_end(call, outcome, self.now(), self.planner)
 
     def _process_response(self, call: DiscoveryCall, body: bytes) -> None:
         """Apply the response to a call, unless the response to a later call was at least as recent.
@@ -169,14 +169,14 @@
         message, problems = decode_endpoint_list(body, call.after_version)
         _check_matches_call(call, message)
         decision = self.planner.record_response(call, message.version, self.now())
-        self._cancel(decision.superseded, CallEnd.SUPERSEDED)
+        self._cancel(decision.superseded, CallOutcome.SUPERSEDED)
         # Wake the task that makes calls first, so that the next watch is not delayed by work on the changes.
         self._replan.set()
         for problem in problems[:MAX_LOGGED_PROBLEMS]:
             self.log.warning("endpoint_list_line_unusable", fault=problem)
         if decision.is_usable:
             self._apply(message)
-        self.call_log.ended(call, CallEnd.ANSWERED, self.now(), self.planner)
+        self.call_log.log_end(call, CallOutcome.ANSWERED, self.now(), self.planner)
 
     def _apply(self, message: EndpointListMessage) -> None:
         """Apply a message; a whole list starts a new epoch, because the versions may have restarted."""
@@ -211,7 +211,7 @@
     async def _read_more(self, exchange: Exchange, cause_if_closed: FailureCause) -> None:
         await super()._read_more(exchange, cause_if_closed)
         if isinstance(exchange, _DiscoveryExchange):
-            exchange.call.received_bytes(self.now())
+            exchange.call.record_received_bytes(self.now())
             self._plan_changed()
 
 
