--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -262,7 +262,9 @@
         if endpoint.role is Role.PREFILL:
             # After the end of its attempts, only the deadline guard could respond to the request.
             remaining = (self.deadline_guard.attempts_end_at(pending) - now()) / TENTHS_PER_SECOND
-            await self.state_releaser.wait_settled(pending.id, max(0.0, min(RELEASE_WAIT_SECONDS, remaining)))
+            await self.state_releaser.wait_until_done(
+                pending.id, max(0.0, min(RELEASE_WAIT_SECONDS, remaining))
+            )
 
     def after_attempt(
         self, pending: PendingNodeRequest, endpoint: Endpoint, attempt: int, result: AttemptResult
--- a/runspool/node/release_budget.py
+++ b/runspool/node/release_budget.py
@@ -11,8 +11,8 @@
 
 from collections.abc import Callable
 
-MAX_CALLS = 64  # calls that may be made in a burst after the last confirmation
-CALL_INTERVAL = 0.25  # seconds between two calls after the burst
+BURST_SIZE = 64  # calls that may be made in a burst after the last confirmation
+REFILL_INTERVAL = 0.25  # seconds between two calls after the burst
 
 
 class ReleaseBudget:
@@ -24,24 +24,24 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self._available: float = MAX_CALLS
+        self._available: float = BURST_SIZE
         self._updated_at = 0.0
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Take one call from the budget; return False if the budget is exhausted."""
         now = self.clock()
-        refill = (now - self._updated_at) / CALL_INTERVAL
-        self._available = min(MAX_CALLS, self._available + refill)
+        refilled_calls = (now - self._updated_at) / REFILL_INTERVAL
+        self._available = min(BURST_SIZE, self._available + refilled_calls)
         self._updated_at = now
         if self._available < 1:
             return False
         self._available -= 1
         return True
 
-    def put_back(self) -> None:
+    def refund(self) -> None:
         """Return one call to the budget, because no engine can still process it."""
-        self._available = min(MAX_CALLS, self._available + 1)
+        self._available = min(BURST_SIZE, self._available + 1)
 
-    def confirmed(self) -> None:
+    def refill(self) -> None:
         """Refill the budget, because an engine has confirmed a call."""
-        self._available = MAX_CALLS
+        self._available = BURST_SIZE
--- a/runspool/node/state_releaser.py
+++ b/runspool/node/state_releaser.py
@@ -43,11 +43,12 @@
 # an attempt may still be running at an engine.
 REPEAT_DELAYS = (0.1, 0.4)
 # Causes of failure after which the engine may still process the call.
-LEAVES_CALL_UNREAD = {FailureCause.TIMED_OUT_WHILE_SENDING, FailureCause.TIMED_OUT_BEFORE_RESPONSE}
-# Besides the rounds, calls with a long timeout are made for engines that respond more slowly than a round
-# waits. These constants bound their number at a time, and their timeout in tenths of a millisecond.
-MAX_PATIENT_CALLS = 4
-MAX_PATIENCE = 600_000
+CALL_MAY_BE_PROCESSED = {FailureCause.TIMED_OUT_WHILE_SENDING, FailureCause.TIMED_OUT_BEFORE_RESPONSE}
+# Besides the rounds, long calls are made: calls whose timeout also suffices for engines that respond later
+# than a round waits. These constants bound the number of concurrent long calls, and their timeout in tenths of
+# a millisecond.
+MAX_LONG_CALLS = 4
+MAX_LONG_CALL_TIMEOUT = 600_000
 
 
 class ReleaseClient(Protocol):
@@ -78,8 +79,8 @@
             that it may leave state there after the release.
         scope: Cancels the first round; None before it starts.
         done: Set when the release has been confirmed, withdrawn or abandoned.
-        patience: The timeout of the latest call with a long timeout, in tenths of a millisecond; initially 0.
-        patient_scope: Cancels the call with a long timeout that is in progress; None if there is none.
+        long_call_timeout: The timeout of the latest long call, in tenths of a millisecond; initially 0.
+        long_call_scope: Cancels the long call that is in progress; None if there is none.
     """
 
     request: str
@@ -88,8 +89,8 @@
     remote_end_unknown: Callable[[], bool]
     scope: anyio.CancelScope | None = None
     done: anyio.Event = field(default_factory=anyio.Event)
-    patience: int = 0
-    patient_scope: anyio.CancelScope | None = None
+    long_call_timeout: int = 0
+    long_call_scope: anyio.CancelScope | None = None
 
 
 class StateReleaser:
@@ -103,7 +104,8 @@
         pending: All pending releases, by the id of the request.
         overdue: Those that were not confirmed in their first round, the least recently retried first.
         overdue_added: Set when a release becomes overdue.
-        rotation: The position at which the next later round starts among the engines less likely to respond.
+        rotation_offset: The position at which the next later round starts among the engines that are less
+            likely to respond.
     """
 
     def __init__(
@@ -121,8 +123,8 @@
         self.pending: dict[str, PendingRelease] = {}
         self.overdue: dict[str, PendingRelease] = {}
         self.overdue_added = anyio.Event()
-        self.rotation = 0
-        self._patient_calls = 0
+        self.rotation_offset = 0
+        self._long_call_count = 0
         self._budget = ReleaseBudget(time.monotonic)
         self.log = structlog.get_logger()
 
@@ -149,7 +151,7 @@
         # the last of them.
         self.count(1)
         try:
-            await self._repeat(release)
+            await self._repeat_release(release)
         finally:
             self.count(-1)
 
@@ -168,10 +170,10 @@
 
     async def run(self) -> None:
         """Retry overdue releases until cancelled."""
-        async with anyio.create_task_group() as patient_calls:
-            await self._retry_overdue(patient_calls)
+        async with anyio.create_task_group() as long_calls:
+            await self._retry_overdue(long_calls)
 
-    async def _retry_overdue(self, patient_calls: TaskGroup) -> None:
+    async def _retry_overdue(self, long_calls: TaskGroup) -> None:
         delay = MIN_RETRY_DELAY
         concurrency = 1
         while True:
@@ -179,9 +181,9 @@
                 self.overdue_added = anyio.Event()
                 await self.overdue_added.wait()
             oldest = next(iter(self.overdue.values()))
-            if oldest.patient_scope is None and self._patient_calls < MAX_PATIENT_CALLS:
-                oldest.patient_scope = anyio.CancelScope()
-                patient_calls.start_soon(self._call_patiently, oldest, oldest.patient_scope)
+            if oldest.long_call_scope is None and self._long_call_count < MAX_LONG_CALLS:
+                oldest.long_call_scope = anyio.CancelScope()
+                long_calls.start_soon(self._make_long_call, oldest, oldest.long_call_scope)
             if await self._retry_oldest(concurrency):
                 delay = MIN_RETRY_DELAY
                 concurrency = MAX_CONCURRENT_RETRIES
@@ -190,33 +192,35 @@
             delay = min(2 * delay, MAX_RETRY_DELAY)
             concurrency = 1
 
-    async def wait_settled(self, request: str, seconds: float) -> None:
+    async def wait_until_done(self, request: str, seconds: float) -> None:
         """Wait until no release is pending for a request, at most for `seconds`."""
         release = self.pending.get(request)
         if release is not None:
             with anyio.move_on_after(seconds):
                 await release.done.wait()
 
-    async def _call_patiently(self, release: PendingRelease, scope: anyio.CancelScope) -> None:
-        """Make one call with a long timeout, concurrently with the rounds.
+    async def _make_long_call(self, release: PendingRelease, scope: anyio.CancelScope) -> None:
+        """Make one long call of a release, concurrently with the rounds.
 
         Engines may take longer to respond than the timeout of a round, which must stay short for the other
         engines. The timeout is doubled for each further such call of a release.
         """
-        self._patient_calls += 1
-        release.patience = min(max(2 * release.patience, 2 * self.timeout), MAX_PATIENCE)
+        self._long_call_count += 1
+        release.long_call_timeout = min(
+            max(2 * release.long_call_timeout, 2 * self.timeout), MAX_LONG_CALL_TIMEOUT
+        )
         engines = self._later_round_engines() or [release.endpoint]
         failure: FailureCause | None = FailureCause.CANCELLED
         try:
             with scope:
                 failure = await self.client.release_state(
-                    engines[0].address, release.request, release.patience
+                    engines[0].address, release.request, release.long_call_timeout
                 )
         finally:
-            self._patient_calls -= 1
-            release.patient_scope = None
+            self._long_call_count -= 1
+            release.long_call_scope = None
         if failure is None:
-            self._budget.confirmed()
+            self._budget.refill()
         if failure is None and self.pending.get(release.request) is release:
             self._remove(release)
             release.on_confirmed()
@@ -242,7 +246,7 @@
                 release.on_confirmed()
         return bool(confirmed)
 
-    async def _repeat(self, release: PendingRelease) -> None:
+    async def _repeat_release(self, release: PendingRelease) -> None:
         """Repeat a confirmed release call while an attempt may still be running at its engine.
 
         An attempt whose connection this node has closed may leave state after the release.
@@ -271,15 +275,15 @@
                 failure = await self.client.release_state(engine.address, release.request, self.timeout)
                 if failure is None:
                     confirmed = True
-                    self._budget.confirmed()
+                    self._budget.refill()
                     tasks.cancel_scope.cancel()
-                elif failure not in LEAVES_CALL_UNREAD:
-                    self._budget.put_back()
+                elif failure not in CALL_MAY_BE_PROCESSED:
+                    self._budget.refund()
                 failed.set()
 
             for engine in engines:
                 holds_state = engine is release.endpoint and release.request not in self.overdue
-                if not self._budget.take() and not holds_state:
+                if not self._budget.try_acquire() and not holds_state:
                     break
                 failed = anyio.Event()
                 tasks.start_soon(call, engine, failed)
@@ -308,8 +312,8 @@
         most_likely = engines[:half]
         others = engines[half:]
         if others:
-            self.rotation = (self.rotation + half) % len(others)
-        return most_likely + (others[self.rotation :] + others[: self.rotation])[:half]
+            self.rotation_offset = (self.rotation_offset + half) % len(others)
+        return most_likely + (others[self.rotation_offset :] + others[: self.rotation_offset])[:half]
 
     def _add_overdue(self, release: PendingRelease) -> None:
         self.log.warning(
@@ -328,8 +332,8 @@
     def _remove(self, release: PendingRelease) -> None:
         """Remove a release that is confirmed, withdrawn or abandoned."""
         release.done.set()
-        if release.patient_scope is not None:
-            release.patient_scope.cancel()
+        if release.long_call_scope is not None:
+            release.long_call_scope.cancel()
         if self.pending.get(release.request) is release:
             del self.pending[release.request]
             self.count(-1)
--- a/tests/test_node_state_release.py
+++ b/tests/test_node_state_release.py
@@ -15,9 +15,9 @@
 from runspool.engines.failure_classification import FailureCause
 from runspool.engines.send_permit import SendPermit
 from runspool.node.executor import NodeExecutor, PendingNodeRequest
-from runspool.node.release_budget import CALL_INTERVAL, MAX_CALLS
+from runspool.node.release_budget import BURST_SIZE, REFILL_INTERVAL
 from runspool.node.request_parser import ClientRequest
-from runspool.node.state_releaser import MAX_PATIENT_CALLS, PendingRelease, StateReleaser
+from runspool.node.state_releaser import MAX_LONG_CALLS, PendingRelease, StateReleaser
 from runspool.scheduling.types import AttemptStatus, Role
 from runspool.service.clock import now
 from runspool.service.pending_request import Endpoint
@@ -198,7 +198,7 @@
         async def record_wait(request: str, seconds: float) -> None:
             waits.append(seconds)
 
-        node.state_releaser.wait_settled = record_wait  # type: ignore[method-assign]
+        node.state_releaser.wait_until_done = record_wait  # type: ignore[method-assign]
         pending = PendingNodeRequest(
             0, "q1", 0, now() + ms_to_tenths(40), cast(Any, None), client_request=cast(Any, None)
         )
@@ -276,7 +276,7 @@
 async def test_calls_owed_to_engines_that_all_hang_are_bounded() -> None:
     # Each release asked every engine and went on in rounds: 43 calls a second and node, as long as it lasted.
     calls = await count_release_calls(20, 3.0, True, FailureCause.TIMED_OUT_BEFORE_RESPONSE)
-    assert calls <= 20 + MAX_CALLS + int(3.0 / CALL_INTERVAL) + 1 + MAX_PATIENT_CALLS
+    assert calls <= 20 + BURST_SIZE + int(3.0 / REFILL_INTERVAL) + 1 + MAX_LONG_CALLS
 
 
 @pytest.mark.parametrize(
