--- a/runspool/node/client_connections.py
+++ b/runspool/node/client_connections.py
@@ -27,14 +27,14 @@
         executor: Executes the requests.
         max_clients: The maximum number of connections that are served at the same time.
         handlers: One handler for each connection that is open.
-        busy_handlers: The number of handlers that are processing a request.
+        busy_handler_count: The number of handlers that are processing a request.
     """
 
     def __init__(self, executor: NodeExecutor, max_clients: int) -> None:
         self.executor = executor
         self.max_clients = max_clients
         self.handlers: set[RequestHandler] = set()
-        self.busy_handlers = 0
+        self.busy_handler_count = 0
         self._rejections_in_progress = 0
         self.log = structlog.get_logger()
 
@@ -44,7 +44,7 @@
         If `max_clients` connections are open and none of them can be closed, the new connection is rejected
         with status 503.
         """
-        if len(self.handlers) >= self.max_clients and not self.make_room():
+        if len(self.handlers) >= self.max_clients and not self.close_waiting_connection():
             await self._reject(connection)
             return
         handler = RequestHandler(self.executor, connection, self._count_busy)
@@ -57,7 +57,7 @@
             self.handlers.discard(handler)
             connection.close()
 
-    def make_room(self) -> bool:
+    def close_waiting_connection(self) -> bool:
         """Close one connection that waits for a request; return False if there is none.
 
         Otherwise idle connections could lock out clients that have requests to send. Connections that have
@@ -90,4 +90,4 @@
         connection.close()
 
     def _count_busy(self, change: int) -> None:
-        self.busy_handlers += change
+        self.busy_handler_count += change
--- a/runspool/node/endpoint_list.py
+++ b/runspool/node/endpoint_list.py
@@ -11,7 +11,7 @@
 from runspool.wire.fields import JSON_DECODE_ERRORS
 
 # Maps the platform's status of an engine to the state of an endpoint entry.
-STATES: dict[str, Literal["on", "draining", "gone"]] = {
+STATE_BY_STATUS: dict[str, Literal["on", "draining", "gone"]] = {
     "active": "on",
     "leaving": "draining",
     "left": "gone",
@@ -54,13 +54,15 @@
 _endpoint_decoder: msgspec.json.Decoder[_PlatformEndpoint] = msgspec.json.Decoder(_PlatformEndpoint)
 
 
-def decode_endpoint_list(raw: bytes, since: int | None = None) -> tuple[EndpointListMessage, list[str]]:
+def decode_endpoint_list(
+    raw: bytes, after_version: int | None = None
+) -> tuple[EndpointListMessage, list[str]]:
     """Decode a response of the discovery agent.
 
     Args:
         raw: The body of the response.
-        since: The version after which changes were requested; None if the whole list was requested. The
-            response contains all changes after this version.
+        after_version: The version after which changes were requested; None if the whole list was requested.
+            The response contains all changes after this version.
 
     Returns:
         The message, and one error description for each endpoint that was omitted because it is invalid.
@@ -88,7 +90,7 @@
         response.index,
         is_snapshot=response.snapshot,
         engines=entries,
-        since=None if response.snapshot else since,
+        since=None if response.snapshot else after_version,
     )
     return message, problems
 
@@ -99,9 +101,9 @@
     Raises:
         ValueError: A field of the endpoint is invalid; the message says which one.
     """
-    state = STATES.get(endpoint.status)
+    state = STATE_BY_STATUS.get(endpoint.status)
     if state is None:
-        raise ValueError(f"status {endpoint.status!r} is not one of {', '.join(STATES)}")
+        raise ValueError(f"status {endpoint.status!r} is not one of {', '.join(STATE_BY_STATUS)}")
     if not endpoint.name or parse_address(endpoint.address) is None:
         raise ValueError(
             f"name {endpoint.name!r}, address {endpoint.address!r}: "
--- a/runspool/node/engine_client.py
+++ b/runspool/node/engine_client.py
@@ -201,7 +201,7 @@
             if data := events.feed(response.take_body()):
                 await listener.data_received(data)
             _raise_parse_error(events)
-        events.check_end()
+        events.check_complete()
 
 
 def _raise_parse_error(events: EventStreamParser) -> None:
--- a/runspool/node/event_stream.py
+++ b/runspool/node/event_stream.py
@@ -94,7 +94,7 @@
                 raise self.error
         return pending[:complete_bytes]
 
-    def check_end(self) -> None:
+    def check_complete(self) -> None:
         """Check that the stream is complete, after the end of the response.
 
         Raises:
--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -139,7 +139,7 @@
             "requests": len(self.executor.requests),
             "streams": sum(pending.stream_started for pending in self.executor.requests.values()),
             "connections": len(self.connections.handlers),
-            "answers": self.connections.busy_handlers,
+            "answers": self.connections.busy_handler_count,
             "releases": self.executor.releases_in_progress,
         }
 
@@ -176,12 +176,12 @@
         for handler in list(self.connections.handlers):
             # The first request on a new connection may arrive with a delay. If the connection were closed
             # before, the client would not get a response from any node.
-            if not handler.first or now() - handler.idle_since > FIRST_REQUEST_GRACE:
+            if not handler.awaits_first_request or now() - handler.idle_since > FIRST_REQUEST_GRACE:
                 handler.close_if_waiting()
 
     def _in_progress(self) -> bool:
         return bool(
-            self.connections.busy_handlers
+            self.connections.busy_handler_count
             or self.connections.handlers
             or self.executor.requests
             or self.executor.releases_in_progress
--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -65,7 +65,7 @@
     Attributes:
         executor: Executes the requests.
         has_served: Whether a request from the connection has been accepted.
-        first: Whether the connection still waits for its first complete request.
+        awaits_first_request: Whether the connection still waits for its first complete request.
         first_request_deadline: The time limit of the first request, on the event loop's clock.
         idle_since: When the wait for the next request began, in tenths of a millisecond; 0 while a request is
             open.
@@ -86,7 +86,7 @@
         super().__init__(LIMITS, connection, count_busy)
         self.executor = executor
         self.has_served = False
-        self.first = True
+        self.awaits_first_request = True
         self.first_request_deadline = super()._deadline_after(FIRST_REQUEST_MS)
         self.idle_since = 0
 
@@ -98,7 +98,7 @@
         every other node is down too, they cannot open others: when connections were closed at SIGTERM, 11% of
         the requests during an incident reached no node.
         """
-        return self.executor.closing and not self.first
+        return self.executor.closing and not self.awaits_first_request
 
     def head_wait_ms(self) -> float:
         """Return the time limit until the next request begins, in milliseconds."""
@@ -106,7 +106,7 @@
 
     def _deadline_after(self, wait_ms: float) -> float:
         deadline = super()._deadline_after(wait_ms)
-        return min(deadline, self.first_request_deadline) if self.first else deadline
+        return min(deadline, self.first_request_deadline) if self.awaits_first_request else deadline
 
     async def _read_head(self) -> HttpRequest | None:
         self.idle_since = now()
@@ -148,7 +148,7 @@
         )
 
     async def _route(self, request: HttpRequest, received_at: int) -> None:
-        self.first = False
+        self.awaits_first_request = False
         if request.path == HEALTH_PATH and request.method == "GET":
             await self.send_response(503 if self.executor.shutdown_deadline else 200, b"{}")
         elif request.path != COMPLETIONS_PATH:
--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -50,7 +50,7 @@
 # How long a start waits for the first whole endpoint list; the discovery agent may not respond at all.
 FIRST_LIST_WAIT_SECONDS = 1.5
 LISTEN_BACKLOG = 1024
-DISCOVERY_CONNECTIONS = ConnectionSettings(
+DISCOVERY_CONNECTION_SETTINGS = ConnectionSettings(
     connect_ms=1_000,
     idle_ms=60_000,
     connections_each=MAX_OPEN_CALLS + CLOSING_DISCOVERY_CONNECTIONS,
@@ -68,7 +68,7 @@
         executor: Executes the requests.
         connections: Serves the clients' connections.
         discovery: Follows the endpoint list.
-        config_reloads: The number of configuration reloads started.
+        reload_count: The number of configuration reloads started.
         stop_request: The request to stop this node.
         port: The port on which the node listens; 0 before it listens.
     """
@@ -96,7 +96,7 @@
         self.executor = NodeExecutor(config, available - max_clients)
         self.connections = ClientConnections(self.executor, max_clients)
         self.discovery = DiscoveryClient(
-            DISCOVERY_CONNECTIONS,
+            DISCOVERY_CONNECTION_SETTINGS,
             DiscoveryCallPlanner(config.discovery, Random(config.seed).random),
             self.executor.endpoint_tracker,
             now,
@@ -104,7 +104,7 @@
             self.executor.scheduler.subscription_lost,
             self.executor.counts,
         )
-        self.config_reloads = 0  # a reload ends when a later one has started
+        self.reload_count = 0  # a reload ends when a later one has started
         self.stop_request = stop_request or StopRequest()
         self._reload_requested = False
         self.port = 0
@@ -186,12 +186,12 @@
         Changes to other settings require a restart. An invalid configuration has no effect; reading it is
         retried for CONFIG_RETRY_DURATION, because the file may be partially written.
         """
-        self.config_reloads += 1
-        this_reload = self.config_reloads
+        self.reload_count += 1
+        this_reload = self.reload_count
         deadline = now() + CONFIG_RETRY_DURATION
         while (config := self._try_read_config()) is None:
             await anyio.sleep(CONFIG_RETRY_SECONDS)
-            if this_reload != self.config_reloads or now() > deadline:
+            if this_reload != self.reload_count or now() > deadline:
                 return
         if config.settings.routing != self.config.settings.routing or config.listen != self.config.listen:
             self.log.warning(
@@ -217,9 +217,9 @@
             self._close_idle_engine_connections,
             self.discovery.follow,
         ):
-            tasks.start_soon(self._keep_running, work)
+            tasks.start_soon(self._run_with_restarts, work)
 
-    async def _keep_running(self, work: Callable[[], Awaitable[None]]) -> None:
+    async def _run_with_restarts(self, work: Callable[[], Awaitable[None]]) -> None:
         """Run a background task and restart it when it fails, so that the failure does not end the node.
 
         The growing delay prevents a task that always fails from using up the CPU and filling the log.
@@ -297,7 +297,7 @@
     return limit
 
 
-async def read_first_config(environ: Mapping[str, str], stop_request: StopRequest) -> NodeConfig | None:
+async def read_startup_config(environ: Mapping[str, str], stop_request: StopRequest) -> NodeConfig | None:
     """Read the configuration at startup.
 
     If the file is missing or partially written, reading it is retried for CONFIG_RETRY_DURATION.
@@ -360,7 +360,7 @@
                 self.server.request_reload()
 
     async def _serve(self) -> None:
-        config = await read_first_config(self.environ, self.stop_request)
+        config = await read_startup_config(self.environ, self.stop_request)
         if config is None:
             structlog.get_logger().info("node_stopped_before_start", waited_for="configuration")
             return
--- a/runspool/node/state_releaser.py
+++ b/runspool/node/state_releaser.py
@@ -45,8 +45,8 @@
 # Causes of failure after which the engine may still process the call.
 CALL_MAY_BE_PROCESSED = {FailureCause.TIMED_OUT_WHILE_SENDING, FailureCause.TIMED_OUT_BEFORE_RESPONSE}
 # Besides the rounds, long calls are made: calls whose timeout also suffices for engines that respond later
-# than a round waits. These constants bound the number of concurrent long calls, and their timeout in tenths of
-# a millisecond.
+# than a round waits. These constants bound the number of concurrent long calls, and their timeout in tenths
+# of a millisecond.
 MAX_LONG_CALLS = 4
 MAX_LONG_CALL_TIMEOUT = 600_000
 
--- a/tests/fleet/light_nodes.py
+++ b/tests/fleet/light_nodes.py
@@ -22,7 +22,7 @@
 from runspool.logs import configure_logging
 from runspool.node.discovery_call_planner import DiscoveryCallPlanner
 from runspool.node.discovery_client import DiscoveryClient
-from runspool.node.server import DISCOVERY_CONNECTIONS
+from runspool.node.server import DISCOVERY_CONNECTION_SETTINGS
 from runspool.service.clock import now
 from runspool.wire.endpoint_list import EndpointEntry
 from tests.fault_proxy import HOST
@@ -62,7 +62,7 @@
         for port in ports:
             random, tracker = Random(f"{seed}.{port}"), EndpointTracker()
             client = DiscoveryClient(
-                DISCOVERY_CONNECTIONS,
+                DISCOVERY_CONNECTION_SETTINGS,
                 DiscoveryCallPlanner((HOST, port), random.random),
                 tracker,
                 now,
--- a/tests/test_node_shutdown_races.py
+++ b/tests/test_node_shutdown_races.py
@@ -113,7 +113,7 @@
 
         def receive_and_make_room(data: bytes) -> None:
             data_received(data)  # the connection's task is woken, and has not run
-            made_room.append(running.connections.make_room())
+            made_room.append(running.connections.close_waiting_connection())
 
         handler.tcp.data_received = receive_and_make_room  # type: ignore[method-assign]
         client.send(post("q1"))
@@ -126,7 +126,8 @@
     async with platform.inside() as running:
         client, _ = await idle_connection(platform, running)
         client.send(post("q1"))  # to the kernel, at once
-        assert not running.connections.make_room()  # no round of the loop since: the node has not read it
+        # No round of the loop since: the node has not read it.
+        assert not running.connections.close_waiting_connection()
         assert (await client.read_response()).complete
 
 
@@ -144,7 +145,7 @@
         await until(lambda: handler.idle_since)  # a round or two after its response is out
         client.send(post("q2")[:50])
         await until(lambda: handler.requests.ready)
-        assert running.connections.make_room()
+        assert running.connections.close_waiting_connection()
         assert (await client.read_response()).status == 408
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -238,7 +238,7 @@
         raise RuntimeError("a lasting fault")
 
     async with platform.inside() as server:
-        task = asyncio.ensure_future(server._keep_running(fail))
+        task = asyncio.ensure_future(server._run_with_restarts(fail))
         await asyncio.sleep(1.0)
         assert 3 <= failures <= 10
         assert (await platform.ask(post("q1"))).complete
