--- a/runspool/node/request_parser.py
+++ b/runspool/node/request_parser.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from runspool.runtime.interning import stable_hash
-from runspool.runtime.platform_settings import UNIT_US, PlatformSettings
+from runspool.runtime.platform_settings import US_PER_TENTH_MS, PlatformSettings
 from runspool.scheduling.types import Request
 from runspool.units import TENTHS_PER_MS
 from runspool.wire import fields
@@ -170,7 +170,7 @@
     match = DEADLINE.fullmatch(value or "")
     if match is None:
         raise InvalidRequestError("Req-Deadline", f"{_quote(value)} is no whole number with m or u")
-    limit = int(match[1]) * TENTHS_PER_MS if match[2] == "m" else int(match[1]) // UNIT_US
+    limit = int(match[1]) * TENTHS_PER_MS if match[2] == "m" else int(match[1]) // US_PER_TENTH_MS
     if not 0 < limit <= MAX_TIME_LIMIT:
         raise InvalidRequestError("Req-Deadline", f"{_quote(value)} is no time a client waits")
     return limit
@@ -184,7 +184,7 @@
         raise InvalidRequestError("Req-Cost", f"{_quote(value)} is no number") from None
     if not isfinite(cost_us) or not 0 <= cost_us < MAX_COST_US:
         raise InvalidRequestError("Req-Cost", f"{_quote(value)} is no time")
-    return int(cost_us) // UNIT_US
+    return int(cost_us) // US_PER_TENTH_MS
 
 
 def _parse_extras(value: str) -> dict[str, str]:
--- a/runspool/runtime/platform_settings.py
+++ b/runspool/runtime/platform_settings.py
@@ -20,7 +20,7 @@
 T = TypeVar("T")
 
 # Microseconds per tenth of a millisecond, the unit of durations inside the program.
-UNIT_US = 100
+US_PER_TENTH_MS = 100
 # Exclusive bound on the absolute value of any number in the settings.
 NUMBER_LIMIT = 1e15
 
@@ -111,7 +111,7 @@
         microseconds = self.number(key, default_us)
         if microseconds < 0:
             raise InvalidSettingsError(self.path_of(key), f"{microseconds:.0f} is negative")
-        return int(microseconds) // UNIT_US
+        return int(microseconds) // US_PER_TENTH_MS
 
     def flag(self, key: str) -> bool:
         """Return the truth value of the value at `key`; False if absent."""
@@ -222,7 +222,7 @@
 
 def _duration_at(microseconds: list[float], index: int) -> int:
     """Return the entry at `index` in tenths of a millisecond; 0 if the list is shorter."""
-    return int(microseconds[index]) // UNIT_US if index < len(microseconds) else 0
+    return int(microseconds[index]) // US_PER_TENTH_MS if index < len(microseconds) else 0
 
 
 def _request_class(
--- a/runspool/simulator_adapter/host.py
+++ b/runspool/simulator_adapter/host.py
@@ -12,7 +12,7 @@
 from typing import BinaryIO
 
 from runspool.runtime.interning import Interner, stable_hash
-from runspool.runtime.platform_settings import UNIT_US, InvalidSettingsError, PlatformSettings
+from runspool.runtime.platform_settings import US_PER_TENTH_MS, InvalidSettingsError, PlatformSettings
 from runspool.runtime.scheduler_driver import SchedulerDriver
 from runspool.scheduling.types import (
     AttemptOutcome,
@@ -93,13 +93,13 @@
 
     def start_attempt(self, request: int, engine: int, timeout: int) -> None:
         """Send a request to an engine, with a timeout for this attempt unless `timeout` is 0."""
-        limit = f" cap-us={timeout * UNIT_US}" if timeout else ""
+        limit = f" cap-us={timeout * US_PER_TENTH_MS}" if timeout else ""
         request_name = self.request_names[request]
         self._reply("transmit", f" req={request_name} engine={self.engine_names[engine]}{limit}")
 
     def reject(self, request: int, retry_after: int) -> None:
         """Reject a request, with a delay for the client's retry unless `retry_after` is 0."""
-        delay = f" hold-off-us={retry_after * UNIT_US}" if retry_after else ""
+        delay = f" hold-off-us={retry_after * US_PER_TENTH_MS}" if retry_after else ""
         self._reply("not_now", f" req={self.request_names[request]}{delay}")
 
     def fail_indeterminate(self, request: int) -> None:
@@ -120,7 +120,7 @@
 
     def set_timer(self, token: str, at: int) -> None:
         """Set a timer that fires at a time in tenths of a millisecond."""
-        self._reply("wake_at", f" token={token} fire-at-us={at * UNIT_US}")
+        self._reply("wake_at", f" token={token} fire-at-us={at * US_PER_TENTH_MS}")
 
     def log_message(self, text: str) -> None:
         """Write a line to the simulator's log."""
--- a/runspool/simulator_adapter/wire.py
+++ b/runspool/simulator_adapter/wire.py
@@ -9,7 +9,7 @@
 from typing import TypeVar
 
 from runspool.errors import RunspoolError
-from runspool.runtime.platform_settings import UNIT_US
+from runspool.runtime.platform_settings import US_PER_TENTH_MS
 from runspool.scheduling.types import AttemptStatus, EngineState, LoadReport
 
 Value = TypeVar("Value")
@@ -105,7 +105,7 @@
 
         The default is in microseconds too; the field is required unless there is a default.
         """
-        return self.integer(key, default_us) // UNIT_US
+        return self.integer(key, default_us) // US_PER_TENTH_MS
 
     def flag(self, key: str) -> bool:
         """Return whether the value of a field is 1; false if the field is absent."""
