--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -21,7 +21,7 @@
     prefill_rate,
 )
 from runspool.scheduling.prefix_affinity import affinity_candidates, tokens_to_prefill
-from runspool.scheduling.request_lifecycle import reservation_time
+from runspool.scheduling.request_lifecycle import max_reservation_time
 from runspool.scheduling.request_progress import RequestProgress
 from runspool.scheduling.time_units import MILLISECOND, SECOND
 from runspool.scheduling.types import Request, Role
@@ -85,7 +85,7 @@
         queue_limit=int(front.shortest_objective() * queue_limit),
         queue_position=QueuePosition(is_over_share, priority_time, request.index),
         # Without a release timeout of the platform, state may stay reserved for the request's time budget.
-        reservation_duration=reservation_time(front.settings.state_release_timeout, request.time_budget),
+        reservation_duration=max_reservation_time(front.settings.state_release_timeout, request.time_budget),
     )
 
 
@@ -123,8 +123,8 @@
     return 0 < SHARE_TOLERANCE * usual + SHARE_BURST_REQUESTS < count
 
 
-def must_wait_in_queue(front: FrontState, progress: RequestProgress) -> bool:
-    """Return whether a request has to wait behind others in the prefill queue, and queue it if so."""
+def enqueue_if_behind(front: FrontState, progress: RequestProgress) -> bool:
+    """Queue a request if others are ahead of it in the prefill queue; return whether it has to wait there."""
     queue = front.prefill_queue
     if progress.prefill_engine or not queue or front.now >= progress.queued_until:
         return False
--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from runspool.scheduling.engine_state import NO_PREFILL, Engine, QueuedPrefill
-from runspool.scheduling.fleet_statistics import expected_memory_tokens, tokens_of_other_fronts
+from runspool.scheduling.fleet_statistics import estimated_tokens_of_other_fronts, expected_memory_tokens
 from runspool.scheduling.front_state import FrontState, OpenAttempt
 from runspool.scheduling.latency_estimator import current_estimate, record_prefill_rate, update_estimate
 from runspool.scheduling.outlier_detection import record_failure
@@ -127,7 +127,7 @@
         delay = max(outcome.duration, front.class_state(request).settings.first_token_objective)
         update_estimate(front, engine.queueing_delay, front.role_queueing_delays[engine.role], delay)
     if engine.role is not Role.PREFILL and not engine.observed_capacity:
-        present = engine.stream_tokens + int(tokens_of_other_fronts(front, engine))
+        present = engine.stream_tokens + int(estimated_tokens_of_other_fronts(front, engine))
         engine.observed_capacity = max(present, engine.memory_tokens // 2)
 
 
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -45,13 +45,13 @@
     report = current_load_report(front, engine)
     reported = max(report.memory_utilization or 0.0, report.slot_utilization or 0.0) if report else 0.0
     if capacity:
-        estimated = (own + tokens_of_other_fronts(front, engine)) / capacity
+        estimated = (own + estimated_tokens_of_other_fronts(front, engine)) / capacity
     else:
         estimated = float(len(engine.streams))
     return max(reported, estimated) / warmup_fraction(front, engine)
 
 
-def tokens_of_other_fronts(front: FrontState, engine: Engine) -> float:
+def estimated_tokens_of_other_fronts(front: FrontState, engine: Engine) -> float:
     """Estimate the stream tokens that other fronts have on an engine from this front's own streams.
 
     The estimate uses this front's streams on this engine as far as they are sufficient evidence, and its mean
--- a/runspool/scheduling/request_lifecycle.py
+++ b/runspool/scheduling/request_lifecycle.py
@@ -107,7 +107,7 @@
         )
 
 
-def reservation_time(release_timeout: int, default_timeout: int) -> int:
+def max_reservation_time(release_timeout: int, default_timeout: int) -> int:
     """Return how long state may stay reserved before its release starts.
 
     `default_timeout` is the time limit where `release_timeout` is 0. A margin is subtracted from either.
@@ -226,7 +226,7 @@
         """
         if self.reserved_since is None or self.release_in_progress or not self.policy.state_release_timeout:
             return None
-        return self.reserved_since + reservation_time(self.policy.state_release_timeout, 0)
+        return self.reserved_since + max_reservation_time(self.policy.state_release_timeout, 0)
 
     def release_is_due(self, now: int) -> bool:
         """Return whether a release has to start now, even if an attempt is in progress."""
--- a/runspool/scheduling/retry_policy.py
+++ b/runspool/scheduling/retry_policy.py
@@ -38,7 +38,7 @@
 MAX_RETRY_BUDGET = 10.0
 
 
-def may_continue(front: FrontState, progress: RequestProgress) -> bool:
+def may_attempt(front: FrontState, progress: RequestProgress) -> bool:
     """Return whether another attempt of a request is still needed and allowed."""
     if (
         progress.request.finished
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -27,8 +27,8 @@
 from runspool.scheduling.admission import (
     admit_prefill,
     begin_request,
+    enqueue_if_behind,
     leave_queue,
-    must_wait_in_queue,
     next_selection_time,
     retry_time,
 )
@@ -47,7 +47,7 @@
 from runspool.scheduling.retry_policy import (
     attempt_timeout,
     final_response,
-    may_continue,
+    may_attempt,
     record_attempt_outcome,
     reservation_may_expire_during_connect,
     take_retry_token,
@@ -79,14 +79,14 @@
 
     def _serve(self, progress: RequestProgress) -> Generator[Action, Any, None]:
         """Take a request through prefill, decode and repeats to its final response."""
-        while may_continue(self, progress):
+        while may_attempt(self, progress):
             if reservation_may_expire_during_connect(self, progress):
                 yield ReleaseState()
                 progress.prefill_engine = None
                 # Without this pause a prefill that is sent at once could arrive before the release.
                 yield Sleep(retry_time(self, progress.deadline))
                 continue
-            if must_wait_in_queue(self, progress):
+            if enqueue_if_behind(self, progress):
                 yield Sleep(retry_time(self, progress.queued_until))
                 continue
             engine = self.select_engine(progress)
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -16,7 +16,7 @@
     InvariantMonitor,
     InvariantViolation,
     RequestLifecycle,
-    reservation_time,
+    max_reservation_time,
 )
 from runspool.scheduling.types import (
     NOT_EXECUTED,
@@ -232,7 +232,7 @@
     lifecycle.attempt_started(101, DECODE_ENGINE)
     lifecycle.attempt_written()
     due = lifecycle.release_due_at()
-    assert due == 100 + reservation_time(STATE_RELEASE_TIMEOUT, 0)
+    assert due == 100 + max_reservation_time(STATE_RELEASE_TIMEOUT, 0)
     assert lifecycle.release_is_due(due)
     assert not lifecycle.release_is_due(due - 1)
     lifecycle.attempt_received()
@@ -262,7 +262,7 @@
 def test_reservation_time_leaves_time_for_the_release_call(
     release_timeout: int, default: int, expected: int
 ) -> None:
-    assert reservation_time(release_timeout, default) == expected
+    assert max_reservation_time(release_timeout, default) == expected
 
 
 @pytest.mark.parametrize(
