--- a/runspool/scheduling/engine_state.py
+++ b/runspool/scheduling/engine_state.py
@@ -13,7 +13,7 @@
 class DecayingEstimate:
     """A duration learned from attempts. Without new samples it decays to the peers' estimate, or to 0."""
 
-    time: float = 0.0
+    duration: float = 0.0
     updated_at: int = 0
 
 
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -126,8 +126,8 @@
     prefill = Counter(e.rack for e in front.ready_engines(Role.PREFILL))
     fleet_ratio = max(1, with_room.total()) / max(1, prefill.total())
     transfer_delay, queueing_delay = front.fleet_transfer_delay, front.role_queueing_delays[Role.PREFILL]
-    transfer = transfer_delay.time * decay_factor(front, transfer_delay.updated_at)
-    queueing = queueing_delay.time * decay_factor(front, queueing_delay.updated_at)
+    transfer = transfer_delay.duration * decay_factor(front, transfer_delay.updated_at)
+    queueing = queueing_delay.duration * decay_factor(front, queueing_delay.updated_at)
     exponent = MAX_RACK_BALANCE_EXPONENT * transfer / (transfer + queueing + RACK_BALANCE_REFERENCE_DELAY)
     return {
         rack: min(max(with_room[rack] / count / fleet_ratio, MIN_RACK_BALANCE), MAX_RACK_BALANCE) ** exponent
--- a/runspool/scheduling/latency_estimator.py
+++ b/runspool/scheduling/latency_estimator.py
@@ -42,14 +42,16 @@
 
 def current_estimate(front: FrontState, own: DecayingEstimate, peers: DecayingEstimate) -> float:
     """Return an engine's estimate now: it decays to its peers' estimate, and that decays to 0."""
-    peer_estimate = peers.time * decay_factor(front, peers.updated_at)
-    return peer_estimate + (own.time - peer_estimate) * decay_factor(front, own.updated_at)
+    peer_estimate = peers.duration * decay_factor(front, peers.updated_at)
+    return peer_estimate + (own.duration - peer_estimate) * decay_factor(front, own.updated_at)
 
 
-def update_estimate(front: FrontState, own: DecayingEstimate, peers: DecayingEstimate, time: float) -> None:
+def update_estimate(
+    front: FrontState, own: DecayingEstimate, peers: DecayingEstimate, duration: float
+) -> None:
     """Update an engine's estimate and its peers' estimate with a measured time."""
     peer_estimate, own_estimate = (
-        peers.time * decay_factor(front, peers.updated_at),
+        peers.duration * decay_factor(front, peers.updated_at),
         current_estimate(front, own, peers),
     )
     # The older the estimates, the more the new sample weighs. A front that measures only one prefill every
@@ -57,11 +59,11 @@
     sample_weight = 1 - decay_factor(front, peers.updated_at, SAMPLE_HALF_LIFE)
     own_sample_weight = 1 - decay_factor(front, own.updated_at, SAMPLE_HALF_LIFE)
     # The sample is capped in the peers' estimate: a few engines that hang must not make all look slow.
-    sample = min(time, 3 * peer_estimate + OUTLIER_ALLOWANCE)
-    peers.time = peer_estimate + (sample - peer_estimate) * max(
+    sample = min(duration, 3 * peer_estimate + OUTLIER_ALLOWANCE)
+    peers.duration = peer_estimate + (sample - peer_estimate) * max(
         MIN_PEER_WEIGHT, min(MAX_PEER_WEIGHT, sample_weight)
     )
-    own.time = own_estimate + (time - own_estimate) * max(MIN_OWN_WEIGHT, own_sample_weight)
+    own.duration = own_estimate + (duration - own_estimate) * max(MIN_OWN_WEIGHT, own_sample_weight)
     peers.updated_at = own.updated_at = front.now
 
 
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -80,7 +80,7 @@
 def test_in_congestion_a_client_retry_waits_less_than_a_first_try_and_gets_retry_after() -> None:
     host = FakeSchedulerHost([PREFILL, DECODE], routing_settings(front_count=200))
     congestion = host.driver.scheduler.role_queueing_delays[Role.PREFILL]
-    congestion.time, congestion.updated_at = 4_000.0, host.now
+    congestion.duration, congestion.updated_at = 4_000.0, host.now
     assert host.actions_of(host.submit(500)) == ["start_attempt"]
     assert host.actions_of(host.submit(500, session=1, is_client_retry=True)) == ["reject"]
     assert host.retry_after == SECOND  # the longest that the settings allow
