--- a/runspool/lab/replay.py
+++ b/runspool/lab/replay.py
@@ -159,7 +159,7 @@
         case Event.CLIENT_DISCONNECTED:
             driver.client_disconnected(at, values[0])
         case Event.ABANDONED:
-            driver.abandon(at, values[0])
+            driver.abort_task(at, values[0])
         case Event.TIMER_FIRED:
             driver.timer_fired(at, values[0])
         case Event.ENDPOINTS_UPDATED:
--- a/runspool/runtime/scheduler_driver.py
+++ b/runspool/runtime/scheduler_driver.py
@@ -199,7 +199,7 @@
             self.tasks[SHUTDOWN_TASK] = task
             self._step(SHUTDOWN_TASK, task, None)
 
-    def abandon(self, now: int, request_index: int) -> bool:
+    def abort_task(self, now: int, request_index: int) -> bool:
         """End a task whose generator raised an error, and remove its request from the engines.
 
         If it is the background task, a new one is started. Return False if there is no such task.
--- a/runspool/scheduling/engine_index.py
+++ b/runspool/scheduling/engine_index.py
@@ -106,7 +106,7 @@
         start = (sample_number * HASH_MULTIPLIER & HASH_MASK) * len(engines) >> 32
         return _cyclic_slice(self._sample_orders[role], start, SAMPLE_SIZE)
 
-    def ring(self, role: Role, text_hash: int, span: int, offset_hash: int) -> list[EngineT]:
+    def ring_successors(self, role: Role, text_hash: int, span: int, offset_hash: int) -> list[EngineT]:
         """Return the engines on a hash ring of a role that follow the hash of a text.
 
         Every front gets the same engines. The `span` engines after `text_hash` are eligible. If these are
--- a/runspool/scheduling/prefix_affinity.py
+++ b/runspool/scheduling/prefix_affinity.py
@@ -52,7 +52,7 @@
         span, text_hash = engine_count, request.session_hash
     else:
         span, text_hash = _candidate_count(front, request, engine_count), request.prefix_hash
-    ring = front.engine_index.ring(Role.PREFILL, text_hash, span, request.session_hash)
+    ring = front.engine_index.ring_successors(Role.PREFILL, text_hash, span, request.session_hash)
     return _in_session_order(front, ring, request)
 
 
--- a/runspool/service/cell_scheduler.py
+++ b/runspool/service/cell_scheduler.py
@@ -99,7 +99,7 @@
 
     def abandon(self, request: int) -> None:
         """Drop a request on which the scheduler raised an exception; does nothing if it is unknown."""
-        self._notify(Event.ABANDONED, self.driver.abandon, request)
+        self._notify(Event.ABANDONED, self.driver.abort_task, request)
 
     def begin_shutdown(self, by: int) -> None:
         """Report that the front is shutting down and may be killed after the time `by`."""
--- a/tests/test_engine_index.py
+++ b/tests/test_engine_index.py
@@ -50,11 +50,14 @@
     indexes = [EngineIndex(new_engines(1_200), salt) for salt in (1, 2)]
     for prefix_hash in range(0, 1 << 32, 1 << 26):
         candidates = [
-            [engine.id for engine in index.ring(Role.PREFILL, prefix_hash, 40, 5)] for index in indexes
+            [engine.id for engine in index.ring_successors(Role.PREFILL, prefix_hash, 40, 5)]
+            for index in indexes
         ]
         assert candidates[0] == candidates[1] and len(set(candidates[0])) == 40
     popular_candidates = {
-        engine.id for within in range(200) for engine in indexes[0].ring(Role.PREFILL, 9, 900, within)
+        engine.id
+        for within in range(200)
+        for engine in indexes[0].ring_successors(Role.PREFILL, 9, 900, within)
     }
     assert len(popular_candidates) > 800  # a popular prefix has its engines over all of its span
 
--- a/tests/test_scheduler_driver.py
+++ b/tests/test_scheduler_driver.py
@@ -238,7 +238,7 @@
     host.start_stream(request, attempt=2)
     host.driver.client_disconnected(host.now, request)
     host.driver.timer_fired(host.now, f"{request}.1")
-    assert not host.driver.abandon(host.now, request)
+    assert not host.driver.abort_task(host.now, request)
     assert host.actions == actions
     assert leaked_accounts(host) == []
 
@@ -305,7 +305,7 @@
                 "class_state",
                 lambda: host.end_attempt(request, AttemptStatus.SUCCEEDED, finished=True),
             )
-    host.driver.abandon(host.now, request)
+    host.driver.abort_task(host.now, request)
     if request is not first:
         host.complete(first)
     assert leaked_accounts(host) == []
@@ -319,7 +319,7 @@
     monkeypatch.setattr(name, lambda scheduler: 1 // 0)
     with pytest.raises(ZeroDivisionError):
         host.advance(SECOND + 1)
-    host.driver.abandon(host.now, BACKGROUND_TASK)
+    host.driver.abort_task(host.now, BACKGROUND_TASK)
     called_at: list[int] = []
     monkeypatch.setattr(name, lambda scheduler: called_at.append(host.now))
     host.advance(3 * SECOND)
@@ -355,5 +355,5 @@
     host.start_attempt = start_attempt  # type: ignore[method-assign]
     with pytest.raises(ReentrantCallError):
         host.submit()
-    host.driver.abandon(host.now, host.submitted_count)
+    host.driver.abort_task(host.now, host.submitted_count)
     assert leaked_accounts(host) == []
