--- a/tests/test_long_prompts.py
+++ b/tests/test_long_prompts.py
@@ -76,7 +76,7 @@
     host.random_draw = 0.5
     scheduler = host.driver.scheduler
     usual_delay = scheduler.role_queueing_delays[Role.PREFILL]
-    usual_delay.time, usual_delay.updated_at = 2_200.0, host.now
+    usual_delay.duration, usual_delay.updated_at = 2_200.0, host.now
     # 0.4 s for its tokens and 0.22 s for others' in 1 s; 0.9 s for its tokens, and as much for others'.
     assert host.actions_of(host.submit(4_000)) == ["start_attempt"]
     assert host.actions_of(host.submit(9_000)) == ["reject"]
--- a/tests/test_prefill_selection.py
+++ b/tests/test_prefill_selection.py
@@ -98,7 +98,7 @@
     host = FakeSchedulerHost([PREFILL, PREFILL, DECODE])
     scheduler = host.driver.scheduler
     scheduler.engines[1].rack = 1
-    scheduler.fleet_transfer_delay.time = SECOND
+    scheduler.fleet_transfer_delay.duration = SECOND
     scheduler.fleet_transfer_delay.updated_at = host.now
     scheduler.fleet_statistics_at = -1
     refresh_fleet_statistics(scheduler)
--- a/tests/test_queueing_delay.py
+++ b/tests/test_queueing_delay.py
@@ -34,7 +34,7 @@
         host.end_attempt(request, AttemptStatus.PREFILL_COMPLETE, duration=15_000)
         host.start_stream(request)
         host.end_attempt(request, AttemptStatus.SUCCEEDED, finished=True)
-    assert host.driver.scheduler.role_queueing_delays[Role.PREFILL].time > 3_500
+    assert host.driver.scheduler.role_queueing_delays[Role.PREFILL].duration > 3_500
 
 
 def test_engine_in_slow_start_has_no_delay_but_that_of_its_own_prefills() -> None:
