--- a/runspool/service/clock.py
+++ b/runspool/service/clock.py
@@ -13,10 +13,11 @@
     return time.monotonic_ns() // NS_PER_TICK
 
 
-def unix_ms_at_zero() -> float:
-    """Return the Unix time, in milliseconds, at which the front's monotonic clock was 0.
+def wall_clock_offset_ms() -> float:
+    """Return the offset of the wall clock to the front's monotonic clock, in milliseconds.
 
-    It is computed from the current readings of both clocks, so it changes when the wall clock is set.
+    This is the Unix time at which the monotonic clock was 0. It is computed from the current readings of both
+    clocks, so it changes when the wall clock is set.
     """
     return time.time_ns() / 1e6 - time.monotonic_ns() / 1e6
 
--- a/runspool/service/endpoint_registry.py
+++ b/runspool/service/endpoint_registry.py
@@ -13,7 +13,7 @@
 from runspool.scheduling.types import EngineRecord, EngineState
 from runspool.service.clock import now
 from runspool.service.pending_request import Endpoint
-from runspool.service.wall_clock import WallClock
+from runspool.service.start_time_converter import StartTimeConverter
 from runspool.wire.endpoint_list import EndpointEntry, parse_address
 
 UNKNOWN_ZONE = -2  # zone index of an engine whose zone in the endpoint list is not configured
@@ -50,13 +50,13 @@
         settings: RoutingSettings,
         engine_types: dict[str, int],
         zones: dict[str, int],
-        wall_clock: WallClock,
+        start_times: StartTimeConverter,
     ) -> None:
         """Initialize an empty registry; `engine_types` and `zones` map configured names to their indices."""
         self.settings = settings
         self.engine_types = engine_types
         self.zones = zones
-        self.wall_clock = wall_clock
+        self.start_times = start_times
         self.engine_interner = Interner()
         self.endpoints: dict[int, Endpoint] = {}
         self.engine_records: dict[str, EngineRecord] = {}
@@ -113,7 +113,7 @@
             # The same start is not converted again: the wall clock may have been set in the meantime.
             started_at = known.started_at
         else:
-            started_at = self.wall_clock.started(entry.started_unix_ms, now())
+            started_at = self.start_times.to_monotonic(entry.started_unix_ms, now())
         zone = self.zones.get(entry.zone, UNKNOWN_ZONE)
         role = self.settings.engine_types[engine_type].role
         self.endpoints[index] = Endpoint(
--- a/runspool/service/executor_base.py
+++ b/runspool/service/executor_base.py
@@ -12,14 +12,14 @@
 from runspool.scheduling.settings import RoutingSettings
 from runspool.service import final_responses
 from runspool.service.cell_scheduler import CellScheduler
-from runspool.service.clock import now, unix_ms_at_zero
+from runspool.service.clock import now, wall_clock_offset_ms
 from runspool.service.deadline_guard import DeadlineGuard
 from runspool.service.endpoint_registry import EndpointRegistry
 from runspool.service.pending_request import FinalResponse, RequestT, ResponseKind
 from runspool.service.protocol_hooks import ProtocolHooks
+from runspool.service.start_time_converter import StartTimeConverter
 from runspool.service.task_spawner import TaskSpawner
 from runspool.service.timer_queue import ExecutorTimer, TimerQueue
-from runspool.service.wall_clock import WallClock
 
 
 class RequestExecutorBase(TaskSpawner, ProtocolHooks[RequestT]):
@@ -41,8 +41,8 @@
         self.settings = settings
         self.trace = BoundedLog()
         self.invariants = InvariantMonitor(self._report_violation)
-        wall_clock = WallClock(lambda: unix_ms_at_zero())
-        self.registry = EndpointRegistry(settings, engine_types, zones, wall_clock)
+        start_times = StartTimeConverter(lambda: wall_clock_offset_ms())
+        self.registry = EndpointRegistry(settings, engine_types, zones, start_times)
         self.endpoints = self.registry.endpoints
         self.engine_records = self.registry.engine_records
         self.endpoint_tracker = EndpointTracker()
--- a/runspool/service/wall_clock.py
+++ b/runspool/service/start_time_converter.py
@@ -21,19 +21,19 @@
 MAX_CLOCK_SKEW = 5_000
 
 
-class WallClock:
+class StartTimeConverter:
     """Converts start times with the observed offsets between the wall clock and the monotonic clock."""
 
-    def __init__(self, unix_ms_at_zero: Callable[[], float]) -> None:
+    def __init__(self, wall_clock_offset_ms: Callable[[], float]) -> None:
         """Initialize the converter.
 
-        `unix_ms_at_zero` returns the current offset: the Unix time in milliseconds at which the monotonic
-        clock was 0.
+        `wall_clock_offset_ms` returns the current offset: the Unix time, in milliseconds, at which the
+        monotonic clock was 0.
         """
-        self.unix_ms_at_zero = unix_ms_at_zero
+        self.wall_clock_offset_ms = wall_clock_offset_ms
         self.offsets: list[float] = []
 
-    def started(self, unix_ms: float, now: int) -> int:
+    def to_monotonic(self, unix_ms: float, now: int) -> int:
         """Convert a start time in Unix milliseconds to the monotonic clock, in tenths of a millisecond.
 
         The result is at least 1, except that 0 is returned for a `unix_ms` of 0, which means that the engine
@@ -48,6 +48,6 @@
         return max(1, max(past, default=now))
 
     def _record_offset(self) -> None:
-        offset = self.unix_ms_at_zero()
+        offset = self.wall_clock_offset_ms()
         if all(abs(offset - known) > OFFSET_TOLERANCE_MS for known in self.offsets):
             self.offsets = [*self.offsets, offset][-MAX_OFFSETS:]
--- a/tests/simulated_clock.py
+++ b/tests/simulated_clock.py
@@ -86,7 +86,7 @@
     for module in MODULES_WITH_CLOCK:
         monkeypatch.setattr(f"runspool.service.{module}.now", now)
     monkeypatch.setattr("runspool.service.front.unix_ms", unix_ms)
-    monkeypatch.setattr("runspool.service.executor_base.unix_ms_at_zero", lambda: UNIX_MS_AT_ZERO)
+    monkeypatch.setattr("runspool.service.executor_base.wall_clock_offset_ms", lambda: UNIX_MS_AT_ZERO)
 
 
 def run(work: Coroutine[Any, Any, None]) -> None:
--- a/tests/test_front_endpoint_list.py
+++ b/tests/test_front_endpoint_list.py
@@ -12,7 +12,7 @@
 from runspool.discovery.snapshot import save_snapshot
 from runspool.scheduling.slow_start import warmup_fraction
 from runspool.scheduling.types import Role
-from runspool.service.clock import unix_ms, unix_ms_at_zero
+from runspool.service.clock import unix_ms, wall_clock_offset_ms
 from runspool.wire.endpoint_list import EndpointEntry
 from tests.small_fleet import SmallFleet
 
@@ -72,7 +72,7 @@
                 await anyio.sleep(0.005)
         known = scheduler.engines[1].started_at
         monkeypatch.setattr(
-            "runspool.service.executor_base.unix_ms_at_zero", lambda: unix_ms_at_zero() - hour
+            "runspool.service.executor_base.wall_clock_offset_ms", lambda: wall_clock_offset_ms() - hour
         )
         fleet.tell(1, "draining")
         fleet.started[2] = unix_ms() - hour
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from runspool.service.wall_clock import WallClock
+from runspool.service.start_time_converter import StartTimeConverter
 
 HOUR_MS = 3_600_000
 UNIX_MS_AT_ZERO = 1_700_000_000_000.0  # the wall clock's time when the monotonic clock stood at 0
@@ -16,27 +16,27 @@
 @pytest.mark.parametrize("engine_clock_stepped", [False, True])
 def test_start_a_second_ago_is_recognized_by_either_clock(step: int, engine_clock_stepped: bool) -> None:
     offset = UNIX_MS_AT_ZERO
-    clock = WallClock(lambda: offset)
-    assert clock.started(NOW_UNIX_MS - 20_000, NOW) == NOW - 200_000
+    converter = StartTimeConverter(lambda: offset)
+    assert converter.to_monotonic(NOW_UNIX_MS - 20_000, NOW) == NOW - 200_000
     offset = UNIX_MS_AT_ZERO + step
     listed_start = NOW_UNIX_MS - 1_000 + (step if engine_clock_stepped else 0)
-    started_at = clock.started(listed_start, NOW)
+    started_at = converter.to_monotonic(listed_start, NOW)
     is_taken_for_later = step < 0 and not engine_clock_stepped and started_at >= NOW - 10_000
     assert started_at == NOW - 10_000 or is_taken_for_later
 
 
 def test_start_in_the_future_by_every_clock_is_now() -> None:
-    assert WallClock(lambda: UNIX_MS_AT_ZERO).started(NOW_UNIX_MS + HOUR_MS, NOW) == NOW
+    assert StartTimeConverter(lambda: UNIX_MS_AT_ZERO).to_monotonic(NOW_UNIX_MS + HOUR_MS, NOW) == NOW
 
 
 def test_start_long_ago_stays_long_ago() -> None:
-    assert WallClock(lambda: UNIX_MS_AT_ZERO).started(0, NOW) == 0
+    assert StartTimeConverter(lambda: UNIX_MS_AT_ZERO).to_monotonic(0, NOW) == 0
 
 
 def test_slewed_clock_counts_as_one_clock() -> None:
     offset = UNIX_MS_AT_ZERO
-    clock = WallClock(lambda: offset)
+    converter = StartTimeConverter(lambda: offset)
     for _ in range(100):
         offset += 4
-        clock.started(NOW_UNIX_MS, NOW)
-    assert len(clock.offsets) <= 2
+        converter.to_monotonic(NOW_UNIX_MS, NOW)
+    assert len(converter.offsets) <= 2
