--- a/runspool/service/attempt_permit.py
+++ b/runspool/service/attempt_permit.py
@@ -15,10 +15,12 @@
     `first_byte_at` is the time at which the first byte was permitted, in tenths of a millisecond.
     """
 
-    __slots__ = ("endpoint", "first_byte_at", "pending", "registry")
+    __slots__ = ("endpoint", "endpoint_registry", "first_byte_at", "pending")
 
-    def __init__(self, registry: EndpointRegistry, pending: PendingRequest, endpoint: Endpoint) -> None:
-        self.registry = registry
+    def __init__(
+        self, endpoint_registry: EndpointRegistry, pending: PendingRequest, endpoint: Endpoint
+    ) -> None:
+        self.endpoint_registry = endpoint_registry
         self.pending = pending
         self.endpoint = endpoint
         self.first_byte_at: int | None = None
@@ -28,7 +30,7 @@
 
         Sending is denied if the endpoint list has withdrawn the engine while the attempt was connecting.
         """
-        if self.registry.is_withdrawn(self.endpoint):
+        if self.endpoint_registry.is_withdrawn(self.endpoint):
             return WITHDRAWN
         if self.first_byte_at is None:
             self.first_byte_at = now()
--- a/runspool/service/attempt_runner.py
+++ b/runspool/service/attempt_runner.py
@@ -81,7 +81,7 @@
         with anyio.CancelScope() as scope:
             pending.attempt_scope = scope
             pending.attempt_endpoint = endpoint
-            permit = AttemptPermit(executor.registry, pending, endpoint)
+            permit = AttemptPermit(executor.endpoint_registry, pending, endpoint)
             try:
                 result = await executor.run_exchange(pending, endpoint, attempt, sent_at, limit, permit)
             except Exception as error:
--- a/runspool/service/executor_base.py
+++ b/runspool/service/executor_base.py
@@ -42,9 +42,9 @@
         self.trace = BoundedLog()
         self.invariants = InvariantMonitor(self._report_violation)
         start_times = StartTimeConverter(lambda: wall_clock_offset_ms())
-        self.registry = EndpointRegistry(settings, engine_types, zones, start_times)
-        self.endpoints = self.registry.endpoints
-        self.engine_records = self.registry.engine_records
+        self.endpoint_registry = EndpointRegistry(settings, engine_types, zones, start_times)
+        self.endpoints = self.endpoint_registry.endpoints
+        self.engine_records = self.endpoint_registry.engine_records
         self.endpoint_tracker = EndpointTracker()
         self.timers: TimerQueue[ExecutorTimer] = TimerQueue(self.timer_fired)
         self.deadline_guard = DeadlineGuard(self.timers, settings.response_slack)
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -78,7 +78,7 @@
             adopted_unix_ms,
         )
         self.scheduler_registry = CellSchedulerRegistry(
-            self.cell_router, self.registry, config.house.zones, self, self.seed, recording_path
+            self.cell_router, self.endpoint_registry, config.house.zones, self, self.seed, recording_path
         )
         self.cell_schedulers = self.scheduler_registry.schedulers
 
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -97,7 +97,7 @@
 
     def endpoints_changed(self, changed: list[EndpointEntry]) -> None:
         """Apply changed entries of the endpoint list and send the schedulers their engines."""
-        replacements = self.registry.apply(changed)
+        replacements = self.endpoint_registry.apply(changed)
         if replacements:
             log_replacements(self.trace, replacements, self.requests.values())
         self.publish_engines()
--- a/tests/simulation/fronts.py
+++ b/tests/simulation/fronts.py
@@ -90,7 +90,7 @@
         self.front = Front(config, seed=context.seed * SEEDS_PER_SIMULATION + seed_number)
         self.front.engine_client = cast(Any, SimulatedEngineClient(context, engines, plan.source_address))
         log = cast(Any, _ErrorLog(context))
-        self.front.log = self.front.registry.log = self.front.timers.log = log
+        self.front.log = self.front.endpoint_registry.log = self.front.timers.log = log
         self.scope = anyio.CancelScope()
         self.killed = anyio.Event()
         self.is_up = False
--- a/tests/test_front_endpoint_list.py
+++ b/tests/test_front_endpoint_list.py
@@ -94,7 +94,7 @@
         assert (
             len(front.endpoints)
             == len(front.engine_records)
-            == len(front.registry.engine_interner)
+            == len(front.endpoint_registry.engine_interner)
             <= MAX_GONE_ENGINES + 2
         )
         assert (await fleet.ask()).status == 200
