--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -26,7 +26,7 @@
 from runspool.node.executor import ConnectionSettings, NodeExecutor
 from runspool.node.graceful_shutdown import GracefulShutdown
 from runspool.node.stop_request import StopRequest
-from runspool.service.accept_loop import accept_all
+from runspool.service.accept_loop import accept_connections
 from runspool.service.clock import now
 
 IDLE_CLOSE_INTERVAL_SECONDS = 0.5  # interval between two checks for idle connections to engines
@@ -143,7 +143,7 @@
                 accepts_requests = not self.stop_request.is_requested
                 for each in listener.listeners:
                     raw_socket = each.extra(SocketAttribute.raw_socket)
-                    tasks.start_soon(accept_all, raw_socket, tasks, self.connections.serve)
+                    tasks.start_soon(accept_connections, raw_socket, tasks, self.connections.serve)
                 self._log_listening()
                 task_status.started(self.port)
                 await self.stop_request.wait()
--- a/runspool/service/accept_loop.py
+++ b/runspool/service/accept_loop.py
@@ -17,10 +17,12 @@
 RESOURCES_EXHAUSTED = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 
-async def accept_all(
-    listening: socket.socket, tasks: TaskGroup, client: Callable[[TcpConnection], Coroutine[Any, Any, None]]
+async def accept_connections(
+    listener: socket.socket,
+    tasks: TaskGroup,
+    serve_client: Callable[[TcpConnection], Coroutine[Any, Any, None]],
 ) -> None:
-    """Accept connections until cancelled, and start `client` in `tasks` for each one.
+    """Accept connections until cancelled, and start `serve_client` in `tasks` for each one.
 
     A failed accept is logged and does not stop the loop.
     """
@@ -28,7 +30,7 @@
     failures = 0
     while True:
         try:
-            connection = await accept(listening)
+            connection = await accept(listener)
         except Exception as error:  # noqa: BLE001 - the loop must survive any error of the event loop
             failures += 1
             if failures.bit_count() == 1:  # logs the 1st, 2nd, 4th, 8th, ... consecutive failure
@@ -40,4 +42,4 @@
             await anyio.sleep(ACCEPT_RETRY_DELAY if exhausted else 0)
             continue
         failures = 0
-        tasks.start_soon(client, connection)
+        tasks.start_soon(serve_client, connection)
--- a/runspool/service/front_server.py
+++ b/runspool/service/front_server.py
@@ -18,7 +18,7 @@
 from runspool.config import FrontConfig
 from runspool.discovery.snapshot import CorruptFileError, load_snapshot, save_snapshot
 from runspool.discovery.watch_client import WatchClient
-from runspool.service.accept_loop import accept_all
+from runspool.service.accept_loop import accept_connections
 from runspool.service.cell_map_watcher import CellMapWatcher
 from runspool.service.clock import now, unix_ms
 from runspool.service.completions_handler import CompletionsHandler
@@ -150,9 +150,9 @@
                     break
                 await anyio.sleep(FINAL_POLL_INTERVAL)
 
-    async def _accept(self, listening: socket.socket, tasks: TaskGroup, scope: anyio.CancelScope) -> None:
+    async def _accept(self, listener: socket.socket, tasks: TaskGroup, scope: anyio.CancelScope) -> None:
         with scope:
-            await accept_all(listening, tasks, self._serve_client)
+            await accept_connections(listener, tasks, self._serve_client)
 
     async def _serve_client(self, connection: TcpConnection) -> None:
         if self.open_connections >= self.config.front.bounds.connections:
