--- a/runspool/node/client_connections.py
+++ b/runspool/node/client_connections.py
@@ -70,7 +70,7 @@
             key=lambda handler: (handler.has_served, handler.idle_since),
         )
         return any(handler.close_if_waiting() for handler in waiting) or any(
-            handler.close_if_waiting(even_if_begun=True) for handler in waiting
+            handler.close_if_waiting(even_if_head_started=True) for handler in waiting
         )
 
     async def _reject(self, connection: TcpConnection) -> None:
--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -74,16 +74,16 @@
     UNREPEATABLE_HEADERS = ("req-", "host", "content-length", "transfer-encoding")
 
     def __init__(
-        self, executor: NodeExecutor, connection: TcpConnection, count_busy: Callable[[int], None]
+        self, executor: NodeExecutor, connection: TcpConnection, count_active: Callable[[int], None]
     ) -> None:
         """Create a handler.
 
         Args:
             executor: Executes the requests.
             connection: The client's connection.
-            count_busy: Called with +1 when a request begins and with -1 when it ends.
+            count_active: Called with +1 when a request begins and with -1 when it ends.
         """
-        super().__init__(LIMITS, connection, count_busy)
+        super().__init__(LIMITS, connection, count_active)
         self.executor = executor
         self.has_served = False
         self.first = True
--- a/runspool/service/http_connection.py
+++ b/runspool/service/http_connection.py
@@ -73,19 +73,20 @@
     UNREPEATABLE_HEADERS: tuple[str, ...] = ("runspool-",)
 
     def __init__(
-        self, limits: ConnectionLimits, connection: TcpConnection, count_busy: Callable[[int], None]
+        self, limits: ConnectionLimits, connection: TcpConnection, count_active: Callable[[int], None]
     ) -> None:
         """Initialize the connection.
 
-        `count_busy` is called with +1 when a request's head has been received and with -1 after the response.
+        `count_active` is called with +1 when a request's head has been received, and with -1 after the
+        response.
         """
         self.limits = limits
         self.tcp = connection
-        self.requests = HttpRequestParser(limits.head_bytes, limits.query_bytes, self.UNREPEATABLE_HEADERS)
+        self.parser = HttpRequestParser(limits.head_bytes, limits.query_bytes, self.UNREPEATABLE_HEADERS)
         self.write_timeout_seconds = limits.answer_write_ms / 1000
         self.keeps_alive = True
         self.response_started = False
-        self._count_busy = count_busy
+        self._count_active = count_active
         self._head_scope: anyio.CancelScope | None = None  # set while waiting for the head of a request
         self._head_started = False  # whether a part of that head has been read
         self._body_scope: anyio.CancelScope | None = None  # set while waiting for the rest of a body
@@ -121,12 +122,12 @@
         """Return the time to wait for the first byte of the next request, in milliseconds."""
         return self.limits.idle_ms
 
-    def close_if_waiting(self, even_if_begun: bool = False) -> bool:
+    def close_if_waiting(self, even_if_head_started: bool = False) -> bool:
         """Close the connection if it is waiting for a request.
 
         Returns False without any effect if the connection is not waiting for a request's head, or if bytes of
-        the next request have already arrived in this process or its kernel. With `even_if_begun`, a request
-        whose head has been read in part is refused.
+        the next request have already arrived in this process or its kernel. With `even_if_head_started`, a
+        request whose head has been read in part is refused.
 
         Only the wait is cancelled, not the task of the connection: cancelling the task would lose a request
         that is read at that moment.
@@ -135,7 +136,7 @@
         if (
             scope is None
             or scope.cancel_called
-            or (self._head_started and not even_if_begun)
+            or (self._head_started and not even_if_head_started)
             or self.tcp.has_unsolicited_data()
         ):
             return False
@@ -151,7 +152,7 @@
             if not self.tcp.has_unsolicited_data():
                 self._refused_at_shutdown = True
                 self._body_scope.cancel()
-        elif self._head_started and self.close_if_waiting(even_if_begun=True):
+        elif self._head_started and self.close_if_waiting(even_if_head_started=True):
             self._refused_at_shutdown = True
 
     async def run(self) -> None:
@@ -167,10 +168,10 @@
         except (ConnectionClosedError, TimeoutError):
             return
         finally:
-            self.requests.close()
+            self.parser.close()
 
     def _has_buffered_request(self) -> bool:
-        return bool(self.requests.ready) or self.tcp.has_buffered_data
+        return bool(self.parser.ready) or self.tcp.has_buffered_data
 
     async def _serve_one(self) -> None:
         try:
@@ -179,23 +180,23 @@
                 self.keeps_alive = False
                 return
             received_at = now()
-            self._count_busy(1)
+            self._count_active(1)
             try:
                 await self._read_body(request)
-                self.requests.ready.popleft()
+                self.parser.ready.popleft()
                 self.keeps_alive = request.keeps_alive
                 await self.route(request, received_at)
             finally:
-                self._count_busy(-1)
+                self._count_active(-1)
         except InvalidHttpRequestError as error:
             await self._refuse(error.status, error.code, error.message)
 
     async def _read_head(self) -> HttpRequest | None:
         """Return the next request once its head is complete, or None if the connection ends without one."""
-        ready = self.requests.ready
+        ready = self.parser.ready
         if ready and ready[0].head_complete:
             return ready[0]
-        self.requests.raise_pending_error()
+        self.parser.raise_pending_error()
         self._head_started = bool(ready)
         wait = self.limits.head_ms if self._head_started else self.head_wait_ms()
         with anyio.CancelScope(deadline=self._deadline_after(wait)) as scope:
@@ -203,7 +204,7 @@
             try:
                 while not (ready and ready[0].head_complete):
                     try:
-                        self.requests.feed(await self.tcp.receive())
+                        self.parser.feed(await self.tcp.receive())
                     except ConnectionClosedError:
                         if self._head_started:
                             raise InvalidHttpRequestError(400, "malformed", "the head ends early") from None
@@ -232,7 +233,7 @@
             try:
                 while not request.complete:
                     try:
-                        self.requests.feed(await self.tcp.receive())
+                        self.parser.feed(await self.tcp.receive())
                     except ConnectionClosedError:
                         raise InvalidHttpRequestError(400, "malformed", "the body ends early") from None
                 return
--- a/tests/test_node_shutdown_races.py
+++ b/tests/test_node_shutdown_races.py
@@ -137,13 +137,13 @@
     async with platform.inside() as running:
         client, handler = await idle_connection(platform, running)
         client.send(post("q1")[:50])
-        await until(lambda: handler.requests.ready)
+        await until(lambda: handler.parser.ready)
         assert not handler.close_if_waiting()
         client.send(post("q1")[50:])
         assert (await client.read_response()).complete
         await until(lambda: handler.idle_since)  # a round or two after its response is out
         client.send(post("q2")[:50])
-        await until(lambda: handler.requests.ready)
+        await until(lambda: handler.parser.ready)
         assert running.connections.make_room()
         assert (await client.read_response()).status == 408
 
