--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -175,14 +175,14 @@
             await self.send_response(REJECTED_STATUS, self.error_body(rejection.code, rejection.message))
             return
         self.has_served = True
-        final = await self.final_response(self.executor, pending, streaming)
+        final = await self.wait_for_final_response(self.executor, pending, streaming)
         await self._send_final(streaming, final)
 
     async def _send_final(self, streaming: EventStreamResponse, final: FinalResponse) -> None:
         if final.kind is ResponseKind.CLIENT_DISCONNECTED:
             self.tcp.close()
             raise ConnectionClosedError("the client has disconnected")
-        if streaming.opened:
+        if streaming.head_sent:
             if final.kind is not ResponseKind.SUCCEEDED or streaming.write_interrupted:
                 # Close without the last chunk. The client detects the incomplete stream and may resume it.
                 self.tcp.close()
@@ -205,7 +205,7 @@
 
     async def stream_started(self) -> None:
         """Prepare the head of the response, which is sent together with the first events."""
-        self.opened = True
+        self.head_sent = True
         fields = [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")]
         if self.connection.closes_after_response:
             fields.append(("Connection", "close"))
--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -103,7 +103,7 @@
             return
         response.request_id = pending.id
         stream = response if isinstance(response, _EventStreamResponse) else None
-        final = await self.final_response(self.front, pending, stream)
+        final = await self.wait_for_final_response(self.front, pending, stream)
         await self._send_final_response(pending, response, final)
 
     async def _send_not_accepted(self, error: RequestNotAcceptedError) -> None:
@@ -132,7 +132,7 @@
             raise ConnectionClosedError("the client disconnected before the final response")
         succeeded = final.kind is ResponseKind.SUCCEEDED
         if isinstance(response, _EventStreamResponse):
-            if response.opened or succeeded:
+            if response.head_sent or succeeded:
                 await response.finish(final)
                 return
         elif succeeded and final.result is not None:
@@ -205,7 +205,7 @@
         self.model = handler.front.config.front.model
 
     async def stream_started(self) -> None:
-        self.opened = True
+        self.head_sent = True
         self.chunks = wire.CompletionChunks(self.request_id, self.model, self.created_at)
         fields = [
             ("Content-Type", "text/event-stream"),
@@ -230,7 +230,7 @@
         if self.write_interrupted:
             self.handler.tcp.close()
             raise ConnectionClosedError("an earlier write of the response was interrupted")
-        if not self.opened:
+        if not self.head_sent:
             await self.stream_started()
         if final.kind is ResponseKind.SUCCEEDED:
             reason = final.result.finish_reason if final.result else "stop"
--- a/runspool/service/http_connection.py
+++ b/runspool/service/http_connection.py
@@ -278,7 +278,7 @@
             with anyio.fail_after(self.write_timeout_seconds):
                 await self.tcp.drained()
 
-    async def final_response(
+    async def wait_for_final_response(
         self, executor: RequestExecutor[RequestT], pending: RequestT, streaming: StreamingResponse | None
     ) -> FinalResponse:
         """Wait for the final response to an accepted request, and detect when its client disconnects.
--- a/runspool/service/streaming_response.py
+++ b/runspool/service/streaming_response.py
@@ -37,7 +37,7 @@
 class StreamingResponse:
     """A response that is forwarded while it is generated, to a client that must read it in time.
 
-    `opened` is set once the response's head has been passed on for sending. `write_interrupted` is set while
+    `head_sent` is set once the response's head has been passed on for sending. `write_interrupted` is set while
     a write is incomplete, and stays set if the write fails or is cancelled; it is then unknown how much of
     the response the client has received.
     """
@@ -45,7 +45,7 @@
     def __init__(self, connection: StreamingConnection, watchdog: IdleWatchdog) -> None:
         self.connection = connection
         self.watchdog = watchdog
-        self.opened = False
+        self.head_sent = False
         self.write_interrupted = False
         self.watched_wait: WatchedWait | None = None
 
