--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -261,7 +261,7 @@
         """
         if endpoint.role is Role.PREFILL:
             # After the end of its attempts, only the deadline guard could respond to the request.
-            remaining = (self.deadline_guard.attempts_end_at(pending) - now()) / UNITS_PER_SECOND
+            remaining = (self.deadline_guard.attempt_deadline(pending) - now()) / UNITS_PER_SECOND
             await self.state_releaser.wait_settled(pending.id, max(0.0, min(RELEASE_WAIT_SECONDS, remaining)))
 
     def after_attempt(
--- a/runspool/service/attempt_runner.py
+++ b/runspool/service/attempt_runner.py
@@ -42,7 +42,7 @@
         await executor.before_attempt(pending, endpoint)
         sent_at, attempt = now(), pending.attempt_count
         limit = effective_timeout(
-            first_token_limit, executor.deadline_guard.attempts_end_at(pending) - sent_at
+            first_token_limit, executor.deadline_guard.attempt_deadline(pending) - sent_at
         )
         target = AttemptTarget(endpoint.index, endpoint.role, endpoint.zone, endpoint.rack)
         denial = pending.lifecycle.deny_attempt(sent_at, target)
--- a/runspool/service/deadline_guard.py
+++ b/runspool/service/deadline_guard.py
@@ -41,7 +41,7 @@
         """Return when the guard answers the request, on the front's clock."""
         return pending.deadline - self.response_slack // 2
 
-    def attempts_end_at(self, pending: PendingRequest) -> int:
+    def attempt_deadline(self, pending: PendingRequest) -> int:
         """Return the time by which the request's attempts must have ended, on the front's clock."""
         return pending.deadline - self.response_slack - GUARD_MARGIN
 
--- a/runspool/service/engine_check.py
+++ b/runspool/service/engine_check.py
@@ -8,11 +8,11 @@
 from runspool.engines.connection_pool import Address
 from runspool.engines.failure_classification import FailureCause
 
-ENGINE_CHECK_SECONDS = 0.1  # timeout, in seconds, of the connection attempt that checks an engine
+ENGINE_CHECK_TIMEOUT = 0.1  # timeout, in seconds, of the connection attempt that checks an engine
 
 # Failures in which a connection broke after the request was sent. The engine may have crashed, and the
 # request may have caused the crash.
-CONNECTION_BROKEN = {
+BROKEN_CONNECTION_CAUSES = {
     FailureCause.CLOSED_BEFORE_RESPONSE,
     FailureCause.CLOSED_DURING_RESPONSE,
     FailureCause.STREAM_INTERRUPTED,
@@ -20,7 +20,7 @@
 
 
 async def is_engine_up(client: CompletionsEngineClient, address: Address) -> bool:
-    """Return whether the engine accepts a connection within ENGINE_CHECK_SECONDS."""
-    with anyio.move_on_after(ENGINE_CHECK_SECONDS):
+    """Return whether the engine accepts a connection within ENGINE_CHECK_TIMEOUT."""
+    with anyio.move_on_after(ENGINE_CHECK_TIMEOUT):
         return await client.accepts_connections(address)
     return False
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -32,7 +32,7 @@
     not_accepted_error,
 )
 from runspool.service.deadlines import first_token_budget
-from runspool.service.engine_check import CONNECTION_BROKEN, is_engine_up
+from runspool.service.engine_check import BROKEN_CONNECTION_CAUSES, is_engine_up
 from runspool.service.pending_completion import PendingCompletion, forwarded_headers
 from runspool.service.pending_request import Endpoint, FinalResponse, RequestNotAcceptedError, ResponseKind
 from runspool.service.prefill_state_release import release_with_retries
@@ -239,7 +239,7 @@
                 pending.completion.max_output_tokens,
                 ResponseRelay(self, pending, attempt, sent_at),
             )
-        if result.failure_cause in CONNECTION_BROKEN:
+        if result.failure_cause in BROKEN_CONNECTION_CAUSES:
             await self._check_for_poisonous_request(pending, endpoint)
         return result
 
@@ -264,7 +264,7 @@
             self.spawn_release(self._release, pending.prefill_endpoint, pending.state, pending.id)
         pending.state = pending.prefill_endpoint = None
 
-    def is_guarded(self, pending: PendingCompletion) -> bool:
+    def deadline_guard_applies(self, pending: PendingCompletion) -> bool:
         """Return whether the deadline guard still applies.
 
         It does not apply to a response that is already being streamed to its client. It does apply to a
@@ -289,7 +289,7 @@
         """Count an engine that went down during the request against the request, which may be the cause.
 
         If too many engines were lost, the request is answered as poisonous and not attempted again. The
-        request and the release of its state wait for the check for at most ENGINE_CHECK_SECONDS; the check is
+        request and the release of its state wait for the check for at most ENGINE_CHECK_TIMEOUT; the check is
         cancelled when the client disconnects.
         """
         is_up = await is_engine_up(self.engine_client, endpoint.address)
--- a/runspool/service/prefill_state_release.py
+++ b/runspool/service/prefill_state_release.py
@@ -14,7 +14,7 @@
 
 # Failures that mean that the engine does not support release calls. Such an engine frees states after its own
 # timeout, so the call is not repeated.
-RELEASE_UNSUPPORTED = {FailureCause.UNSUPPORTED_ENDPOINT, FailureCause.REQUEST_REJECTED}
+RELEASE_UNSUPPORTED_CAUSES = {FailureCause.UNSUPPORTED_ENDPOINT, FailureCause.REQUEST_REJECTED}
 
 
 async def release_with_retries(
@@ -42,7 +42,7 @@
     for delay in (*RELEASE_RETRY_DELAYS, 0.0):
         timeout = min(RELEASE_TIMEOUT, max_timeout)
         failure = await client.release_state(endpoint.address, state, request, timeout)
-        if failure is None or failure in RELEASE_UNSUPPORTED:
+        if failure is None or failure in RELEASE_UNSUPPORTED_CAUSES:
             return
         await anyio.sleep(delay)
     log.warning("release_failed", request=request, engine=endpoint.name)
--- a/runspool/service/protocol_hooks.py
+++ b/runspool/service/protocol_hooks.py
@@ -66,7 +66,7 @@
     def publish_engines(self) -> None:
         """Send every scheduler its current engines."""
 
-    def is_guarded(self, pending: RequestT) -> bool:
+    def deadline_guard_applies(self, pending: RequestT) -> bool:
         """Return whether the deadline guard still has to answer this request if it fires."""
         return not pending.stream_started
 
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -228,7 +228,9 @@
         pending = self.requests.get(request)
         if pending is None or self.deadline_guard.defer(pending):
             return
-        if not self.is_guarded(pending) or not self.finish(pending, final_responses.out_of_time()):
+        if not self.deadline_guard_applies(pending) or not self.finish(
+            pending, final_responses.out_of_time()
+        ):
             return
         # A response that is buffered for its client may have started. The scheduler has then met its part of
         # the deadline, so this is not logged as a failure of the scheduler.
--- a/tests/test_front_attempts.py
+++ b/tests/test_front_attempts.py
@@ -92,7 +92,7 @@
             return True
 
         monkeypatch.setattr(front.engine_client, "accepts_connections", never_answers)
-        monkeypatch.setattr("runspool.service.engine_check.ENGINE_CHECK_SECONDS", 60.0)
+        monkeypatch.setattr("runspool.service.engine_check.ENGINE_CHECK_TIMEOUT", 60.0)
         fleet.engines[1].fault("row", row="reset_after", share=1.0)
         with anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
--- a/tests/test_node_state_release.py
+++ b/tests/test_node_state_release.py
@@ -202,7 +202,7 @@
         pending = PendingNodeRequest(
             0, "q1", 0, now() + tenths(40), cast(Any, None), client_request=cast(Any, None)
         )
-        left = node.deadline_guard.attempts_end_at(pending) - now()
+        left = node.deadline_guard.attempt_deadline(pending) - now()
         await node.before_attempt(pending, endpoint)
         assert waits[0] <= left / UNITS_PER_SECOND
 
