--- a/runspool/service/streaming_response.py
+++ b/runspool/service/streaming_response.py
@@ -37,9 +37,9 @@
 class StreamingResponse:
     """A response that is forwarded while it is generated, to a client that must read it in time.
 
-    `head_sent` is set once the response's head has been passed on for sending. `write_interrupted` is set while
-    a write is incomplete, and stays set if the write fails or is cancelled; it is then unknown how much of
-    the response the client has received.
+    `head_sent` is set once the response's head has been passed on for sending. `write_interrupted` is set
+    while a write is incomplete, and stays set if the write fails or is cancelled; it is then unknown how much
+    of the response the client has received.
     """
 
     def __init__(self, connection: StreamingConnection, watchdog: IdleWatchdog) -> None:
