--- a/runspool/cli/cells.py
+++ b/runspool/cli/cells.py
@@ -13,12 +13,12 @@
 
 from runspool.cells import cell_store, tenant_migration
 from runspool.cells.cell_map import CellMap, Move
-from runspool.cells.engine_placement import EnginePlace, place_engines
-from runspool.cells.tenant_migration import MigrationRefusedError, TenantMigrations
-from runspool.cli.cell_output import out, print_differences, print_map, print_replies
-from runspool.cli.front_files import FrontFiles, refusals_reported
+from runspool.cells.engine_placement import EngineDescriptor, place_engines
+from runspool.cells.tenant_migration import MapChangeRefusedError, TenantMigrations
+from runspool.cli.cell_output import console, print_differences, print_front_statuses, print_map
+from runspool.cli.front_files import FrontFiles, report_refusals
 from runspool.cli.terms import ExternalVariables
-from runspool.config.loader import evaluate
+from runspool.config.loader import evaluate_jsonnet
 from runspool.service.clock import unix_ms
 
 EXIT_NOT_SETTLED = 3  # exit status for a move that did not settle at every front in time
@@ -52,11 +52,11 @@
 ) -> None:
     """Publish a hand-written map as the next version. Planned moves must be finished or undone first."""
     front_files = FrontFiles(file, var)
-    with refusals_reported():
-        before = cell_store.recover_map(front_files.path)
+    with report_refusals():
+        before = cell_store.recover_map(front_files.map_path)
         after = _read_next_map(source, before)
         if before is not None and any(move.step == "planned" for move in before.moves):
-            raise MigrationRefusedError("a move is under way; finish or undo it first")
+            raise MapChangeRefusedError("a move is under way; finish or undo it first")
         engines = front_files.engines()
         _check_roles_served(after, engines)
         print_differences(before, after, engines)
@@ -67,7 +67,7 @@
 def show(file: FrontConfigFile, var: ExternalVariables = None) -> None:
     """Print the cells with their engines, missing engines and tenants, and the moves."""
     front_files = FrontFiles(file, var)
-    with refusals_reported():
+    with report_refusals():
         cell_map, engines = front_files.cell_map(), front_files.engines()
     print_map(cell_map, engines)
 
@@ -103,7 +103,7 @@
 def undo(file: FrontConfigFile, move_id: str, yes: Confirmed = False, var: ExternalVariables = None) -> None:
     """Undo a move: new requests go to the source cell again. Requests in the target cell end there."""
     front_files = FrontFiles(file, var)
-    with refusals_reported():
+    with report_refusals():
         before = front_files.cell_map()
         after = tenant_migration.undo_move(before, move_id, unix_ms())
         print_differences(before, after, front_files.engines())
@@ -119,9 +119,9 @@
     This is refused while idempotency keys may still bind retries to the source cell.
     """
     front_files = FrontFiles(file, var)
-    with refusals_reported():
+    with report_refusals():
         before = front_files.cell_map()
-        after = tenant_migration.finish_move(before, move_id, unix_ms(), front_files.binding_time())
+        after = tenant_migration.finish_move(before, move_id, unix_ms(), front_files.key_binding_time())
         print_differences(before, after, front_files.engines())
         _publish(front_files, yes, f"finish {move_id}", before, after)
 
@@ -139,7 +139,7 @@
     end = time.monotonic() + patience_s
     while True:
         replies = {front: _fetch_status(front) for front in fronts}
-        print_replies(replies)
+        print_front_statuses(replies)
         if not until_settled or _is_settled(until_settled, replies, len(fronts)):
             return
         if time.monotonic() > end:
@@ -155,22 +155,22 @@
         InvalidConfigError: the file cannot be evaluated.
         CorruptFileError: the value is not a valid map.
     """
-    fields = evaluate(source)
+    fields = evaluate_jsonnet(source)
     fields["version"] = (before.version if before else 0) + 1
     return cell_store.decode_map(json.dumps(fields).encode(), str(source))
 
 
-def _check_roles_served(cell_map: CellMap, engines: list[EnginePlace]) -> None:
+def _check_roles_served(cell_map: CellMap, engines: list[EngineDescriptor]) -> None:
     """Check that every cell of a map has an engine for each role; skip the check if no engines are known.
 
     Raises:
-        MigrationRefusedError: a cell has no engine of a role.
+        MapChangeRefusedError: a cell has no engine of a role.
     """
     if not engines:
         return
     missing = [shortage for shortage in place_engines(cell_map, engines).shortages if ": 0 of" in shortage]
     if missing:
-        raise MigrationRefusedError("; ".join(missing))
+        raise MapChangeRefusedError("; ".join(missing))
 
 
 def _is_settled(move_id: str, replies: dict[str, dict[str, Any] | str], front_count: int) -> bool:
@@ -190,10 +190,10 @@
 ) -> None:
     """Print what a move of a tenant changes and, with `yes`, publish the map with the move."""
     front_files = FrontFiles(file, var)
-    with refusals_reported():
+    with report_refusals():
         before = front_files.cell_map()
-        if tenant not in front_files.terms.house.tenants:
-            raise MigrationRefusedError(f"{tenant} is not in house.tenants of the configuration")
+        if tenant not in front_files.config.house.tenants:
+            raise MapChangeRefusedError(f"{tenant} is not in house.tenants of the configuration")
         now_unix_ms = unix_ms()
         source = TenantMigrations(before).home_cell(now_unix_ms, tenant, None)
         engines = front_files.engines()
@@ -209,7 +209,7 @@
         print_differences(before, after, engines)
         _publish(front_files, yes, f"move {tenant} {source} {target}", before, after)
         if yes:
-            out.print(f"move {new_move.id}: new requests go to {target} in {starts_in_ms} ms")
+            console.print(f"move {new_move.id}: new requests go to {target} in {starts_in_ms} ms")
 
 
 def _publish(
@@ -218,20 +218,20 @@
     """Publish the map `after` in place of `before`; without `yes`, print that nothing was changed.
 
     Raises:
-        MigrationRefusedError: another change is in progress, or the published map is no longer `before`.
+        MapChangeRefusedError: another change is in progress, or the published map is no longer `before`.
         OSError: a file could not be written.
     """
     if not yes:
-        out.print("nothing was changed; use --yes to make the change")
+        console.print("nothing was changed; use --yes to make the change")
         return
-    with cell_store.exclusive_change(front_files.path):
-        current = cell_store.recover_map(front_files.path)
+    with cell_store.lock_map(front_files.map_path):
+        current = cell_store.recover_map(front_files.map_path)
         if (current and current.version) != (before and before.version):
-            raise MigrationRefusedError(
+            raise MapChangeRefusedError(
                 "the map was changed by another command in the meantime; run this command again"
             )
-        cell_store.record_change(front_files.path, description, after, unix_ms())
-    out.print(f"{front_files.path}: version {after.version}")
+        cell_store.record_change(front_files.map_path, description, after, unix_ms())
+    console.print(f"{front_files.map_path}: version {after.version}")
 
 
 def _fetch_status(front: str) -> dict[str, Any] | str:
--- a/runspool/node/discovery_client.py
+++ b/runspool/node/discovery_client.py
@@ -20,7 +20,7 @@
 from runspool.node.discovery_call_log import CallEnd, DiscoveryCallLog
 from runspool.node.discovery_call_planner import DiscoveryCallPlanner, DiscoveryState
 from runspool.node.endpoint_list import InvalidEndpointListError, decode_endpoint_list, request_target
-from runspool.units import TENTHS, UNITS_PER_SECOND
+from runspool.units import TENTHS_PER_MS, TENTHS_PER_SECOND
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
 
 # Timeout of a call to the discovery agent, in tenths of a millisecond: one hour. It only ends calls to a peer
@@ -100,7 +100,7 @@
 
     async def follow(self) -> None:
         """Make calls until cancelled; the known endpoint list is kept through failures and cancellation."""
-        self.planner.restart()
+        self.planner.reset()
         try:
             async with anyio.create_task_group() as calls:
                 while True:
@@ -112,14 +112,14 @@
                     calls.start_soon(self._run_call, planned.call, scope)
                     self._update_state()
         finally:
-            self.planner.restart()
+            self.planner.reset()
             self._call_scopes.clear()
             self.pool.close()
 
     async def _wait_for_next_call(self) -> None:
         while (due := self.planner.next_call_at(self.now()) - self.now()) > 0:
             self._replan = anyio.Event()
-            with anyio.move_on_after(due / UNITS_PER_SECOND):
+            with anyio.move_on_after(due / TENTHS_PER_SECOND):
                 await self._replan.wait()
 
     def _plan_changed(self) -> None:
@@ -147,7 +147,7 @@
             try:
                 self._process_response(call, await self._exchange(call))
             except (ExchangeAbortedError, InvalidEndpointListError) as error:
-                given_up = self.planner.failed(call, self.now())
+                given_up = self.planner.record_failure(call, self.now())
                 self.listener.connection_lost(error)
                 self.call_log.ended(call, CallEnd.FAILED, self.now(), self.planner, str(error))
                 if given_up is not None:
@@ -168,13 +168,13 @@
         """
         message, problems = decode_endpoint_list(body, call.after_version)
         _check_matches_call(call, message)
-        answer = self.planner.answered(call, message.version, self.now())
-        self._cancel(answer.superseded, CallEnd.SUPERSEDED)
+        decision = self.planner.record_response(call, message.version, self.now())
+        self._cancel(decision.superseded, CallEnd.SUPERSEDED)
         # Wake the task that makes calls first, so that the next watch is not delayed by work on the changes.
         self._replan.set()
         for problem in problems[:MAX_LOGGED_PROBLEMS]:
             self.log.warning("endpoint_list_line_unusable", fault=problem)
-        if answer.is_usable:
+        if decision.is_usable:
             self._apply(message)
         self.call_log.ended(call, CallEnd.ANSWERED, self.now(), self.planner)
 
@@ -192,7 +192,7 @@
         """
         exchange = _DiscoveryExchange(call)
         host, port = call.address
-        target = request_target(call.after_version, call.wait // TENTHS)
+        target = request_target(call.after_version, call.wait // TENTHS_PER_MS)
         request = encode_request("GET", target, {"Host": f"{host}:{port}"})
         with self._start_timer(MAX_CALL_DURATION) as timer, self._managed_connection(exchange):
             await self._send_request(
@@ -200,7 +200,7 @@
                 timer,
                 call.address,
                 lambda _remaining: request,
-                connect_ms=MAX_CALL_DURATION / TENTHS,
+                connect_ms=MAX_CALL_DURATION / TENTHS_PER_MS,
             )
             call.local_port = exchange.connection.tcp.local_port
             call.position = exchange.connection.exchanges_begun
--- a/runspool/scheduling/prefill_selection.py
+++ b/runspool/scheduling/prefill_selection.py
@@ -6,21 +6,21 @@
 
 from __future__ import annotations
 
-from runspool.scheduling.engine_eligibility import eligible_engines, engines_in_view
+from runspool.scheduling.engine_eligibility import candidate_engines, eligible_engines
 from runspool.scheduling.engine_state import Engine
 from runspool.scheduling.fleet_statistics import (
     PACKING_THRESHOLD,
-    carries_streams,
     has_active_streams,
-    has_no_fleet_signal,
+    lacks_stream_evidence,
     load,
+    may_have_streams,
 )
 from runspool.scheduling.front_state import FrontState
 from runspool.scheduling.latency_estimator import (
     predicted_first_token_time,
+    predicted_queue_time,
+    predicted_queueing_delay,
     prefill_rate,
-    queue_time,
-    queueing_delay,
 )
 from runspool.scheduling.prefix_affinity import tokens_to_prefill
 from runspool.scheduling.transfer_cost import placement_cost
@@ -37,7 +37,11 @@
 
 
 def select_prefill(
-    front: FrontState, request: Request, failed: list[int], first_executed: Engine | None, queue_limit: int
+    front: FrontState,
+    request: Request,
+    failed_engine_ids: list[int],
+    first_execution_engine: Engine | None,
+    queue_limit: int,
 ) -> Engine | None:
     """Return the engine to prefill a request, or None if no engine can.
 
@@ -46,28 +50,30 @@
     Args:
         front: The front's state.
         request: The request to prefill.
-        failed: Ids of engines to avoid while others are available.
-        first_executed: The engine of the first attempt that may have been executed, if any.
+        failed_engine_ids: Ids of engines to avoid while others are available.
+        first_execution_engine: The engine of the first attempt that may have been executed, if any.
         queue_limit: A duration. If the wait on the best engine is over twice this, engines that have streams
             are considered too.
     """
-    mixed, class_state = engines_in_view(front, request, Role.MIXED), front.class_state(request)
+    mixed, class_state = candidate_engines(front, request, Role.MIXED), front.class_state(request)
     # Without an engine that can decode, the prefill's state would be computed only to be released.
     can_decode = mixed or front.ready_engines(Role.DECODE)
-    engines = engines_in_view(front, request, Role.PREFILL) if can_decode else []
+    engines = candidate_engines(front, request, Role.PREFILL) if can_decode else []
     # A prefill interrupts the engine's streams, which this front may not know of. It is therefore allowed
     # only if responses have time to spare.
-    if _responses_have_spare_time(front, request) or not has_no_fleet_signal(front):
+    if _responses_have_spare_time(front, request) or not lacks_stream_evidence(front):
         engines += [e for e in mixed if not has_active_streams(front, e)]
-    best = _soonest(front, request, eligible_engines(front, request, engines, failed, first_executed))
-    if best and queue_time(front, best) + queueing_delay(front, best) <= 2 * queue_limit:
+    best = _soonest(
+        front, request, eligible_engines(front, request, engines, failed_engine_ids, first_execution_engine)
+    )
+    if best and predicted_queue_time(front, best) + predicted_queueing_delay(front, best) <= 2 * queue_limit:
         return best
     # A prefill interrupts the engine's streams, so only one that is short compared with a response may spill.
     time_per_token = class_state.settings.time_per_output_token
     engines += [
         e
         for e in mixed
-        if carries_streams(front, e)
+        if may_have_streams(front, e)
         and load(front, e, request) < PACKING_THRESHOLD
         and tokens_to_prefill(front, e, request) / prefill_rate(front, e)
         < MAX_SPILL_FRACTION * class_state.mean_output_tokens * time_per_token
@@ -75,14 +81,16 @@
     if not engines:
         engines = mixed
     if not engines and front.settings.decode_engines_prefill:
-        engines = engines_in_view(front, request, Role.DECODE)
-    return _soonest(front, request, eligible_engines(front, request, engines, failed, first_executed))
+        engines = candidate_engines(front, request, Role.DECODE)
+    return _soonest(
+        front, request, eligible_engines(front, request, engines, failed_engine_ids, first_execution_engine)
+    )
 
 
 def _responses_have_spare_time(front: FrontState, request: Request) -> bool:
     """Return whether responses from mixed engines take well under the time allowed for their tokens."""
-    allowed = SPARE_RESPONSE_TIME_FRACTION * front.mixed_answer_time_allowed
-    return request.expected_output_tokens > 0 and front.mixed_answer_time <= allowed
+    allowed = SPARE_RESPONSE_TIME_FRACTION * front.mixed_response_time_allowed
+    return request.expected_output_tokens > 0 and front.mixed_response_time <= allowed
 
 
 def _soonest(front: FrontState, request: Request, engines: list[Engine]) -> Engine | None:
