--- a/tests/test_engine_responses.py
+++ b/tests/test_engine_responses.py
@@ -16,7 +16,7 @@
 
 @given(st.lists(st.text(max_size=20), max_size=6), st.lists(st.integers(1, 40), min_size=1, max_size=30))
 def test_events_come_out_whole_however_the_bytes_were_cut(texts: list[str], cuts: list[int]) -> None:
-    chunks = completions.CompletionChunks("q", "m", 0)
+    chunks = completions.CompletionEventEncoder("q", "m", 0)
     body = b"".join(chunks.text(text) for text in texts) + b"0\r\n\r\n"
     raw = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: y\r\n\r\n" + body
     response, splitter, events = ResponseParser(MAX_BYTES), messages.EventSplitter(MAX_BYTES), []
@@ -39,19 +39,19 @@
 
 @given(st.binary(max_size=200))
 def test_no_bytes_make_a_load_report_or_an_error_code_raise(raw: bytes) -> None:
-    messages.load_report("JSON " + raw.decode("latin-1"))
-    assert isinstance(messages.error_code(raw), str)
+    messages.parse_load_report("JSON " + raw.decode("latin-1"))
+    assert isinstance(messages.parse_error_code(raw), str)
 
 
 def test_load_report_in_the_published_form_is_parsed() -> None:
     header = msgspec.json.encode(
         {"named_metrics": {"kv_cache_usage_perc": 0.25, "prompt_tokens_waiting": 800}}
     )
-    report = messages.load_report("JSON " + header.decode())
+    report = messages.parse_load_report("JSON " + header.decode())
     assert report is not None
     assert (report.memory_utilization, report.queued_prompt_tokens, report.slot_utilization) == (
         0.25,
         800,
         None,
     )
-    assert messages.load_report(None) is messages.load_report("TEXT a=1") is None
+    assert messages.parse_load_report(None) is messages.parse_load_report("TEXT a=1") is None
