--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -18,7 +18,13 @@
 from runspool.transport.tcp import ConnectionClosedError, TcpConnection
 from runspool.units import TENTHS_PER_SECOND
 from runspool.wire.fields import InvalidRequestError
-from runspool.wire.http_requests import CHUNKS_END, HttpRequest, InvalidHttpRequestError, chunk, head
+from runspool.wire.http_requests import (
+    LAST_CHUNK,
+    HttpRequest,
+    InvalidHttpRequestError,
+    encode_chunk,
+    encode_response_head,
+)
 
 HEALTH_PATH = "/_health"
 COMPLETIONS_PATH = "/v1/chat/completions"
@@ -74,16 +80,16 @@
     UNREPEATABLE_HEADERS = ("req-", "host", "content-length", "transfer-encoding")
 
     def __init__(
-        self, executor: NodeExecutor, connection: TcpConnection, count_busy: Callable[[int], None]
+        self, executor: NodeExecutor, connection: TcpConnection, count_active: Callable[[int], None]
     ) -> None:
         """Create a handler.
 
         Args:
             executor: Executes the requests.
             connection: The client's connection.
-            count_busy: Called with +1 when a request begins and with -1 when it ends.
+            count_active: Called with +1 when a request begins and with -1 when it ends.
         """
-        super().__init__(LIMITS, connection, count_busy)
+        super().__init__(LIMITS, connection, count_active)
         self.executor = executor
         self.has_served = False
         self.first = True
@@ -175,19 +181,19 @@
             await self.send_response(REJECTED_STATUS, self.error_body(rejection.code, rejection.message))
             return
         self.has_served = True
-        final = await self.final_response(self.executor, pending, streaming)
+        final = await self.wait_for_final_response(self.executor, pending, streaming)
         await self._send_final(streaming, final)
 
     async def _send_final(self, streaming: EventStreamResponse, final: FinalResponse) -> None:
         if final.kind is ResponseKind.CLIENT_DISCONNECTED:
             self.tcp.close()
             raise ConnectionClosedError("the client has disconnected")
-        if streaming.opened:
+        if streaming.head_sent:
             if final.kind is not ResponseKind.SUCCEEDED or streaming.write_interrupted:
                 # Close without the last chunk. The client detects the incomplete stream and may resume it.
                 self.tcp.close()
                 raise ConnectionClosedError("the stream was interrupted")
-            await streaming.forward(CHUNKS_END)
+            await streaming.forward(LAST_CHUNK)
         elif final.kind is ResponseKind.REJECTED:
             seconds = final.retry_after / TENTHS_PER_SECOND
             headers = [("Retry-After", f"{seconds:.3f}")] if final.retry_after else []
@@ -205,11 +211,11 @@
 
     async def stream_started(self) -> None:
         """Prepare the head of the response, which is sent together with the first events."""
-        self.opened = True
+        self.head_sent = True
         fields = [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")]
         if self.connection.closes_after_response:
             fields.append(("Connection", "close"))
-        self._unsent_head = head(200, fields)
+        self._unsent_head = encode_response_head(200, fields)
 
     async def data_received(self, data: bytes) -> None:
         """Forward events to the client.
@@ -220,4 +226,4 @@
         # Send the head together with the first events: sent alone, it would commit the node to a stream of
         # which no event may ever arrive.
         unsent_head, self._unsent_head = self._unsent_head, b""
-        await self.forward(unsent_head + chunk(data))
+        await self.forward(unsent_head + encode_chunk(data))
--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -22,7 +22,7 @@
 from runspool.units import TENTHS_PER_MS
 from runspool.wire import completions as wire
 from runspool.wire.fields import InvalidRequestError
-from runspool.wire.http_requests import CHUNKS_END, HttpRequest, chunk, head
+from runspool.wire.http_requests import LAST_CHUNK, HttpRequest, encode_chunk, encode_response_head
 
 # A rejection invites a retry. An indeterminate response needs a status that client libraries do not retry
 # automatically: a retry could execute a request twice that must run at most once.
@@ -103,7 +103,7 @@
             return
         response.request_id = pending.id
         stream = response if isinstance(response, _EventStreamResponse) else None
-        final = await self.final_response(self.front, pending, stream)
+        final = await self.wait_for_final_response(self.front, pending, stream)
         await self._send_final_response(pending, response, final)
 
     async def _send_not_accepted(self, error: RequestNotAcceptedError) -> None:
@@ -132,7 +132,7 @@
             raise ConnectionClosedError("the client disconnected before the final response")
         succeeded = final.kind is ResponseKind.SUCCEEDED
         if isinstance(response, _EventStreamResponse):
-            if response.opened or succeeded:
+            if response.head_sent or succeeded:
                 await response.finish(final)
                 return
         elif succeeded and final.result is not None:
@@ -205,8 +205,8 @@
         self.model = handler.front.config.front.model
 
     async def stream_started(self) -> None:
-        self.opened = True
-        self.chunks = wire.CompletionChunks(self.request_id, self.model, self.created_at)
+        self.head_sent = True
+        self.chunks = wire.CompletionEventEncoder(self.request_id, self.model, self.created_at)
         fields = [
             ("Content-Type", "text/event-stream"),
             ("Cache-Control", "no-store"),
@@ -215,7 +215,7 @@
         ]
         if not self.handler.keeps_alive:
             fields.append(("Connection", "close"))
-        await self.forward(head(200, fields))
+        await self.forward(encode_response_head(200, fields))
 
     async def data_received(self, text: str) -> None:
         await self.forward(self.chunks.text(text))
@@ -230,12 +230,15 @@
         if self.write_interrupted:
             self.handler.tcp.close()
             raise ConnectionClosedError("an earlier write of the response was interrupted")
-        if not self.opened:
+        if not self.head_sent:
             await self.stream_started()
         if final.kind is ResponseKind.SUCCEEDED:
             reason = final.result.finish_reason if final.result else "stop"
-            last_event = wire.chunk(self.request_id, self.model, self.created_at, "", reason) + wire.DONE
+            last_event = (
+                wire.completion_event(self.request_id, self.model, self.created_at, "", reason)
+                + wire.DONE_EVENT
+            )
         else:
             last_event = wire.error_event(final.code, final.message)
         with anyio.fail_after(self.handler.write_timeout_seconds):
-            await self.forward(chunk(last_event) + CHUNKS_END)
+            await self.forward(encode_chunk(last_event) + LAST_CHUNK)
