--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -103,9 +103,10 @@
     """Return the fraction of the time until a request's first token is due that a predicted wait may take."""
     refresh_fleet_statistics(front)
     # A front that has few streams, and so knows little about the queues, relies less on its predictions.
-    evidence = front.mean_streams / (PRIOR_STREAMS + front.mean_streams)
+    evidence_weight = front.mean_streams / (PRIOR_STREAMS + front.mean_streams)
     max_wait_fraction = (
-        MAX_WAIT_FRACTION_WITHOUT_STREAMS + (MAX_WAIT_FRACTION - MAX_WAIT_FRACTION_WITHOUT_STREAMS) * evidence
+        MAX_WAIT_FRACTION_WITHOUT_STREAMS
+        + (MAX_WAIT_FRACTION - MAX_WAIT_FRACTION_WITHOUT_STREAMS) * evidence_weight
     )
     return max_wait_fraction * (CLIENT_RETRY_WAIT_FACTOR if request.is_client_retry else 1)
 
@@ -119,8 +120,8 @@
     front.tenant_arrivals[request.tenant] = TenantArrivals(count, front.now)
     rate = front.settings.tenants[request.tenant].requests_per_second
     # The decayed count to which arrivals at the tenant's share of the rate converge.
-    usual = rate / front.settings.front_count * ARRIVAL_HALF_LIFE_SECONDS / LN_2
-    return 0 < SHARE_TOLERANCE * usual + SHARE_BURST_REQUESTS < count
+    expected_count = rate / front.settings.front_count * ARRIVAL_HALF_LIFE_SECONDS / LN_2
+    return 0 < SHARE_TOLERANCE * expected_count + SHARE_BURST_REQUESTS < count
 
 
 def enqueue_if_behind(front: FrontState, progress: RequestProgress) -> bool:
@@ -149,7 +150,7 @@
 def admit_prefill(front: FrontState, progress: RequestProgress, engine: Engine) -> Engine | None:
     """Return the engine if its queue is short enough for this request, else None.
 
-    If the request cannot start in time on any engine, it is marked as given up.
+    If the predicted wait leaves too little time for the first token, the request is marked as given up.
     """
     request = progress.request
     decode_capable = candidate_engines(front, request, Role.MIXED)
--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -84,10 +84,10 @@
 ) -> None:
     """Learn how much longer a decode waited than one that needs no transfer between racks."""
     if outcome.status in (AttemptStatus.STREAM_STARTED, AttemptStatus.TIMED_OUT):
-        usual = front.role_decode_waits[engine.role]
-        extra = outcome.duration - current_estimate(front, engine.decode_wait, usual)
-        own = front.rack_transfer_delays[prefill_engine.rack]
-        update_estimate(front, own, front.fleet_transfer_delay, max(0.0, extra))
+        role_wait = front.role_decode_waits[engine.role]
+        extra = outcome.duration - current_estimate(front, engine.decode_wait, role_wait)
+        rack_delay = front.rack_transfer_delays[prefill_engine.rack]
+        update_estimate(front, rack_delay, front.fleet_transfer_delay, max(0.0, extra))
 
 
 def _learn_decode_wait(front: FrontState, engine: Engine, outcome: AttemptOutcome) -> None:
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -13,8 +13,8 @@
 
 # Load of a mixed engine, as a fraction of its capacity, up to which streams are packed onto it.
 PACKING_THRESHOLD = 0.8
-# Own streams on an engine at which the estimate of other fronts' streams there relies on them as much as on
-# the fleet's mean.
+# Weight of the fleet's mean, in streams, against this front's own streams on an engine where the streams of
+# other fronts on that engine are estimated.
 PRIOR_STREAMS = 4
 # Wait for a first token, or for a rack's link, that costs as much as a fully loaded engine.
 FULL_LOAD_WAIT = SECOND
--- a/runspool/scheduling/prefix_affinity.py
+++ b/runspool/scheduling/prefix_affinity.py
@@ -29,24 +29,24 @@
 
 
 def affinity_candidates(front: FrontState, request: Request) -> list[int]:
-    """Return the ids of the prefill engines on which a prompt is assumed to be cached, and count its prefix.
+    """Return the ids of the prefill engines that are assumed to have a prompt cached; count its prefix.
 
-    The first one is the engine of the request's session. All fronts get the same engines.
+    The first one is the engine of the request's session. All fronts assume the same engines.
     """
     if front.engine_index.is_large(Role.PREFILL):
         return _candidates_in_large_fleet(front, request)
     engines = list(front.ready_engines(Role.PREFILL))
     if request.prefix is not None:
-        # The initial share keeps a front with little traffic from inferring a single candidate, or half of
-        # all engines, from a single request, with every front inferring something else. All texts of a prefix
-        # would then go to one engine, and no session would find its cached text again.
+        # `PRIOR_PREFIX_SHARE` keeps a front with little traffic from choosing the number of candidates by a
+        # single request: one candidate, or half of all engines, and another number at every front. All texts
+        # of a prefix would then go to one engine, and no session would find its cached text again.
         engines.sort(key=lambda e: affinity_rank(front, e, request.prefix_hash))
         engines = engines[: _candidate_count(front, request, len(engines))]
     return _in_session_order(front, engines, request)
 
 
 def _candidates_in_large_fleet(front: FrontState, request: Request) -> list[int]:
-    """Return the same from the hash ring, without sorting all prefill engines."""
+    """Return the affinity candidates of a request from the hash ring, without sorting all prefill engines."""
     engine_count = len(front.ready_engines(Role.PREFILL))
     if request.prefix is None:
         span, text_hash = engine_count, request.session_hash
@@ -69,17 +69,17 @@
 
 
 def _in_session_order(front: FrontState, engines: list[Engine], request: Request) -> list[int]:
-    """Return the ids of the candidates, that of the session's engine first; sorts `engines` in place."""
+    """Return the ids of the candidates, the one assumed for the session first; sorts `engines` in place."""
     zone = front.settings.zone
     engines.sort(key=lambda e: (e.zone != zone, affinity_rank(front, e, request.session_hash)))
     return [e.id for e in engines]
 
 
 def affinity_rank(front: FrontState, engine: Engine, text_hash: int) -> float:
-    """Return an engine's rank for a text; the lowest rank is the best.
+    """Return an engine's rank for a text; the engine with the lowest rank is the first candidate.
 
-    All fronts compute the same random rank from the hashes. It is weighted by the balance of the engine's
-    rack.
+    The rank is drawn from hashes that are the same at all fronts, and is weighted by the balance of the
+    engine's rack.
     """
     mixed_hash = (engine.stable_hash * (2 * text_hash + 1) & HASH_MASK) + 1
     return -log(mixed_hash / (HASH_MASK + 2)) / front.rack_balance.get(engine.rack, 1.0)
--- a/runspool/scheduling/retry_policy.py
+++ b/runspool/scheduling/retry_policy.py
@@ -84,9 +84,9 @@
     decodes = engine.role is not Role.PREFILL
     if decodes and progress.class_state.settings.idempotency is not Idempotency.IDEMPOTENT:
         return 0
-    # The engine may go on with an abandoned attempt, so one that is merely slow is not abandoned as far as
-    # that can be predicted. A prefill is kept until its first token is due: during congestion a repeat
-    # doubles the work and finishes no sooner.
+    # The engine may continue an abandoned attempt. An attempt is therefore kept for most of the time left,
+    # and for a multiple of its predicted time. A prefill is kept until its first token is due: during
+    # congestion a repeat doubles the work and finishes no sooner.
     due = progress.first_token_due
     left = (due if front.now < due - 2 * MIN_TIMEOUT else progress.deadline) - front.now
     wait = _predicted_wait(front, progress, engine)
--- a/runspool/scheduling/settings.py
+++ b/runspool/scheduling/settings.py
@@ -55,7 +55,8 @@
 class RoutingSettings:
     """Limits, permissions and prices that all fronts of a deployment share, and this front's own index.
 
-    Requests and engine records refer to `request_classes`, `tenants` and `engine_types` by list index.
+    Requests and engine records refer to `request_classes`, `tenants` and `engine_types` by list index. The
+    `may_` flags say what the platform permits a front to do.
 
     A newly started engine has the fraction `slow_start_initial_fraction` of its full capacity, which grows to
     1 over `slow_start_duration`. It fails if within `slow_start_overload_window` it receives more than
--- a/runspool/scheduling/transfer_cost.py
+++ b/runspool/scheduling/transfer_cost.py
@@ -25,6 +25,7 @@
     # Requests with the shortest objective wait behind this one.
     objective = front.shortest_objective()
     refresh_fleet_statistics(front)
+    # The less decode capacity the rack has to spare, the more likely the state has to leave it.
     transfer_probability = 0.0
     if engine.role is Role.PREFILL:
         transfer_probability = max(0.0, 1 - front.rack_balance.get(engine.rack, 1.0))
