--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -206,7 +206,7 @@
 
     async def stream_started(self) -> None:
         self.head_sent = True
-        self.chunks = wire.CompletionEventEncoder(self.request_id, self.model, self.created_at)
+        self.encoder = wire.CompletionEventEncoder(self.request_id, self.model, self.created_at)
         fields = [
             ("Content-Type", "text/event-stream"),
             ("Cache-Control", "no-store"),
@@ -218,7 +218,7 @@
         await self.forward(encode_response_head(200, fields))
 
     async def data_received(self, text: str) -> None:
-        await self.forward(self.chunks.text(text))
+        await self.forward(self.encoder.text(text))
 
     async def finish(self, final: FinalResponse) -> None:
         """Send the last event of the stream and end the response.
