--- a/runspool/lab/replay.py
+++ b/runspool/lab/replay.py
@@ -16,9 +16,9 @@
 from runspool.runtime.scheduler_driver import SchedulerDriver
 from runspool.scheduling.settings import RoutingSettings
 from runspool.scheduling.types import AttemptOutcome, EndpointUpdate, EngineRecord, Request
-from runspool.service.recording_format import Event, RecordedAction, from_stored
+from runspool.service.recording_format import RecordedAction, RecordedEvent, from_stored
 
-EVENTS = frozenset(Event)
+EVENTS = frozenset(RecordedEvent)
 
 
 class UnreadableEventsError(RunspoolError):
@@ -137,7 +137,7 @@
             return
         self.result.events += 1
         try:
-            if word == Event.STARTED:
+            if word == RecordedEvent.STARTED:
                 settings = from_stored(values[1], RoutingSettings)
                 self.driver = SchedulerDriver(settings, values[0], self.recorder, at)
             elif self.driver is None:
@@ -150,22 +150,22 @@
 
 def _pass_event(driver: SchedulerDriver, at: int, word: str, values: list[Any]) -> None:
     match word:
-        case Event.SUBMITTED:
+        case RecordedEvent.SUBMITTED:
             driver.submit(at, from_stored(values[0], Request))
-        case Event.STREAM_STARTED:
+        case RecordedEvent.STREAM_STARTED:
             driver.stream_started(at, values[0], values[1], values[2])
-        case Event.ATTEMPT_ENDED:
+        case RecordedEvent.ATTEMPT_ENDED:
             driver.attempt_ended(at, values[0], values[1], from_stored(values[2], AttemptOutcome), values[3])
-        case Event.CLIENT_DISCONNECTED:
+        case RecordedEvent.CLIENT_DISCONNECTED:
             driver.client_disconnected(at, values[0])
-        case Event.ABANDONED:
+        case RecordedEvent.ABANDONED:
             driver.abandon(at, values[0])
-        case Event.TIMER_FIRED:
+        case RecordedEvent.TIMER_FIRED:
             driver.timer_fired(at, values[0])
-        case Event.ENDPOINTS_UPDATED:
+        case RecordedEvent.ENDPOINTS_UPDATED:
             records = [from_stored(record, EngineRecord) for record in values[1]]
             driver.update_endpoints(at, EndpointUpdate(values[0], records))
-        case Event.SHUTDOWN_BEGUN:
+        case RecordedEvent.SHUTDOWN_BEGUN:
             driver.begin_shutdown(at, values[0])
-        case Event.SUBSCRIPTION_LOST:
+        case RecordedEvent.SUBSCRIPTION_LOST:
             driver.subscription_lost(at)
--- a/runspool/service/cell_scheduler.py
+++ b/runspool/service/cell_scheduler.py
@@ -14,7 +14,7 @@
 from runspool.scheduling.types import AttemptOutcome, EndpointUpdate, EngineRecord, EngineState, Request
 from runspool.service.clock import now
 from runspool.service.event_recorder import EventRecorder
-from runspool.service.recording_format import Event, RecordedAction
+from runspool.service.recording_format import RecordedAction, RecordedEvent
 from runspool.service.timer_queue import SchedulerTimer
 
 
@@ -71,7 +71,7 @@
         self.engines: dict[int, EngineRecord] = {}
         self.open_requests = 0
         at = now()
-        self.recorder.record(at, Event.STARTED, seed, settings)
+        self.recorder.record(at, RecordedEvent.STARTED, seed, settings)
         self.driver = SchedulerDriver(settings, seed, self, at)
 
     # Events.
@@ -79,35 +79,37 @@
     def submit(self, request: Request) -> None:
         """Submit a new request to the scheduler."""
         self.open_requests += 1
-        self._notify(Event.SUBMITTED, self.driver.submit, request)
+        self._notify(RecordedEvent.SUBMITTED, self.driver.submit, request)
 
     def stream_started(self, request: int, attempt: int, duration: int) -> None:
         """Report that an attempt's first token was received `duration` after the attempt was started."""
-        self._notify(Event.STREAM_STARTED, self.driver.stream_started, request, attempt, duration)
+        self._notify(RecordedEvent.STREAM_STARTED, self.driver.stream_started, request, attempt, duration)
 
     def attempt_ended(self, request: int, attempt: int, outcome: AttemptOutcome, is_final: bool) -> None:
         """Report the outcome of an attempt; `is_final` means that the request has its final response."""
-        self._notify(Event.ATTEMPT_ENDED, self.driver.attempt_ended, request, attempt, outcome, is_final)
+        self._notify(
+            RecordedEvent.ATTEMPT_ENDED, self.driver.attempt_ended, request, attempt, outcome, is_final
+        )
 
     def client_disconnected(self, request: int) -> None:
         """Report that no client waits for the request's response any more."""
-        self._notify(Event.CLIENT_DISCONNECTED, self.driver.client_disconnected, request)
+        self._notify(RecordedEvent.CLIENT_DISCONNECTED, self.driver.client_disconnected, request)
 
     def timer_fired(self, token: str) -> None:
         """Report that the timer which the scheduler set with this token has expired."""
-        self._notify(Event.TIMER_FIRED, self.driver.timer_fired, token)
+        self._notify(RecordedEvent.TIMER_FIRED, self.driver.timer_fired, token)
 
     def abandon(self, request: int) -> None:
         """Drop a request on which the scheduler raised an exception; does nothing if it is unknown."""
-        self._notify(Event.ABANDONED, self.driver.abandon, request)
+        self._notify(RecordedEvent.ABANDONED, self.driver.abandon, request)
 
     def begin_shutdown(self, by: int) -> None:
         """Report that the front is shutting down and may be killed after the time `by`."""
-        self._notify(Event.SHUTDOWN_BEGUN, self.driver.begin_shutdown, by)
+        self._notify(RecordedEvent.SHUTDOWN_BEGUN, self.driver.begin_shutdown, by)
 
     def subscription_lost(self) -> None:
         """Report that the subscription to endpoint list updates was lost."""
-        self._notify(Event.SUBSCRIPTION_LOST, self.driver.subscription_lost)
+        self._notify(RecordedEvent.SUBSCRIPTION_LOST, self.driver.subscription_lost)
 
     def update_engines(self, known: dict[int, EngineRecord]) -> None:
         """Send the scheduler the differences between `known`, the cell's current engines, and its own state.
@@ -124,10 +126,10 @@
             return
         self.engines = dict(known)
         at = now()
-        self.recorder.record(at, Event.ENDPOINTS_UPDATED, False, changed)
+        self.recorder.record(at, RecordedEvent.ENDPOINTS_UPDATED, False, changed)
         self.driver.update_endpoints(at, EndpointUpdate(False, changed))
 
-    def _notify(self, event: Event, deliver: Callable[..., object], *details: object) -> None:
+    def _notify(self, event: RecordedEvent, deliver: Callable[..., object], *details: object) -> None:
         at = now()
         self.recorder.record(at, event, *details)
         deliver(at, *details)
--- a/runspool/service/event_recorder.py
+++ b/runspool/service/event_recorder.py
@@ -11,7 +11,7 @@
 import msgspec
 import structlog
 
-from runspool.service.recording_format import Event, RecordedAction, to_stored
+from runspool.service.recording_format import RecordedAction, RecordedEvent, to_stored
 
 MAX_BYTES = 1 << 30  # maximum size of one recording
 BUFFER_BYTES = 1 << 16  # size of the write buffer
@@ -27,7 +27,7 @@
         self._file: BinaryIO | None = path.open("ab", buffering=BUFFER_BYTES) if path else None
         self._bytes_left = max_bytes
 
-    def record(self, now: int, entry: Event | RecordedAction, *values: object) -> None:
+    def record(self, now: int, entry: RecordedEvent | RecordedAction, *values: object) -> None:
         """Append one line; `now` is in tenths of a millisecond on the front's clock."""
         if self._file is None:
             return
--- a/runspool/service/recording_format.py
+++ b/runspool/service/recording_format.py
@@ -23,7 +23,7 @@
 T = TypeVar("T")
 
 
-class Event(StrEnum):
+class RecordedEvent(StrEnum):
     """An event that was passed to a scheduler driver."""
 
     STARTED = "start"
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -14,15 +14,15 @@
 from runspool.lab.replay import replay
 from runspool.scheduling.settings import RoutingSettings
 from runspool.scheduling.types import AttemptOutcome, EngineRecord, Request
-from runspool.service.recording_format import STORED_NAMES, Event, from_stored, to_stored
+from runspool.service.recording_format import STORED_NAMES, RecordedEvent, from_stored, to_stored
 
 RECORDED = Path(__file__).parent / "recorded"
 FILES = RECORDED / "files"
 EVENTS = sorted((RECORDED / "events").glob("*.xz"))
 STORED_TYPES = {
-    Event.STARTED: (1, RoutingSettings),
-    Event.SUBMITTED: (0, Request),
-    Event.ATTEMPT_ENDED: (2, AttemptOutcome),
+    RecordedEvent.STARTED: (1, RoutingSettings),
+    RecordedEvent.SUBMITTED: (0, Request),
+    RecordedEvent.ATTEMPT_ENDED: (2, AttemptOutcome),
 }
 
 
@@ -40,15 +40,15 @@
     seen = set()
     for line in lzma.decompress(recording.read_bytes()).splitlines():
         _, word, *values = msgspec.json.decode(line)
-        if word == Event.ENDPOINTS_UPDATED:
+        if word == RecordedEvent.ENDPOINTS_UPDATED:
             assert [to_stored(from_stored(one, EngineRecord)) for one in values[1]] == values[1]
         elif word in STORED_TYPES:
-            position, kind = STORED_TYPES[Event(word)]
+            position, kind = STORED_TYPES[RecordedEvent(word)]
             assert to_stored(from_stored(values[position], kind)) == values[position]
         else:
             continue
         seen.add(word)
-    assert seen == {*STORED_TYPES, Event.ENDPOINTS_UPDATED}
+    assert seen == {*STORED_TYPES, RecordedEvent.ENDPOINTS_UPDATED}
 
 
 @pytest.mark.parametrize("kind", STORED_NAMES, ids=lambda kind: str(kind.__name__))
