--- a/runspool/service/attempt_runner.py
+++ b/runspool/service/attempt_runner.py
@@ -168,7 +168,7 @@
         }
         executor.log.debug("attempt_finished", **details)
         if result.failure_cause is not None:
-            executor.trace.info("attempt_ended", **details)
+            executor.rate_limited_log.info("attempt_ended", **details)
 
 
 def _failed_result(cause: FailureCause, detail: str = "") -> AttemptResult:
--- a/runspool/service/executor_base.py
+++ b/runspool/service/executor_base.py
@@ -39,7 +39,7 @@
         """Initialize without requests; `engine_types` and `zones` map configured names to their indices."""
         super().__init__()
         self.settings = settings
-        self.trace = RateLimitedLog()
+        self.rate_limited_log = RateLimitedLog()
         self.invariants = InvariantMonitor(self._report_violation)
         start_times = StartTimeConverter(lambda: wall_clock_offset_ms())
         self.endpoint_registry = EndpointRegistry(settings, engine_types, zones, start_times)
@@ -66,7 +66,7 @@
             self.invariants.record(InvariantViolation.ANSWERED_TWICE, request=pending.id, reason=final.code)
         self.counts[final.kind.value] += 1
         if final.kind is not ResponseKind.SUCCEEDED:
-            self.trace.info(
+            self.rate_limited_log.info(
                 "request_ended",
                 request=pending.id,
                 how=final.kind.value,
--- a/runspool/service/release_check.py
+++ b/runspool/service/release_check.py
@@ -45,7 +45,7 @@
 
     def _report_release(self, pending: RequestT) -> None:
         self.executor.counts["released_during_attempt"] += 1
-        self.executor.trace.info(
+        self.executor.rate_limited_log.info(
             "state_released",
             request=pending.id,
             attempt=pending.attempt_count,
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -99,7 +99,7 @@
         """Apply changed entries of the endpoint list and send the schedulers their engines."""
         replacements = self.endpoint_registry.apply(changed)
         if replacements:
-            log_replacements(self.trace, replacements, self.requests.values())
+            log_replacements(self.rate_limited_log, replacements, self.requests.values())
         self.publish_engines()
 
     def intern_text(self, kind: str, name: str | None, at: int) -> int | None:
