--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -165,8 +165,8 @@
         self.accept(pending)
         request = client_request.to_request(
             index,
-            self.intern_text("s", client_request.session, accepted_at),
-            self.intern_text("b", client_request.prefix, accepted_at),
+            self.intern_name("s", client_request.session, accepted_at),
+            self.intern_name("b", client_request.prefix, accepted_at),
             time_budget,
         )
         self.notify_scheduler(self.scheduler, index, CellScheduler.submit, request)
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -43,9 +43,9 @@
 )
 from runspool.wire.endpoint_list import EndpointEntry
 
-# How long the index of an unused session or prompt prefix is kept, in tenths of a millisecond. A text that
+# How long the index of an unused session or prompt prefix is kept, in tenths of a millisecond. One that
 # has not been used for this time is no longer in any engine's cache.
-TEXT_RETENTION = 6_000_000
+NAME_RETENTION = 6_000_000
 
 
 class RequestExecutor(RequestExecutorBase[RequestT]):
@@ -60,7 +60,7 @@
         settings: RoutingSettings,
         engine_types: dict[str, int],
         zones: dict[str, int],
-        text_capacity: int,
+        max_interned_names: int,
     ) -> None:
         """Initialize the executor.
 
@@ -68,10 +68,10 @@
             settings: The routing settings.
             engine_types: The indices of the configured engine types by name.
             zones: The indices of the configured zones by name.
-            text_capacity: The maximum number of sessions and prompt prefixes that have an index.
+            max_interned_names: The maximum number of sessions and prompt prefixes that have an index.
         """
         super().__init__(settings, engine_types, zones)
-        self.text_interner = Interner(text_capacity, TEXT_RETENTION)
+        self.name_interner = Interner(max_interned_names, NAME_RETENTION)
         self.release_check = ReleaseCheck(self)
         self.request_terminator = RequestTerminator(self)
         self.attempt_runner = AttemptRunner(self, self.release_check)
@@ -102,13 +102,13 @@
             log_replacements(self.rate_limited_log, replacements, self.requests.values())
         self.publish_engines()
 
-    def intern_text(self, kind: str, name: str | None, at: int) -> int | None:
+    def intern_name(self, kind: str, name: str | None, at: int) -> int | None:
         """Return the scheduler's index for a session or prompt prefix, or None if `name` is None.
 
         `kind` is a prefix that separates the names of sessions from those of prompt prefixes; `at` is the
         current time.
         """
-        return None if name is None else self.text_interner.intern(kind + name, at)
+        return None if name is None else self.name_interner.intern(kind + name, at)
 
     # Scheduler actions.
 
--- a/runspool/simulator_adapter/host.py
+++ b/runspool/simulator_adapter/host.py
@@ -81,7 +81,7 @@
         self.reply = reply
         self.engine_names: list[str] = []
         self.engine_interner = Interner()
-        self.text_interner = Interner(MAX_INTERNED_NAMES)
+        self.name_interner = Interner(MAX_INTERNED_NAMES)
         self.request_names: dict[int, str] = {}
         self.request_indices: dict[str, int] = {}
         self.request_count = 0
@@ -148,8 +148,8 @@
             index=index,
             request_class=request_class,
             tenant=self.settings.tenants.get(line.optional_text("team") or ""),
-            session=None if session is None else self.text_interner.intern("s" + session),
-            prefix=None if prefix is None else self.text_interner.intern("b" + prefix),
+            session=None if session is None else self.name_interner.intern("s" + session),
+            prefix=None if prefix is None else self.name_interner.intern("b" + prefix),
             prompt_tokens=line.integer("prompt-len", 0),
             prefix_tokens=line.integer("prefix-len", 0),
             max_output_tokens=line.integer("max-out", 0),
