--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -70,7 +70,7 @@
         elif path == "/healthz" and method == "GET":
             await self.send_response(503 if self.front.closing else 200, b"{}")
         elif path == "/cells" and method == "GET":
-            await self.send_response(200, msgspec.json.encode(self.front.cells()))
+            await self.send_response(200, msgspec.json.encode(self.front.status_page()))
         elif path == "/v1/models" and method == "GET":
             await self.send_response(200, msgspec.json.encode(self._model_list()))
         else:
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -167,7 +167,7 @@
         self.publish_engines()
         self.scheduler_registry.close_unused()
 
-    def cells(self) -> dict[str, Any]:
+    def status_page(self) -> dict[str, Any]:
         """Return the status page for operators: the state of this front's cells and tenant migrations."""
         return cell_status(self.config.front.name, self.cell_router, now(), unix_ms())
 
--- a/tests/test_front_cells.py
+++ b/tests/test_front_cells.py
@@ -85,7 +85,7 @@
         await adopt(fleet, map_with_move())
         assert (await fleet.ask(runspool_tenant="one", runspool_mark="new")).status == 200
         assert engines_reached(fleet, "new") == {"e2", "e3"}
-        moves = fleet.running.front.cells()["moves"]
+        moves = fleet.running.front.status_page()["moves"]
         assert [(move["stage"], move["out"]) for move in moves] in ([("settling", 1)], [("settled", 0)])
         await until_event(fleet, "ran", "old")
         (turned_back,) = map_with_move(step="turned_back", turned_unix_ms=2).moves
