--- a/runspool/lab/replay.py
+++ b/runspool/lab/replay.py
@@ -159,7 +159,7 @@
         case RecordedEvent.CLIENT_DISCONNECTED:
             driver.client_disconnected(at, values[0])
         case RecordedEvent.ABANDONED:
-            driver.abandon(at, values[0])
+            driver.abort_task(at, values[0])
         case RecordedEvent.TIMER_FIRED:
             driver.timer_fired(at, values[0])
         case RecordedEvent.ENDPOINTS_UPDATED:
