--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -131,8 +131,8 @@
             index=pending.index,
             request_class=request_class,
             tenant=None if completion.tenant is None else self.tenant_indices[completion.tenant],
-            session=self.intern_text("s", completion.session, accepted_at),
-            prefix=self.intern_text("b", completion.prefix, accepted_at),
+            session=self.intern_name("s", completion.session, accepted_at),
+            prefix=self.intern_name("b", completion.prefix, accepted_at),
             prompt_tokens=completion.prompt_tokens,
             prefix_tokens=completion.prefix_tokens,
             max_output_tokens=completion.max_output_tokens,
@@ -167,7 +167,7 @@
         self.publish_engines()
         self.scheduler_registry.close_unused()
 
-    def cells(self) -> dict[str, Any]:
+    def status_page(self) -> dict[str, Any]:
         """Return the status page for operators: the state of this front's cells and tenant migrations."""
         return cell_status(self.config.front.name, self.cell_router, now(), unix_ms())
 
