--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -165,8 +165,8 @@
         self.accept(pending)
         request = client_request.to_request(
             index,
-            self.intern_text("s", client_request.session, accepted_at),
-            self.intern_text("b", client_request.prefix, accepted_at),
+            self.intern_name("s", client_request.session, accepted_at),
+            self.intern_name("b", client_request.prefix, accepted_at),
             time_budget,
         )
         self.notify_scheduler(self.scheduler, index, CellScheduler.submit, request)
@@ -261,7 +261,7 @@
         """
         if endpoint.role is Role.PREFILL:
             # After the end of its attempts, only the deadline guard could respond to the request.
-            remaining = (self.deadline_guard.attempts_end_at(pending) - now()) / TENTHS_PER_SECOND
+            remaining = (self.deadline_guard.attempt_deadline(pending) - now()) / TENTHS_PER_SECOND
             await self.state_releaser.wait_until_done(
                 pending.id, max(0.0, min(RELEASE_WAIT_SECONDS, remaining))
             )
--- a/tests/test_front_attempts.py
+++ b/tests/test_front_attempts.py
@@ -92,7 +92,7 @@
             return True
 
         monkeypatch.setattr(front.engine_client, "accepts_connections", never_answers)
-        monkeypatch.setattr("runspool.service.engine_check.ENGINE_CHECK_SECONDS", 60.0)
+        monkeypatch.setattr("runspool.service.engine_check.ENGINE_CHECK_TIMEOUT", 60.0)
         fleet.engines[1].fault("row", row="reset_after", share=1.0)
         with anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
@@ -123,7 +123,7 @@
 ) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
         front = fleet.running.front
-        monkeypatch.setattr("runspool.scheduling.attempt_accounting.update", lambda *_: 1 // 0)
+        monkeypatch.setattr("runspool.scheduling.attempt_accounting.update_estimate", lambda *_: 1 // 0)
         response = await fleet.ask(out=200)
         if response.status == 200:
             assert b"scrapped" in response.body
