--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -106,7 +106,7 @@
     def _end_open_requests(self) -> None:
         self.executor.request_terminator.end_open_requests()
         for handler in list(self.connections.handlers):
-            handler.refuse_incomplete()
+            handler.refuse_incomplete_request()
 
     async def _wait_until_idle(self, until: int, before_check: Callable[[], None] = lambda: None) -> bool:
         """Wait until nothing is in progress; return False if that is not so by `until`.
--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -77,7 +77,7 @@
             open.
     """
 
-    UNREPEATABLE_HEADERS = ("req-", "host", "content-length", "transfer-encoding")
+    UNIQUE_HEADER_PREFIXES = ("req-", "host", "content-length", "transfer-encoding")
 
     def __init__(
         self, executor: NodeExecutor, connection: TcpConnection, count_active: Callable[[int], None]
--- a/runspool/service/cell_scheduler_registry.py
+++ b/runspool/service/cell_scheduler_registry.py
@@ -51,9 +51,9 @@
         self.seed = seed
         self.recording_path = recording_path
         self.schedulers: dict[str, CellScheduler] = {}
-        self.scheduler(self.cell_router.cell_map.cell_names()[0])
+        self.get_or_create(self.cell_router.cell_map.cell_names()[0])
 
-    def scheduler(self, name: str) -> CellScheduler:
+    def get_or_create(self, name: str) -> CellScheduler:
         """Return a cell's scheduler; if there is none yet, create it and send it the cell's engines."""
         scheduler = self.schedulers.get(name)
         if scheduler is None:
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -188,7 +188,7 @@
 
     def cell_scheduler(self, name: str) -> CellScheduler:
         """Return a cell's scheduler, which is created with the cell's first request."""
-        return self.scheduler_registry.scheduler(name)
+        return self.scheduler_registry.get_or_create(name)
 
     @property
     def first_driver(self) -> SchedulerDriver:
--- a/runspool/service/http_connection.py
+++ b/runspool/service/http_connection.py
@@ -70,7 +70,7 @@
     """
 
     # Prefixes of the lower-case names of headers that a request may contain only once.
-    UNREPEATABLE_HEADERS: tuple[str, ...] = ("runspool-",)
+    UNIQUE_HEADER_PREFIXES: tuple[str, ...] = ("runspool-",)
 
     def __init__(
         self, limits: ConnectionLimits, connection: TcpConnection, count_active: Callable[[int], None]
@@ -82,7 +82,7 @@
         """
         self.limits = limits
         self.tcp = connection
-        self.parser = HttpRequestParser(limits.head_bytes, limits.query_bytes, self.UNREPEATABLE_HEADERS)
+        self.parser = HttpRequestParser(limits.head_bytes, limits.query_bytes, self.UNIQUE_HEADER_PREFIXES)
         self.write_timeout_seconds = limits.answer_write_ms / 1000
         self.keeps_alive = True
         self.response_started = False
@@ -143,7 +143,7 @@
         scope.cancel()
         return True
 
-    def refuse_incomplete(self) -> None:
+    def refuse_incomplete_request(self) -> None:
         """Stop waiting for the rest of a partially received request, and refuse it because of the shutdown.
 
         This has no effect if unread bytes have arrived, which may be the rest of the request.
