--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -1,11 +1,13 @@
 """Plans when calls are made to the discovery agent, and decides which responses are applied. Does no I/O.
 
+The discovery agent is the platform's service that provides the endpoint list. It is called over HTTP.
+
 Waiting for responses is independent of making further calls. A call stays open as long as its connection
-lives, however slow the agent is, and every response can be used: an agent that queues the calls it receives
-during an outage responds to them when it recovers. Further calls are made concurrently at a low rate. They
-only serve to detect the recovery of an agent that has dropped the earlier calls. The rate is low because the
-agent may have to process all calls of an outage, including those that the node has given up, before the next
-watch.
+lives, however slow the agent is, and its response is accepted whenever it arrives: an agent that queues the
+calls it receives during an outage responds to them when it recovers. Further calls are made concurrently at a
+low rate. They only serve to detect the recovery of an agent that has dropped the earlier calls. The rate is
+low because the agent may have to process all calls of an outage, including those that the node has given up,
+before the next watch.
 
 All times are in tenths of a millisecond.
 """
@@ -32,10 +34,9 @@
 MAX_OVERDUE_MARGIN = 20_000
 MIN_WATCH_INTERVAL = 500  # shortest interval between two watches, even if the agent responds to each at once
 RECEIVE_TIMEOUT = 4_000  # a response counts as stalled if no further bytes of it arrive for this time
-MAX_RECEIVE_DURATION = (
-    30_000  # after this time since its first byte, a response counts as stalled in any case
-)
-MAX_OPEN_CALLS = 6  # maximum number of open calls
+# A response that is incomplete for this time after its first byte counts as stalled even if bytes still come.
+MAX_RECEIVE_DURATION = 30_000
+MAX_OPEN_CALLS = 6  # maximum number of calls that are open at the same time
 MAX_COUNTED_GIVEN_UP = 1_000  # maximum number of given-up calls that are remembered
 # An agent may refuse a second connection. The only open call is then given up in favour of a new one once it
 # has been open for at least this time beyond its wait.
--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -38,8 +38,8 @@
 FINAL_WRITE_DURATION = (
     10_000  # longest time in which the final responses that are sent after that are written
 )
-POLL_SECONDS = 0.02
-MAX_LOGGED_REQUESTS = 20
+POLL_SECONDS = 0.02  # interval between two checks whether anything is still in progress
+MAX_LOGGED_REQUESTS = 20  # maximum number of open requests that are logged when the deadline has passed
 
 
 class GracefulShutdown:
