--- a/runspool/node/config.py
+++ b/runspool/node/config.py
@@ -54,8 +54,8 @@
         discovery: The address of the discovery agent.
         seed: The seed of the scheduler's random numbers.
         max_descriptors: The maximum number of file descriptors that the process may hold.
-        last_endpoints: The latest endpoint list that the platform knew when it wrote the file; the node uses
-            it until the discovery agent responds.
+        last_known_endpoints: The latest endpoint list that the platform knew when it wrote the file. The node
+            uses it until the discovery agent responds.
         settings: The platform's settings.
     """
 
@@ -64,7 +64,7 @@
     discovery: Address
     seed: int
     max_descriptors: int
-    last_endpoints: EndpointListMessage
+    last_known_endpoints: EndpointListMessage
     settings: PlatformSettings
 
 
@@ -83,7 +83,7 @@
         raise InvalidNodeConfigError("BALANCER_CONFIG", "not set; it must name the configuration file")
     raw = _read_file(file)
     try:
-        return _check_document(msgspec.json.decode(raw), environ)
+        return _parse_document(msgspec.json.decode(raw), environ)
     except JSON_DECODE_ERRORS as error:
         raise UnreadableNodeConfigError(file, f"invalid JSON: {error}") from None
     except InvalidEndpointListError as error:
@@ -102,12 +102,12 @@
     return raw
 
 
-def _check_document(document: dict[str, Any], environ: Mapping[str, str]) -> NodeConfig:
+def _parse_document(document: dict[str, Any], environ: Mapping[str, str]) -> NodeConfig:
     top = SettingsSection(document, "")
     # Values in the file take precedence over the environment: the file may have been rewritten since the
     # process was started, whereas its environment does not change.
-    name = _text(top, "name", environ.get("BALANCER_NAME"))
-    last_endpoints, problems = decode_endpoint_list(
+    name = _read_text(top, "name", environ.get("BALANCER_NAME"))
+    last_known_endpoints, problems = decode_endpoint_list(
         msgspec.json.encode(document.get("known") or EMPTY_ENDPOINT_LIST)
     )
     if problems:
@@ -117,16 +117,16 @@
         raise InvalidNodeConfigError("settings", "missing")
     return NodeConfig(
         name=name,
-        listen=_address(top, "listen", environ.get("BALANCER_LISTEN")),
-        discovery=_address(top, "discovery", environ.get("BALANCER_DISCOVERY")),
-        seed=_seed(document.get("seed", 0)),
-        max_descriptors=_max_descriptors(top),
-        last_endpoints=last_endpoints,
-        settings=_platform_settings(document["settings"]),
+        listen=_read_address(top, "listen", environ.get("BALANCER_LISTEN")),
+        discovery=_read_address(top, "discovery", environ.get("BALANCER_DISCOVERY")),
+        seed=_parse_seed(document.get("seed", 0)),
+        max_descriptors=_read_max_descriptors(top),
+        last_known_endpoints=last_known_endpoints,
+        settings=_parse_platform_settings(document["settings"]),
     )
 
 
-def _platform_settings(value: object) -> PlatformSettings:
+def _parse_platform_settings(value: object) -> PlatformSettings:
     try:
         settings = PlatformSettings(value)
     except InvalidSettingsError as error:
@@ -136,22 +136,22 @@
     return settings
 
 
-def _text(top: SettingsSection, key: str, default: str | None) -> str:
+def _read_text(top: SettingsSection, key: str, default: str | None) -> str:
     value = top.values.get(key, default)
     if not isinstance(value, str) or not value:
         raise InvalidNodeConfigError(key, "missing, empty or not a string")
     return value
 
 
-def _address(top: SettingsSection, key: str, default: str | None) -> Address:
-    text = _text(top, key, default)
+def _read_address(top: SettingsSection, key: str, default: str | None) -> Address:
+    text = _read_text(top, key, default)
     address = parse_address(text)
     if address is None:
         raise InvalidNodeConfigError(key, f"{text!r} is not of the form host:port")
     return address
 
 
-def _seed(value: object) -> int:
+def _parse_seed(value: object) -> int:
     """Convert the seed, which is a number or a string of hexadecimal digits."""
     if isinstance(value, int) and not isinstance(value, bool):
         return value
@@ -161,7 +161,7 @@
         raise InvalidNodeConfigError("seed", f"{value!r} is not a hexadecimal number") from None
 
 
-def _max_descriptors(top: SettingsSection) -> int:
+def _read_max_descriptors(top: SettingsSection) -> int:
     max_descriptors = top.section("limits").integer("sockets", DEFAULT_MAX_DESCRIPTORS)
     if max_descriptors < MIN_MAX_DESCRIPTORS:
         raise InvalidNodeConfigError(
--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -162,9 +162,9 @@
         elif request.method != "POST":
             await self.send_response(405, self.error_body("method", "POST it"), [("Allow", "POST")])
         else:
-            await self._complete(request, received_at)
+            await self._handle_completion(request, received_at)
 
-    async def _complete(self, request: HttpRequest, received_at: int) -> None:
+    async def _handle_completion(self, request: HttpRequest, received_at: int) -> None:
         try:
             client_request = parse_client_request(
                 request.target, request.headers, bytes(request.body), self.executor.platform_settings
--- a/runspool/node/request_parser.py
+++ b/runspool/node/request_parser.py
@@ -105,12 +105,14 @@
     request_id = headers.get("req-id")
     if request_id is None or not REQUEST_ID.fullmatch(request_id):
         raise InvalidRequestError("Req-Id", "missing or no id")
-    request_class = _request_class(headers.get("req-kind"), settings)
-    tenant = _tenant(headers.get("req-owner"), settings)
+    request_class = _parse_request_class(headers.get("req-kind"), settings)
+    tenant = _parse_tenant(headers.get("req-owner"), settings)
     _check_body(body)
     extras = _parse_extras(headers.get("req-extra", ""))
     max_tokens = _max_prompt_tokens(settings)
-    prompt_tokens = _token_count(extras, "prompt_len", max(1, len(body) // BYTES_PER_TOKEN), 1, max_tokens)
+    prompt_tokens = _parse_token_count(
+        extras, "prompt_len", max(1, len(body) // BYTES_PER_TOKEN), 1, max_tokens
+    )
     prefix = extras.get("prefix") or None
     retry = headers.get("req-retry", "0")
     if retry not in ("0", "1", "again"):
@@ -125,8 +127,8 @@
         session=fields.parse_name(headers.get("req-key"), "Req-Key"),
         prefix=fields.parse_name(prefix, "Req-Extra prefix"),
         prompt_tokens=prompt_tokens,
-        prefix_tokens=_token_count(extras, "prefix_len", 0, 0, prompt_tokens) if prefix else 0,
-        max_output_tokens=_token_count(extras, "max_out", 0, 0, max_tokens),
+        prefix_tokens=_parse_token_count(extras, "prefix_len", 0, 0, prompt_tokens) if prefix else 0,
+        max_output_tokens=_parse_token_count(extras, "max_out", 0, 0, max_tokens),
         expected_output_tokens=_parse_cost(headers.get("req-cost")) // time_per_token
         if time_per_token
         else 0,
@@ -136,14 +138,14 @@
     )
 
 
-def _request_class(name: str | None, settings: PlatformSettings) -> int:
+def _parse_request_class(name: str | None, settings: PlatformSettings) -> int:
     index = settings.request_classes.get(name or "")
     if index is None:
         raise InvalidRequestError("Req-Kind", f"{_quote(name)} is not known here")
     return index
 
 
-def _tenant(name: str | None, settings: PlatformSettings) -> int | None:
+def _parse_tenant(name: str | None, settings: PlatformSettings) -> int | None:
     """Return the tenant's index; None if the request names none, or if the platform has no tenants."""
     index = settings.tenants.get(name) if name is not None else None
     if settings.tenants and name is not None and index is None:
@@ -198,7 +200,7 @@
     return extras
 
 
-def _token_count(extras: dict[str, str], key: str, default: int, minimum: int, maximum: int) -> int:
+def _parse_token_count(extras: dict[str, str], key: str, default: int, minimum: int, maximum: int) -> int:
     return fields.parse_integer(extras.get(key), f"Req-Extra {key}", default, minimum, maximum)
 
 
--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -123,7 +123,9 @@
             InvalidNodeConfigError: The node cannot listen on the configured address.
         """
         executor = self.executor
-        executor.endpoints_changed(executor.endpoint_tracker.restore(self.config.last_endpoints.engines))
+        executor.endpoints_changed(
+            executor.endpoint_tracker.restore(self.config.last_known_endpoints.engines)
+        )
         listener = await self._listen()
         if listener is None:
             self.log.info("node_stopped_before_start", waited_for="port")
@@ -278,11 +280,11 @@
             port=self.port,
             clients=self.connections.max_clients,
             engines=self.executor.engine_client.pool.max_connections,
-            known=len(self.config.last_endpoints.engines),
+            known=len(self.config.last_known_endpoints.engines),
         )
 
 
-def raise_descriptor_limit(wanted: int) -> int:
+def set_descriptor_limit(wanted: int) -> int:
     """Set this process's limit on open file descriptors.
 
     Args:
@@ -364,7 +366,7 @@
         if config is None:
             structlog.get_logger().info("node_stopped_before_start", waited_for="configuration")
             return
-        max_descriptors = raise_descriptor_limit(config.max_descriptors)
+        max_descriptors = set_descriptor_limit(config.max_descriptors)
         self.server = NodeServer(
             config, lambda: read_node_config(self.environ), max_descriptors, self.stop_request
         )
--- a/runspool/node/state_releaser.py
+++ b/runspool/node/state_releaser.py
@@ -99,8 +99,8 @@
     Attributes:
         client: Makes the calls.
         timeout: The time limit of a release and of each call in a round, in tenths of a millisecond.
-        engines: Returns the engines that may be called, those most likely to respond first.
-        count: Called with +1 and -1 as the number of pending releases changes.
+        candidate_engines: Returns the engines that may be called, those most likely to respond first.
+        count_pending: Called with +1 and -1 as the number of pending releases changes.
         pending: All pending releases, by the id of the request.
         overdue: Those that were not confirmed in their first round, the least recently retried first.
         overdue_added: Set when a release becomes overdue.
@@ -112,14 +112,14 @@
         self,
         client: ReleaseClient,
         timeout: int,
-        engines: Callable[[], list[Endpoint]],
-        count: Callable[[int], None],
+        candidate_engines: Callable[[], list[Endpoint]],
+        count_pending: Callable[[int], None],
     ) -> None:
         """Create a releaser without pending releases; the arguments are described above."""
         self.client = client
         self.timeout = timeout
-        self.engines = engines
-        self.count = count
+        self.candidate_engines = candidate_engines
+        self.count_pending = count_pending
         self.pending: dict[str, PendingRelease] = {}
         self.overdue: dict[str, PendingRelease] = {}
         self.overdue_added = anyio.Event()
@@ -136,7 +136,7 @@
         """
         self.withdraw(release.request)
         self.pending[release.request] = release
-        self.count(1)
+        self.count_pending(1)
         confirmed = False
         with anyio.CancelScope() as release.scope:
             confirmed = await self._run_round(release, self._first_round_engines(release.endpoint))
@@ -149,11 +149,11 @@
         release.on_confirmed()
         # Count the repeated calls as pending, so that a shutdown waits for them: state may be reserved until
         # the last of them.
-        self.count(1)
+        self.count_pending(1)
         try:
             await self._repeat_release(release)
         finally:
-            self.count(-1)
+            self.count_pending(-1)
 
     def withdraw(self, request: str) -> bool:
         """Cancel the pending release of a request's state; return False if there is none.
@@ -298,7 +298,7 @@
         sorting them takes time.
         """
         yield endpoint
-        others = (engine for engine in self.engines() if engine.address != endpoint.address)
+        others = (engine for engine in self.candidate_engines() if engine.address != endpoint.address)
         yield from islice(others, MAX_ENGINES_FIRST_ROUND - 1)
 
     def _later_round_engines(self) -> list[Endpoint]:
@@ -308,7 +308,7 @@
         which may be unreachable.
         """
         half = MAX_ENGINES_LATER_ROUND // 2
-        engines = self.engines()
+        engines = self.candidate_engines()
         most_likely = engines[:half]
         others = engines[half:]
         if others:
@@ -336,6 +336,6 @@
             release.long_call_scope.cancel()
         if self.pending.get(release.request) is release:
             del self.pending[release.request]
-            self.count(-1)
+            self.count_pending(-1)
         if self.overdue.get(release.request) is release:
             del self.overdue[release.request]
--- a/tests/test_endpoint_watch_faults.py
+++ b/tests/test_endpoint_watch_faults.py
@@ -80,7 +80,7 @@
         # The list of an earlier run of the node, in which the other prefill engine was draining.
         last_entries = [
             replace(entry, state={"r": "draining"}.get(entry.engine, "on"))
-            for entry in running.config.last_endpoints.engines
+            for entry in running.config.last_known_endpoints.engines
         ]
         running.executor.endpoints_changed(running.executor.endpoint_tracker.restore(last_entries))
         await platform.until(lambda: bool(platform.lists))
