--- a/runspool/node/config.py
+++ b/runspool/node/config.py
@@ -23,7 +23,7 @@
 MAX_FILE_BYTES = 32 << 20  # maximum size of the configuration file
 DEFAULT_MAX_DESCRIPTORS = 1024  # limit on open file descriptors if the file does not set one
 MIN_MAX_DESCRIPTORS = 64  # lowest limit accepted; a lower one leaves too few for clients and engines
-EMPTY_ENDPOINT_LIST = {"index": 0, "snapshot": True}
+EMPTY_ENDPOINT_LIST = {"index": 0, "snapshot": True}  # used if the file contains no endpoint list
 
 
 class InvalidNodeConfigError(RunspoolError):
--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -49,7 +49,7 @@
 CONFIG_RETRY_SECONDS = 0.25  # interval between two attempts to read the configuration
 # How long a start waits for the first whole endpoint list; the discovery agent may not respond at all.
 FIRST_LIST_WAIT_SECONDS = 1.5
-LISTEN_BACKLOG = 1024
+LISTEN_BACKLOG = 1024  # maximum number of connections that wait in the kernel until they are accepted
 DISCOVERY_CONNECTION_SETTINGS = ConnectionSettings(
     connect_ms=1_000,
     idle_ms=60_000,
