--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -71,28 +71,28 @@
     Attributes:
         executor: Executes the requests.
         has_served: Whether a request from the connection has been accepted.
-        first: Whether the connection still waits for its first complete request.
+        awaits_first_request: Whether the connection still waits for its first complete request.
         first_request_deadline: The time limit of the first request, on the event loop's clock.
         idle_since: When the wait for the next request began, in tenths of a millisecond; 0 while a request is
             open.
     """
 
-    UNREPEATABLE_HEADERS = ("req-", "host", "content-length", "transfer-encoding")
+    UNIQUE_HEADER_PREFIXES = ("req-", "host", "content-length", "transfer-encoding")
 
     def __init__(
-        self, executor: NodeExecutor, connection: TcpConnection, count_busy: Callable[[int], None]
+        self, executor: NodeExecutor, connection: TcpConnection, count_active: Callable[[int], None]
     ) -> None:
         """Create a handler.
 
         Args:
             executor: Executes the requests.
             connection: The client's connection.
-            count_busy: Called with +1 when a request begins and with -1 when it ends.
+            count_active: Called with +1 when a request begins and with -1 when it ends.
         """
-        super().__init__(LIMITS, connection, count_busy)
+        super().__init__(LIMITS, connection, count_active)
         self.executor = executor
         self.has_served = False
-        self.first = True
+        self.awaits_first_request = True
         self.first_request_deadline = super()._deadline_after(FIRST_REQUEST_MS)
         self.idle_since = 0
 
@@ -104,7 +104,7 @@
         every other node is down too, they cannot open others: when connections were closed at SIGTERM, 11% of
         the requests during an incident reached no node.
         """
-        return self.executor.closing and not self.first
+        return self.executor.closing and not self.awaits_first_request
 
     def head_wait_ms(self) -> float:
         """Return the time limit until the next request begins, in milliseconds."""
@@ -112,7 +112,7 @@
 
     def _deadline_after(self, wait_ms: float) -> float:
         deadline = super()._deadline_after(wait_ms)
-        return min(deadline, self.first_request_deadline) if self.first else deadline
+        return min(deadline, self.first_request_deadline) if self.awaits_first_request else deadline
 
     async def _read_head(self) -> HttpRequest | None:
         self.idle_since = now()
@@ -154,7 +154,7 @@
         )
 
     async def _route(self, request: HttpRequest, received_at: int) -> None:
-        self.first = False
+        self.awaits_first_request = False
         if request.path == HEALTH_PATH and request.method == "GET":
             await self.send_response(503 if self.executor.shutdown_deadline else 200, b"{}")
         elif request.path != COMPLETIONS_PATH:
@@ -162,9 +162,9 @@
         elif request.method != "POST":
             await self.send_response(405, self.error_body("method", "POST it"), [("Allow", "POST")])
         else:
-            await self._complete(request, received_at)
+            await self._handle_completion(request, received_at)
 
-    async def _complete(self, request: HttpRequest, received_at: int) -> None:
+    async def _handle_completion(self, request: HttpRequest, received_at: int) -> None:
         try:
             client_request = parse_client_request(
                 request.target, request.headers, bytes(request.body), self.executor.platform_settings
@@ -181,14 +181,14 @@
             await self.send_response(REJECTED_STATUS, self.error_body(rejection.code, rejection.message))
             return
         self.has_served = True
-        final = await self.final_response(self.executor, pending, streaming)
+        final = await self.wait_for_final_response(self.executor, pending, streaming)
         await self._send_final(streaming, final)
 
     async def _send_final(self, streaming: EventStreamResponse, final: FinalResponse) -> None:
         if final.kind is ResponseKind.CLIENT_DISCONNECTED:
             self.tcp.close()
             raise ConnectionClosedError("the client has disconnected")
-        if streaming.opened:
+        if streaming.head_sent:
             if final.kind is not ResponseKind.SUCCEEDED or streaming.write_interrupted:
                 # Close without the last chunk. The client detects the incomplete stream and may resume it.
                 self.tcp.close()
@@ -211,7 +211,7 @@
 
     async def stream_started(self) -> None:
         """Prepare the head of the response, which is sent together with the first events."""
-        self.opened = True
+        self.head_sent = True
         fields = [("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")]
         if self.connection.closes_after_response:
             fields.append(("Connection", "close"))
--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from runspool.scheduling.engine_state import NO_PREFILL, Engine, QueuedPrefill
-from runspool.scheduling.fleet_statistics import expected_memory_tokens, tokens_of_other_fronts
+from runspool.scheduling.fleet_statistics import estimated_tokens_of_other_fronts, expected_memory_tokens
 from runspool.scheduling.front_state import FrontState, OpenAttempt
 from runspool.scheduling.latency_estimator import current_estimate, record_prefill_rate, update_estimate
 from runspool.scheduling.outlier_detection import record_failure
@@ -84,10 +84,10 @@
 ) -> None:
     """Learn how much longer a decode waited than one that needs no transfer between racks."""
     if outcome.status in (AttemptStatus.STREAM_STARTED, AttemptStatus.TIMED_OUT):
-        usual = front.role_decode_waits[engine.role]
-        extra = outcome.duration - current_estimate(front, engine.decode_wait, usual)
-        own = front.rack_transfer_delays[prefill_engine.rack]
-        update_estimate(front, own, front.fleet_transfer_delay, max(0.0, extra))
+        role_wait = front.role_decode_waits[engine.role]
+        extra = outcome.duration - current_estimate(front, engine.decode_wait, role_wait)
+        rack_delay = front.rack_transfer_delays[prefill_engine.rack]
+        update_estimate(front, rack_delay, front.fleet_transfer_delay, max(0.0, extra))
 
 
 def _learn_decode_wait(front: FrontState, engine: Engine, outcome: AttemptOutcome) -> None:
@@ -127,7 +127,7 @@
         delay = max(outcome.duration, front.class_state(request).settings.first_token_objective)
         update_estimate(front, engine.queueing_delay, front.role_queueing_delays[engine.role], delay)
     if engine.role is not Role.PREFILL and not engine.observed_capacity:
-        present = engine.stream_tokens + int(tokens_of_other_fronts(front, engine))
+        present = engine.stream_tokens + int(estimated_tokens_of_other_fronts(front, engine))
         engine.observed_capacity = max(present, engine.memory_tokens // 2)
 
 
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -13,8 +13,8 @@
 
 # Load of a mixed engine, as a fraction of its capacity, up to which streams are packed onto it.
 PACKING_THRESHOLD = 0.8
-# Own streams on an engine at which the estimate of other fronts' streams there relies on them as much as on
-# the fleet's mean.
+# Weight of the fleet's mean, in streams, against this front's own streams on an engine where the streams of
+# other fronts on that engine are estimated.
 PRIOR_STREAMS = 4
 # Wait for a first token, or for a rack's link, that costs as much as a fully loaded engine.
 FULL_LOAD_WAIT = SECOND
@@ -45,13 +45,13 @@
     report = current_load_report(front, engine)
     reported = max(report.memory_utilization or 0.0, report.slot_utilization or 0.0) if report else 0.0
     if capacity:
-        estimated = (own + tokens_of_other_fronts(front, engine)) / capacity
+        estimated = (own + estimated_tokens_of_other_fronts(front, engine)) / capacity
     else:
         estimated = float(len(engine.streams))
     return max(reported, estimated) / warmup_fraction(front, engine)
 
 
-def tokens_of_other_fronts(front: FrontState, engine: Engine) -> float:
+def estimated_tokens_of_other_fronts(front: FrontState, engine: Engine) -> float:
     """Estimate the stream tokens that other fronts have on an engine from this front's own streams.
 
     The estimate uses this front's streams on this engine as far as they are sufficient evidence, and its mean
@@ -126,8 +126,8 @@
     prefill = Counter(e.rack for e in front.ready_engines(Role.PREFILL))
     fleet_ratio = max(1, with_room.total()) / max(1, prefill.total())
     transfer_delay, queueing_delay = front.fleet_transfer_delay, front.role_queueing_delays[Role.PREFILL]
-    transfer = transfer_delay.time * decay_factor(front, transfer_delay.updated_at)
-    queueing = queueing_delay.time * decay_factor(front, queueing_delay.updated_at)
+    transfer = transfer_delay.duration * decay_factor(front, transfer_delay.updated_at)
+    queueing = queueing_delay.duration * decay_factor(front, queueing_delay.updated_at)
     exponent = MAX_RACK_BALANCE_EXPONENT * transfer / (transfer + queueing + RACK_BALANCE_REFERENCE_DELAY)
     return {
         rack: min(max(with_room[rack] / count / fleet_ratio, MIN_RACK_BALANCE), MAX_RACK_BALANCE) ** exponent
