--- a/runspool/simulator_adapter/host.py
+++ b/runspool/simulator_adapter/host.py
@@ -143,7 +143,7 @@
         request_class = self.settings.request_classes.get(line.text("qos"))
         expected_output_tokens = self._expected_output_tokens(request_class, line)
         session, prefix = line.optional_text("thread"), line.optional_text("prefix-id")
-        # Sessions and prefixes share one interner; the prefixed letter prevents collisions between them.
+        # Sessions and prompt prefixes share one interner. The first letter of a name tells them apart.
         return Request(
             index=index,
             request_class=request_class,
