--- a/runspool/cli/cell_output.py
+++ b/runspool/cli/cell_output.py
@@ -31,7 +31,7 @@
         "tenants",
         title=f"version {cell_map.version}, {cell_map.way}, {len(engines)} engines",
     )
-    engines_by_name = {place.name: place for place in engines}
+    engines_by_name = {descriptor.name: descriptor for descriptor in engines}
     for name, members in placement.cells.items():
         table.add_row(*_cell_row(cell_map, name, [engines_by_name[engine] for engine in members]))
     console.print(table)
