--- a/tests/fleet/light_nodes.py
+++ b/tests/fleet/light_nodes.py
@@ -19,10 +19,10 @@
 import msgspec
 
 from runspool.discovery.endpoint_tracker import EndpointTracker
-from runspool.logs import start_logs
+from runspool.logs import configure_logging
 from runspool.node.discovery_call_planner import DiscoveryCallPlanner
 from runspool.node.discovery_client import DiscoveryClient
-from runspool.node.server import DISCOVERY_CONNECTIONS
+from runspool.node.server import DISCOVERY_CONNECTION_SETTINGS
 from runspool.service.clock import now
 from runspool.wire.endpoint_list import EndpointEntry
 from tests.fault_proxy import HOST
@@ -38,7 +38,7 @@
     """Sends requests to engines, as the node at an agent's port knows them."""
     while True:
         await anyio.sleep(random.expovariate(rate))
-        active = [entry.engine for entry in tracker.active_entries() if entry.state == "on"]
+        active = [entry.engine for entry in tracker.listed_entries() if entry.state == "on"]
         if active:
             engine = random.choice(active)
             sent.append(Sent(port, engine, time.monotonic()))
@@ -62,7 +62,7 @@
         for port in ports:
             random, tracker = Random(f"{seed}.{port}"), EndpointTracker()
             client = DiscoveryClient(
-                DISCOVERY_CONNECTIONS,
+                DISCOVERY_CONNECTION_SETTINGS,
                 DiscoveryCallPlanner((HOST, port), random.random),
                 tracker,
                 now,
@@ -79,7 +79,7 @@
 
 
 if __name__ == "__main__":
-    start_logs("error")
+    configure_logging("error")
     port_list, node_seed, engines_port, request_rate, sabotage = sys.argv[1:]
     if sabotage:
         SABOTAGE[sabotage]()
--- a/tests/soak/sabotage.py
+++ b/tests/soak/sabotage.py
@@ -16,7 +16,7 @@
 
 from runspool.engines import http_exchange as exchange
 from runspool.node import __main__ as program
-from runspool.node import discovery_client, search_pace
+from runspool.node import discovery_client, search_backoff
 from runspool.node import engine_client as calls
 from runspool.node.client_connections import ClientConnections
 from runspool.node.executor import NodeExecutor
@@ -116,7 +116,7 @@
 
 
 def leave_streams_open() -> None:
-    """End no stream in a shutdown, as decisions or as the last resort."""
+    """End no stream in a shutdown, as decisions or by the request terminator."""
     original = RequestLifecycle.deny_staying_open
 
     def deny_unanswered_only(self: RequestLifecycle, process_ends: bool) -> DenialReason | None:
@@ -137,7 +137,7 @@
 
 
 def cut_all_streams() -> None:
-    """Treat every stream as one that can be resumed, as the last resort does."""
+    """Treat every stream as one that can be resumed, as the request terminator does."""
     original = AttemptPolicy.for_class.__func__  # type: ignore[attr-defined]
     AttemptPolicy.for_class = classmethod(  # type: ignore[method-assign, assignment]
         lambda cls, *arguments: replace(original(cls, *arguments), stream_can_resume=True)
@@ -151,19 +151,19 @@
 
 def ask_rarely() -> None:
     """Ask an agent that does not answer only every other second."""
-    search_pace.MIN_INTERVAL = search_pace.MAX_INTERVAL
+    search_backoff.MIN_INTERVAL = search_backoff.MAX_INTERVAL
 
 
 def ask_without_pause() -> None:
     """Ask an agent that does not answer a hundred times a second."""
-    search_pace.MIN_INTERVAL = 100
-    search_pace.MAX_INTERVAL = 100
+    search_backoff.MIN_INTERVAL = 100
+    search_backoff.MAX_INTERVAL = 100
 
 
 def ask_often() -> None:
     """Ask an agent that does not answer ten times a second."""
-    search_pace.MIN_INTERVAL = 1_000
-    search_pace.MAX_INTERVAL = 1_000
+    search_backoff.MIN_INTERVAL = 1_000
+    search_backoff.MAX_INTERVAL = 1_000
 
 
 SABOTAGE: dict[str, Callable[[], None]] = {
--- a/tests/test_node_state_release.py
+++ b/tests/test_node_state_release.py
@@ -15,14 +15,14 @@
 from runspool.engines.failure_classification import FailureCause
 from runspool.engines.send_permit import SendPermit
 from runspool.node.executor import NodeExecutor, PendingNodeRequest
-from runspool.node.release_budget import CALL_INTERVAL, MAX_CALLS
+from runspool.node.release_budget import BURST_SIZE, REFILL_INTERVAL
 from runspool.node.request_parser import ClientRequest
-from runspool.node.state_releaser import MAX_PATIENT_CALLS, PendingRelease, StateReleaser
+from runspool.node.state_releaser import MAX_LONG_CALLS, PendingRelease, StateReleaser
 from runspool.scheduling.types import AttemptStatus, Role
 from runspool.service.clock import now
 from runspool.service.pending_request import Endpoint
 from runspool.transport.tcp import TcpConnection, connect
-from runspool.units import UNITS_PER_SECOND, tenths
+from runspool.units import TENTHS_PER_SECOND, ms_to_tenths
 from tests.node_platform.client import post
 from tests.node_platform.engine import never_responds
 from tests.node_platform.http_messages import WAIT, ReceivedRequest
@@ -198,13 +198,13 @@
         async def record_wait(request: str, seconds: float) -> None:
             waits.append(seconds)
 
-        node.state_releaser.wait_settled = record_wait  # type: ignore[method-assign]
+        node.state_releaser.wait_until_done = record_wait  # type: ignore[method-assign]
         pending = PendingNodeRequest(
-            0, "q1", 0, now() + tenths(40), cast(Any, None), client_request=cast(Any, None)
+            0, "q1", 0, now() + ms_to_tenths(40), cast(Any, None), client_request=cast(Any, None)
         )
-        left = node.deadline_guard.attempts_end_at(pending) - now()
+        left = node.deadline_guard.attempt_deadline(pending) - now()
         await node.before_attempt(pending, endpoint)
-        assert waits[0] <= left / UNITS_PER_SECOND
+        assert waits[0] <= left / TENTHS_PER_SECOND
 
 
 async def test_a_release_is_confirmed_by_engines_that_answer_later_than_a_round_waits(tmp_path: Path) -> None:
@@ -217,8 +217,8 @@
         async def release(address: Address, request: str, limit: int) -> FailureCause | None:
             nonlocal calls
             calls += 1
-            with anyio.move_on_after(limit / UNITS_PER_SECOND):
-                await asyncio.sleep(4 * releaser.timeout / UNITS_PER_SECOND)
+            with anyio.move_on_after(limit / TENTHS_PER_SECOND):
+                await asyncio.sleep(4 * releaser.timeout / TENTHS_PER_SECOND)
                 return None
             return FailureCause.TIMED_OUT_BEFORE_RESPONSE
 
@@ -259,11 +259,11 @@
         async def release_state(self, address: Address, request: str, limit: int) -> FailureCause | None:
             nonlocal calls
             calls += 1
-            await anyio.sleep(limit / UNITS_PER_SECOND if wait else 0)
+            await anyio.sleep(limit / TENTHS_PER_SECOND if wait else 0)
             return failure
 
     engines = [Endpoint(index, f"w{index}", ("127.0.0.1", index), Role.DECODE, 0) for index in range(18)]
-    releaser = StateReleaser(FailingEngines(), tenths(300), lambda: engines, lambda change: None)
+    releaser = StateReleaser(FailingEngines(), ms_to_tenths(300), lambda: engines, lambda change: None)
     with anyio.move_on_after(seconds):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(releaser.run)
@@ -276,7 +276,7 @@
 async def test_calls_owed_to_engines_that_all_hang_are_bounded() -> None:
     # Each release asked every engine and went on in rounds: 43 calls a second and node, as long as it lasted.
     calls = await count_release_calls(20, 3.0, True, FailureCause.TIMED_OUT_BEFORE_RESPONSE)
-    assert calls <= 20 + MAX_CALLS + int(3.0 / CALL_INTERVAL) + 1 + MAX_PATIENT_CALLS
+    assert calls <= 20 + BURST_SIZE + int(3.0 / REFILL_INTERVAL) + 1 + MAX_LONG_CALLS
 
 
 @pytest.mark.parametrize(
