--- a/runspool/runtime/interning.py
+++ b/runspool/runtime/interning.py
@@ -13,8 +13,8 @@
 class Interner:
     """Assigns each name an index, counted up from 0 and never reused.
 
-    A name that has not been seen for longer than `max_age` is dropped, and so is the name unseen for longest
-    if there would be more than `max_names`. Names are dropped only while a new one is added.
+    While a new name is added, names not seen for longer than `max_age` are dropped, and so is the name not
+    seen for the longest time if there would be more than `max_names`.
     """
 
     def __init__(self, max_names: int = 0, max_age: int = 0) -> None:
--- a/runspool/runtime/scheduler_driver.py
+++ b/runspool/runtime/scheduler_driver.py
@@ -127,6 +127,11 @@
     def _step_at(self, now: int) -> Iterator[None]:
         # One step changes predicted times, loads and active engines in many places. A call in the middle of
         # it, from another thread or from within the step, would decide on inconsistent state.
+        """Set the scheduler's clock and mark a step as in progress.
+
+        Raises:
+            ReentrantCallError: A step is in progress, or the caller is not the driver's thread.
+        """
         if self.is_stepping or get_ident() != self.thread:
             raise ReentrantCallError(
                 "called while another step is in progress"
@@ -220,7 +225,7 @@
         request_index, _, wait_number = token.partition(".")
         with self._step_at(now):
             task = self.tasks.get(int(request_index))
-            # Timers cannot be cancelled: one that belongs to an earlier wait is ignored.
+            # A timer of an earlier wait is ignored, since timers cannot be cancelled.
             if task is not None and int(wait_number) == task.wait_number and not task.attempt_in_progress:
                 self._step(int(request_index), task, None)
 
