--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -6,7 +6,7 @@
 from runspool.scheduling.fleet_statistics import estimated_tokens_of_other_fronts, expected_memory_tokens
 from runspool.scheduling.front_state import FrontState, OpenAttempt
 from runspool.scheduling.latency_estimator import current_estimate, record_prefill_rate, update_estimate
-from runspool.scheduling.outlier_detection import record_failure
+from runspool.scheduling.outlier_detection import eject_engine
 from runspool.scheduling.prefix_affinity import (
     record_cached_texts,
     reported_cached_tokens,
@@ -40,7 +40,7 @@
         engine.stream_tokens += engine.streams[request.index]
 
 
-def record_attempt_end(
+def record_attempt_outcome(
     front: FrontState,
     request: Request,
     outcome: AttemptOutcome,
@@ -144,7 +144,7 @@
     elif timed_out and is_local_decode:
         _learn_decode_wait(front, engine, outcome)
     if not timed_out or engine.consecutive_failures:
-        record_failure(front, engine)
+        eject_engine(front, engine)
     # A single timeout may be due to congestion, which an ejection would only move to other engines.
     engine.consecutive_failures = max(engine.consecutive_failures, 1)
 
@@ -162,7 +162,7 @@
     if outcome.status is AttemptStatus.SUCCEEDED:
         _learn_from_response(front, request, engine, outcome, prefill_duration)
     elif outcome.status is AttemptStatus.CONNECTION_LOST:
-        record_failure(front, engine)
+        eject_engine(front, engine)
 
 
 def _learn_from_response(
--- a/runspool/scheduling/outlier_detection.py
+++ b/runspool/scheduling/outlier_detection.py
@@ -15,7 +15,7 @@
 MAX_DOUBLINGS = 10
 
 
-def record_failure(front: FrontState, engine: Engine) -> None:
+def eject_engine(front: FrontState, engine: Engine) -> None:
     """Eject an engine; the duration doubles with every consecutive failure."""
     doublings = min(engine.consecutive_failures, MAX_DOUBLINGS)
     engine.ejected_until = front.now + min(MAX_EJECTION, MIN_EJECTION << doublings)
--- a/runspool/scheduling/retry_policy.py
+++ b/runspool/scheduling/retry_policy.py
@@ -105,7 +105,7 @@
     return wait
 
 
-def record_attempt_outcome(
+def apply_attempt_outcome(
     front: FrontState, progress: RequestProgress, engine: Engine, outcome: AttemptOutcome, sent_at: int
 ) -> bool:
     """Update a request with the end of an attempt; return whether the prefill's state has to be released."""
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -33,7 +33,7 @@
     retry_time,
 )
 from runspool.scheduling.attempt_accounting import (
-    record_attempt_end,
+    record_attempt_outcome,
     record_attempt_start,
     record_stream_end,
     remove_request,
@@ -45,10 +45,10 @@
 from runspool.scheduling.prefill_selection import select_prefill
 from runspool.scheduling.request_progress import RequestProgress
 from runspool.scheduling.retry_policy import (
+    apply_attempt_outcome,
     attempt_timeout,
     final_response,
     may_attempt,
-    record_attempt_outcome,
     reservation_may_expire_during_connect,
     take_retry_token,
 )
@@ -143,12 +143,12 @@
         timeout = attempt_timeout(self, progress, engine)
         record_attempt_start(self, request, engine, prefill_engine)
         outcome: AttemptOutcome = yield StartAttempt(engine.id, timeout)
-        record_attempt_end(self, request, outcome, prefill_engine)
+        record_attempt_outcome(self, request, outcome, prefill_engine)
         if outcome.status is AttemptStatus.STREAM_STARTED:
             completion: AttemptOutcome = yield AwaitCompletion()
             record_stream_end(self, request, completion, 0 if prefill_engine else outcome.duration)
             return True
-        if record_attempt_outcome(self, progress, engine, outcome, sent_at):
+        if apply_attempt_outcome(self, progress, engine, outcome, sent_at):
             yield ReleaseState()
             progress.prefill_engine = None
         return False
