--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -27,11 +27,11 @@
 from runspool.scheduling.types import Request, Role
 
 # Time between two engine selections for a request while no engine is available.
-RETRY_INTERVAL = 25 * MILLISECOND
+SELECTION_INTERVAL = 25 * MILLISECOND
 # Time before the client's time limit at which the scheduler stops starting anything for a request.
 DEADLINE_MARGIN = 15 * MILLISECOND
 # A predicted wait shorter than this never rejects a request.
-MIN_SPARE_TIME = 150 * MILLISECOND
+MIN_ACCEPTED_WAIT = 150 * MILLISECOND
 # Longest queue of a prefill engine to which a prefill is sent, as a fraction of the shortest first-token
 # objective. Behind a longer queue, requests with that objective miss it.
 QUEUE_LIMIT_FRACTION = 0.2
@@ -160,9 +160,9 @@
     wait = predicted_first_token_time(front, engine, request) - own_time + shortest_decode_wait
     # The random factor varies the decision between requests; otherwise all fronts would reject, or admit,
     # everything at the same time.
-    left = (progress.first_token_due - front.now - own_time) * progress.max_wait_fraction
-    spare = max(MIN_SPARE_TIME, left)
-    if not progress.attempts and wait * (0.5 + request.request_draw) > spare:
+    wait_allowance = (progress.first_token_due - front.now - own_time) * progress.max_wait_fraction
+    accepted_wait = max(MIN_ACCEPTED_WAIT, wait_allowance)
+    if not progress.attempts and wait * (0.5 + request.request_draw) > accepted_wait:
         progress.is_given_up = True
         return None
     if predicted_queue_time(front, engine) > progress.queue_limit:
@@ -174,7 +174,7 @@
     return engine
 
 
-def next_selection_time(front: FrontState, progress: RequestProgress) -> int | None:
+def queue_until_next_selection(front: FrontState, progress: RequestProgress) -> int | None:
     """Return when to select an engine again, or None once the first token is due."""
     is_prefill = not progress.prefill_engine
     if is_prefill:
@@ -187,12 +187,12 @@
     if front.now >= progress.first_token_due:
         return None
     end = progress.first_token_due if is_prefill else progress.deadline
-    return min(front.now + RETRY_INTERVAL * intervals, end)
+    return min(front.now + SELECTION_INTERVAL * intervals, end)
 
 
-def retry_time(front: FrontState, end: int) -> int:
+def next_selection_time(front: FrontState, end: int) -> int:
     """Return the time one retry interval from now, but no later than `end`."""
-    return min(front.now + RETRY_INTERVAL, end)
+    return min(front.now + SELECTION_INTERVAL, end)
 
 
 def retry_after(front: FrontState, request: Request) -> int:
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -30,7 +30,7 @@
     enqueue_if_behind,
     leave_queue,
     next_selection_time,
-    retry_time,
+    queue_until_next_selection,
 )
 from runspool.scheduling.attempt_accounting import (
     record_attempt_outcome,
@@ -84,10 +84,10 @@
                 yield ReleaseState()
                 progress.prefill_engine = None
                 # Without this pause a prefill that is sent at once could arrive before the release.
-                yield Sleep(retry_time(self, progress.deadline))
+                yield Sleep(next_selection_time(self, progress.deadline))
                 continue
             if enqueue_if_behind(self, progress):
-                yield Sleep(retry_time(self, progress.queued_until))
+                yield Sleep(next_selection_time(self, progress.queued_until))
                 continue
             engine = self.select_engine(progress)
             if engine is None:
@@ -108,7 +108,7 @@
         """Sleep until an engine is to be selected again; return False if the request is given up instead."""
         if progress.is_given_up:
             return False
-        wake_at = next_selection_time(self, progress)
+        wake_at = queue_until_next_selection(self, progress)
         if wake_at is None:
             return False
         if progress.reservation_expires_before(wake_at):
--- a/tests/test_node_state_release.py
+++ b/tests/test_node_state_release.py
@@ -178,7 +178,7 @@
     platform = Platform(tmp_path, {"r": "prefill"} | {f"w{index}": "decode" for index in range(6)})
     monkeypatch.setattr("runspool.engines.connection_pool.connect", delayed_connect)
     # No further prefill before the state has been released.
-    monkeypatch.setattr("runspool.scheduling.admission.RETRY_INTERVAL", 20_000)
+    monkeypatch.setattr("runspool.scheduling.admission.SELECTION_INTERVAL", 20_000)
     async with platform.inside() as running:
         client = await platform.client()
         client.send(post("q1"))
