--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -11,7 +11,7 @@
 
 from runspool.scheduling.engine_eligibility import candidate_engines
 from runspool.scheduling.engine_state import Engine
-from runspool.scheduling.fleet_statistics import PRIOR_STREAMS, decode_cost, refresh_fleet_statistics
+from runspool.scheduling.fleet_statistics import SMOOTHING_STREAMS, decode_cost, refresh_fleet_statistics
 from runspool.scheduling.front_state import FrontState, QueuePosition, TenantArrivals
 from runspool.scheduling.latency_estimator import (
     decay_factor,
@@ -103,7 +103,7 @@
     """Return the fraction of the time until a request's first token is due that a predicted wait may take."""
     refresh_fleet_statistics(front)
     # A front that has few streams, and so knows little about the queues, relies less on its predictions.
-    evidence_weight = front.mean_streams / (PRIOR_STREAMS + front.mean_streams)
+    evidence_weight = front.own_streams_per_engine / (SMOOTHING_STREAMS + front.own_streams_per_engine)
     max_wait_fraction = (
         MAX_WAIT_FRACTION_WITHOUT_STREAMS
         + (MAX_WAIT_FRACTION - MAX_WAIT_FRACTION_WITHOUT_STREAMS) * evidence_weight
--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -181,9 +181,11 @@
         # twice its first value; otherwise a single response would determine whether responses have time to
         # spare.
         allowed = request.expected_output_tokens * time_per_token
-        total = front.mixed_response_time_allowed
-        front.mixed_response_time_allowed += allowed - total / RESPONSE_TIME_SAMPLES if total else 2 * allowed
-        front.mixed_response_time += outcome.duration - front.mixed_response_time / RESPONSE_TIME_SAMPLES
+        total = front.mixed_allowed_time_sum
+        front.mixed_allowed_time_sum += allowed - total / RESPONSE_TIME_SAMPLES if total else 2 * allowed
+        front.mixed_response_time_sum += (
+            outcome.duration - front.mixed_response_time_sum / RESPONSE_TIME_SAMPLES
+        )
     tokens = request.expected_output_tokens or outcome.duration / max(1, time_per_token)
     mean = class_state.mean_output_tokens
     class_state.mean_output_tokens = tokens if not mean else mean + (tokens - mean) / RUNNING_MEAN_SAMPLES
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -15,7 +15,7 @@
 PACKING_THRESHOLD = 0.8
 # Weight of the fleet's mean, in streams, against this front's own streams on an engine where the streams of
 # other fronts on that engine are estimated.
-PRIOR_STREAMS = 4
+SMOOTHING_STREAMS = 4
 # Wait for a first token, or for a rack's link, that costs as much as a fully loaded engine.
 FULL_LOAD_WAIT = SECOND
 # Upper bound on a rack's spare decode capacity per prefill engine, relative to the fleet's mean.
@@ -59,12 +59,15 @@
     would be extrapolated to a full engine.
     """
     refresh_fleet_statistics(front)
-    mean_tokens = front.mean_memory_share * (engine.memory_tokens or 1)
-    evidence = PRIOR_STREAMS + len(engine.streams)
+    mean_tokens = front.own_memory_share * (engine.memory_tokens or 1)
+    smoothed_streams = SMOOTHING_STREAMS + len(engine.streams)
     estimated = (
-        (front.settings.front_count - 1) * mean_tokens * evidence / (PRIOR_STREAMS + front.mean_streams)
+        (front.settings.front_count - 1)
+        * mean_tokens
+        * smoothed_streams
+        / (SMOOTHING_STREAMS + front.own_streams_per_engine)
     )
-    if front.mean_streams >= 1 or not engine.memory_tokens:
+    if front.own_streams_per_engine >= 1 or not engine.memory_tokens:
         return estimated
     # A front with several times the mean traffic must not consider all engines full. With so few streams it
     # knows nothing about the other fronts, and only an engine's own report can say that it is above the
@@ -79,7 +82,7 @@
 
 def may_have_streams(front: FrontState, engine: Engine) -> bool:
     """Return whether an engine has streams, or may have some that this front cannot know of."""
-    return has_active_streams(front, engine) or lacks_stream_evidence(front)
+    return has_active_streams(front, engine) or has_few_own_streams(front)
 
 
 def has_active_streams(front: FrontState, engine: Engine) -> bool:
@@ -88,13 +91,13 @@
     return bool(engine.streams or (report and report.requests_in_flight))
 
 
-def lacks_stream_evidence(front: FrontState) -> bool:
+def has_few_own_streams(front: FrontState) -> bool:
     """Return whether this front has less than one stream per engine that can decode.
 
     The absence of own streams on an engine then does not show that other fronts have none there.
     """
     refresh_fleet_statistics(front)
-    return front.settings.front_count > 1 > front.mean_streams
+    return front.settings.front_count > 1 > front.own_streams_per_engine
 
 
 def refresh_fleet_statistics(front: FrontState) -> None:
@@ -107,8 +110,8 @@
     front.fleet_statistics_at = front.now
     index = front.engine_index
     own = [e for e in front.active_engines.values() if e.ready and e.role is not Role.PREFILL]
-    front.mean_streams = sum(len(e.streams) for e in own) / max(1, index.peer_count(Role.DECODE))
-    front.mean_memory_share = sum(e.stream_tokens for e in own) / max(1, index.decode_memory_tokens)
+    front.own_streams_per_engine = sum(len(e.streams) for e in own) / max(1, index.peer_count(Role.DECODE))
+    front.own_memory_share = sum(e.stream_tokens for e in own) / max(1, index.decode_memory_tokens)
     if index.is_large(Role.PREFILL) and front.now < front.rack_balance_at + RACK_BALANCE_INTERVAL:
         return
     front.rack_balance_at = front.now
--- a/runspool/scheduling/front_state.py
+++ b/runspool/scheduling/front_state.py
@@ -88,15 +88,15 @@
         # time that a state transfer adds to a wait, over all racks
         self.fleet_transfer_delay = DecayingEstimate()
         # Decayed sum of the durations of responses from mixed engines.
-        self.mixed_response_time = 0.0
+        self.mixed_response_time_sum = 0.0
         # Decayed sum of the durations that the objectives per output token allow for responses of mixed
         # engines.
-        self.mixed_response_time_allowed = 0.0
+        self.mixed_allowed_time_sum = 0.0
 
         self.fleet_statistics_at = -1  # when the statistics below were computed
-        self.mean_streams = 0.0  # this front's streams per engine that can decode
+        self.own_streams_per_engine = 0.0  # this front's streams per engine that can decode
         # Fraction of the decode memory of the whole fleet that this front's streams take.
-        self.mean_memory_share = 0.0
+        self.own_memory_share = 0.0
         self.rack_balance: dict[int, float] = {}
         """By rack: decode engines with spare capacity per prefill engine, relative to the fleet's mean."""
         self.rack_balance_at = -RACK_BALANCE_INTERVAL
--- a/runspool/scheduling/prefill_selection.py
+++ b/runspool/scheduling/prefill_selection.py
@@ -11,7 +11,7 @@
 from runspool.scheduling.fleet_statistics import (
     PACKING_THRESHOLD,
     has_active_streams,
-    lacks_stream_evidence,
+    has_few_own_streams,
     load,
     may_have_streams,
 )
@@ -61,7 +61,7 @@
     engines = candidate_engines(front, request, Role.PREFILL) if can_decode else []
     # A prefill interrupts the engine's streams, which this front may not know of. It is therefore allowed
     # only if responses have time to spare.
-    if _responses_have_spare_time(front, request) or not lacks_stream_evidence(front):
+    if _responses_have_spare_time(front, request) or not has_few_own_streams(front):
         engines += [e for e in mixed if not has_active_streams(front, e)]
     best = _soonest(
         front, request, eligible_engines(front, request, engines, failed_engine_ids, first_execution_engine)
@@ -89,8 +89,8 @@
 
 def _responses_have_spare_time(front: FrontState, request: Request) -> bool:
     """Return whether responses from mixed engines take well under the time allowed for their tokens."""
-    allowed = SPARE_RESPONSE_TIME_FRACTION * front.mixed_response_time_allowed
-    return request.expected_output_tokens > 0 and front.mixed_response_time <= allowed
+    allowed = SPARE_RESPONSE_TIME_FRACTION * front.mixed_allowed_time_sum
+    return request.expected_output_tokens > 0 and front.mixed_response_time_sum <= allowed
 
 
 def _soonest(front: FrontState, request: Request, engines: list[Engine]) -> Engine | None:
