--- a/runspool/scheduling/request_progress.py
+++ b/runspool/scheduling/request_progress.py
@@ -32,11 +32,11 @@
     """How long an engine keeps a prefill's state reserved."""
     prefill_engine: Engine | None = None
     """The engine that holds the prefill's state."""
-    reserved_since: int = 0
+    reservation_start: int = 0
     attempts: int = 0
     unsent_attempt_duration: int = 0
     """Duration of the last decode attempt if it was never sent, else 0."""
-    needs_retry_token: bool = False
+    needs_retry_budget: bool = False
     """Whether the next prefill counts against the retry budget, because one timed out or was refused."""
     first_execution_engine: Engine | None = None
     """The engine of the first attempt that may have been executed."""
@@ -51,4 +51,4 @@
 
     def reservation_expires_before(self, time: int) -> bool:
         """Return whether the prefill's state, if there is any, expires before the given time."""
-        return self.prefill_engine is not None and time > self.reserved_since + self.reservation_duration
+        return self.prefill_engine is not None and time > self.reservation_start + self.reservation_duration
--- a/runspool/scheduling/retry_policy.py
+++ b/runspool/scheduling/retry_policy.py
@@ -33,7 +33,7 @@
 TIMEOUT_FACTOR = 4
 # Repeated prefills that each successful prefill adds to the retry budget. The budget prevents repeats from
 # sustaining an overload.
-RETRY_TOKENS_PER_PREFILL = 0.3
+RETRY_BUDGET_PER_PREFILL = 0.3
 # Upper bound on the retry budget, in prefills.
 MAX_RETRY_BUDGET = 10.0
 
@@ -54,23 +54,23 @@
     return settings.idempotency is not Idempotency.AT_MOST_ONCE
 
 
-def reservation_may_expire_during_connect(front: FrontState, progress: RequestProgress) -> bool:
+def must_release_before_connect(front: FrontState, progress: RequestProgress) -> bool:
     """Return whether a prefill's state may expire while another connection is tried."""
     # If connections to one decode engine after another fail, the state stays reserved meanwhile. The next
     # attempt may take as long as the last one, and the release needs time as well.
     return progress.prefill_engine is not None and (
         front.now + progress.unsent_attempt_duration
-        >= progress.reserved_since + progress.reservation_duration
+        >= progress.reservation_start + progress.reservation_duration
     )
 
 
-def take_retry_token(front: FrontState, progress: RequestProgress) -> bool:
+def spend_retry_budget(front: FrontState, progress: RequestProgress) -> bool:
     """Charge a repeated prefill to the retry budget; return False if the budget is used up."""
-    if progress.needs_retry_token:
+    if progress.needs_retry_budget:
         if front.retry_budget < 1:
             return False
         front.retry_budget -= 1
-        progress.needs_retry_token = False
+        progress.needs_retry_budget = False
     return True
 
 
@@ -113,12 +113,12 @@
     if not (outcome.reached_engine or outcome.status is AttemptStatus.NOT_SENT):
         progress.unresponsive_engine_ids.append(engine.id)
     if outcome.status is AttemptStatus.PREFILL_COMPLETE:
-        progress.prefill_engine, progress.reserved_since = engine, front.now
+        progress.prefill_engine, progress.reservation_start = engine, front.now
         progress.failed_engine_ids, progress.unsent_attempt_duration = (
             list(progress.unresponsive_engine_ids),
             0,
         )
-        front.retry_budget = min(MAX_RETRY_BUDGET, front.retry_budget + RETRY_TOKENS_PER_PREFILL)
+        front.retry_budget = min(MAX_RETRY_BUDGET, front.retry_budget + RETRY_BUDGET_PER_PREFILL)
     elif outcome.status is AttemptStatus.STATE_MISSING:
         progress.prefill_engine = None
     elif outcome.status is not AttemptStatus.SUCCEEDED:
@@ -136,9 +136,9 @@
     # An attempt that did not reach its engine has not stopped the state's time limit.
     progress.unsent_attempt_duration = outcome.duration if outcome.status in UNSENT_STATUSES else 0
     if outcome.reached_engine:
-        progress.reserved_since = front.now
+        progress.reservation_start = front.now
     progress.failed_engine_ids.append(engine.id)
-    progress.needs_retry_token = (
+    progress.needs_retry_budget = (
         not progress.prefill_engine
         and not progress.request.is_continuation
         and outcome.status in (AttemptStatus.TIMED_OUT, AttemptStatus.OVERLOADED)
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -49,8 +49,8 @@
     attempt_timeout,
     final_response,
     may_attempt,
-    reservation_may_expire_during_connect,
-    take_retry_token,
+    must_release_before_connect,
+    spend_retry_budget,
 )
 from runspool.scheduling.stream_migration import migrate_before_shutdown, stream_to_migrate
 from runspool.scheduling.time_units import SECOND
@@ -80,7 +80,7 @@
     def _serve(self, progress: RequestProgress) -> Generator[Action, Any, None]:
         """Take a request through prefill, decode and repeats to its final response."""
         while may_attempt(self, progress):
-            if reservation_may_expire_during_connect(self, progress):
+            if must_release_before_connect(self, progress):
                 yield ReleaseState()
                 progress.prefill_engine = None
                 # Without this pause a prefill that is sent at once could arrive before the release.
@@ -95,7 +95,7 @@
                     break
                 continue
             leave_queue(self, progress)
-            if not take_retry_token(self, progress):
+            if not spend_retry_budget(self, progress):
                 break
             if (yield from self._attempt(progress, engine)):
                 return
