--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -57,17 +57,17 @@
     prefill = engine.prefills.pop(request.index, NO_PREFILL)
     tokens = prefill.tokens
     engine.prefill_tokens -= tokens
-    is_local_decode = prefill_engine is not None and prefill_engine.rack == engine.rack
+    is_same_rack_decode = prefill_engine is not None and prefill_engine.rack == engine.rack
     if status in SUCCESS_STATUSES:
         engine.consecutive_failures = engine.ejected_until = 0
         if tokens:
             _learn_from_prefill(front, request, engine, outcome, prefill)
-        elif is_local_decode:
+        elif is_same_rack_decode:
             _learn_decode_wait(front, engine, outcome)
     elif status is AttemptStatus.OVERLOADED:
         _learn_from_overload(front, request, engine, outcome, tokens)
     elif status not in NEUTRAL_STATUSES:
-        _learn_from_failure(front, engine, outcome, tokens, is_local_decode)
+        _learn_from_failure(front, engine, outcome, tokens, is_same_rack_decode)
     attempt.is_streaming = status is AttemptStatus.STREAM_STARTED
     if not attempt.is_streaming:
         _remove_attempt(front, request)
@@ -132,7 +132,7 @@
 
 
 def _learn_from_failure(
-    front: FrontState, engine: Engine, outcome: AttemptOutcome, tokens: int, is_local_decode: bool
+    front: FrontState, engine: Engine, outcome: AttemptOutcome, tokens: int, is_same_rack_decode: bool
 ) -> None:
     """Learn from an attempt that failed or timed out on the engine."""
     timed_out = outcome.status is AttemptStatus.TIMED_OUT
@@ -141,7 +141,7 @@
         update_estimate(
             front, engine.queueing_delay, front.role_queueing_delays[engine.role], outcome.duration
         )
-    elif timed_out and is_local_decode:
+    elif timed_out and is_same_rack_decode:
         _learn_decode_wait(front, engine, outcome)
     if not timed_out or engine.consecutive_failures:
         eject_engine(front, engine)
@@ -175,18 +175,18 @@
         computed_tokens = request.prompt_tokens - reported_cached_tokens(request, outcome)
         record_prefill_rate(front, engine, computed_tokens, prefill_duration)
     class_state = front.class_state(request)
-    time_per_token = class_state.settings.time_per_output_token
+    allowed_time_per_token = class_state.settings.time_per_output_token
     if request.expected_output_tokens and engine.role is Role.MIXED:
         # The client's estimate of the output length is rough. The sum of allowed times therefore starts at
         # twice its first value; otherwise a single response would determine whether responses have time to
         # spare.
-        allowed = request.expected_output_tokens * time_per_token
+        allowed = request.expected_output_tokens * allowed_time_per_token
         total = front.mixed_allowed_time_sum
         front.mixed_allowed_time_sum += allowed - total / RESPONSE_TIME_SAMPLES if total else 2 * allowed
         front.mixed_response_time_sum += (
             outcome.duration - front.mixed_response_time_sum / RESPONSE_TIME_SAMPLES
         )
-    tokens = request.expected_output_tokens or outcome.duration / max(1, time_per_token)
+    tokens = request.expected_output_tokens or outcome.duration / max(1, allowed_time_per_token)
     mean = class_state.mean_output_tokens
     class_state.mean_output_tokens = tokens if not mean else mean + (tokens - mean) / RUNNING_MEAN_SAMPLES
 
--- a/runspool/scheduling/prefill_selection.py
+++ b/runspool/scheduling/prefill_selection.py
@@ -57,8 +57,8 @@
     """
     mixed, class_state = candidate_engines(front, request, Role.MIXED), front.class_state(request)
     # Without an engine that can decode, the prefill's state would be computed only to be released.
-    can_decode = mixed or front.ready_engines(Role.DECODE)
-    engines = candidate_engines(front, request, Role.PREFILL) if can_decode else []
+    decode_engines = mixed or front.ready_engines(Role.DECODE)
+    engines = candidate_engines(front, request, Role.PREFILL) if decode_engines else []
     # A prefill interrupts the engine's streams, which this front may not know of. It is therefore allowed
     # only if responses have time to spare.
     if _responses_have_spare_time(front, request) or not has_few_own_streams(front):
@@ -69,14 +69,14 @@
     if best and predicted_queue_time(front, best) + predicted_queueing_delay(front, best) <= 2 * queue_limit:
         return best
     # A prefill interrupts the engine's streams, so only one that is short compared with a response may spill.
-    time_per_token = class_state.settings.time_per_output_token
+    allowed_time_per_token = class_state.settings.time_per_output_token
     engines += [
         e
         for e in mixed
         if may_have_streams(front, e)
         and load(front, e, request) < PACKING_THRESHOLD
         and tokens_to_prefill(front, e, request) / prefill_rate(front, e)
-        < MAX_SPILL_FRACTION * class_state.mean_output_tokens * time_per_token
+        < MAX_SPILL_FRACTION * class_state.mean_output_tokens * allowed_time_per_token
     ]
     if not engines:
         engines = mixed
