--- a/runspool/scheduling/actions.py
+++ b/runspool/scheduling/actions.py
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class MigrateStream:
-    """Stop the stream of another request, so that its client resumes it on another engine."""
+    """Interrupt the stream of another request, so that its client resumes it on another engine or front."""
 
     request: int
 
--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -1,8 +1,8 @@
-"""The prefill queue (mechanism 3 of docs/design.md): which requests wait at the front or are rejected.
+"""Admission of prefills (mechanism 3 of docs/design.md): which requests a front queues and which it rejects.
 
-A request for a prefill waits at the front while the queue of the best engine is too long or all decode
-engines are full; beyond its tenant's share it waits already behind a shorter queue. It is rejected once it
-cannot start in time.
+A front keeps a request in its own prefill queue while the best engine's queue is too long, or while all
+engines that can decode are full. If the request's tenant exceeds its share, a shorter engine queue already
+counts as too long. A request that cannot start in time is rejected.
 """
 
 from __future__ import annotations
@@ -26,14 +26,15 @@
 from runspool.scheduling.time_units import MILLISECOND, SECOND
 from runspool.scheduling.types import Request, Role
 
-# Time between two engine selections for a request while no engine is available.
+# Time after which an engine is selected again for a request that found none available.
 SELECTION_INTERVAL = 25 * MILLISECOND
 # Time before the client's time limit at which the scheduler stops starting anything for a request.
 DEADLINE_MARGIN = 15 * MILLISECOND
-# A predicted wait shorter than this never rejects a request.
+# Lower bound on the predicted wait that a request accepts; if more is predicted, it may be rejected.
 MIN_ACCEPTED_WAIT = 150 * MILLISECOND
-# Longest queue of a prefill engine to which a prefill is sent, as a fraction of the shortest first-token
-# objective. Behind a longer queue, requests with that objective miss it.
+# Longest queue of an engine to which a prefill is sent, as a fraction of the shortest first-token objective.
+# Behind a longer queue, requests with that objective miss it: their own prefill and delays unknown to this
+# front are added to the queue.
 QUEUE_LIMIT_FRACTION = 0.2
 # Longest queue to which the prefill of a request beyond its tenant's share is sent, as a fraction of the
 # shortest first-token objective.
@@ -55,7 +56,7 @@
 # Half-life of a tenant's decayed count of arrivals.
 ARRIVAL_HALF_LIFE_SECONDS = 2
 LN_2 = 0.693
-# Factor by which a tenant may exceed its share of the request rate.
+# Factor by which a tenant may exceed this front's share of its quota.
 SHARE_TOLERANCE = 1.3
 # Requests that a tenant may send in a burst beyond its tolerated share.
 SHARE_BURST_REQUESTS = 2
@@ -71,8 +72,8 @@
     max_wait_fraction = _max_wait_fraction(front, request)
     is_over_share = _count_arrival(front, request)
     queue_limit = OVER_SHARE_QUEUE_LIMIT_FRACTION if is_over_share else QUEUE_LIMIT_FRACTION
-    # A higher priority weight gives an earlier queue position. So does a longer wait, so that no class
-    # starves.
+    # Requests are ordered by their arrival time plus their time until the first token is due, divided by the
+    # priority weight. Since later arrivals get later times, no class starves.
     weight = max(class_state.settings.priority_weight, MIN_PRIORITY_WEIGHT)
     priority_time = front.now + int((due - front.now) * (not request.is_continuation) / weight)
     return RequestProgress(
@@ -84,7 +85,8 @@
         queued_until=front.now + int((due - front.now) * max_wait_fraction),
         queue_limit=int(front.shortest_objective() * queue_limit),
         queue_position=QueuePosition(is_over_share, priority_time, request.index),
-        # Without a release timeout of the platform, state may stay reserved for the request's time budget.
+        # The platform's settings may limit how long an engine's state stays reserved for a request. Without
+        # such a limit, the request's time budget is used.
         reservation_duration=max_reservation_time(front.settings.state_release_timeout, request.time_budget),
     )
 
@@ -119,7 +121,7 @@
     count = count * decay_factor(front, updated_at, ARRIVAL_HALF_LIFE_SECONDS * SECOND) + 1
     front.tenant_arrivals[request.tenant] = TenantArrivals(count, front.now)
     rate = front.settings.tenants[request.tenant].requests_per_second
-    # The decayed count to which arrivals at the tenant's share of the rate converge.
+    # The decayed count to which arrivals at this front's share of the tenant's quota converge.
     expected_count = rate / front.settings.front_count * ARRIVAL_HALF_LIFE_SECONDS / LN_2
     return 0 < SHARE_TOLERANCE * expected_count + SHARE_BURST_REQUESTS < count
 
@@ -131,7 +133,8 @@
         return False
     if queue[0] >= progress.queue_position:
         return False
-    # Only the first request in the queue evaluates the engines, which saves CPU time.
+    # Until `queued_until`, engines are selected only for the first request in the queue, which saves CPU
+    # time.
     _enter_queue(front, progress)
     return True
 
@@ -158,10 +161,10 @@
     own_time = tokens_to_prefill(front, engine, request) / prefill_rate(front, engine)
     shortest_decode_wait = min((predicted_decode_wait(front, e) for e in decode_capable), default=0)
     wait = predicted_first_token_time(front, engine, request) - own_time + shortest_decode_wait
-    # The random factor varies the decision between requests; otherwise all fronts would reject, or admit,
-    # everything at the same time.
     wait_allowance = (progress.first_token_due - front.now - own_time) * progress.max_wait_fraction
     accepted_wait = max(MIN_ACCEPTED_WAIT, wait_allowance)
+    # The random `request_draw` makes requests differ in the wait that they accept. Otherwise all fronts would
+    # reject, or admit, everything at the same time.
     if not progress.attempts and wait * (0.5 + request.request_draw) > accepted_wait:
         progress.is_given_up = True
         return None
@@ -175,12 +178,15 @@
 
 
 def queue_until_next_selection(front: FrontState, progress: RequestProgress) -> int | None:
-    """Return when to select an engine again, or None once the first token is due."""
+    """Put a request that needs a prefill into the queue, and return when to select an engine for it again.
+
+    Return None once the first token is due.
+    """
     is_prefill = not progress.prefill_engine
     if is_prefill:
         _enter_queue(front, progress)
-    # Past their `queued_until` time, requests evaluate the engines even if others are ahead of them. In a
-    # long queue each of them does so less often, which saves CPU time.
+    # Engines are also selected for requests past `queued_until` that are not first in the queue. In a long
+    # queue this happens less often for each of them, which saves CPU time.
     intervals = 1
     if is_prefill and front.prefill_queue[0] != progress.queue_position:
         intervals = max(1, len(front.prefill_queue) // 4)
@@ -191,7 +197,7 @@
 
 
 def next_selection_time(front: FrontState, end: int) -> int:
-    """Return the time one retry interval from now, but no later than `end`."""
+    """Return the time one selection interval from now, but no later than `end`."""
     return min(front.now + SELECTION_INTERVAL, end)
 
 
--- a/runspool/scheduling/attempt_accounting.py
+++ b/runspool/scheduling/attempt_accounting.py
@@ -46,7 +46,10 @@
     outcome: AttemptOutcome,
     prefill_engine: Engine | None,
 ) -> None:
-    """Remove an attempt from its engine unless its stream has started, and learn from its outcome."""
+    """Record how an attempt ended, or that its stream has started, and learn from it.
+
+    The attempt is removed from its engine unless its stream has started.
+    """
     status = outcome.status
     attempt = front.open_attempts[request.index]
     engine = attempt.engine
@@ -55,19 +58,19 @@
         _learn_transfer_delay(front, engine, outcome, prefill_engine)
     engine.waiting_decodes.pop(request.index, None)
     prefill = engine.prefills.pop(request.index, NO_PREFILL)
-    tokens = prefill.tokens
-    engine.prefill_tokens -= tokens
+    prefill_tokens = prefill.tokens
+    engine.prefill_tokens -= prefill_tokens
     is_same_rack_decode = prefill_engine is not None and prefill_engine.rack == engine.rack
     if status in SUCCESS_STATUSES:
         engine.consecutive_failures = engine.ejected_until = 0
-        if tokens:
+        if prefill_tokens:
             _learn_from_prefill(front, request, engine, outcome, prefill)
         elif is_same_rack_decode:
             _learn_decode_wait(front, engine, outcome)
     elif status is AttemptStatus.OVERLOADED:
-        _learn_from_overload(front, request, engine, outcome, tokens)
+        _learn_from_overload(front, request, engine, outcome, prefill_tokens)
     elif status not in NEUTRAL_STATUSES:
-        _learn_from_failure(front, engine, outcome, tokens, is_same_rack_decode)
+        _learn_from_failure(front, engine, outcome, prefill_tokens, is_same_rack_decode)
     attempt.is_streaming = status is AttemptStatus.STREAM_STARTED
     if not attempt.is_streaming:
         _remove_attempt(front, request)
@@ -101,7 +104,7 @@
     outcome: AttemptOutcome,
     prefill: QueuedPrefill,
 ) -> None:
-    """Learn from a completed prefill, which was queued at the engine as `prefill`."""
+    """Learn from a completed prefill; `prefill` is its former entry in the engine's queue."""
     queued_tokens = prefill.cumulative_tokens
     if outcome.status is AttemptStatus.PREFILL_COMPLETE:
         cached = reported_cached_tokens(request, outcome)
@@ -118,10 +121,10 @@
 
 
 def _learn_from_overload(
-    front: FrontState, request: Request, engine: Engine, outcome: AttemptOutcome, tokens: int
+    front: FrontState, request: Request, engine: Engine, outcome: AttemptOutcome, prefill_tokens: int
 ) -> None:
-    """Learn from an engine's report that it is overloaded."""
-    if tokens:
+    """Learn from an engine's report that it is overloaded; `prefill_tokens` is 0 for a decode."""
+    if prefill_tokens:
         # The engine cannot compute its queue within the objective. A recorded delay of at least the objective
         # keeps hundreds of fronts from sending to it again at once.
         delay = max(outcome.duration, front.class_state(request).settings.first_token_objective)
@@ -132,20 +135,21 @@
 
 
 def _learn_from_failure(
-    front: FrontState, engine: Engine, outcome: AttemptOutcome, tokens: int, is_same_rack_decode: bool
+    front: FrontState, engine: Engine, outcome: AttemptOutcome, prefill_tokens: int, is_same_rack_decode: bool
 ) -> None:
-    """Learn from an attempt that failed or timed out on the engine."""
+    """Learn from an attempt that failed or timed out on the engine; `prefill_tokens` is 0 for a decode."""
     timed_out = outcome.status is AttemptStatus.TIMED_OUT
-    if timed_out and tokens:
+    if timed_out and prefill_tokens:
         # Without this sample only attempts that finished in time would determine the estimate.
         update_estimate(
             front, engine.queueing_delay, front.role_queueing_delays[engine.role], outcome.duration
         )
     elif timed_out and is_same_rack_decode:
         _learn_decode_wait(front, engine, outcome)
+    # A first timeout is only counted: it may be due to congestion, which would only move to other engines if
+    # this one were ejected.
     if not timed_out or engine.consecutive_failures:
         eject_engine(front, engine)
-    # A single timeout may be due to congestion, which an ejection would only move to other engines.
     engine.consecutive_failures = max(engine.consecutive_failures, 1)
 
 
@@ -168,7 +172,11 @@
 def _learn_from_response(
     front: FrontState, request: Request, engine: Engine, outcome: AttemptOutcome, prefill_duration: int
 ) -> None:
-    """Learn from a complete response: the engine's prefill rate, its speed, and the output length."""
+    """Learn from a complete response.
+
+    It updates the prefill rate of the engine's role, the response times of mixed engines, and the mean output
+    length of the request class.
+    """
     if prefill_duration:
         # Cached tokens must not count as tokens that were computed fast. Only the end of a response reports
         # how many were cached.
@@ -177,9 +185,9 @@
     class_state = front.class_state(request)
     allowed_time_per_token = class_state.settings.time_per_output_token
     if request.expected_output_tokens and engine.role is Role.MIXED:
-        # The client's estimate of the output length is rough. The sum of allowed times therefore starts at
-        # twice its first value; otherwise a single response would determine whether responses have time to
-        # spare.
+        # The client's estimate of the output length is rough. The sum of allowed times starts at twice its
+        # first value, so that `prefill_selection` does not conclude from a single response that responses
+        # have no time to spare.
         allowed = request.expected_output_tokens * allowed_time_per_token
         total = front.mixed_allowed_time_sum
         front.mixed_allowed_time_sum += allowed - total / RESPONSE_TIME_SAMPLES if total else 2 * allowed
@@ -194,7 +202,8 @@
 def remove_request(front: FrontState, request: Request) -> None:
     """Remove all entries of a request from its engine.
 
-    An entry that is never removed would make its engine look more overdue as time passes.
+    The age of an engine's oldest entry is a lower bound on the wait predicted for the engine, so an entry
+    that is never removed would make the engine look slower and slower.
     """
     if request.index in front.open_attempts:
         _remove_attempt(front, request)
--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -11,10 +11,11 @@
 from runspool.scheduling.time_units import MILLISECOND, SECOND
 from runspool.scheduling.types import Request, Role
 
-# Load of a mixed engine, as a fraction of its capacity, up to which streams are packed onto it.
+# Load, as a fraction of capacity, below which an engine has capacity to spare. Mixed engines are filled with
+# streams up to this load, one after the other.
 PACKING_THRESHOLD = 0.8
-# Weight of the fleet's mean, in streams, against this front's own streams on an engine where the streams of
-# other fronts on that engine are estimated.
+# Added to this front's streams on an engine and to its mean per engine before their ratio scales the estimate
+# of other fronts' streams. The more are added, the less the estimate depends on a few own streams.
 SMOOTHING_STREAMS = 4
 # Wait for a first token, or for a rack's link, that costs as much as a fully loaded engine.
 FULL_LOAD_WAIT = SECOND
@@ -35,10 +36,11 @@
 
 
 def load(front: FrontState, engine: Engine, request: Request | None = None) -> float:
-    """Return an engine's load, where 1 is full capacity.
+    """Return an engine's load relative to its current capacity, which slow start reduces; 1 is full.
 
     The load counts this front's streams, the estimated streams of other fronts and, if given, a further
-    request. If the engine itself reports a higher utilization, that is used.
+    request. If the engine itself reports a higher utilization, that is used. If its capacity is unknown, the
+    number of this front's streams is used.
     """
     own = engine.stream_tokens + (expected_memory_tokens(front, request) if request else 0)
     capacity = engine.observed_capacity or engine.memory_tokens
@@ -54,9 +56,10 @@
 def estimated_tokens_of_other_fronts(front: FrontState, engine: Engine) -> float:
     """Estimate the stream tokens that other fronts have on an engine from this front's own streams.
 
-    The estimate uses this front's streams on this engine as far as they are sufficient evidence, and its mean
-    over the fleet otherwise. From the streams on the engine alone, a single stream at one of a hundred fronts
-    would be extrapolated to a full engine.
+    The other fronts are assumed to have as many streams as this one. The estimate is this front's mean over
+    all engines, scaled by its streams on this engine relative to that mean. Both are smoothed by
+    `SMOOTHING_STREAMS`: otherwise a single stream of a front, one of a hundred, would be extrapolated to a
+    full engine.
     """
     refresh_fleet_statistics(front)
     mean_tokens = front.own_memory_share * (engine.memory_tokens or 1)
@@ -69,9 +72,9 @@
     )
     if front.own_streams_per_engine >= 1 or not engine.memory_tokens:
         return estimated
-    # A front with several times the mean traffic must not consider all engines full. With so few streams it
-    # knows nothing about the other fronts, and only an engine's own report can say that it is above the
-    # threshold.
+    # A front that has several times the traffic of the others would estimate that all engines are full. With
+    # less than one stream per engine it knows too little of the others, so the estimate is capped: only an
+    # engine's own report can show a load above the threshold.
     return min(estimated, PACKING_THRESHOLD * (engine.observed_capacity or engine.memory_tokens))
 
 
@@ -92,7 +95,7 @@
 
 
 def has_few_own_streams(front: FrontState) -> bool:
-    """Return whether this front has less than one stream per engine that can decode.
+    """Return whether this front, as one of several, has less than one stream per engine that can decode.
 
     The absence of own streams on an engine then does not show that other fronts have none there.
     """
@@ -119,9 +122,11 @@
 
 
 def _rack_balance(front: FrontState) -> dict[int, float]:
-    """Return, by rack, the decode engines with spare capacity per prefill engine, 1 being the fleet's mean.
+    """Return the weight of each rack in the selection of prefill engines, where 1 is neutral.
 
-    The more transfers between racks are the bottleneck, the further the values deviate from 1.
+    The weight is the number of decode engines with spare capacity per prefill engine, relative to the fleet's
+    mean, within bounds and raised to an exponent. The exponent grows with the part of the delays that is due
+    to transfers between racks.
     """
     with_room = Counter(
         e.rack for e in front.engine_index.decode_capable() if load(front, e) < PACKING_THRESHOLD
--- a/runspool/scheduling/front_state.py
+++ b/runspool/scheduling/front_state.py
@@ -31,7 +31,7 @@
     is_over_share: bool
     """Whether the request's tenant sends more than its share of the traffic."""
     priority_time: int
-    """A time that is earlier the sooner the first token is due and the higher the class's priority."""
+    """Sort key: arrival time plus the time until the first token is due divided by the priority weight."""
     request_index: int
 
 
@@ -67,7 +67,8 @@
         self.engine_index: EngineIndex[Engine] = EngineIndex((), seed)
         self.sample_count = 0  # engine samples that requests have drawn from a large fleet
         self.active_engines: dict[int, Engine] = {}  # those that have requests of this front, by id
-        self.reserved_prefill_engine: Engine | None = None  # preferred for prefills; gets no streams
+        # preferred for prefills, and not filled with streams
+        self.reserved_prefill_engine: Engine | None = None
         self.reserved_decode_engine: Engine | None = None  # preferred for streams
         self.is_subscribed = False  # to the endpoint list
 
@@ -95,10 +96,11 @@
 
         self.fleet_statistics_at = -1  # when the statistics below were computed
         self.own_streams_per_engine = 0.0  # this front's streams per engine that can decode
-        # Fraction of the decode memory of the whole fleet that this front's streams take.
+        # This front's streams as a fraction of the memory of all engines that can decode.
         self.own_memory_share = 0.0
         self.rack_balance: dict[int, float] = {}
-        """By rack: decode engines with spare capacity per prefill engine, relative to the fleet's mean."""
+        """By rack: weight of its prefill engines, which is above 1 if the rack has more decode capacity to
+        spare."""
         self.rack_balance_at = -RACK_BALANCE_INTERVAL
 
     def class_state(self, request: Request) -> RequestClassState:
--- a/runspool/scheduling/outlier_detection.py
+++ b/runspool/scheduling/outlier_detection.py
@@ -16,7 +16,7 @@
 
 
 def eject_engine(front: FrontState, engine: Engine) -> None:
-    """Eject an engine; the duration doubles with every consecutive failure."""
+    """Exclude an engine from selection for a time that doubles with every consecutive failure."""
     doublings = min(engine.consecutive_failures, MAX_DOUBLINGS)
     engine.ejected_until = front.now + min(MAX_EJECTION, MIN_EJECTION << doublings)
     engine.consecutive_failures += 1
--- a/runspool/scheduling/prefill_selection.py
+++ b/runspool/scheduling/prefill_selection.py
@@ -51,16 +51,18 @@
         front: The front's state.
         request: The request to prefill.
         failed_engine_ids: Ids of engines to avoid while others are available.
-        first_execution_engine: The engine of the first attempt that may have been executed, if any.
-        queue_limit: A duration. If the wait on the best engine is over twice this, engines that have streams
-            are considered too.
+        first_execution_engine: The engine of the first attempt that may have been executed, if any. A repeat
+            has to reach an engine in its deduplication scope.
+        queue_limit: Queue up to which `admission` accepts an engine, in tenths of a millisecond. An engine that
+            has streams may be selected only if the wait on the best other engine exceeds twice this limit.
     """
     mixed, class_state = candidate_engines(front, request, Role.MIXED), front.class_state(request)
     # Without an engine that can decode, the prefill's state would be computed only to be released.
     decode_engines = mixed or front.ready_engines(Role.DECODE)
     engines = candidate_engines(front, request, Role.PREFILL) if decode_engines else []
-    # A prefill interrupts the engine's streams, which this front may not know of. It is therefore allowed
-    # only if responses have time to spare.
+    # A prefill interrupts the streams of its engine. A front that has few streams of its own cannot tell
+    # which engines have streams of other fronts. Such a front selects mixed engines only if responses have
+    # time to spare.
     if _responses_have_spare_time(front, request) or not has_few_own_streams(front):
         engines += [e for e in mixed if not has_active_streams(front, e)]
     best = _soonest(
@@ -94,7 +96,7 @@
 
 
 def _soonest(front: FrontState, request: Request, engines: list[Engine]) -> Engine | None:
-    """Return the engine with the soonest first token.
+    """Return the engine with the soonest first token; the reserved engine is preferred among equals.
 
     The request's own prefill time counts more than the queue, since it delays all later prefills.
     """
--- a/runspool/scheduling/request_progress.py
+++ b/runspool/scheduling/request_progress.py
@@ -29,13 +29,13 @@
     """Duration of a prefill engine's queue above which the request waits at the front."""
     queue_position: QueuePosition
     reservation_duration: int
-    """How long an engine keeps a prefill's state reserved."""
+    """Time within which the release of a prefill's state has to start; it is shorter than the time limit."""
     prefill_engine: Engine | None = None
     """The engine that holds the prefill's state."""
-    reservation_start: int = 0
+    reservation_start: int = 0  # start of the state's time limit, which an attempt on an engine restarts
     attempts: int = 0
     unsent_attempt_duration: int = 0
-    """Duration of the last decode attempt if it was never sent, else 0."""
+    """Duration of the last decode attempt if it was not sent in full, else 0."""
     needs_retry_budget: bool = False
     """Whether the next prefill counts against the retry budget, because one timed out or was refused."""
     first_execution_engine: Engine | None = None
--- a/runspool/scheduling/retry_policy.py
+++ b/runspool/scheduling/retry_policy.py
@@ -1,7 +1,10 @@
 """Rules for repeating and abandoning attempts, and the final response of a request that was not completed.
 
-Overdue age (mechanism 1 of docs/design.md): an attempt that may be repeated is abandoned once it takes a
-multiple of its predicted time.
+The age of an attempt counts as well (mechanism 1 of docs/design.md): if it may be repeated, it is abandoned
+after a timeout that is at least a multiple of its predicted time.
+
+An engine reserves the state of a completed prefill for a limited time. The time limit is suspended while a
+decode attempt that uses the state is on its engine, and starts again when that attempt ends.
 """
 
 from __future__ import annotations
@@ -23,7 +26,8 @@
     Role,
 )
 
-# Statuses of decode attempts that do not stop the time limit of the prefill's state.
+# Statuses of attempts that were not sent in full. Such a decode attempt does not suspend the time limit on
+# the prefill's reserved state.
 UNSENT_STATUSES = frozenset({AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT})
 # Timeout of a decode attempt that may be repeated, as a fraction of the time left.
 DECODE_TIMEOUT_FRACTION = 0.8
@@ -31,7 +35,7 @@
 MIN_TIMEOUT = 300 * MILLISECOND
 # Multiple of the predicted wait up to which an attempt does not count as hung.
 TIMEOUT_FACTOR = 4
-# Repeated prefills that each successful prefill adds to the retry budget. The budget prevents repeats from
+# Repeated prefills that each successful prefill adds to the retry budget. The budget keeps repeats from
 # sustaining an overload.
 RETRY_BUDGET_PER_PREFILL = 0.3
 # Upper bound on the retry budget, in prefills.
@@ -55,9 +59,10 @@
 
 
 def must_release_before_connect(front: FrontState, progress: RequestProgress) -> bool:
-    """Return whether a prefill's state may expire while another connection is tried."""
-    # If connections to one decode engine after another fail, the state stays reserved meanwhile. The next
-    # attempt may take as long as the last one, and the release needs time as well.
+    """Return whether a prefill's state has to be released before another connection is tried."""
+    # The next connection may take as long to fail as the last one. If connections to one decode engine after
+    # another failed, the state would stay reserved beyond its time limit. `reservation_duration` leaves time
+    # for the release itself.
     return progress.prefill_engine is not None and (
         front.now + progress.unsent_attempt_duration
         >= progress.reservation_start + progress.reservation_duration
@@ -65,7 +70,7 @@
 
 
 def spend_retry_budget(front: FrontState, progress: RequestProgress) -> bool:
-    """Charge a repeated prefill to the retry budget; return False if the budget is used up."""
+    """Charge the next attempt to the retry budget if it has to be; return False if the budget is used up."""
     if progress.needs_retry_budget:
         if front.retry_budget < 1:
             return False
@@ -133,7 +138,8 @@
     front: FrontState, progress: RequestProgress, engine: Engine, outcome: AttemptOutcome
 ) -> bool:
     """Update a request with a failed attempt; return whether the prefill's state has to be released."""
-    # An attempt that did not reach its engine has not stopped the state's time limit.
+    # The time limit on the prefill's state continues after an attempt that was not sent, and starts again
+    # after one that reached its engine.
     progress.unsent_attempt_duration = outcome.duration if outcome.status in UNSENT_STATUSES else 0
     if outcome.reached_engine:
         progress.reservation_start = front.now
@@ -143,8 +149,9 @@
         and not progress.request.is_continuation
         and outcome.status in (AttemptStatus.TIMED_OUT, AttemptStatus.OVERLOADED)
     )
-    # Released state is gone, or is dropped with the attempt that waited for it. Whatever else is reserved for
-    # the request is released too.
+    # State that was released during the attempt no longer exists, or is dropped by its engine together with
+    # the attempt that waited for it. The request needs a new prefill, and a second release covers anything
+    # that an engine still reserves for it.
     return progress.prefill_engine is not None and outcome.state_released
 
 
--- a/runspool/scheduling/stream_migration.py
+++ b/runspool/scheduling/stream_migration.py
@@ -1,4 +1,8 @@
-"""Selection of streams to stop here and resume elsewhere, from overloaded engines or before a shutdown."""
+"""Selection of streams that this front interrupts so that their clients resume them.
+
+A client resumes its stream on another engine if its engine is overloaded, and through another front if this
+front shuts down.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +15,11 @@
 from runspool.scheduling.time_units import MILLISECOND, SECOND
 from runspool.scheduling.types import Role
 
-# Load of an engine, as a fraction of its capacity, above which one of its streams is migrated.
+# Load of an engine, as a fraction of its capacity, above which one of its streams is interrupted.
 OVERLOAD_THRESHOLD = 1.2
-# Time before the shutdown deadline over which streams are migrated.
+# Time before the shutdown deadline over which streams are interrupted.
 SHUTDOWN_MIGRATION_PERIOD = SECOND
-# Shortest time between two migrations before a shutdown.
+# Shortest time between two interruptions before a shutdown.
 MIN_MIGRATION_PAUSE = 25 * MILLISECOND
 
 
@@ -36,10 +40,11 @@
 
 
 def migrate_before_shutdown(front: FrontState, deadline: int) -> Generator[Action, Any, None]:
-    """Migrate this front's streams before the process may be killed at `deadline`.
+    """Interrupt this front's streams before the process may be killed at `deadline`.
 
-    The streams are migrated as late as possible, since other fronts may be restarting too. The newest goes
-    first, and the migrations are spread over `SHUTDOWN_MIGRATION_PERIOD`.
+    The streams are interrupted as late as possible, because their clients resume them through other fronts,
+    which may be restarting as well. The newest stream goes first, and the interruptions are spread over
+    `SHUTDOWN_MIGRATION_PERIOD`.
     """
     yield Sleep(max(front.now, deadline - SHUTDOWN_MIGRATION_PERIOD))
     while front.settings.streams_can_resume:
--- a/runspool/scheduling/types.py
+++ b/runspool/scheduling/types.py
@@ -115,8 +115,9 @@
     client repeats, `is_continuation` one for the rest of an interrupted stream. The driver sets `finished`
     once the client has its final response or has disconnected.
 
-    The scheduler sets `request_draw`, the request's only random draw, and `affinity_candidates`, the ids of
-    the prefill engines that are expected to have its prompt cached, the most likely first.
+    The scheduler sets `request_draw`, the request's only random number (from 0 to 1), and
+    `affinity_candidates`, the ids of the prefill engines that are expected to have its prompt cached, the
+    most likely first.
     """
 
     index: int
