--- a/runspool/engines/response_parser.py
+++ b/runspool/engines/response_parser.py
@@ -10,7 +10,7 @@
 
 from runspool.errors import RunspoolError
 
-MAX_HEADERS = 64  # per response; further headers are ignored
+MAX_HEADERS = 64  # maximum number of headers stored per response; further ones are ignored
 
 
 class MalformedHttpResponseError(RunspoolError):
--- a/runspool/units.py
+++ b/runspool/units.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-TENTHS_PER_MS = 10  # tenths of a millisecond per millisecond
-TENTHS_PER_SECOND = 1000 * TENTHS_PER_MS  # tenths of a millisecond per second
+TENTHS_PER_MS = 10
+TENTHS_PER_SECOND = 1000 * TENTHS_PER_MS
 
 
-def ms_to_tenths(millis: float) -> int:
+def ms_to_tenths(milliseconds: float) -> int:
     """Convert milliseconds to tenths of a millisecond, rounded to the nearest integer (half to even)."""
-    return round(millis * TENTHS_PER_MS)
+    return round(milliseconds * TENTHS_PER_MS)
--- a/runspool/wire/engine_messages.py
+++ b/runspool/wire/engine_messages.py
@@ -44,7 +44,7 @@
 
 
 class PromptTokensDetails(msgspec.Struct):
-    """Details of the prompt's token count."""
+    """Details of the prompt's token count: how many tokens were found in the engine's cache."""
 
     cached_tokens: int | None = None
 
--- a/runspool/wire/http_requests.py
+++ b/runspool/wire/http_requests.py
@@ -14,7 +14,7 @@
 
 from runspool.errors import RunspoolError
 
-MAX_HEADERS = 100  # per request
+MAX_HEADERS = 100  # maximum number of headers per request
 REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}  # reason phrase by HTTP status
 
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -91,7 +91,7 @@
         self.ready: deque[HttpRequest] = deque()
         self._error: InvalidHttpRequestError | None = None
         self._complete_before_error = 0  # number of complete requests in `ready` before the error
-        self._unparsed_head_bytes = 0  # bytes fed since the last head was complete
+        self._unparsed_head_bytes = 0  # number of bytes parsed since the last complete head
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
