--- a/runspool/service/attempt_runner.py
+++ b/runspool/service/attempt_runner.py
@@ -63,6 +63,7 @@
     def _record_denied_attempt(
         self, pending: RequestT, endpoint: Endpoint, attempt: int, denial: DenialReason
     ) -> AttemptResult:
+        """Record that the scheduler started an attempt that the lifecycle does not permit."""
         self.executor.invariants.record(
             InvariantViolation.ATTEMPT_NOT_ALLOWED,
             request=pending.id,
@@ -94,6 +95,7 @@
     def _report_end(
         self, pending: RequestT, endpoint: Endpoint, attempt: int, sent_at: int, result: AttemptResult
     ) -> None:
+        """Update the request with the result of its attempt, and report the outcome to the scheduler."""
         executor = self.executor
         ended_at = now()
         state_released = pending.lifecycle.released_during_attempt
--- a/runspool/service/cell_scheduler_registry.py
+++ b/runspool/service/cell_scheduler_registry.py
@@ -121,6 +121,10 @@
         )
 
     def _engines_in_cell(self, name: str, scheduler: CellScheduler) -> dict[int, EngineRecord]:
+        """Return the records of the cell's engines, keyed by engine index.
+
+        A cell that is no longer on the cell map keeps those of its engines that are still READY.
+        """
         records = self.endpoint_registry.engine_records
         names = self.cell_router.placement.cells.get(name)
         if names is None:
--- a/runspool/service/request_terminator.py
+++ b/runspool/service/request_terminator.py
@@ -47,6 +47,7 @@
             self.log_decision(pending, ShutdownDecision.LEFT_OPEN, "its stream cannot be resumed elsewhere")
 
     def _end(self, pending: RequestT, denial: DenialReason) -> None:
+        """End a request as indeterminate; its stream, if one has started, is cut off."""
         self.log_decision(pending, ShutdownDecision.ENDED, denial.value)
         if denial is DenialReason.RESUMABLE_AT_KILL:
             # The scheduler should have migrated this stream in time. The client can still resume it
