--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -37,10 +37,10 @@
 # A response that is incomplete for this time after its first byte counts as stalled even if bytes still come.
 MAX_RECEIVE_DURATION = 30_000
 MAX_OPEN_CALLS = 6  # maximum number of calls that are open at the same time
-MAX_COUNTED_GIVEN_UP = 1_000  # maximum number of given-up calls that are remembered
+MAX_REMEMBERED_GIVEN_UP = 1_000  # maximum number of given-up calls that are remembered
 # An agent may refuse a second connection. The only open call is then given up in favour of a new one once it
 # has been open for at least this time beyond its wait.
-MIN_ONLY_CALL_AGE = 20_000
+MIN_ONLY_CALL_AGE_LIMIT = 20_000
 
 
 class DiscoveryState(Enum):
@@ -105,11 +105,11 @@
         self._needs_watch = False  # a response has been received, and no watch is open
         self._version = 0  # the version after which the next watch requests changes
         self._applied_at: int | None = None  # when the latest response was applied; None at a new address
-        self.given_up_numbers: deque[int] = deque(maxlen=MAX_COUNTED_GIVEN_UP)
+        self.given_up_numbers: deque[int] = deque(maxlen=MAX_REMEMBERED_GIVEN_UP)
         self._last_made_at: int | None = None
         self._last_watch_at: int | None = None
         self._backoff = SearchBackoff(self.random)
-        self._only_call_age = MIN_ONLY_CALL_AGE
+        self._only_call_age_limit = MIN_ONLY_CALL_AGE_LIMIT
 
     def change_address(self, address: Address) -> list[DiscoveryCall]:
         """Direct all further calls to the agent at another address.
@@ -221,10 +221,11 @@
             self._backup_watch.start(now)
         self._backup_watch.record_response(call, now)
         self.given_up_numbers = deque(
-            (number for number in self.given_up_numbers if number > call.number), maxlen=MAX_COUNTED_GIVEN_UP
+            (number for number in self.given_up_numbers if number > call.number),
+            maxlen=MAX_REMEMBERED_GIVEN_UP,
         )
         self._latency_estimator.measure(call, now)
-        self._only_call_age = max(MIN_ONLY_CALL_AGE, 2 * self.agent_latency)
+        self._only_call_age_limit = max(MIN_ONLY_CALL_AGE_LIMIT, 2 * self.agent_latency)
         is_newer = self._applied_at is None or call.made_at >= self._applied_at
         is_usable = is_newer or version > self._version
         if is_usable:
@@ -257,9 +258,9 @@
     def _expired_only_call(self, now: int) -> DiscoveryCall | None:
         """Return the oldest open call if it has reached the age limit, and double the limit; else None."""
         oldest = self.open_calls[0]
-        if now - oldest.made_at - oldest.wait < self._only_call_age:
+        if now - oldest.made_at - oldest.wait < self._only_call_age_limit:
             return None
-        self._only_call_age *= 2
+        self._only_call_age_limit *= 2
         return oldest
 
     def _is_watch_after(self, call: DiscoveryCall, version: int) -> bool:
--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -26,10 +26,10 @@
 MAX_INTERNED_NAMES = 20_000
 # Idle timeout of a stream after an event. The platform requires that the client learns of an interrupted
 # stream within 5 s.
-STREAM_SILENCE_MS = 4_000
+STREAM_IDLE_TIMEOUT_MS = 4_000
 # Time after a response within which an engine may send a surplus second response on the same connection,
 # according to the platform.
-QUIET_TIME_MS = 25
+SURPLUS_RESPONSE_WINDOW_MS = 25
 MAX_EVENT_BYTES = 65_536  # maximum size of an event of a stream, and of the response to a prefill
 # How long a prefill waits at most for the release of the state that an earlier prefill of its request left.
 RELEASE_WAIT_SECONDS = 0.05
@@ -103,9 +103,9 @@
                 settings.connect_timeout / 10 or 250.0, idle_ms, max_connections, max_connections
             ),
             now,
-            STREAM_SILENCE_MS,
+            STREAM_IDLE_TIMEOUT_MS,
             max_connections,
-            QUIET_TIME_MS,
+            SURPLUS_RESPONSE_WINDOW_MS,
         )
         self.state_releaser = StateReleaser(
             self.engine_client,
--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -61,8 +61,9 @@
 
 
 LIMITS = NodeConnectionLimits()
-FIRST_REQUEST_MS = 2_400.0  # time limit from the start of a connection to the end of its first request
-REUSED_IDLE_MS = 20_000.0  # how long a connection that has served a request may be idle
+# Time limit from the start of a connection to the end of its first request.
+FIRST_REQUEST_TIMEOUT_MS = 2_400.0
+REUSED_IDLE_TIMEOUT_MS = 20_000.0  # how long a connection that has served a request may be idle
 
 
 class RequestHandler(HttpConnection):
@@ -93,7 +94,7 @@
         self.executor = executor
         self.has_served = False
         self.awaits_first_request = True
-        self.first_request_deadline = super()._deadline_after(FIRST_REQUEST_MS)
+        self.first_request_deadline = super()._deadline_after(FIRST_REQUEST_TIMEOUT_MS)
         self.idle_since = 0
 
     @property
@@ -108,7 +109,7 @@
 
     def head_wait_ms(self) -> float:
         """Return the time limit until the next request begins, in milliseconds."""
-        return REUSED_IDLE_MS if self.has_served else self.limits.idle_ms
+        return REUSED_IDLE_TIMEOUT_MS if self.has_served else self.limits.idle_ms
 
     def _deadline_after(self, wait_ms: float) -> float:
         deadline = super()._deadline_after(wait_ms)
--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -40,7 +40,7 @@
 RESERVED_DESCRIPTORS = 28
 # Clients' share of the descriptors that are not reserved; engines get the rest. Requests in progress use at
 # most a third of all descriptors, and connections of clients without a request can be closed.
-CLIENT_SHARE = 0.45
+CLIENT_DESCRIPTOR_SHARE = 0.45
 MAX_LIST_BYTES = 16 << 20  # maximum size of a response of the discovery agent
 # Connections to the discovery agent that may be closing while the maximum number of calls is open.
 CLOSING_DISCOVERY_CONNECTIONS = 2
@@ -92,7 +92,7 @@
         self.read_config = read_config
         self.log = structlog.get_logger()
         available = max_descriptors - RESERVED_DESCRIPTORS
-        max_clients = int(available * CLIENT_SHARE)
+        max_clients = int(available * CLIENT_DESCRIPTOR_SHARE)
         self.executor = NodeExecutor(config, available - max_clients)
         self.connections = ClientConnections(self.executor, max_clients)
         self.discovery = DiscoveryClient(
