--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -38,8 +38,8 @@
 FINAL_WRITE_DURATION = (
     10_000  # longest time in which the final responses that are sent after that are written
 )
-POLL_SECONDS = 0.02
-MAX_LOGGED_REQUESTS = 20
+POLL_SECONDS = 0.02  # interval between two checks whether anything is still in progress
+MAX_LOGGED_REQUESTS = 20  # maximum number of open requests that are logged when the deadline has passed
 
 
 class GracefulShutdown:
@@ -106,7 +106,7 @@
     def _end_open_requests(self) -> None:
         self.executor.request_terminator.end_open_requests()
         for handler in list(self.connections.handlers):
-            handler.refuse_incomplete()
+            handler.refuse_incomplete_request()
 
     async def _wait_until_idle(self, until: int, before_check: Callable[[], None] = lambda: None) -> bool:
         """Wait until nothing is in progress; return False if that is not so by `until`.
@@ -139,7 +139,7 @@
             "requests": len(self.executor.requests),
             "streams": sum(pending.stream_started for pending in self.executor.requests.values()),
             "connections": len(self.connections.handlers),
-            "answers": self.connections.busy_handlers,
+            "answers": self.connections.busy_handler_count,
             "releases": self.executor.releases_in_progress,
         }
 
@@ -176,12 +176,12 @@
         for handler in list(self.connections.handlers):
             # The first request on a new connection may arrive with a delay. If the connection were closed
             # before, the client would not get a response from any node.
-            if not handler.first or now() - handler.idle_since > FIRST_REQUEST_GRACE:
+            if not handler.awaits_first_request or now() - handler.idle_since > FIRST_REQUEST_GRACE:
                 handler.close_if_waiting()
 
     def _in_progress(self) -> bool:
         return bool(
-            self.connections.busy_handlers
+            self.connections.busy_handler_count
             or self.connections.handlers
             or self.executor.requests
             or self.executor.releases_in_progress
--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -26,7 +26,7 @@
 from runspool.node.executor import ConnectionSettings, NodeExecutor
 from runspool.node.graceful_shutdown import GracefulShutdown
 from runspool.node.stop_request import StopRequest
-from runspool.service.accept_loop import accept_all
+from runspool.service.accept_loop import accept_connections
 from runspool.service.clock import now
 
 IDLE_CLOSE_INTERVAL_SECONDS = 0.5  # interval between two checks for idle connections to engines
@@ -40,7 +40,7 @@
 RESERVED_DESCRIPTORS = 28
 # Clients' share of the descriptors that are not reserved; engines get the rest. Requests in progress use at
 # most a third of all descriptors, and connections of clients without a request can be closed.
-CLIENT_SHARE = 0.45
+CLIENT_DESCRIPTOR_SHARE = 0.45
 MAX_LIST_BYTES = 16 << 20  # maximum size of a response of the discovery agent
 # Connections to the discovery agent that may be closing while the maximum number of calls is open.
 CLOSING_DISCOVERY_CONNECTIONS = 2
@@ -49,8 +49,8 @@
 CONFIG_RETRY_SECONDS = 0.25  # interval between two attempts to read the configuration
 # How long a start waits for the first whole endpoint list; the discovery agent may not respond at all.
 FIRST_LIST_WAIT_SECONDS = 1.5
-LISTEN_BACKLOG = 1024
-DISCOVERY_CONNECTIONS = ConnectionSettings(
+LISTEN_BACKLOG = 1024  # maximum number of connections that wait in the kernel until they are accepted
+DISCOVERY_CONNECTION_SETTINGS = ConnectionSettings(
     connect_ms=1_000,
     idle_ms=60_000,
     connections_each=MAX_OPEN_CALLS + CLOSING_DISCOVERY_CONNECTIONS,
@@ -68,7 +68,7 @@
         executor: Executes the requests.
         connections: Serves the clients' connections.
         discovery: Follows the endpoint list.
-        config_reloads: The number of configuration reloads started.
+        reload_count: The number of configuration reloads started.
         stop_request: The request to stop this node.
         port: The port on which the node listens; 0 before it listens.
     """
@@ -92,11 +92,11 @@
         self.read_config = read_config
         self.log = structlog.get_logger()
         available = max_descriptors - RESERVED_DESCRIPTORS
-        max_clients = int(available * CLIENT_SHARE)
+        max_clients = int(available * CLIENT_DESCRIPTOR_SHARE)
         self.executor = NodeExecutor(config, available - max_clients)
         self.connections = ClientConnections(self.executor, max_clients)
         self.discovery = DiscoveryClient(
-            DISCOVERY_CONNECTIONS,
+            DISCOVERY_CONNECTION_SETTINGS,
             DiscoveryCallPlanner(config.discovery, Random(config.seed).random),
             self.executor.endpoint_tracker,
             now,
@@ -104,7 +104,7 @@
             self.executor.scheduler.subscription_lost,
             self.executor.counts,
         )
-        self.config_reloads = 0  # a reload ends when a later one has started
+        self.reload_count = 0  # a reload ends when a later one has started
         self.stop_request = stop_request or StopRequest()
         self._reload_requested = False
         self.port = 0
@@ -123,7 +123,9 @@
             InvalidNodeConfigError: The node cannot listen on the configured address.
         """
         executor = self.executor
-        executor.endpoints_changed(executor.endpoint_tracker.restore(self.config.last_endpoints.engines))
+        executor.endpoints_changed(
+            executor.endpoint_tracker.restore(self.config.last_known_endpoints.engines)
+        )
         listener = await self._listen()
         if listener is None:
             self.log.info("node_stopped_before_start", waited_for="port")
@@ -143,7 +145,7 @@
                 accepts_requests = not self.stop_request.is_requested
                 for each in listener.listeners:
                     raw_socket = each.extra(SocketAttribute.raw_socket)
-                    tasks.start_soon(accept_all, raw_socket, tasks, self.connections.serve)
+                    tasks.start_soon(accept_connections, raw_socket, tasks, self.connections.serve)
                 self._log_listening()
                 task_status.started(self.port)
                 await self.stop_request.wait()
@@ -186,12 +188,12 @@
         Changes to other settings require a restart. An invalid configuration has no effect; reading it is
         retried for CONFIG_RETRY_DURATION, because the file may be partially written.
         """
-        self.config_reloads += 1
-        this_reload = self.config_reloads
+        self.reload_count += 1
+        this_reload = self.reload_count
         deadline = now() + CONFIG_RETRY_DURATION
         while (config := self._try_read_config()) is None:
             await anyio.sleep(CONFIG_RETRY_SECONDS)
-            if this_reload != self.config_reloads or now() > deadline:
+            if this_reload != self.reload_count or now() > deadline:
                 return
         if config.settings.routing != self.config.settings.routing or config.listen != self.config.listen:
             self.log.warning(
@@ -217,9 +219,9 @@
             self._close_idle_engine_connections,
             self.discovery.follow,
         ):
-            tasks.start_soon(self._keep_running, work)
+            tasks.start_soon(self._run_with_restarts, work)
 
-    async def _keep_running(self, work: Callable[[], Awaitable[None]]) -> None:
+    async def _run_with_restarts(self, work: Callable[[], Awaitable[None]]) -> None:
         """Run a background task and restart it when it fails, so that the failure does not end the node.
 
         The growing delay prevents a task that always fails from using up the CPU and filling the log.
@@ -278,11 +280,11 @@
             port=self.port,
             clients=self.connections.max_clients,
             engines=self.executor.engine_client.pool.max_connections,
-            known=len(self.config.last_endpoints.engines),
+            known=len(self.config.last_known_endpoints.engines),
         )
 
 
-def raise_descriptor_limit(wanted: int) -> int:
+def set_descriptor_limit(wanted: int) -> int:
     """Set this process's limit on open file descriptors.
 
     Args:
@@ -297,7 +299,7 @@
     return limit
 
 
-async def read_first_config(environ: Mapping[str, str], stop_request: StopRequest) -> NodeConfig | None:
+async def read_startup_config(environ: Mapping[str, str], stop_request: StopRequest) -> NodeConfig | None:
     """Read the configuration at startup.
 
     If the file is missing or partially written, reading it is retried for CONFIG_RETRY_DURATION.
@@ -360,11 +362,11 @@
                 self.server.request_reload()
 
     async def _serve(self) -> None:
-        config = await read_first_config(self.environ, self.stop_request)
+        config = await read_startup_config(self.environ, self.stop_request)
         if config is None:
             structlog.get_logger().info("node_stopped_before_start", waited_for="configuration")
             return
-        max_descriptors = raise_descriptor_limit(config.max_descriptors)
+        max_descriptors = set_descriptor_limit(config.max_descriptors)
         self.server = NodeServer(
             config, lambda: read_node_config(self.environ), max_descriptors, self.stop_request
         )
--- a/runspool/service/attempt_runner.py
+++ b/runspool/service/attempt_runner.py
@@ -42,7 +42,7 @@
         await executor.before_attempt(pending, endpoint)
         sent_at, attempt = now(), pending.attempt_count
         limit = effective_timeout(
-            first_token_limit, executor.deadline_guard.attempts_end_at(pending) - sent_at
+            first_token_limit, executor.deadline_guard.attempt_deadline(pending) - sent_at
         )
         target = AttemptTarget(endpoint.index, endpoint.role, endpoint.zone, endpoint.rack)
         denial = pending.lifecycle.deny_attempt(sent_at, target)
@@ -63,6 +63,7 @@
     def _record_denied_attempt(
         self, pending: RequestT, endpoint: Endpoint, attempt: int, denial: DenialReason
     ) -> AttemptResult:
+        """Record that the scheduler started an attempt that the lifecycle does not permit."""
         self.executor.invariants.record(
             InvariantViolation.ATTEMPT_NOT_ALLOWED,
             request=pending.id,
@@ -81,7 +82,7 @@
         with anyio.CancelScope() as scope:
             pending.attempt_scope = scope
             pending.attempt_endpoint = endpoint
-            permit = AttemptPermit(executor.registry, pending, endpoint)
+            permit = AttemptPermit(executor.endpoint_registry, pending, endpoint)
             try:
                 result = await executor.run_exchange(pending, endpoint, attempt, sent_at, limit, permit)
             except Exception as error:
@@ -94,6 +95,7 @@
     def _report_end(
         self, pending: RequestT, endpoint: Endpoint, attempt: int, sent_at: int, result: AttemptResult
     ) -> None:
+        """Update the request with the result of its attempt, and report the outcome to the scheduler."""
         executor = self.executor
         ended_at = now()
         state_released = pending.lifecycle.released_during_attempt
@@ -168,7 +170,7 @@
         }
         executor.log.debug("attempt_finished", **details)
         if result.failure_cause is not None:
-            executor.trace.info("attempt_ended", **details)
+            executor.rate_limited_log.info("attempt_ended", **details)
 
 
 def _failed_result(cause: FailureCause, detail: str = "") -> AttemptResult:
--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -70,7 +70,7 @@
         elif path == "/healthz" and method == "GET":
             await self.send_response(503 if self.front.closing else 200, b"{}")
         elif path == "/cells" and method == "GET":
-            await self.send_response(200, msgspec.json.encode(self.front.cells()))
+            await self.send_response(200, msgspec.json.encode(self.front.status_page()))
         elif path == "/v1/models" and method == "GET":
             await self.send_response(200, msgspec.json.encode(self._model_list()))
         else:
@@ -103,7 +103,7 @@
             return
         response.request_id = pending.id
         stream = response if isinstance(response, _EventStreamResponse) else None
-        final = await self.final_response(self.front, pending, stream)
+        final = await self.wait_for_final_response(self.front, pending, stream)
         await self._send_final_response(pending, response, final)
 
     async def _send_not_accepted(self, error: RequestNotAcceptedError) -> None:
@@ -132,7 +132,7 @@
             raise ConnectionClosedError("the client disconnected before the final response")
         succeeded = final.kind is ResponseKind.SUCCEEDED
         if isinstance(response, _EventStreamResponse):
-            if response.opened or succeeded:
+            if response.head_sent or succeeded:
                 await response.finish(final)
                 return
         elif succeeded and final.result is not None:
@@ -205,8 +205,8 @@
         self.model = handler.front.config.front.model
 
     async def stream_started(self) -> None:
-        self.opened = True
-        self.chunks = wire.CompletionEventEncoder(self.request_id, self.model, self.created_at)
+        self.head_sent = True
+        self.encoder = wire.CompletionEventEncoder(self.request_id, self.model, self.created_at)
         fields = [
             ("Content-Type", "text/event-stream"),
             ("Cache-Control", "no-store"),
@@ -218,7 +218,7 @@
         await self.forward(encode_response_head(200, fields))
 
     async def data_received(self, text: str) -> None:
-        await self.forward(self.chunks.text(text))
+        await self.forward(self.encoder.text(text))
 
     async def finish(self, final: FinalResponse) -> None:
         """Send the last event of the stream and end the response.
@@ -230,7 +230,7 @@
         if self.write_interrupted:
             self.handler.tcp.close()
             raise ConnectionClosedError("an earlier write of the response was interrupted")
-        if not self.opened:
+        if not self.head_sent:
             await self.stream_started()
         if final.kind is ResponseKind.SUCCEEDED:
             reason = final.result.finish_reason if final.result else "stop"
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -32,7 +32,7 @@
     not_accepted_error,
 )
 from runspool.service.deadlines import first_token_budget
-from runspool.service.engine_check import CONNECTION_BROKEN, is_engine_up
+from runspool.service.engine_check import BROKEN_CONNECTION_CAUSES, is_engine_up
 from runspool.service.pending_completion import PendingCompletion, forwarded_headers
 from runspool.service.pending_request import Endpoint, FinalResponse, RequestNotAcceptedError, ResponseKind
 from runspool.service.prefill_state_release import release_with_retries
@@ -78,7 +78,7 @@
             adopted_unix_ms,
         )
         self.scheduler_registry = CellSchedulerRegistry(
-            self.cell_router, self.registry, config.house.zones, self, self.seed, recording_path
+            self.cell_router, self.endpoint_registry, config.house.zones, self, self.seed, recording_path
         )
         self.cell_schedulers = self.scheduler_registry.schedulers
 
@@ -131,8 +131,8 @@
             index=pending.index,
             request_class=request_class,
             tenant=None if completion.tenant is None else self.tenant_indices[completion.tenant],
-            session=self.intern_text("s", completion.session, accepted_at),
-            prefix=self.intern_text("b", completion.prefix, accepted_at),
+            session=self.intern_name("s", completion.session, accepted_at),
+            prefix=self.intern_name("b", completion.prefix, accepted_at),
             prompt_tokens=completion.prompt_tokens,
             prefix_tokens=completion.prefix_tokens,
             max_output_tokens=completion.max_output_tokens,
@@ -167,7 +167,7 @@
         self.publish_engines()
         self.scheduler_registry.close_unused()
 
-    def cells(self) -> dict[str, Any]:
+    def status_page(self) -> dict[str, Any]:
         """Return the status page for operators: the state of this front's cells and tenant migrations."""
         return cell_status(self.config.front.name, self.cell_router, now(), unix_ms())
 
@@ -188,7 +188,7 @@
 
     def cell_scheduler(self, name: str) -> CellScheduler:
         """Return a cell's scheduler, which is created with the cell's first request."""
-        return self.scheduler_registry.scheduler(name)
+        return self.scheduler_registry.get_or_create(name)
 
     @property
     def first_driver(self) -> SchedulerDriver:
@@ -239,7 +239,7 @@
                 pending.completion.max_output_tokens,
                 ResponseRelay(self, pending, attempt, sent_at),
             )
-        if result.failure_cause in CONNECTION_BROKEN:
+        if result.failure_cause in BROKEN_CONNECTION_CAUSES:
             await self._check_for_poisonous_request(pending, endpoint)
         return result
 
@@ -264,7 +264,7 @@
             self.spawn_release(self._release, pending.prefill_endpoint, pending.state, pending.id)
         pending.state = pending.prefill_endpoint = None
 
-    def is_guarded(self, pending: PendingCompletion) -> bool:
+    def deadline_guard_applies(self, pending: PendingCompletion) -> bool:
         """Return whether the deadline guard still applies.
 
         It does not apply to a response that is already being streamed to its client. It does apply to a
@@ -289,7 +289,7 @@
         """Count an engine that went down during the request against the request, which may be the cause.
 
         If too many engines were lost, the request is answered as poisonous and not attempted again. The
-        request and the release of its state wait for the check for at most ENGINE_CHECK_SECONDS; the check is
+        request and the release of its state wait for the check for at most ENGINE_CHECK_TIMEOUT; the check is
         cancelled when the client disconnects.
         """
         is_up = await is_engine_up(self.engine_client, endpoint.address)
