--- a/runspool/engines/attempt_result.py
+++ b/runspool/engines/attempt_result.py
@@ -53,7 +53,7 @@
     state: Any = None
     load_report: LoadReport | None = None
 
-    def fail(self, cause: FailureCause, detail: str, stream_started: bool) -> None:
+    def record_failure(self, cause: FailureCause, detail: str, stream_started: bool) -> None:
         """Record a failure.
 
         Args:
--- a/runspool/engines/completions_client.py
+++ b/runspool/engines/completions_client.py
@@ -141,9 +141,9 @@
         except ExchangeAbortedError as error:
             # After the finish reason the text is complete; only the last lines of the response are missing.
             if not (stream.finished and error.cause is FailureCause.STREAM_INTERRUPTED):
-                result.fail(error.cause, error.detail, stream.started)
+                result.record_failure(error.cause, error.detail, stream.started)
         except wire.MalformedResponseError as error:
-            result.fail(FailureCause.MALFORMED_RESPONSE, str(error), stream.started)
+            result.record_failure(FailureCause.MALFORMED_RESPONSE, str(error), stream.started)
         result.reached_engine = exchange.reached_engine
         return result
 
--- a/runspool/node/engine_client.py
+++ b/runspool/node/engine_client.py
@@ -129,9 +129,9 @@
                     await listener.data_received(first_events)
                     await self._forward_events(exchange, events, wait, listener)
         except ExchangeAbortedError as error:
-            result.fail(error.cause, error.detail, stream_started)
+            result.record_failure(error.cause, error.detail, stream_started)
         except MalformedEventStreamError as error:
-            result.fail(FailureCause.MALFORMED_RESPONSE, str(error), stream_started)
+            result.record_failure(FailureCause.MALFORMED_RESPONSE, str(error), stream_started)
         result.cached_tokens = events.cached_tokens
         result.prompt_tokens = events.prompt_tokens
         result.output_tokens = events.output_tokens
--- a/runspool/wire/http_requests.py
+++ b/runspool/wire/http_requests.py
@@ -91,7 +91,7 @@
         self.ready: deque[HttpRequest] = deque()
         self._error: InvalidHttpRequestError | None = None
         self._complete_before_error = 0  # number of complete requests in `ready` before the error
-        self._unparsed_head_bytes = 0  # number of bytes parsed since the last complete head
+        self._bytes_since_head = 0  # number of bytes received since the last complete head
         self._parser = httptools.HttpRequestParser(self)
 
     def feed(self, data: bytes) -> None:
@@ -103,7 +103,7 @@
         Raises:
             InvalidHttpRequestError: `data` is not a valid request, or exceeds a size limit.
         """
-        self._unparsed_head_bytes += len(data)
+        self._bytes_since_head += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -112,7 +112,7 @@
             self._record_error(400, "malformed", str(error))
         last = self.ready[-1] if self.ready else None
         in_head = last is None or not last.head_complete
-        if in_head and self._unparsed_head_bytes > self.head_bytes:
+        if in_head and self._bytes_since_head > self.head_bytes:
             self._record_error(431, "malformed", f"a head of over {self.head_bytes} bytes")
         if self._error is not None:
             while len(self.ready) > self._complete_before_error:
@@ -161,7 +161,7 @@
         request.method = self._parser.get_method().decode("latin-1")
         request.version = self._parser.get_http_version()
         request.head_complete = True
-        self._unparsed_head_bytes = 0
+        self._bytes_since_head = 0
         length = int(request.headers.get("content-length", "0"))  # validated by httptools
         if request.version not in ("1.0", "1.1"):
             self._record_error(505, "malformed", f"HTTP/{request.version} is not spoken here")
