--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -61,8 +61,9 @@
 
 
 LIMITS = NodeConnectionLimits()
-FIRST_REQUEST_MS = 2_400.0  # time limit from the start of a connection to the end of its first request
-REUSED_IDLE_MS = 20_000.0  # how long a connection that has served a request may be idle
+# Time limit from the start of a connection to the end of its first request.
+FIRST_REQUEST_TIMEOUT_MS = 2_400.0
+REUSED_IDLE_TIMEOUT_MS = 20_000.0  # how long a connection that has served a request may be idle
 
 
 class RequestHandler(HttpConnection):
@@ -71,13 +72,13 @@
     Attributes:
         executor: Executes the requests.
         has_served: Whether a request from the connection has been accepted.
-        first: Whether the connection still waits for its first complete request.
+        awaits_first_request: Whether the connection still waits for its first complete request.
         first_request_deadline: The time limit of the first request, on the event loop's clock.
         idle_since: When the wait for the next request began, in tenths of a millisecond; 0 while a request is
             open.
     """
 
-    UNREPEATABLE_HEADERS = ("req-", "host", "content-length", "transfer-encoding")
+    UNIQUE_HEADER_PREFIXES = ("req-", "host", "content-length", "transfer-encoding")
 
     def __init__(
         self, executor: NodeExecutor, connection: TcpConnection, count_active: Callable[[int], None]
@@ -92,8 +93,8 @@
         super().__init__(LIMITS, connection, count_active)
         self.executor = executor
         self.has_served = False
-        self.first = True
-        self.first_request_deadline = super()._deadline_after(FIRST_REQUEST_MS)
+        self.awaits_first_request = True
+        self.first_request_deadline = super()._deadline_after(FIRST_REQUEST_TIMEOUT_MS)
         self.idle_since = 0
 
     @property
@@ -104,15 +105,15 @@
         every other node is down too, they cannot open others: when connections were closed at SIGTERM, 11% of
         the requests during an incident reached no node.
         """
-        return self.executor.closing and not self.first
+        return self.executor.closing and not self.awaits_first_request
 
     def head_wait_ms(self) -> float:
         """Return the time limit until the next request begins, in milliseconds."""
-        return REUSED_IDLE_MS if self.has_served else self.limits.idle_ms
+        return REUSED_IDLE_TIMEOUT_MS if self.has_served else self.limits.idle_ms
 
     def _deadline_after(self, wait_ms: float) -> float:
         deadline = super()._deadline_after(wait_ms)
-        return min(deadline, self.first_request_deadline) if self.first else deadline
+        return min(deadline, self.first_request_deadline) if self.awaits_first_request else deadline
 
     async def _read_head(self) -> HttpRequest | None:
         self.idle_since = now()
@@ -154,7 +155,7 @@
         )
 
     async def _route(self, request: HttpRequest, received_at: int) -> None:
-        self.first = False
+        self.awaits_first_request = False
         if request.path == HEALTH_PATH and request.method == "GET":
             await self.send_response(503 if self.executor.shutdown_deadline else 200, b"{}")
         elif request.path != COMPLETIONS_PATH:
@@ -162,9 +163,9 @@
         elif request.method != "POST":
             await self.send_response(405, self.error_body("method", "POST it"), [("Allow", "POST")])
         else:
-            await self._complete(request, received_at)
+            await self._handle_completion(request, received_at)
 
-    async def _complete(self, request: HttpRequest, received_at: int) -> None:
+    async def _handle_completion(self, request: HttpRequest, received_at: int) -> None:
         try:
             client_request = parse_client_request(
                 request.target, request.headers, bytes(request.body), self.executor.platform_settings
--- a/runspool/service/cell_scheduler_registry.py
+++ b/runspool/service/cell_scheduler_registry.py
@@ -51,9 +51,9 @@
         self.seed = seed
         self.recording_path = recording_path
         self.schedulers: dict[str, CellScheduler] = {}
-        self.scheduler(self.cell_router.cell_map.cell_names()[0])
+        self.get_or_create(self.cell_router.cell_map.cell_names()[0])
 
-    def scheduler(self, name: str) -> CellScheduler:
+    def get_or_create(self, name: str) -> CellScheduler:
         """Return a cell's scheduler; if there is none yet, create it and send it the cell's engines."""
         scheduler = self.schedulers.get(name)
         if scheduler is None:
@@ -121,6 +121,10 @@
         )
 
     def _engines_in_cell(self, name: str, scheduler: CellScheduler) -> dict[int, EngineRecord]:
+        """Return the records of the cell's engines, keyed by engine index.
+
+        A cell that is no longer on the cell map keeps those of its engines that are still READY.
+        """
         records = self.endpoint_registry.engine_records
         names = self.cell_router.placement.cells.get(name)
         if names is None:
