--- a/runspool/scheduling/prefill_selection.py
+++ b/runspool/scheduling/prefill_selection.py
@@ -53,8 +53,8 @@
         failed_engine_ids: Ids of engines to avoid while others are available.
         first_execution_engine: The engine of the first attempt that may have been executed, if any. A repeat
             has to reach an engine in its deduplication scope.
-        queue_limit: Queue up to which `admission` accepts an engine, in tenths of a millisecond. An engine that
-            has streams may be selected only if the wait on the best other engine exceeds twice this limit.
+        queue_limit: Queue up to which `admission` accepts an engine, in tenths of a millisecond. An engine
+            that has streams may be selected only if the wait on the best other engine exceeds twice this.
     """
     mixed, class_state = candidate_engines(front, request, Role.MIXED), front.class_state(request)
     # Without an engine that can decode, the prefill's state would be computed only to be released.
--- a/runspool/scheduling/types.py
+++ b/runspool/scheduling/types.py
@@ -82,7 +82,7 @@
         AttemptStatus.NOT_SENT,
     }
 )
-"""Statuses after which the attempt is known to have had no effect."""
+"""Statuses after which the attempt is known to have had no effect; only a decode executes a request."""
 
 
 @dataclass(slots=True)
