--- a/runspool/lab/__init__.py
+++ b/runspool/lab/__init__.py
@@ -1,1 +1,4 @@
-"""The laboratory: stand-ins, scripted days, recorders and auditors. No product code imports it."""
+"""Test laboratory: stand-in engines and clients, fault scenarios, recordings and their audit.
+
+Code that runs in production does not import this package.
+"""
--- a/runspool/lab/cell_plans.py
+++ b/runspool/lab/cell_plans.py
@@ -1,6 +1,7 @@
-"""Scenarios for cells: a tenant that floods, a cell that is full, bad requests and releases, live migrations.
+"""Scenarios that test cells: an overloading tenant, a full cell, faulty requests and releases, migrations.
 
-Everything is drawn from the scenario's seed; the order of the draws is part of a scenario.
+All random values are drawn from the scenario's seed. Changing the order of the draws changes the scenario
+that a seed stands for.
 """
 
 from __future__ import annotations
@@ -19,32 +20,37 @@
 )
 
 CELLS, FRONTS = 4, 4
-# An engine's capacity as a multiple of a bad night's. With 0.15 and 24 requests per second, cells are full
-# without any fault; at 14 requests per second they are not, and a tenant at six times its share makes it 31.
-# At full capacity a flood had no effect.
+# Capacity of each engine as a multiple of the capacity that engines have in the scenario bad-night. With
+# 0.15, cells are full without any fault at 24 requests per second, but not at the 14 requests per second used
+# here; a tenant that sends six times its share raises those to 31. With full capacity, the flood had no
+# effect.
 CAPACITY_MULTIPLE = 0.15
 FULL_CAPACITY = 1.0
-CELL_ENGINES = ("prefill", "prefill", "decode", "mixed")
-FIRST_CELL_ENGINES = tuple(range(len(CELL_ENGINES)))  # indices of the first cell's engines
+CELL_ENGINES = ("prefill", "prefill", "decode", "mixed")  # types of the engines in each cell
+FIRST_CELL_ENGINES = tuple(range(len(CELL_ENGINES)))  # indices in the plan of the first cell's engines
 ZONES = ("waw-1", "waw-2")
 REQUESTS_PER_SECOND = 14
 
+# The scenario with migrations. Times are in tenths of a millisecond.
 MIGRATING_TENANTS = 40
 MIGRATIONS_START_AT = 6 * SECOND
-AFTER_LAST_MIGRATION = 6 * SECOND
+AFTER_LAST_MIGRATION = 6 * SECOND  # time for the last migrations to end before the scenario ends
 MIGRATION_REQUESTS_PER_SECOND = 36
-MIGRATION_MAX_TIME_LIMIT = 10 * SECOND
-MIGRATION_CLASS_TIME_LIMIT = 8 * SECOND
-MAP_SKEW = 300  # between the fronts' reading of a new map
-# What is killed beside a migration, and after which of its moments.
+MIGRATION_MAX_TIME_LIMIT = 10 * SECOND  # the longest time limit that the fronts accept
+MIGRATION_CLASS_TIME_LIMIT = 8 * SECOND  # upper bound on the time limit of every request class
+MAP_SKEW = 300  # tenths of a millisecond between one front receiving a new cell map and the next front
+# The process that is killed during a migration, and the step of the migration that the kill follows.
 KILLS = [
     (process, step) for step in ("ahead", "settling", "over") for process in ("front", "source", "target")
 ]
-MIGRATIONS_PER_KILL = 4
+MIGRATIONS_PER_KILL = 4  # a process is killed during one of so many migrations
 
 
 def flood(seed: int, cells: bool = True, flooded: bool = True) -> ScenarioPlan:
-    """One of four tenants sends six times its share for 30 s."""
+    """Return a scenario in which one of four tenants sends six times its share of the requests for 30 s.
+
+    Without `cells` the fleet has no cells; without `flooded` the tenant sends its share only.
+    """
     plan = _fleet("flood", seed, 36 * SECOND, REQUESTS_PER_SECOND, CELLS, cells)
     if flooded:
         plan.faults = [FaultPlan("tenant_burst", 4 * SECOND, 30 * SECOND, magnitude=6, subject_index=0)]
@@ -52,7 +58,10 @@
 
 
 def full_cell(seed: int, full: bool = True) -> ScenarioPlan:
-    """Every engine of one cell answers that it is full for 10 s."""
+    """Return a scenario in which every engine of one cell rejects all requests as overloaded for 10 s.
+
+    Without `full` no engine does.
+    """
     plan = _fleet("full-cell", seed, 30 * SECOND, REQUESTS_PER_SECOND, CELLS, True)
     if full:
         plan.faults = [FaultPlan("full", 8 * SECOND, 10 * SECOND, targets=[*FIRST_CELL_ENGINES])]
@@ -60,7 +69,11 @@
 
 
 def poisoned(seed: int, cells: bool = True, poison: bool = True) -> ScenarioPlan:
-    """For 15 s one request in thirty of one of four tenants crashes each engine that decodes it."""
+    """Return a scenario in which some requests crash every engine that decodes them.
+
+    For 15 s, one request in thirty of one of the four tenants does so; without `poison`, none does. Without
+    `cells` the fleet has no cells.
+    """
     plan = _fleet("poisoned", seed, 24 * SECOND, REQUESTS_PER_SECOND, CELLS, cells)
     if poison:
         plan.faults = [FaultPlan("poison", 4 * SECOND, 15 * SECOND, magnitude=0.033, subject_index=0)]
@@ -68,7 +81,11 @@
 
 
 def bad_release(seed: int, cells: bool = True, released: bool = True) -> ScenarioPlan:
-    """One cell's engines get a release that fails half of its requests and is three times as slow."""
+    """Return a scenario in which the engines of one cell are upgraded to a faulty software release.
+
+    The release fails half of its requests and runs at a third of the usual speed. Without `released` no
+    engine is upgraded; without `cells` the fleet has no cells.
+    """
     plan = _fleet("bad-release", seed, 30 * SECOND, REQUESTS_PER_SECOND, CELLS, cells)
     if released:
         plan.faults = [
@@ -85,10 +102,12 @@
 
 
 def moving_night(seed: int, moves: int = 200, every: int = SECOND // 2) -> ScenarioPlan:
-    """Live migrations one after the other, a third of them undone half-way.
+    """Return a scenario that migrates tenants between cells while they send requests.
 
-    With each fourth something is killed, every kind of process at every step in turn. A tenant is migrated
-    again only when its last migration can have no effect any more.
+    One migration starts every `every` tenths of a millisecond, until there have been `moves`. A third of them
+    are undone half-way. During every fourth migration a process is killed: each combination of a process and
+    a step of the migration (KILLS) in turn. A tenant is migrated again only once its previous migration no
+    longer affects any of its requests.
     """
     duration = MIGRATIONS_START_AT + moves * every + AFTER_LAST_MIGRATION
     plan = _fleet(
@@ -121,7 +140,10 @@
 
 
 def _migration_mode(number: int) -> str:
-    """Return how a migration ends and, where it comes with a kill, the process and the step of that."""
+    """Return the mode of the migration with this number (see `migration_script`).
+
+    It states whether the migration is completed or undone and, if a process is killed, which one and when.
+    """
     ending = "undo" if number % 3 == 2 else "done"
     if number % MIGRATIONS_PER_KILL:
         return ending
@@ -138,7 +160,10 @@
     with_cells: bool,
     capacity_multiple: float = CAPACITY_MULTIPLE,
 ) -> ScenarioPlan:
-    """Four cells of four engines, four fronts; tenants in turn over the cells."""
+    """Return a scenario without faults: four cells of four engines each, and four fronts.
+
+    The tenants have equal shares and are assigned to the cells in turn. Their quotas are twice their shares.
+    """
     rng = Random(seed)
     request_classes = default_request_classes()
     engines = [
@@ -177,6 +202,7 @@
 
 
 def _cell_map(tenants: list[str]) -> dict[str, Any]:
+    """Return the cell map as plain data, with the tenants assigned to the cells in turn."""
     return {
         "version": 1,
         "way": "fixed",
--- a/runspool/lab/client_messages.py
+++ b/runspool/lab/client_messages.py
@@ -1,4 +1,4 @@
-"""What a client sends to a front: headers and body of a completion request."""
+"""Build the headers and the body of the completion requests that the clients send to a front."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from runspool.lab.workload import PlannedRequest, prompt_text
 from runspool.units import TENTHS_PER_MS
 
-MAX_OUTPUT_TOKENS = 800  # that every request allows
+MAX_OUTPUT_TOKENS = 800  # `max_tokens` of every request
 
 Headers = list[tuple[str, str]]
 
@@ -16,7 +16,15 @@
 def request_headers(
     plan: ScenarioPlan, request: PlannedRequest, attempt_id: str, time_limit: int, body_length: int
 ) -> Headers:
-    """Return the headers of one attempt; `time_limit` is in tenths of a millisecond."""
+    """Return the headers of one attempt.
+
+    Args:
+        plan: the plan of the scenario.
+        request: the request.
+        attempt_id: the id of the attempt: the request's id, a dot and the number of the attempt.
+        time_limit: how long the client waits for the response, in tenths of a millisecond.
+        body_length: the length of the body in bytes.
+    """
     request_class = plan.request_classes[request.request_class_index]
     headers = [
         ("Host", "front"),
@@ -43,7 +51,7 @@
 
 
 def request_body(request: PlannedRequest, attempt_id: str) -> bytes:
-    """Return the body of one attempt, with what the stand-in engines are to do with it."""
+    """Return the body of one attempt, which also tells the stand-in engine how to process the request."""
     return msgspec.json.encode(
         {
             "model": "runspool",
--- a/runspool/lab/clients.py
+++ b/runspool/lab/clients.py
@@ -1,4 +1,4 @@
-"""The scenario's clients: they ask at the times drawn for them, repeat what they may, and record it."""
+"""Clients of a scenario: send the planned requests, retry them where allowed, and record the responses."""
 
 from __future__ import annotations
 
@@ -14,16 +14,23 @@
 from runspool.lab.workload import PlannedRequest
 from runspool.service.clock import now
 
-LATE_ANSWER_GRACE = 3_000  # tenths of a millisecond for which a late answer is still waited for
-MIN_TIME_LEFT = 500  # tenths of a millisecond with which a client still asks again
+LATE_ANSWER_GRACE = 3_000  # tenths of a millisecond past the time limit at which a client stops waiting
+MIN_TIME_LEFT = 500  # tenths of a millisecond; with less left of the time limit, a client does not retry
 CONNECT_TIMEOUT = 1.0  # seconds
 
-FINAL_OUTCOMES = frozenset({"succeeded", "left", "malformed"})
-NOT_EXECUTED_OUTCOMES = frozenset({"dismissed", "refused", "unreachable"})
+# Recorded outcomes of an attempt, with `left` for a client that disconnected.
+FINAL_OUTCOMES = frozenset({"succeeded", "left", "malformed"})  # no retry follows
+NOT_EXECUTED_OUTCOMES = frozenset({"dismissed", "refused", "unreachable"})  # a retry is always safe
 
 
 class WorkloadClients:
-    """Sends all requests of a scenario."""
+    """Sends all requests of a scenario.
+
+    Attributes:
+        plan: the plan of the scenario.
+        load_balancer: selects a front for each attempt.
+        record: records what the clients send and receive.
+    """
 
     def __init__(self, plan: ScenarioPlan, load_balancer: LoadBalancer, record: Recorder) -> None:
         self.plan = plan
@@ -31,7 +38,10 @@
         self.record = record
 
     async def run(self, requests: list[PlannedRequest], start: int) -> None:
-        """Send every request at its time after `start` (the front's clock) and wait until all are over."""
+        """Send every request at its planned time and wait until all have ended.
+
+        `start` is the start of the scenario, on the clock that the fronts use too.
+        """
         async with anyio.create_task_group() as tasks:
             for request in requests:
                 wait = start + request.at - now()
@@ -40,35 +50,35 @@
                 tasks.start_soon(self._send, request)
 
     async def _send(self, request: PlannedRequest) -> None:
-        """Send one request and repeat it as its client and its request class allow."""
+        """Send one request and retry it as far as its client and its request class allow."""
         request_class = self.plan.request_classes[request.request_class_index]
-        first_asked_at = now()
+        first_attempt_at = now()
         for number in range(1, request.retries + 2):
             time_left = request.time_limit
             if number > 1 and request.backoff:
-                time_left -= now() - first_asked_at
+                time_left -= now() - first_attempt_at
             if time_left < MIN_TIME_LEFT:
                 return
             outcome = await self.attempt(request, number, time_left)
             if outcome.kind in FINAL_OUTCOMES:
                 return
-            if not _may_repeat(outcome, request_class, first_asked_at):
+            if not _may_retry(outcome, request_class, first_attempt_at):
                 return
             pause = request.backoff + (outcome.retry_after if request.backoff else 0)
             await anyio.sleep(pause / SECOND)
 
     async def attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
-        """Send a request once, as its attempt `number`, and read the answer.
+        """Make one attempt at a request: send it, read the response and record both.
 
         Args:
             request: the request.
-            number: counts the request's attempts from 1.
-            time_limit: how long the client waits, in tenths of a millisecond.
+            number: the number of the attempt; the first is 1.
+            time_limit: how long the client waits for the response, in tenths of a millisecond.
         """
         attempt_id = f"{request.id}.{number}"
         front_index = self.load_balancer.pick(self.plan.zones[request.zone_index])
-        self._record_asked(request, attempt_id, number, front_index, time_limit)
-        outcome = await self._connect_and_ask(request, attempt_id, front_index, time_limit)
+        self._record_attempt(request, attempt_id, number, front_index, time_limit)
+        outcome = await self._connect_and_exchange(request, attempt_id, front_index, time_limit)
         self.record.line(
             "answer",
             kind=outcome.kind,
@@ -78,7 +88,7 @@
         )
         return outcome
 
-    def _record_asked(
+    def _record_attempt(
         self, request: PlannedRequest, attempt_id: str, number: int, front_index: int, time_limit: int
     ) -> None:
         plan = self.plan
@@ -97,7 +107,7 @@
             **{"try": attempt_id},
         )
 
-    async def _connect_and_ask(
+    async def _connect_and_exchange(
         self, request: PlannedRequest, attempt_id: str, front_index: int, time_limit: int
     ) -> ClientOutcome:
         try:
@@ -106,12 +116,13 @@
         except (OSError, TimeoutError):
             return ClientOutcome("unreachable")
         async with stream:
-            return await self._ask(request, attempt_id, time_limit, stream)
+            return await self._exchange(request, attempt_id, time_limit, stream)
 
-    async def _ask(
+    async def _exchange(
         self, request: PlannedRequest, attempt_id: str, time_limit: int, stream: SocketStream
     ) -> ClientOutcome:
-        asked_at = now()
+        """Send the request on an open connection and read the response."""
+        started_at = now()
         connection = h11.Connection(h11.CLIENT)
         body = request_body(request, attempt_id)
         headers = request_headers(self.plan, request, attempt_id, time_limit, len(body))
@@ -124,7 +135,7 @@
             return ClientOutcome("lost", "while_sending")
         self.record.line("sent", **{"try": attempt_id})
         reader = ResponseReader(self.record, request, attempt_id, stream, connection)
-        deadline = asked_at + time_limit + LATE_ANSWER_GRACE
+        deadline = started_at + time_limit + LATE_ANSWER_GRACE
         if not request.disconnects_after:
             return await reader.read(deadline)
         return await _read_until_disconnect(reader, deadline, request.disconnects_after)
@@ -133,19 +144,24 @@
 async def _read_until_disconnect(
     reader: ResponseReader, deadline: int, disconnects_after: int
 ) -> ClientOutcome:
-    with anyio.move_on_after(disconnects_after / SECOND) as patience:
+    """Read the response, but disconnect after `disconnects_after` tenths of a millisecond."""
+    with anyio.move_on_after(disconnects_after / SECOND) as scope:
         outcome = await reader.read(deadline)
-    if patience.cancelled_caught:
+    if scope.cancelled_caught:
         return ClientOutcome("left")
     return outcome
 
 
-def _may_repeat(outcome: ClientOutcome, request_class: RequestClassPlan, first_asked_at: int) -> bool:
-    """What may have run is repeated only where the request's class says so."""
+def _may_retry(outcome: ClientOutcome, request_class: RequestClassPlan, first_attempt_at: int) -> bool:
+    """Return whether a request may be sent again after an attempt with this outcome.
+
+    A request that may have been executed is sent again only if its request class allows a second execution,
+    or if every engine recognises its idempotency key and the deduplication window is still open.
+    """
     if outcome.kind in NOT_EXECUTED_OUTCOMES:
         return True
     if request_class.idempotency == "rerunnable":
         return True
     if request_class.idempotency != "ticketed" or request_class.deduplication_scope != "all":
         return False
-    return now() - first_asked_at < request_class.deduplication_window
+    return now() - first_attempt_at < request_class.deduplication_window
--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -1,4 +1,8 @@
-"""A stand-in engine: the model of one engine behind the published two-stage completions."""
+"""A stand-in engine: serves completions over HTTP, with timing from a model instead of a language model.
+
+It speaks the published protocol for separate prefill and decode, in which a decode engine fetches the prefill
+state from the prefill engine.
+"""
 
 from __future__ import annotations
 
@@ -48,14 +52,15 @@
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """A completion in work.
+    """A completion request that the engine has accepted and not finished.
 
     Attributes:
         job: its job in the engine's model.
-        call: the request.
-        progress: set at each token, at the prefill's end, when its state is lost or its client is gone.
+        call: the received request.
+        progress: set at each generated token, at the end of the prefill, when fetching the prefill state has
+            failed, and when the connection is lost.
         executed: whether its first token has been generated.
-        state_lost: whether its state could not be fetched.
+        state_lost: whether the prefill state could not be fetched.
     """
 
     job: Job
@@ -66,16 +71,16 @@
 
 
 class StandInEngine:
-    """One engine on a port of its own; what it sees is recorded.
+    """Serves one engine on its own port and records what it receives and does.
 
     Attributes:
-        spec: what the engine is.
-        model: its queue, jobs, memory and cache.
-        faults: what is injected.
-        active_requests: the completions in work, by the identity of their jobs.
-        token_text: the text of each token, before its number.
-        port: 0 until it serves.
-        tasks: what it runs, while it does.
+        spec: the engine's name, role, location and speed.
+        model: the engine's queue, jobs, memory and prefix cache.
+        faults: the faults that are injected into the engine.
+        active_requests: the accepted completion requests, by the `id()` of their jobs.
+        token_text: the text that each generated token starts with; the token's number follows.
+        port: the port that it listens on; 0 until it does.
+        tasks: the task group of the running engine; None before the start.
     """
 
     def __init__(self, spec: EngineSpec, recorder: Recorder, cold: bool, seed: int) -> None:
@@ -96,7 +101,7 @@
     async def run(
         self, host: str, port: int, *, task_status: TaskStatus[int] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; report the port as started."""
+        """Serve until cancelled; report the port to `task_status` once the engine listens."""
         self._host = host
         async with anyio.create_task_group() as tasks:
             self.tasks = tasks
@@ -111,17 +116,22 @@
                 await serve_connections(listener, self._serve_connection, tasks)
 
     def crash(self) -> None:
-        """End the process, as an engine does that is overloaded while cold, or poisoned."""
+        """End the process at once, to simulate a crash by an overload during slow start or by a request."""
         os._exit(CRASH_EXIT_CODE)
 
     def fault(self, name: str, **settings: FaultSetting) -> None:
-        """Switch a fault on or off; raise ValueError for one that is not known."""
+        """Record and apply a command that switches a fault on or off.
+
+        Raises:
+            ValueError: there is no fault of this name.
+        """
         self._events.fault_switched(name, settings)
         self.faults.switch(name, settings)
 
-    # Steps.
+    # Running the model.
 
     async def _run_steps(self, tasks: TaskGroup) -> None:
+        """Run the steps of the model in real time, until cancelled."""
         while True:
             await self.faults.wait_until_resumed()
             for job in self.model.start_waiting():
@@ -136,6 +146,7 @@
             self._finish_step(step)
 
     def _finish_step(self, step: Step) -> None:
+        """Apply the step's result and notify the requests that it concerns."""
         result = self.model.finish_step(step)
         for job in [*result.prefilled, *result.decoded]:
             request = self.active_requests.get(id(job))
@@ -147,10 +158,11 @@
             request.progress.set()
 
     def _wake(self) -> None:
-        """Let the steps go on, as there is work to do or memory for it."""
+        """Resume the steps, because a job was added or memory was freed."""
         self._work_available.set()
 
     async def _fetch(self, request: ActiveRequest) -> None:
+        """Fetch a request's prefill state, so that its job can decode; mark the request if that fails."""
         params = request.call.body.kv_transfer_params
         assert params is not None
         if await fetch_state(self.spec, params, request.call.received.disconnected):
@@ -160,7 +172,7 @@
             request.progress.set()
         self._wake()
 
-    # Requests.
+    # Serving requests.
 
     async def _serve_connection(self, stream: SocketStream) -> None:
         if self._open_connections >= self.faults.max_connections:
@@ -184,6 +196,7 @@
             await received.respond(404, error_body("not_found", "path", "no such path"))
 
     async def _complete(self, received: ReceivedRequest) -> None:
+        """Serve a completion request and record its arrival and its end."""
         arrived_at = now()
         request_class = received.headers.get("runspool-tariff", "")
         fault = self.faults.draw_response_fault(request_class, self._draw)
@@ -206,7 +219,7 @@
             self._events.ended(call, ending)
 
     async def _serve(self, call: CompletionCall) -> str:
-        """Serve a completion, or inject its fault; return how it ended, in the recording's words."""
+        """Serve a completion request, or inject its fault; return how it ended, as recorded in `ended`."""
         ending = await inject_response_fault(call.received, call.fault, partial(self._events.executed, call))
         if ending:
             return ending
@@ -228,7 +241,7 @@
         return await self._work(ActiveRequest(job, call))
 
     async def _work(self, request: ActiveRequest) -> str:
-        """Take a request through the model; return how it ended."""
+        """Submit a request to the model and respond with its result; return how it ended."""
         job, received = request.job, request.call.received
         admission = self.model.submit(now(), job)
         if admission is AdmissionResult.OVERLOADED_COLD:
@@ -258,16 +271,19 @@
             self._wake()
 
     async def _watch(self, request: ActiveRequest) -> None:
+        """Notify a request when its connection is lost."""
         await request.call.received.watch()
         request.progress.set()
 
     async def _wait_for_progress(self, request: ActiveRequest) -> None:
+        """Wait for progress of a request; raise PeerClosedError if its connection is lost."""
         await request.progress.wait()
         request.progress = anyio.Event()
         if request.call.received.disconnected.is_set():
             raise PeerClosedError
 
     async def _prefill(self, request: ActiveRequest) -> str:
+        """Wait for the prefill, hold its state and respond; return how the request ended."""
         job, received = request.job, request.call.received
         while job.prefill_remaining > 0 or job.phase in (Phase.WAITING, Phase.FETCHING):
             await self._wait_for_progress(request)
@@ -283,6 +299,7 @@
         return "read"
 
     async def _decode(self, request: ActiveRequest) -> str:
+        """Stream the generated tokens; return how the request ended."""
         job, received, fault = request.job, request.call.received, request.call.fault
         length = min(job.output_tokens, request.call.body.max_tokens)
         tokens_sent = 0
@@ -314,5 +331,6 @@
         return "done"
 
     def _load_report(self) -> dict[str, str]:
+        """Return the response header that reports the engine's load."""
         metrics = msgspec.json.encode({"named_metrics": self.model.load_report()}).decode()
         return {LOAD_REPORT_HEADER: f"{LOAD_REPORT_FORMAT} {metrics}"}
--- a/runspool/lab/engine_events.py
+++ b/runspool/lab/engine_events.py
@@ -1,4 +1,7 @@
-"""The events that a stand-in engine records, in the words of recordings (docs/operators/recordings.md)."""
+"""Record the events of a stand-in engine.
+
+The names of the events and of their fields are documented in docs/operators/recordings.md.
+"""
 
 from __future__ import annotations
 
@@ -6,18 +9,18 @@
 from runspool.lab.recording import Recorder
 from runspool.lab.standin_messages import CompletionCall
 
-ATTEMPT = "try"  # the field with the client attempt's name; a Python keyword
+ATTEMPT = "try"  # field with the id of the client attempt; not usable as a keyword argument in Python
 
 
 class EngineEvents:
-    """Records one engine's events."""
+    """Records the events of one engine."""
 
     def __init__(self, spec: EngineSpec, recorder: Recorder) -> None:
         self._spec = spec
         self._recorder = recorder
 
     def started(self, cold: bool) -> None:
-        """Record the engine's start, with what the auditor must know of its slow start."""
+        """Record the engine's start, with the parameters of the slow start that the audit needs."""
         spec = self._spec
         self._line(
             "engine_up",
@@ -33,23 +36,26 @@
         )
 
     def fault_switched(self, name: str, settings: dict[str, str | float | None]) -> None:
-        """Record that a fault is switched on or off."""
+        """Record a command that switches a fault on or off."""
         self._line("fault", fault=name, **settings)
 
     def crashed_by_overload(self) -> None:
-        """Record a crash of an engine that was overloaded during its slow start."""
+        """Record that the engine crashes because it was overloaded during its slow start."""
         self._line("fell")
 
     def crashed_by_poison(self) -> None:
-        """Record a crash by a poisonous request."""
+        """Record that the engine crashes because of a poisonous request (one that crashes every engine)."""
         self._line("fell", poison=True)
 
     def reset_before_body(self, request_id: str) -> None:
-        """Record a request whose connection was reset before its body was read."""
+        """Record that the engine resets the connection of a request before it has read the body."""
         self._line("cut_in", request=request_id)
 
     def arrived(self, call: CompletionCall, head_at: int) -> None:
-        """Record a whole request; `head_at` is when its head had been read."""
+        """Record that a request has been received completely.
+
+        `head_at` is when its head had been read, in tenths of a millisecond.
+        """
         self._line(
             "arrived",
             request=call.request_id,
@@ -65,32 +71,38 @@
         )
 
     def executed(self, call: CompletionCall) -> None:
-        """Record that a request has had an effect; a prefill has none."""
+        """Record that the engine has begun to execute a request; a prefill has no effect to record."""
         if not call.is_prefill:
             self._line("ran", request=call.request_id, **{ATTEMPT: call.options.attempt})
 
     def ended(self, call: CompletionCall, ending: str) -> None:
-        """Record how a request has ended."""
+        """Record that a request has ended; `ending` is the recorded word for how."""
         self._line("ended", request=call.request_id, how=ending, **{ATTEMPT: call.options.attempt})
 
     def state_held(self, job: Job, attempt: str) -> None:
-        """Record that a prefill's state is held under the job's request id, for a client's attempt."""
+        """Record that the engine holds the prefill state of a job, under the job's request id.
+
+        `attempt` is the id of the client attempt that the prefill serves.
+        """
         self._line("held", state=job.request_id, tokens=job.prompt_tokens, **{ATTEMPT: attempt})
 
     def state_dropped(self, state: str) -> None:
-        """Record that a state was freed because its front had gone."""
+        """Record that the engine has freed a state because it could not send the response to its front."""
         self._line("dropped", state=state)
 
     def state_expired(self, state: str) -> None:
-        """Record that a state was freed after its time to live."""
+        """Record that the engine has freed a state at the end of its time to live."""
         self._line("expired", state=state)
 
     def state_released(self, state: str, received_at: int) -> None:
-        """Record that a state was freed by a front's call, which came at `received_at`."""
+        """Record that the engine has freed a state because a front released it.
+
+        `received_at` is when the call was received, in tenths of a millisecond.
+        """
         self._line("released", state=state, told=received_at)
 
     def state_taken(self, state: str, by: str) -> None:
-        """Record that another engine has fetched a state."""
+        """Record that another engine, `by`, has fetched a state."""
         self._line("taken", state=state, by=by)
 
     def _line(self, what: str, **fields: object) -> None:
--- a/runspool/lab/engine_faults.py
+++ b/runspool/lab/engine_faults.py
@@ -1,6 +1,6 @@
-"""Faults that a stand-in engine has for a time: what switches each on, and what switches it off.
+"""Translate the faults of a plan into the commands that switch them on and off at the stand-in engines.
 
-The words are those of the engines' fault commands (StandInEngine).
+The names of faults and settings are those that `InjectedFaults` of runspool.lab.injected_faults accepts.
 """
 
 from __future__ import annotations
@@ -12,16 +12,19 @@
 
 Settings = dict[str, object]
 
-# The rows of response faults that the kinds `errors` and `resets` share their magnitude over.
-ERROR_ROWS = ("failed_500", "failed_500_after_run")
-RESET_ROWS = ("reset_before_body", "reset_after", "reset_stream")
+# The response faults that the kinds `errors` and `resets` inject. The magnitude is divided evenly between
+# them.
+ERROR_FAULTS = ("failed_500", "failed_500_after_run")
+RESET_FAULTS = ("reset_before_body", "reset_after", "reset_stream")
 
-STAGES = 2  # prefill and decode; a request meets one engine of about half the fleet at each
+# Prefill and decode. A request is served by one engine in each stage, and about half of the engines serve a
+# stage.
+STAGES = 2
 
 
 @dataclass(frozen=True, slots=True)
 class FaultSwitch:
-    """One fault of an engine: its name, and the settings that switch it on and off."""
+    """A fault by its name, with the settings of the commands that switch it on and off."""
 
     name: str
     on: Settings
@@ -30,16 +33,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineFault:
-    """A fault of one engine, by the engine's index in the plan."""
+    """A fault to be injected into one engine, which is given by its index in the plan."""
 
     engine_index: int
     switch: FaultSwitch
 
 
 def engine_faults(plan: ScenarioPlan, fault: FaultPlan) -> list[EngineFault]:
-    """Return what a fault sets at each engine; nothing where it is not a fault of this sort.
+    """Return the faults to inject into engines for a fault of the plan.
 
-    A fault without targets concerns all engines.
+    The result is empty if the kind of the fault is not one that commands to engines can switch. A fault
+    without targets applies to all engines.
     """
     build = _BUILDERS.get(fault.kind)
     if build is None:
@@ -66,15 +70,15 @@
 
 
 def _errors(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
-    return [_response_fault(row, fault.magnitude / len(ERROR_ROWS)) for row in ERROR_ROWS]
+    return [_response_fault(name, fault.magnitude / len(ERROR_FAULTS)) for name in ERROR_FAULTS]
 
 
 def _resets(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
-    return [_response_fault(row, fault.magnitude / len(RESET_ROWS)) for row in RESET_ROWS]
+    return [_response_fault(name, fault.magnitude / len(RESET_FAULTS)) for name in RESET_FAULTS]
 
 
-def _response_fault(row: str, share: float) -> FaultSwitch:
-    return FaultSwitch("row", {"row": row, "share": share}, {"row": row, "share": 0})
+def _response_fault(name: str, share: float) -> FaultSwitch:
+    return FaultSwitch("row", {"row": name, "share": share}, {"row": name, "share": 0})
 
 
 def _class_failure(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
@@ -88,23 +92,28 @@
 
 
 def _throttle(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
-    """Limit a tenant or request class to a multiple of its even share of the load at an engine."""
-    rows: Sequence[TenantPlan | RequestClassPlan] = (
+    """Limit the rate of a tenant or request class at an engine.
+
+    The magnitude multiplies the rate that an engine receives if the load is spread evenly over the engines.
+    The secondary magnitude sets the time that a rejection takes, as a multiple of the shortest first-token
+    objective.
+    """
+    subjects: Sequence[TenantPlan | RequestClassPlan] = (
         plan.tenants if fault.mode == "tenant" else plan.request_classes
     )
-    row = rows[fault.subject_index % len(rows)]
+    subject = subjects[fault.subject_index % len(subjects)]
     engines_per_stage = max(1, len(plan.engines) / STAGES)
-    even_rate = plan.requests_per_second * row.share / engines_per_stage
-    shortest_objective = min(row.first_token_objective for row in plan.request_classes)
+    even_rate = plan.requests_per_second * subject.share / engines_per_stage
+    shortest_objective = min(request_class.first_token_objective for request_class in plan.request_classes)
     return [
         FaultSwitch(
             "throttle",
             {
-                "whose": row.name,
+                "whose": subject.name,
                 "per_second": fault.magnitude * even_rate,
                 "say_after": round(fault.secondary_magnitude * shortest_objective),
             },
-            {"whose": row.name, "per_second": None, "say_after": 0},
+            {"whose": subject.name, "per_second": None, "say_after": 0},
         )
     ]
 
--- a/runspool/lab/errors.py
+++ b/runspool/lab/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the laboratory that concern a whole scenario."""
+"""Errors that end the run of a scenario."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class ScenarioFailedError(RunspoolError):
-    """A scenario could not be played; the message names the process and what went wrong."""
+    """A scenario could not be run to its end; the message states what failed, and in which process."""
--- a/runspool/lab/fault_injection.py
+++ b/runspool/lab/fault_injection.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a plan into a running fleet, each at its time."""
+"""Inject the faults of a plan into the running engines, fronts and endpoint list, each at its time."""
 
 from __future__ import annotations
 
@@ -14,19 +14,21 @@
 from runspool.lab.recording import Recorder
 from runspool.service.clock import now
 
-RELEASE_DOWNTIME = SECOND // 2  # tenths of a millisecond that a restart into a bad release takes
-DRAIN_DOWNTIME = SECOND  # tenths of a millisecond that the restart after a drain takes
+UPGRADE_DOWNTIME = SECOND // 2  # tenths of a millisecond that an engine is down for an upgrade
+DRAIN_DOWNTIME = SECOND  # tenths of a millisecond that an engine is down after a drain
 
-AGEING_STEPS = 10
-MAX_AGEING_SLOWDOWN = 50
-MIN_AGEING_DOWNTIME = 0.5  # seconds
+AGEING_STEPS = 10  # number of times that an ageing engine becomes slower
+MAX_AGEING_SLOWDOWN = 50  # upper bound on the factor by which an ageing engine becomes slower
+MIN_AGEING_DOWNTIME = 0.5  # seconds that an ageing engine is down at least when it is restarted
 
-MIN_NEIGHBOUR_PERIOD = 0.2  # seconds for which an engine is slow, and then not
-MIN_NEIGHBOUR_SPEED = 0.05
+MIN_NEIGHBOUR_PERIOD = 0.2  # seconds; lower bound on each slow and each undisturbed interval of an engine
+MIN_NEIGHBOUR_SPEED = (
+    0.05  # lower bound on the speed that a neighbour leaves to an engine, 1 being full speed
+)
 
-RELEASE_ERROR_ROW = "failed_500"
+FAULTY_RELEASE_ERROR = "failed_500"  # the response fault of a faulty release
 
-# The seed of the generator is the plan's times this, plus the offset.
+# The random generator's seed is the seed of the plan times the multiplier, plus the offset.
 SEED_MULTIPLIER = 31
 SEED_OFFSET = 7
 
@@ -34,7 +36,17 @@
 
 
 class FaultInjector:
-    """Injects faults by kind. What a fault's magnitudes mean is said at the method of its kind."""
+    """Injects faults into a running fleet. The method for each kind of fault states what its magnitudes mean.
+
+    Attributes:
+        plan: the plan of the scenario.
+        fleet: the processes that the faults are injected into.
+        record: records when each fault begins and ends.
+        migration_script: migrates tenants; None for a plan without cells.
+        rng: draws the engines whose caches are flushed.
+        start: the start of the scenario, in tenths of a millisecond; to be set before the first fault.
+        methods: the methods that inject the faults, by kind.
+    """
 
     def __init__(
         self,
@@ -43,7 +55,7 @@
         record: Recorder,
         migration_script: MigrationScript | None,
     ) -> None:
-        """`migration_script` is needed where the plan has moves of tenants."""
+        """Prepare the injection of faults; `migration_script` is required if the plan migrates tenants."""
         self.plan = plan
         self.fleet = fleet
         self.record = record
@@ -54,21 +66,22 @@
             "crash": self._crash,
             "restart": self._crash,
             "drain": self._drain,
-            "ageing": self._age,
-            "neighbour": self._disturb,
-            "balancer_roll": self._roll_fronts,
+            "ageing": self._slow_down_gradually,
+            "neighbour": self._slow_down_intermittently,
+            "balancer_roll": self._restart_fronts_in_steps,
             "front_kill": self._kill_fronts,
             "discovery_stale": self._delay_endpoint_list,
-            "list_noise": self._mangle_endpoint_list,
+            "list_noise": self._corrupt_endpoint_list,
             "flush": self._flush_caches,
-            "cell_move": self._move_tenant,
-            "bad_release": self._release_badly,
+            "cell_move": self._migrate_tenant,
+            "bad_release": self._upgrade_to_faulty_release,
         }
 
     async def inject(self, fault: FaultPlan) -> None:
-        """Wait for a fault's time, inject it and record its beginning and end.
+        """Wait until a fault is due, inject it and record its beginning and its end.
 
-        `start` must hold the scenario's start. Faults that clients bring about are passed over.
+        The attribute `start` must have been set. Kinds of fault that the clients cause (see `workload`) are
+        ignored.
         """
         method = self.methods.get(fault.kind)
         faults_of_engines = [] if method is not None else engine_faults(self.plan, fault)
@@ -81,14 +94,15 @@
         if method is not None:
             await method(fault)
         else:
-            await self._hold_engine_faults(faults_of_engines, fault.duration)
+            await self._inject_engine_faults(faults_of_engines, fault.duration)
         self.record.line("trouble_over", kind=fault.kind, on=fault.targets)
 
     async def _sleep_until(self, at: int) -> None:
-        """Sleep until a time of the scenario; not at all where it has passed."""
+        """Sleep until a time that counts from the start of the scenario; return at once if it has passed."""
         await anyio.sleep(max(0.0, (self.start + at - now()) / SECOND))
 
-    async def _hold_engine_faults(self, faults: list[EngineFault], duration: int) -> None:
+    async def _inject_engine_faults(self, faults: list[EngineFault], duration: int) -> None:
+        """Switch faults of engines on, and off again after `duration` tenths of a millisecond."""
         for fault in faults:
             await self.fleet.send_fault(fault.engine_index, fault.switch.name, **fault.switch.on)
         await anyio.sleep(duration / SECOND)
@@ -96,24 +110,26 @@
             await self.fleet.send_fault(fault.engine_index, fault.switch.name, **fault.switch.off)
 
     async def _slow_down(self, engine_indices: list[int], multiple: float) -> None:
+        """Make engines take `multiple` times as long as without faults."""
         for index in engine_indices:
             await self.fleet.send_fault(index, "slow", times=multiple)
 
     async def _crash(self, fault: FaultPlan) -> None:
-        """Engines are killed and stay down for the fault's duration."""
+        """Kill engines, and start them again after the duration of the fault."""
         await self.fleet.restart_engines(fault.targets, fault.duration)
 
     async def _drain(self, fault: FaultPlan) -> None:
-        """Engines drain for the fault's duration and are then restarted."""
+        """Drain engines for the duration of the fault, then restart them."""
         for index in fault.targets:
             self.fleet.publish_state(index, "draining")
         await anyio.sleep(fault.duration / SECOND)
         await self.fleet.restart_engines(fault.targets, DRAIN_DOWNTIME)
 
-    async def _age(self, fault: FaultPlan) -> None:
-        """Engines get slower step by step, up to the magnitude, and restart.
+    async def _slow_down_gradually(self, fault: FaultPlan) -> None:
+        """Make engines slower in steps, then restart them.
 
-        The secondary magnitude is the restart's downtime in seconds.
+        The magnitude is the factor by which they are slower in the end; the secondary magnitude is the
+        downtime of the restart in seconds.
         """
         slowdown = min(fault.magnitude, MAX_AGEING_SLOWDOWN)
         for step in range(1, AGEING_STEPS + 1):
@@ -122,10 +138,11 @@
         downtime = round(max(MIN_AGEING_DOWNTIME, fault.secondary_magnitude) * SECOND)
         await self.fleet.restart_engines(fault.targets, downtime)
 
-    async def _disturb(self, fault: FaultPlan) -> None:
-        """A neighbour on the same host takes the magnitude's share of the engines' speed, by turns.
+    async def _slow_down_intermittently(self, fault: FaultPlan) -> None:
+        """Slow engines down intermittently, as another workload on the same host does.
 
-        The secondary magnitude is the length of each turn in seconds.
+        The magnitude is the share of the engines' speed that is lost in the slow intervals. The secondary
+        magnitude is the length in seconds of each slow interval and of each interval at full speed.
         """
         end = now() + fault.duration
         period = max(MIN_NEIGHBOUR_PERIOD, fault.secondary_magnitude)
@@ -137,13 +154,16 @@
         await self._slow_down(fault.targets, 1.0)
 
     async def _kill_fronts(self, fault: FaultPlan) -> None:
-        """Fronts are killed and stay down for the fault's duration."""
+        """Kill fronts, and start them again after the duration of the fault."""
         async with anyio.create_task_group() as tasks:
             for index in fault.targets:
                 tasks.start_soon(self.fleet.restart_front, index, fault.duration)
 
-    async def _roll_fronts(self, fault: FaultPlan) -> None:
-        """Fronts are restarted in steps; the secondary magnitude is their downtime in seconds."""
+    async def _restart_fronts_in_steps(self, fault: FaultPlan) -> None:
+        """Restart the fronts of each step of the fault at its time, as a rolling upgrade does.
+
+        The secondary magnitude is the downtime of a front in seconds.
+        """
         downtime = round(fault.secondary_magnitude * SECOND)
         async with anyio.create_task_group() as tasks:
             for at, front_indices in fault.steps:
@@ -152,39 +172,41 @@
                     tasks.start_soon(self.fleet.restart_front, index, downtime)
 
     async def _delay_endpoint_list(self, fault: FaultPlan) -> None:
-        """The endpoint list is later by the magnitude, in tenths of a millisecond."""
+        """Delay all updates of the endpoint list further, by the magnitude in tenths of a millisecond."""
         added_delay = round(fault.magnitude)
         self.fleet.endpoint_list.delay += added_delay
         await anyio.sleep(fault.duration / SECOND)
         self.fleet.endpoint_list.delay -= added_delay
 
-    async def _mangle_endpoint_list(self, fault: FaultPlan) -> None:
-        """The endpoint list's lines come torn, twice or out of order."""
+    async def _corrupt_endpoint_list(self, fault: FaultPlan) -> None:
+        """Truncate, repeat and reorder some messages of the endpoint list for the duration of the fault."""
         self.fleet.endpoint_list.noisy = True
         await anyio.sleep(fault.duration / SECOND)
         self.fleet.endpoint_list.noisy = False
 
     async def _flush_caches(self, fault: FaultPlan) -> None:
-        """The magnitude's share of the engines forget their prefix caches."""
+        """Flush the prefix cache of each engine with a probability of the magnitude."""
         for index in range(len(self.fleet.engines)):
             if self.rng.random() < fault.magnitude:
                 await self.fleet.send_fault(index, "forget", share=1.0)
 
-    async def _move_tenant(self, fault: FaultPlan) -> None:
-        assert self.migration_script is not None, "a plan with moves has a cell map"
+    async def _migrate_tenant(self, fault: FaultPlan) -> None:
+        """Migrate a tenant to another cell (see `MigrationScript.play`)."""
+        assert self.migration_script is not None, "a plan that migrates tenants has a cell map"
         await self.migration_script.play(fault)
 
-    async def _release_badly(self, fault: FaultPlan) -> None:
-        """Engines restart one by one into a release with errors; after the duration all are mended.
+    async def _upgrade_to_faulty_release(self, fault: FaultPlan) -> None:
+        """Upgrade engines one by one to a faulty software release; remove its faults after the duration.
 
-        The magnitude is the share of requests that fail, the secondary magnitude the slowdown.
+        The magnitude is the share of requests that fail; the secondary magnitude is the factor by which the
+        engines are slower.
         """
         slowdown = max(1.0, fault.secondary_magnitude)
         for index in fault.targets:
-            await self.fleet.restart_engines([index], RELEASE_DOWNTIME)
-            await self.fleet.send_fault(index, "row", row=RELEASE_ERROR_ROW, share=fault.magnitude)
+            await self.fleet.restart_engines([index], UPGRADE_DOWNTIME)
+            await self.fleet.send_fault(index, "row", row=FAULTY_RELEASE_ERROR, share=fault.magnitude)
             await self.fleet.send_fault(index, "slow", times=slowdown)
         await anyio.sleep(fault.duration / SECOND)
         for index in fault.targets:
-            await self.fleet.send_fault(index, "row", row=RELEASE_ERROR_ROW, share=0)
+            await self.fleet.send_fault(index, "row", row=FAULTY_RELEASE_ERROR, share=0)
             await self.fleet.send_fault(index, "slow", times=1.0)
--- a/runspool/lab/fleet.py
+++ b/runspool/lab/fleet.py
@@ -1,4 +1,4 @@
-"""The engines and fronts of a scenario as processes, with the endpoint list and load balancer before them."""
+"""Run the processes of a scenario: its engines and fronts, with an endpoint list and a load balancer."""
 
 from __future__ import annotations
 
@@ -24,22 +24,32 @@
 
 RUNSPOOL_COMMAND = (sys.executable, "-m", "runspool.cli.main")
 STOP_TIMEOUT = 30.0  # seconds
-WATCH_INTERVAL = 0.02  # seconds between two looks at how many fronts watch the endpoint list
+WATCH_INTERVAL = 0.02  # seconds between checks of how many fronts watch the endpoint list
 MS_PER_SECOND = 1000
 
-# Tenths of a millisecond for which a process that is killed beside a migration is down.
+# Tenths of a millisecond that a process is down after it is killed during the migration of a tenant.
 MIGRATION_DOWNTIME = SECOND // 2
 
-# A front's seed is the plan's times the first, plus its index times the second, plus its number of starts.
+# A front's seed is `SEEDS_PER_PLAN` times the seed of the plan, plus `SEEDS_PER_FRONT` times the front's
+# index, plus how often the front has been started.
 SEEDS_PER_PLAN = 1_000
 SEEDS_PER_FRONT = 100
 
-# Files that a front keeps from one run to the next, by the ends of their names.
+# Endings of the names of the files that a front writes, and finds again when it is restarted.
 FRONT_FILE_SUFFIXES = (".list", ".log", ".tape", ".list.cells")
 
 
 class ScenarioFleet:
-    """Starts, kills and restarts the engines and fronts. Both are known by their index in the plan."""
+    """Starts, kills and restarts engines and fronts, which are identified by their index in the plan.
+
+    Attributes (those that `__init__` sets from its arguments are described there):
+        endpoint_list: the service that publishes the engines' states to the fronts.
+        engines: the processes by the index of their engine; engines may share a process.
+        fronts: the processes by the index of their front.
+        engine_starts_unix_ms: when each engine was last started cold, in Unix milliseconds; 0 if it never
+        was.
+        load_balancer: distributes the clients' requests over the fronts.
+    """
 
     def __init__(
         self,
@@ -51,16 +61,17 @@
         front_command: Sequence[str],
         engines_per_process: int,
     ) -> None:
-        """Prepare the fleet; nothing is started.
+        """Prepare the fleet without starting any process.
 
         Args:
-            plan: the scenario's plan, whose engines and fronts have their ports.
-            folder: for configurations, logs and what the fronts keep.
-            parts: for the recordings of the single processes.
-            record: records what happens to the processes.
-            record_events: whether the fronts record what their scheduler sees and does.
-            front_command: runs a front, given its configuration.
-            engines_per_process: more than one only where no engine is to be killed.
+            plan: the plan of the scenario; ports must have been assigned to its engines and fronts.
+            folder: the folder for configurations, logs and the files that the fronts write.
+            parts: the folder for the recordings of the individual processes.
+            record: records starts, kills and stops of processes.
+            record_events: whether each front records the events and actions of its scheduler.
+            front_command: the command that runs a front; the path of a configuration is appended.
+            engines_per_process: how many engines share a process. Must be 1 if engines are killed, because a
+                kill ends all engines of a process.
         """
         self.plan = plan
         self.folder = folder
@@ -78,10 +89,11 @@
     async def start(self) -> None:
         """Start all engines, then all fronts, and wait until every front watches the endpoint list.
 
-        The endpoint list service must be running.
+        The endpoint list service must be running. The wait for the watches ends after START_TIMEOUT, without
+        an error.
 
         Raises:
-            ScenarioFailedError: a process does not start.
+            ScenarioFailedError: a process has not started.
         """
         self.engines = self._engine_processes()
         self.fronts = [self._front_process(index) for index in range(len(self.plan.fronts))]
@@ -102,7 +114,10 @@
             await self._wait_for_watchers()
 
     def publish_state(self, engine_index: int, state: str, at_once: bool = False) -> None:
-        """Tell the endpoint list an engine's state: "on", "draining" or "gone"."""
+        """Publish an engine's state, "on", "draining" or "gone", through the endpoint list.
+
+        With `at_once`, the delay of the endpoint list does not apply.
+        """
         engine = self.plan.engines[engine_index]
         entry = msgspec.convert(
             {
@@ -119,7 +134,7 @@
         self.endpoint_list.set(entry, at_once)
 
     async def send_fault(self, engine_index: int, name: str, **settings: object) -> None:
-        """Switch a fault on or off at an engine; one that is down does not hear of it."""
+        """Send an engine the command that switches a fault on or off; do nothing if the engine is down."""
         child = self.engines[engine_index].running_child
         if child is None or child.stdin is None:
             return
@@ -128,9 +143,9 @@
             await child.stdin.send(line)
 
     async def restart_engines(self, indices: list[int], downtime: int) -> None:
-        """Kill engines and start them again, cold, after `downtime` tenths of a millisecond.
+        """Kill engines, and start them again after `downtime` tenths of a millisecond.
 
-        Engines that are restarting already are passed over.
+        The restarted engines are cold. Engines that are already being restarted are ignored.
         """
         killed = [index for index in indices if not self.engines[index].is_restarting]
         for index in killed:
@@ -144,9 +159,10 @@
             self.engines[index].is_restarting = False
 
     async def restart_front(self, index: int, downtime: int) -> None:
-        """Kill a front and start it again after `downtime` tenths of a millisecond.
+        """Kill a front, and start it again after `downtime` tenths of a millisecond.
 
-        The load balancer finds out after its failover delay. A front that is restarting is passed over.
+        The load balancer stops sending requests to it after the failover delay. A front that is already being
+        restarted is ignored.
         """
         process = self.fronts[index]
         if process.is_restarting:
@@ -162,14 +178,17 @@
             tasks.cancel_scope.cancel()
 
     async def restart_beside_migration(self, kind: str, index: int) -> None:
-        """Kill and restart a "front" or an "engine" while a tenant migrates."""
+        """Kill and restart a front or an engine (`kind`: "front" or "engine") while a tenant is migrated."""
         if kind == "front":
             await self.restart_front(index, MIGRATION_DOWNTIME)
         else:
             await self.restart_engines([index], MIGRATION_DOWNTIME)
 
     async def stop_fronts(self) -> None:
-        """Stop the fronts in order and record how each ended."""
+        """Stop all fronts with SIGTERM and record their exit codes.
+
+        The recorded code is None for a front that has not ended within STOP_TIMEOUT.
+        """
         for process in self.fronts:
             child = process.running_child
             if child is not None:
@@ -182,12 +201,12 @@
             self.record.line("front_stopped", front=process.name, code=exit_code)
 
     async def close(self) -> None:
-        """Kill all that still runs."""
+        """Kill all processes that are still running."""
         for process in [*self.fronts, *self.engines]:
             await process.close()
 
     def _engine_processes(self) -> list[ManagedProcess]:
-        """Return each engine's process; engines that share a process have the same."""
+        """Return the process of each engine; engines that share a process get the same object."""
         processes: list[ManagedProcess] = []
         for index in range(len(self.plan.engines)):
             if index % self.engines_per_process:
@@ -197,6 +216,7 @@
         return processes
 
     def _engine_process(self, first_index: int) -> ManagedProcess:
+        """Return the process for `engines_per_process` engines, beginning with the given one."""
         end = min(first_index + self.engines_per_process, len(self.plan.engines))
         indices: list[str] = []
         for index in range(first_index, end):
@@ -213,7 +233,7 @@
         return ManagedProcess(self.plan.engines[first_index].spec.name, command)
 
     def _front_process(self, index: int) -> ManagedProcess:
-        """Write a front's configuration and remove what an earlier run left."""
+        """Return the process of a front; write its configuration and remove its files of an earlier run."""
         name = self.plan.fronts[index].name
         configuration = front_configuration(self.plan, index, self.endpoint_list.port, self.folder)
         path = self.folder / f"{name}.json"
@@ -223,12 +243,14 @@
         return ManagedProcess(name, [*self.front_command, str(path)])
 
     async def _wait_for_watchers(self) -> None:
+        """Wait until as many watches of the endpoint list are open as there are fronts."""
         while True:
             if len(self.endpoint_list.watchers) >= len(self.fronts):
                 return
             await anyio.sleep(WATCH_INTERVAL)
 
     async def _start_engine(self, index: int, cold: bool) -> None:
+        """Start the process of an engine and wait until the engine listens."""
         process = self.engines[index]
         process.starts += 1
         options = ["--life", str(process.starts)]
@@ -239,6 +261,7 @@
         self.engine_starts_unix_ms[index] = round(time.time() * MS_PER_SECOND) if cold else 0
 
     async def _start_front(self, index: int) -> None:
+        """Start a front, wait until it listens and record the start."""
         process = self.fronts[index]
         front = self.plan.fronts[index]
         process.starts += 1
@@ -251,12 +274,16 @@
         self.record.line("front_up", front=front.name, life=process.starts)
 
     async def _kill(self, process: ManagedProcess, **subject: str) -> None:
+        """Record a kill, with the name of the engine or front as `subject`, and kill the process."""
         if process.running_child is not None:
             self.record.line("killed", process=process.name, **subject)
             await process.kill()
 
     async def _fail_over(self, index: int, start: int) -> None:
-        """Mark a front as down after the failover delay, unless it was started again by then."""
+        """Mark a front as down after the failover delay, unless it has been started again by then.
+
+        `start` is how often the front had been started when it was killed.
+        """
         await anyio.sleep(self.plan.clients.failover_delay / SECOND)
         if self.fronts[index].starts == start:
             self.load_balancer.is_up[index] = False
--- a/runspool/lab/front_configuration.py
+++ b/runspool/lab/front_configuration.py
@@ -1,6 +1,6 @@
-"""The configuration of a scenario's fronts, as a configuration file would evaluate to.
+"""Build the configurations of a scenario's fronts.
 
-Its keys are those of configuration files (runspool.config.schema).
+The result has the form of an evaluated configuration file; runspool.config.schema defines its keys.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from runspool.lab.plan import FrontPlan, RequestClassPlan, ScenarioPlan
 from runspool.units import TENTHS_PER_MS
 
-Section = dict[str, Any]  # part of a configuration, as decoded from JSON
+Section = dict[str, Any]  # section of a configuration, as decoded from JSON
 
 HOST = "127.0.0.1"
-OVER_QUOTA_VALUE = 0.1
-SEEDS_PER_PLAN = 100  # seeds of fronts that one seed of a plan stands for
-LIST_IDLE_TIMEOUT_MS = 5_000
-LIST_RETRY_MS = 200
-LIST_LINE_BYTES = 4 << 20
+OVER_QUOTA_VALUE = 0.1  # fraction of its value that a request above the tenant's quota has
+SEEDS_PER_PLAN = 100  # a front's seed is so many times the seed of the plan, plus the front's index
+LIST_IDLE_TIMEOUT_MS = 5_000  # milliseconds without a message after which a front renews its watch
+LIST_RETRY_MS = 200  # milliseconds before a front tries again to watch the endpoint list
+LIST_LINE_BYTES = 4 << 20  # upper bound on a message of the endpoint list
 
 LIBRARY_DEFAULTS = """
         local r = import 'runspool.libsonnet';
@@ -34,10 +34,10 @@
     """Return the configuration of one front.
 
     Args:
-        plan: the scenario's plan, whose fronts have their ports.
+        plan: the plan of the scenario; ports must have been assigned to its fronts.
         front_index: the front's index in the plan.
         list_port: the port of the endpoint list service.
-        folder: where the front keeps its files.
+        folder: the folder for the files that the front writes.
     """
     defaults = _library_defaults()
     return {
@@ -47,6 +47,7 @@
 
 
 def _library_defaults() -> Section:
+    """Return the sections that the configuration library sets by default."""
     defaults: Section = json.loads(
         _jsonnet.evaluate_snippet("defaults", LIBRARY_DEFAULTS, jpathdir=[str(LIBRARY_DIRECTORY)])
     )
@@ -57,8 +58,13 @@
     return {
         "fronts": len(plan.fronts),
         "zones": plan.zones,
-        "tariffs": {row.name: _request_class_section(row) for row in plan.request_classes},
-        "tenants": {row.name: {"queries_per_second": row.requests_per_second} for row in plan.tenants},
+        "tariffs": {
+            request_class.name: _request_class_section(request_class)
+            for request_class in plan.request_classes
+        },
+        "tenants": {
+            tenant.name: {"queries_per_second": tenant.requests_per_second} for tenant in plan.tenants
+        },
         "kinds": _engine_types_section(plan),
         "rules": defaults["rules"] | _rules_section(plan),
         "limits": defaults["limits"] | {"max_shots": plan.max_attempts},
@@ -67,22 +73,22 @@
     }
 
 
-def _request_class_section(row: RequestClassPlan) -> Section:
+def _request_class_section(request_class: RequestClassPlan) -> Section:
     return {
-        "due_ms": row.first_token_objective / TENTHS_PER_MS,
-        "due_per_1000_tokens_ms": row.first_token_objective_per_1000_tokens / TENTHS_PER_MS,
-        "limit_ms": row.time_limit / TENTHS_PER_MS,
-        "pace_ms_per_token": row.time_per_output_token / TENTHS_PER_MS,
-        "gain": row.priority_weight,
-        "late_share": row.late_value,
-        "effect": row.idempotency,
-        "group": row.deduplication_scope,
-        "window_ms": row.deduplication_window / TENTHS_PER_MS,
+        "due_ms": request_class.first_token_objective / TENTHS_PER_MS,
+        "due_per_1000_tokens_ms": request_class.first_token_objective_per_1000_tokens / TENTHS_PER_MS,
+        "limit_ms": request_class.time_limit / TENTHS_PER_MS,
+        "pace_ms_per_token": request_class.time_per_output_token / TENTHS_PER_MS,
+        "gain": request_class.priority_weight,
+        "late_share": request_class.late_value,
+        "effect": request_class.idempotency,
+        "group": request_class.deduplication_scope,
+        "window_ms": request_class.deduplication_window / TENTHS_PER_MS,
     }
 
 
 def _engine_types_section(plan: ScenarioPlan) -> Section:
-    """The engine types that the plan has, beside the usual ones with unknown memory."""
+    """Return the engine types of the plan, and the three usual types with unknown memory (0)."""
     roles_and_memory: dict[str, tuple[str, int]] = {
         "prefill": ("reader", 0),
         "decode": ("writer", 0),
--- a/runspool/lab/http_server.py
+++ b/runspool/lab/http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 server side of the stand-ins: requests in, responses out, and what breaks a connection."""
+"""HTTP/1.1 server of the stand-in services, which can also reset or close connections on purpose."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 RECEIVE_BYTES = 65_536
 MAX_HEAD_BYTES = 65_536
 PEER_GONE_ERRORS = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: on, for no time
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER: on, with a timeout of 0 s
 
 
 class PeerClosedError(RunspoolError):
-    """The peer has closed the connection, or it was lost."""
+    """The peer has closed the connection, or the connection was lost."""
 
 
 @dataclass(slots=True)
 class ReceivedRequest:
-    """One request on a connection, with the means to respond to it.
+    """A request whose head has been read, with methods to read its body and to respond.
 
     Attributes:
         method: the request's method.
-        target: path and query.
-        headers: by their names in lower case.
+        target: the path and the query.
+        headers: the values of the header fields, by their names in lower case.
         stream: the connection.
-        protocol: its HTTP state.
-        peer: the address that it was called from.
-        disconnected: set once the peer is gone, while watch() runs.
+        protocol: the HTTP state of the connection.
+        peer: the IP address of the client.
+        disconnected: set when the connection is lost; only watch() detects this.
     """
 
     method: str
@@ -49,7 +49,7 @@
     disconnected: anyio.Event = field(default_factory=anyio.Event)
 
     async def read_body(self) -> bytes:
-        """Receive the whole body; raise PeerClosedError where the peer closes before its end."""
+        """Return the whole body; raise PeerClosedError if the connection ends before the body does."""
         body = bytearray()
         while not isinstance(event := await _next_event(self.stream, self.protocol), h11.EndOfMessage):
             if isinstance(event, h11.ConnectionClosed):
@@ -59,7 +59,11 @@
         return bytes(body)
 
     async def respond(self, status: int, content: object, headers: dict[str, str] | None = None) -> None:
-        """Send a whole response; `content` other than bytes is encoded as JSON."""
+        """Send a complete response; encode `content` as JSON unless it is bytes.
+
+        Raises:
+            PeerClosedError: the connection is lost; so with the other methods that send.
+        """
         body = content if isinstance(content, bytes) else msgspec.json.encode(content)
         fields = {"Content-Type": "application/json", "Content-Length": str(len(body)), **(headers or {})}
         await self._send(
@@ -69,20 +73,20 @@
         )
 
     async def open_stream(self, headers: dict[str, str] | None = None) -> None:
-        """Send the head of a response in chunks, by default one of server-sent events."""
+        """Send the head of a chunked response; its content type is that of server-sent events by default."""
         fields = {"Content-Type": "text/event-stream", "Transfer-Encoding": "chunked", **(headers or {})}
         await self._send(h11.Response(status_code=200, headers=list(fields.items())))
 
     async def send_chunk(self, content: bytes) -> None:
-        """Send one chunk of an open stream."""
+        """Send one chunk of a response begun by open_stream()."""
         await self._send(h11.Data(data=content))
 
     async def end_stream(self) -> None:
-        """Send the end of an open stream."""
+        """Send the end of a response begun by open_stream()."""
         await self._send(h11.EndOfMessage())
 
     async def reset(self) -> None:
-        """End the connection by RST, so that the peer sees a reset and no orderly close."""
+        """Reset the connection (TCP RST), so that the peer gets an error instead of an orderly close."""
         raw_socket = self.stream.extra(SocketAttribute.raw_socket)
         raw_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         await self.close()
@@ -92,7 +96,7 @@
         await anyio.aclose_forcefully(self.stream)
 
     async def watch(self) -> None:
-        """Receive until the peer is gone, then set `disconnected`."""
+        """Wait until the connection is lost, buffering received data; then set `disconnected`."""
         try:
             while True:
                 self.protocol.receive_data(await self.stream.receive(RECEIVE_BYTES))
@@ -112,14 +116,14 @@
     serve: Callable[[SocketStream], Coroutine[Any, Any, None]],
     tasks: TaskGroup,
 ) -> None:
-    """Start `serve` for each connection, until cancelled."""
+    """Accept connections until cancelled, and start `serve` for each as a task."""
     raw_socket = listener.extra(SocketAttribute.raw_socket)
     while True:
         tasks.start_soon(serve, await SocketStream.from_socket(await accept_socket(raw_socket)))
 
 
 async def serve_requests(stream: SocketStream, handle: Callable[[ReceivedRequest], Awaitable[None]]) -> None:
-    """Serve one connection until it ends; `handle` must read each request's body."""
+    """Call `handle` for each request of a connection until it ends; `handle` must read the body."""
     protocol = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
     peer = str(stream.extra(SocketAttribute.remote_address)[0])
     async with stream:
@@ -136,6 +140,7 @@
 
 
 async def _next_event(stream: SocketStream, protocol: h11.Connection) -> object:
+    """Return the next event of the HTTP protocol, receiving data as needed."""
     while (event := protocol.next_event()) is h11.NEED_DATA:
         try:
             data = await stream.receive(RECEIVE_BYTES)
--- a/runspool/lab/injected_faults.py
+++ b/runspool/lab/injected_faults.py
@@ -1,4 +1,4 @@
-"""The faults that are switched on at a stand-in engine, and the commands that switch them."""
+"""Faults of a stand-in engine that commands switch on and off while the engine runs."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from runspool.lab.response_faults import FAILED_500, RESPONSE_FAULTS, SILENT
 from runspool.lab.throttling import RateLimit, Throttle
 
-FaultSetting = str | float | None  # a value of a command, as JSON has it
-NO_CONNECTION_LIMIT = 100_000
+FaultSetting = str | float | None  # value of a setting in a command, as decoded from JSON
+NO_CONNECTION_LIMIT = 100_000  # connections; more than any scenario opens to one engine
 
 
 class InjectedFaults:
-    """The faults of one engine.
+    """The faults that are active at one engine.
 
     Attributes:
-        max_connections: connections past this are closed at once.
-        throttle: the limits of rate.
+        max_connections: how many connections may be open; further ones are closed at once.
+        throttle: the rate limits for tenants and request classes.
     """
 
     def __init__(self, model: EngineModel) -> None:
@@ -30,12 +30,12 @@
         self._resumed = anyio.Event()
         self._resumed.set()
         self._response_fault_shares: dict[str, float] = {}
-        self._failing_classes: dict[str, tuple[str, float]] = {}  # "silence" or "error", share
+        self._failing_classes: dict[str, tuple[str, float]] = {}  # "silence" or "error", share of requests
         self._switches: dict[str, Callable[[dict[str, FaultSetting]], None]] = {
-            "hang": self._switch_hang,
+            "hang": self._set_hang,
             "slow": self._set_slowdown,
             "links": self._set_network_slowdown,
-            "forget": self._evict,
+            "forget": self._evict_cache,
             "row": self._set_response_fault,
             "tariff": self._set_failing_class,
             "throttle": self._set_rate_limit,
@@ -43,18 +43,26 @@
         }
 
     def switch(self, name: str, settings: dict[str, FaultSetting]) -> None:
-        """Switch a fault on or off; raise ValueError for one that is not known."""
+        """Apply a command: switch the fault `name` on or off as its settings say.
+
+        Raises:
+            ValueError: there is no such fault.
+            KeyError: a setting is missing.
+        """
         switch = self._switches.get(name)
         if switch is None:
-            raise ValueError(f"no fault {name}")
+            raise ValueError(f"unknown fault {name!r}; known are {', '.join(self._switches)}")
         switch(settings)
 
     async def wait_until_resumed(self) -> None:
-        """Return at once, or when the engine hangs no more."""
+        """Wait while the engine hangs; return at once if it does not."""
         await self._resumed.wait()
 
     def draw_response_fault(self, request_class: str, draw: Callable[[], float]) -> str:
-        """Return the response fault of a request, empty for none; `draw` returns from 0 to 1."""
+        """Return the response fault to inject for a request, or an empty string for none.
+
+        `draw` returns a random number from 0 to 1.
+        """
         for fault, share in self._response_fault_shares.items():
             if draw() < share:
                 return fault
@@ -63,7 +71,7 @@
             return SILENT if mode == "silence" else FAILED_500
         return ""
 
-    def _switch_hang(self, settings: dict[str, FaultSetting]) -> None:
+    def _set_hang(self, settings: dict[str, FaultSetting]) -> None:
         if settings["on"]:
             self._resumed = anyio.Event()
         else:
@@ -75,13 +83,13 @@
     def _set_network_slowdown(self, settings: dict[str, FaultSetting]) -> None:
         self._model.network_slowdown = _number(settings["times"])
 
-    def _evict(self, settings: dict[str, FaultSetting]) -> None:
+    def _evict_cache(self, settings: dict[str, FaultSetting]) -> None:
         self._model.evict(_number(settings["share"]))
 
     def _set_response_fault(self, settings: dict[str, FaultSetting]) -> None:
         fault = cast(str, settings["row"])
         if fault not in RESPONSE_FAULTS:
-            raise ValueError(f"no row {fault}")
+            raise ValueError(f"unknown response fault {fault!r}; known are {', '.join(RESPONSE_FAULTS)}")
         self._response_fault_shares[fault] = _number(settings["share"])
 
     def _set_failing_class(self, settings: dict[str, FaultSetting]) -> None:
@@ -101,4 +109,5 @@
 
 
 def _number(setting: FaultSetting) -> float:
+    """Return a setting that must be a number."""
     return float(cast(float, setting))
--- a/runspool/lab/listing.py
+++ b/runspool/lab/listing.py
@@ -1,4 +1,4 @@
-"""A stand-in endpoint list service: numbered updates streamed to every front, late or garbled on request."""
+"""Stand-in endpoint list service: streams numbered updates to every front, delayed or corrupted on demand."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, encode_message
 
 WATCH_PATH = "/v1/engines/watch"
-HEARTBEAT_INTERVAL = 1.0  # seconds
-HISTORY_MESSAGES = 64  # to which a front that subscribes again can go back
-MAX_QUEUED_MESSAGES = 1024  # for a slow front before its subscription is ended
-IDLE_WAIT = 3600.0  # seconds
-MIN_WAIT = 0.001  # seconds
-NOISES = ["", "repeat", "reorder", "tear"]
+HEARTBEAT_INTERVAL = 1.0  # seconds without an update after which a front is sent a heartbeat
+HISTORY_MESSAGES = 64  # updates kept for fronts that subscribe again; one that missed more gets a snapshot
+MAX_QUEUED_MESSAGES = 1024  # messages that may wait for a slow front before its subscription is ended
+IDLE_WAIT = 3600.0  # seconds to wait for an update while none is pending
+MIN_WAIT = 0.001  # seconds; lower bound on the wait for a pending update
+NOISES = ["", "repeat", "reorder", "tear"]  # how a message is corrupted; drawn with equal probability
 
 
 class EndpointListService:
-    """Knows the true state of the engines and publishes it `delay` later.
+    """Publishes the state of the engines to all fronts that watch the list, after a delay.
 
     Attributes:
-        record: where every message that a front has received intact is recorded.
+        record: records every message that was sent to a front intact.
         delay: tenths of a millisecond between an update and its publication.
-        noisy: whether some lines are torn, repeated or reordered.
-        rng: draws which.
-        epoch: of the list's versions.
-        version: of the list as published.
-        known: the published entries by engine.
+        noisy: whether some messages are truncated, repeated or reordered.
+        rng: draws which messages are, and how.
+        epoch: the epoch of the list, within which version numbers are comparable.
+        version: the version of the published list.
+        known: the published entries by the engine's name.
         watchers: the fronts' subscriptions.
-        port: 0 until it serves.
+        port: the port that the service listens on; 0 until it does.
     """
 
     def __init__(self, record: Recorder, delay: int, seed: int = 0) -> None:
@@ -50,13 +50,16 @@
         self.watchers: list[_Subscription] = []
         self.port = 0
         self._history: deque[EndpointListMessage] = deque(maxlen=HISTORY_MESSAGES)
-        self._pending: deque[tuple[int, EndpointEntry]] = deque()  # when it is published, in that order
+        self._pending: deque[tuple[int, EndpointEntry]] = deque()  # (time of publication, entry), by time
         self._changed = anyio.Event()
 
     def set(self, entry: EndpointEntry, at_once: bool = False) -> None:
-        """Update an engine's entry; it is published after the delay that holds now."""
+        """Update an engine's entry, which is published after the present delay, or now with `at_once`.
+
+        An update is never published before an earlier one, even with `at_once`.
+        """
         publish_at = now() + (0 if at_once else self.delay)
-        # A late update is never overtaken by the next: the service is late as a whole.
+        # The delay is one of the whole service, so updates keep their order when the delay becomes shorter.
         publish_at = max(publish_at, self._pending[-1][0] if self._pending else 0)
         self._pending.append((publish_at, entry))
         self._changed.set()
@@ -64,7 +67,7 @@
     async def run(
         self, host: str, port: int, *, task_status: TaskStatus[int] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; report the port as started."""
+        """Serve until cancelled; report the port to `task_status` once the service listens."""
         async with anyio.create_task_group() as tasks:
             listeners = await anyio.create_tcp_listener(local_host=host, local_port=port)
             async with listeners:
@@ -76,6 +79,7 @@
                 await serve_connections(listener, self._serve_connection, tasks)
 
     async def _publish_pending(self) -> None:
+        """Publish each pending update when it is due, until cancelled."""
         while True:
             self._changed = anyio.Event()
             while self._pending and self._pending[0][0] <= now():
@@ -85,6 +89,7 @@
                 await self._changed.wait()
 
     def _publish(self, entry: EndpointEntry) -> None:
+        """Update the published list and queue the update for every front."""
         self.version += 1
         if entry.state == "gone":
             self.known.pop(entry.engine, None)
@@ -99,6 +104,7 @@
         await serve_requests(stream, self._handle)
 
     async def _handle(self, received: ReceivedRequest) -> None:
+        """Serve a watch: send what the front has missed, then every update until the front disconnects."""
         await received.read_body()
         target = urlsplit(received.target)
         if target.path != WATCH_PATH:
@@ -113,7 +119,7 @@
         self.watchers.append(subscription)
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(_cancel_when_gone, received, tasks.cancel_scope)
+                tasks.start_soon(_cancel_on_disconnect, received, tasks.cancel_scope)
                 await subscription.run()
                 tasks.cancel_scope.cancel()
         except BaseExceptionGroup as group:
@@ -123,7 +129,7 @@
             self.watchers.remove(subscription)
 
     def _messages_since(self, version: int) -> list[EndpointListMessage]:
-        """Return what is new after a version: the updates if all are still there, else a snapshot."""
+        """Return the updates since `version` if the history has all of them, otherwise a snapshot."""
         missed = [message for message in self._history if message.version > version]
         if 0 <= version <= self.version and len(missed) == self.version - version:
             return missed
@@ -131,13 +137,13 @@
         return [EndpointListMessage(self.version, self.epoch, is_snapshot=True, engines=entries)]
 
 
-async def _cancel_when_gone(received: ReceivedRequest, scope: anyio.CancelScope) -> None:
+async def _cancel_on_disconnect(received: ReceivedRequest, scope: anyio.CancelScope) -> None:
     await received.watch()
     scope.cancel()
 
 
 class _Subscription:
-    """A front's stream of messages. Each waits with its line, which noise may have torn."""
+    """The messages that wait to be sent to one front, each with its encoded form, which may be truncated."""
 
     def __init__(self, service: EndpointListService, received: ReceivedRequest, front: str) -> None:
         self._service = service
@@ -148,11 +154,11 @@
         self._too_slow = False
 
     def put(self, message: EndpointListMessage, intact: bool = False) -> None:
-        """Queue a message, with noise unless it must be `intact`."""
+        """Queue a message; it may be corrupted if the service does so, unless it must be `intact`."""
         if len(self._queue) >= MAX_QUEUED_MESSAGES:
             self._too_slow = True  # the front subscribes again and gets a snapshot
-        noisy = self._service.noisy and not intact
-        noise = self._service.rng.choice(NOISES) if noisy else ""
+        may_corrupt = self._service.noisy and not intact
+        noise = self._service.rng.choice(NOISES) if may_corrupt else ""
         line = encode_message(message)
         if noise == "tear":
             line = line[: len(line) // 2] + b"\n"
@@ -165,13 +171,13 @@
         self._queued.set()
 
     async def run(self) -> None:
-        """Send messages, and heartbeats between them, until the front is too slow."""
+        """Send messages, and heartbeats while there are none, until too many messages wait for the front."""
         while not self._too_slow:
             self._queued = anyio.Event()
             while self._queue:
                 message, line = self._queue.popleft()
                 await self._received.send_chunk(line)
-                if line == encode_message(message):  # a torn line means nothing to the front
+                if line == encode_message(message):  # the front cannot decode a truncated line
                     self._record_message(message)
             with anyio.move_on_after(HEARTBEAT_INTERVAL):
                 await self._queued.wait()
@@ -180,6 +186,7 @@
             await self._received.send_chunk(encode_message(heartbeat))
 
     def _record_message(self, message: EndpointListMessage) -> None:
+        """Record that a message was sent to the front intact."""
         engines = [[entry.engine, entry.state, entry.started_unix_ms] for entry in message.engines]
         self._service.record.line(
             "told",
--- a/runspool/lab/load_balancer.py
+++ b/runspool/lab/load_balancer.py
@@ -1,4 +1,4 @@
-"""The plain load balancer in front of the fronts: round robin, in the client's zone where it can."""
+"""Load balancer between clients and fronts: round robin, preferring fronts in the client's zone."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @dataclass(slots=True)
 class LoadBalancer:
-    """Picks a front for each attempt of a client. Fronts are indices in the plan.
+    """Selects a front for each attempt of a client. Fronts are given by their index in the plan.
 
     Attributes:
         addresses: each front's host and port.
         zones: each front's zone.
-        is_up: whether each front is taken to be up; one that went down is found out after a while.
-        turns: how often a front was picked for a client of each zone.
+        is_up: whether each front is considered up; a front that goes down is marked only after a delay.
+        turns: how often a front has been selected for clients of each zone.
     """
 
     addresses: list[tuple[str, int]]
@@ -22,7 +22,11 @@
     turns: dict[str, int] = field(default_factory=dict)
 
     def pick(self, zone: str) -> int:
-        """Return the next front for a client in `zone`: one there that is up, else any up, else any."""
+        """Return the next front for a client in `zone`.
+
+        Select in turn from the fronts in that zone that are up; if there is none, from all fronts that are
+        up; if there is none either, from all fronts.
+        """
         candidates = [
             index for index, front_zone in enumerate(self.zones) if front_zone == zone and self.is_up[index]
         ]
--- a/runspool/lab/managed_process.py
+++ b/runspool/lab/managed_process.py
@@ -1,4 +1,4 @@
-"""A child process of a scenario: its start, its check for readiness, its kill and its restart."""
+"""Start, kill and restart a child process, and wait until it listens."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from runspool.lab.errors import ScenarioFailedError
 from runspool.lab.port_allocation import HOST
 
-START_TIMEOUT = 30.0  # seconds
-CONNECT_INTERVAL = 0.05  # seconds between two attempts to connect to a process that starts
+START_TIMEOUT = 30.0  # seconds within which a process must listen
+CONNECT_INTERVAL = 0.05  # seconds between attempts to connect to a process that is starting
 
 
 @dataclass(slots=True)
@@ -24,11 +24,11 @@
     """A child process that may be started several times.
 
     Attributes:
-        name: for messages and the recording.
-        command: what is run, without the options that differ from start to start.
-        child: the running or last child; None before the first start.
-        starts: how often it was started.
-        is_restarting: it was killed and its next start is under way; no other fault may start it too.
+        name: the name for error messages and the recording.
+        command: the command and the arguments that are the same for every start.
+        child: the process of the last start, which may have ended; None before the first start.
+        starts: how often the process has been started.
+        is_restarting: whether it was killed and will be started again; another fault must not start it too.
     """
 
     name: str
@@ -39,23 +39,23 @@
 
     @property
     def running_child(self) -> anyio.abc.Process | None:
-        """The child while it runs."""
+        """The process if it is running, otherwise None."""
         if self.child is None or self.child.returncode is not None:
             return None
         return self.child
 
     @property
     def has_exited(self) -> bool:
-        """Whether it was started and no longer runs."""
+        """Whether it has been started and is no longer running."""
         return self.child is not None and self.child.returncode is not None
 
     async def open(self, options: list[str], log_path: Path, takes_input: bool) -> None:
-        """Start it, appending what it prints to a log.
+        """Start the process, with standard output and standard error appended to a log.
 
         Args:
-            options: added to the command.
-            log_path: the log.
-            takes_input: whether standard input is a pipe to it, rather than this process's own.
+            options: arguments appended to the command.
+            log_path: the path of the log.
+            takes_input: whether its standard input is a pipe; if not, it inherits that of this process.
         """
         stdin = subprocess.PIPE if takes_input else None
         with _open_log(log_path) as log:
@@ -67,23 +67,23 @@
         """Wait until the port accepts connections.
 
         Raises:
-            ScenarioFailedError: the process ended before, or does not listen in time.
+            ScenarioFailedError: the process has ended, or does not listen within START_TIMEOUT.
         """
         deadline = time.monotonic() + START_TIMEOUT
         while time.monotonic() < deadline:
             if self.child is not None and self.child.returncode is not None:
                 raise ScenarioFailedError(
-                    f"{self.name} ended with {self.child.returncode} before it listened"
+                    f"{self.name} exited with code {self.child.returncode} before it listened on port {port}"
                 )
             try:
                 async with await anyio.connect_tcp(HOST, port):
                     return
             except OSError:
                 await anyio.sleep(CONNECT_INTERVAL)
-        raise ScenarioFailedError(f"{self.name} does not listen on {port}")
+        raise ScenarioFailedError(f"{self.name} does not listen on port {port} after {START_TIMEOUT:g} s")
 
     async def kill(self) -> None:
-        """Kill the child if it runs, and wait for its end."""
+        """Kill the process if it is running, and wait until it has ended."""
         child = self.running_child
         if child is not None:
             with suppress(ProcessLookupError):
@@ -91,7 +91,7 @@
             await child.wait()
 
     async def close(self) -> None:
-        """Kill the child if it runs, and close its pipes."""
+        """Kill the process if it is running, and close its pipes."""
         if self.child is not None:
             await self.kill()
             await self.child.wait()
--- a/runspool/lab/migration_script.py
+++ b/runspool/lab/migration_script.py
@@ -1,6 +1,7 @@
-"""Migrates tenants between cells during a scenario.
+"""Migrate tenants between cells during a scenario.
 
-Each front reads a cell map file of its own, and gets every new map a little later than the front before it.
+Each front reads its own cell map file. The files are updated one after the other, so that for a short time
+the fronts route by different maps.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
 
 MS_PER_SECOND = 1000
 
-ANNOUNCEMENT_LEAD = (
-    0.4  # seconds from a move's announcement to its start: longer than the skew between fronts
-)
-START_MARGIN = 0.1  # seconds after its start at which a move has surely begun
-UNDO_DELAY = 1.0  # seconds after which a move that is undone is turned back
-FINISH_MARGIN_MS = 300  # after the last request that the move concerns may be over
+# Seconds from the publication of a map with a new move to the start of the move. Longer than the time between
+# the updates of the first and the last front, so that every front knows of a move before it starts.
+ANNOUNCEMENT_LEAD = 0.4
+START_MARGIN = 0.1  # seconds after the scheduled start at which the move has started on every front
+UNDO_DELAY = 1.0  # seconds from START_MARGIN to the undo of a move
+FINISH_MARGIN_MS = 300  # milliseconds added to the time for which requests stay bound to the former cell
 
-# A process is killed beside every fourth move; consecutive kills take the next front or engine in turn.
+# A process is killed during every fourth move; successive kills select the fronts or engines in turn.
 MOVES_PER_KILL = 4
 
 KillProcess = Callable[[str, int], Awaitable[None]]
@@ -36,12 +37,17 @@
 
 @dataclass(frozen=True, slots=True)
 class _MoveScript:
-    """How a move is carried out, from the words of a fault's mode: `undo` or `done`, then whom and when.
+    """How a move proceeds, as parsed from the mode of a fault.
+
+    A mode consists of "undo" or "done" and, if a process is killed, the values of `victim` and `kill_step`,
+    all separated by spaces.
 
     Attributes:
-        is_undone: whether it is turned back half-way.
-        victim: what is killed beside it: "front", "source", "target" (an engine there) or "" for nothing.
-        kill_step: the step of the move at which it is killed: "ahead", "settling" or "over".
+        is_undone: whether the move is undone half-way instead of completed.
+        victim: the process that is killed: "front", "source" or "target" (an engine in the source or target
+            cell); empty if none is.
+        kill_step: when it is killed: "ahead" (before the move starts), "settling" (after its start) or "over"
+            (after it was completed or undone).
     """
 
     is_undone: bool
@@ -50,15 +56,22 @@
 
 
 def _parse_mode(mode: str) -> _MoveScript:
+    """Parse the mode of a fault of the kind `cell_move`."""
     ending, _, kill = mode.partition(" ")
     victim, _, kill_step = kill.partition(" ")
     return _MoveScript(ending == "undo", victim, kill_step)
 
 
 class MigrationScript:
-    """Carries out the moves of a scenario.
+    """Carries out the moves of a scenario, in which tenants migrate to other cells.
 
-    `kill` kills a "front" or "engine", by its index in the plan, and starts it again.
+    Attributes:
+        plan: the plan of the scenario.
+        folder: the folder with the fronts' cell map files.
+        record: records every new version of the cell map.
+        kill: kills a process and starts it again; takes "front" or "engine", and the index in the plan.
+        cell_map: the newest cell map.
+        written_versions: the version of the map in each front's file.
     """
 
     def __init__(self, plan: ScenarioPlan, folder: Path, record: Recorder, kill: KillProcess) -> None:
@@ -72,7 +85,11 @@
             self._write(front_index, self.cell_map)
 
     def longest_binding(self) -> int:
-        """Return for how long requests stay bound to a tenant's former cell, in tenths of a millisecond."""
+        """Return how long requests may stay bound to a tenant's former cell, in tenths of a millisecond.
+
+        A client may send a request with an idempotency key again until the deduplication window ends. If not
+        all engines recognise the key, the retry has to reach the former cell.
+        """
         return max(
             (
                 row.deduplication_window + self.plan.max_time_limit
@@ -83,9 +100,10 @@
         )
 
     async def play(self, fault: FaultPlan) -> None:
-        """Carry out one move from its announcement to its end.
+        """Carry out the move that a fault of the kind `cell_move` describes.
 
-        The fault's magnitude is the delay from one front's map to the next, in tenths of a millisecond.
+        Publish a map with the move, wait until the move has started, then complete or undo it. The magnitude
+        is the time between the updates of one front and the next, in tenths of a millisecond.
         """
         script = _parse_mode(fault.mode)
         move = self._next_move(fault)
@@ -113,6 +131,7 @@
             tasks.start_soon(kill_at, "over")
 
     def _next_move(self, fault: FaultPlan) -> Move:
+        """Return the move of the fault's tenant from its present cell to another."""
         tenant = self.plan.tenants[fault.targets[0]].name
         migrations = tenant_migration.TenantMigrations(self.cell_map)
         source = migrations.home_cell(unix_ms(), tenant, None)
@@ -126,6 +145,7 @@
         )
 
     async def _kill_victim(self, victim: str, move_number: int, move: Move) -> None:
+        """Kill and restart a front, or an engine in the source or target cell of a move."""
         kill_number = move_number // MOVES_PER_KILL
         if victim == "front":
             await self.kill("front", kill_number % len(self.plan.fronts))
@@ -139,13 +159,17 @@
     def _publish(
         self, tasks: anyio.abc.TaskGroup, cell_map: CellMap, skew: float, change: str, move_id: str
     ) -> None:
-        """Give every front a new map, each `skew` tenths of a millisecond after the front before it."""
+        """Record a new map and write it for every front.
+
+        Each front's file is written `skew` tenths of a millisecond after that of the previous front.
+        """
         self.cell_map = cell_map
         self.record.line("map", version=cell_map.version, change=change, move=move_id)
         for front_index in range(len(self.plan.fronts)):
             tasks.start_soon(self._write_later, front_index, cell_map, front_index * skew / SECOND)
 
     async def _write_later(self, front_index: int, cell_map: CellMap, wait: float) -> None:
+        """Write a front's map after `wait` seconds, unless a newer one has been written by then."""
         await anyio.sleep(wait)
         if cell_map.version > self.written_versions[front_index]:
             self._write(front_index, cell_map)
