--- a/runspool/lab/fleet.py
+++ b/runspool/lab/fleet.py
@@ -42,7 +42,9 @@
 class ScenarioFleet:
     """Starts, kills and restarts engines and fronts, which are identified by their index in the plan.
 
-    Attributes (those that `__init__` sets from its arguments are described there):
+    The arguments of `__init__` are attributes too.
+
+    Attributes:
         endpoint_list: the service that publishes the engines' states to the fronts.
         engines: the processes by the index of their engine; engines may share a process.
         fronts: the processes by the index of their front.
