--- a/runspool/lab/report.py
+++ b/runspool/lab/report.py
@@ -187,11 +187,11 @@
         if any(attempt.answer_kind == "left" for attempt in attempts):
             continue  # requests whose client disconnected are not counted
         first = attempts[0]
-        request_class, tenant = first.asked["tariff"], first.asked["tenant"]
+        class_name, tenant = first.asked["tariff"], first.asked["tenant"]
         share = max(share_of_value(history.plan, first, attempt) for attempt in attempts)
-        for key in (("all", "all"), ("tariff", request_class), ("tenant", tenant)):
-            asked[key] += weights[request_class]
-            earned[key] += weights[request_class] * share
+        for key in (("all", "all"), ("tariff", class_name), ("tenant", tenant)):
+            asked[key] += weights[class_name]
+            earned[key] += weights[class_name] * share
     shares = {key: round(earned[key] / asked[key], 4) for key in asked}
     return {
         "whole": shares.get(("all", "all"), 0.0),
--- a/runspool/lab/scenario_runner.py
+++ b/runspool/lab/scenario_runner.py
@@ -1,4 +1,4 @@
-"""Plays a scenario: starts engines, endpoint list, fronts and clients on loopback and injects the faults."""
+"""Run a scenario on loopback: start its engines, endpoint list and fronts, send requests, inject faults."""
 
 from __future__ import annotations
 
@@ -21,20 +21,30 @@
 from runspool.lab.workload import PlannedRequest, draw_workload
 from runspool.service.clock import now
 
-START_LEAD = 5_000  # tenths of a millisecond from the last start to the first request
-RELEASE_TIME = 0.5  # seconds after the last answer within which prefill states are released
+START_LEAD = 5_000  # tenths of a millisecond from the start of the last process to the start of the scenario
+RELEASE_TIME = 0.5  # seconds after the last response in which the fronts can release prefill states
 
-REVIVAL_INTERVAL = 0.05  # seconds between two looks for engines that went down by themselves
-REVIVAL_DOWNTIME = SECOND
+CRASH_CHECK_INTERVAL = 0.05  # seconds between checks for engines that have crashed
+CRASH_DOWNTIME = SECOND  # tenths of a millisecond from the detection of a crash to the restart
 
-LAG_INTERVAL = 200  # tenths of a millisecond
-MAX_LAG = 200  # tenths of a millisecond by which this process may be late without a record
+LAG_INTERVAL = 200  # tenths of a millisecond between measurements of this process's scheduling delay
+MAX_LAG = 200  # tenths of a millisecond; a longer scheduling delay is recorded
 
-PROGRESS_INTERVAL = 0.5  # seconds
+PROGRESS_INTERVAL = 0.5  # seconds between reports of the progress
 
 
 class ScenarioRunner:
-    """Plays one scenario and owns all its processes; they end when it does."""
+    """Runs one scenario; owns its processes, which all end with the run.
+
+    The arguments of `__init__` are attributes too.
+
+    Attributes:
+        parts: the folder for the recordings of the individual processes.
+        record: records the events of clients, endpoint list and faults.
+        fleet: the processes; set when the run begins.
+        migration_script: migrates tenants; None for a plan without cells.
+        start: the start of the scenario, in tenths of a millisecond.
+    """
 
     def __init__(
         self,
@@ -45,15 +55,17 @@
         front_command: Sequence[str] | None = None,
         engines_per_process: int = 1,
     ) -> None:
-        """Prepare a run; nothing is started.
+        """Prepare a run without starting any process.
 
         Args:
-            plan: what to play; its engines and fronts get their ports.
-            folder: where the recording and all files of the processes go.
-            record_events: whether the fronts record what their scheduler sees and does.
-            progress: called now and then with the part of the scenario that is over.
-            front_command: runs a front, given its configuration; this package's own by default.
-            engines_per_process: more than one only where no engine is to be killed.
+            plan: the plan of the scenario; the run assigns ports to its engines and fronts.
+            folder: the folder for the recording and the files of all processes.
+            record_events: whether each front records the events and actions of its scheduler.
+            progress: called every PROGRESS_INTERVAL with the elapsed fraction of the scenario's duration.
+            front_command: the command that runs a front; the path of a configuration is appended. The default
+                is `runspool front`.
+            engines_per_process: how many engines share a process. Must be 1 if engines are killed, because a
+                kill ends all engines of a process.
         """
         self.plan = plan
         self.folder = folder
@@ -63,15 +75,15 @@
         self.engines_per_process = engines_per_process
         self.parts = folder / "parts"
         self.record = Recorder(None)
-        self.fleet: ScenarioFleet  # from the beginning of the run
+        self.fleet: ScenarioFleet  # set by play()
         self.migration_script: MigrationScript | None = None
         self.start = 0
 
     async def play(self) -> Path:
-        """Play the whole scenario and return the path of its recording.
+        """Run the whole scenario and return the path of its recording.
 
         Raises:
-            ScenarioFailedError: ports are missing, or a process does not start.
+            ScenarioFailedError: there are not enough free ports, or a process does not start.
         """
         self._clear_parts()
         self.record = Recorder(self.parts / "director.jsonl")
@@ -82,7 +94,7 @@
         (self.folder / "plan.json").write_bytes(msgspec.json.encode(self.plan))
         self.record.line("day", plan=msgspec.to_builtins(self.plan), items=len(requests))
         try:
-            await self._play_with_fleet(requests)
+            await self._run_with_fleet(requests)
         finally:
             with anyio.CancelScope(shield=True):
                 await self.fleet.close()
@@ -104,6 +116,7 @@
         )
 
     def _clear_parts(self) -> None:
+        """Create the folder for the recordings of the processes, and remove those of an earlier run."""
         self.parts.mkdir(parents=True, exist_ok=True)
         for part in self.parts.iterdir():
             part.unlink()
@@ -114,7 +127,8 @@
         for front in self.plan.fronts:
             front.port = reservation.ports.pop()
 
-    async def _play_with_fleet(self, requests: list[PlannedRequest]) -> None:
+    async def _run_with_fleet(self, requests: list[PlannedRequest]) -> None:
+        """Start the fleet, run the workload and stop the fronts."""
         async with anyio.create_task_group() as tasks:
             await tasks.start(self.fleet.endpoint_list.run, HOST, 0)
             if self.plan.cells is not None:
@@ -127,7 +141,7 @@
             tasks.cancel_scope.cancel()
 
     async def run_workload(self, requests: list[PlannedRequest]) -> None:
-        """Send the requests and inject the faults while the fleet runs."""
+        """Send the requests and inject the faults; return when all requests have ended."""
         self.start = now() + START_LEAD
         self.record.line("begin", at=self.start)
         clients = WorkloadClients(self.plan, self.fleet.load_balancer, self.record)
@@ -135,7 +149,7 @@
             self._start_faults(tasks)
             tasks.start_soon(self._record_lag)
             if self.engines_per_process == 1:
-                tasks.start_soon(self._revive_engines, tasks)
+                tasks.start_soon(self._restart_crashed_engines, tasks)
             if self.progress is not None:
                 tasks.start_soon(self._report_progress, self.progress)
             await clients.run(requests, self.start)
@@ -149,17 +163,20 @@
         for fault in self.plan.faults:
             tasks.start_soon(injector.inject, fault)
 
-    async def _revive_engines(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Restart engines that went down by themselves, as an overloaded or poisoned one does."""
+    async def _restart_crashed_engines(self, tasks: anyio.abc.TaskGroup) -> None:
+        """Restart engines that crash because of an overload or a poisonous request, until cancelled."""
         while True:
-            await anyio.sleep(REVIVAL_INTERVAL)
+            await anyio.sleep(CRASH_CHECK_INTERVAL)
             for index, process in enumerate(self.fleet.engines):
                 if process.has_exited and not process.is_restarting:
-                    tasks.start_soon(self.fleet.restart_engines, [index], REVIVAL_DOWNTIME)
+                    tasks.start_soon(self.fleet.restart_engines, [index], CRASH_DOWNTIME)
                     await anyio.lowlevel.checkpoint()
 
     async def _record_lag(self) -> None:
-        """Record when this process was late itself: what it then saw late was not answered late."""
+        """Record scheduling delays of this process, until cancelled.
+
+        The audit must not blame a front for a response that this process itself has read late.
+        """
         while True:
             due = now() + LAG_INTERVAL
             await anyio.sleep(LAG_INTERVAL / SECOND)
--- a/runspool/lab/scripted_scenarios.py
+++ b/runspool/lab/scripted_scenarios.py
@@ -1,6 +1,7 @@
-"""The scripted scenarios `bad-night` and `quiet`, and the request classes and engines that all scenarios use.
+"""The scenarios `bad-night` and `quiet`, and the request classes and engines that all scenarios use.
 
-Everything is drawn from the scenario's seed; the order of the draws is part of a scenario.
+All random values are drawn from the scenario's seed. Changing the order of the draws changes the scenario
+that a seed stands for.
 """
 
 from __future__ import annotations
@@ -20,21 +21,25 @@
     TenantPlan,
 )
 
-STEP_TIME = 120
-STEP_TIME_PER_STREAM = 1.5
-SLOWEST, FASTEST = 0.9, 1.1  # bounds of an engine's own speed, as a multiple of its type's
+STEP_TIME = 120  # tenths of a millisecond; duration of a step that decodes, without the part per stream
+STEP_TIME_PER_STREAM = 1.5  # tenths of a millisecond that each stream adds to a step
+# Bounds of the random factors that multiply the prefill rate and the step time of each engine.
+SLOWEST, FASTEST = 0.9, 1.1
 MIN_SLOTS = 2
-MIXED_PREFILL_DIVISOR = 4  # a mixed engine prefills beside its streams: a prefill costs it a quarter
+# Divides the time of a prefill in the mean work of a mixed engine, which prefills in the steps in which it
+# also decodes.
+MIXED_PREFILL_DIVISOR = 4
 
+# The scenarios bad-night and quiet. Times are in tenths of a millisecond.
 BAD_NIGHT_DURATION = 50 * SECOND
 BAD_NIGHT_ZONES = ("waw-1", "waw-2", "lodz-1")
 BAD_NIGHT_ZONE_ENGINES = ("prefill", "prefill", "decode", "mixed")
 BAD_NIGHT_FRONTS = 3
-BAD_NIGHT_RATE = 40
-FIRST_FAULT = 12 * SECOND  # by then streams run on every engine
-FAULT_FREE_END = 10 * SECOND
-LONGEST_OVERLAP = 6 * SECOND  # of the time for faults, what is left after the start of the overlap
-OVERLAP_SECONDS = 5  # the faults that are to overlap start within these
+BAD_NIGHT_RATE = 40  # requests per second
+FIRST_FAULT = 12 * SECOND  # earliest start of a fault; by then every engine is processing streams
+FAULT_FREE_END = 10 * SECOND  # time at the end of the scenario in which no fault starts
+LONGEST_OVERLAP = 6 * SECOND  # minimum time from the first overlapping fault's start to FAULT_FREE_END
+OVERLAP_SECONDS = 5  # seconds; the overlapping faults all start within an interval of this length
 
 QUIET_DURATION = 20 * SECOND
 
@@ -55,12 +60,12 @@
 
 
 def source_address(front: int) -> str:
-    """Return the loopback address that the front of this index calls from."""
+    """Return the loopback address from which the front with this index connects."""
     return f"127.0.0.{11 + front}"
 
 
 def default_request_classes() -> list[RequestClassPlan]:
-    """Return the three request classes of the scripted scenarios, one for each idempotency."""
+    """Return the three request classes of the laboratory's scenarios, one for each value of `idempotency`."""
     return [
         RequestClassPlan(
             name="staff-ask",
@@ -123,9 +128,9 @@
     rng: Random,
     capacity_multiple: float = 1.0,
 ) -> EnginePlan:
-    """Draw an engine of a type (prefill, decode, mixed) with a speed of its own.
+    """Return an engine of a type ("prefill", "decode" or "mixed") whose speed is drawn.
 
-    `capacity_multiple` scales its slots and its prefill rate.
+    `capacity_multiple` multiplies its slots and its prefill rate.
     """
     usual = _ENGINE_TYPES[engine_type]
     prefill_rate = usual.prefill_rate * rng.uniform(SLOWEST, FASTEST) * capacity_multiple
@@ -167,7 +172,10 @@
 
 
 def bad_night(seed: int, duration: int = BAD_NIGHT_DURATION) -> ScenarioPlan:
-    """Return a night on which at least eight kinds of fault overlap, killed fronts and engines among them."""
+    """Return a scenario with many faults, of which at least eight kinds are active at the same time.
+
+    Fronts and engines are killed among others.
+    """
     rng = Random(seed)
     request_classes = default_request_classes()
     engines = [
@@ -199,7 +207,7 @@
 
 
 def quiet(seed: int, duration: int = QUIET_DURATION) -> ScenarioPlan:
-    """Return the bad night's fleet and workload without any fault."""
+    """Return a scenario with the fleet and the workload of `bad_night` and no faults."""
     plan = bad_night(seed)
     plan.name = "quiet"
     plan.duration = duration
@@ -208,6 +216,7 @@
 
 
 def _bad_night_faults(engines: list[EnginePlan], duration: int, rng: Random) -> list[FaultPlan]:
+    """Draw the faults of `bad_night`, and return them by start."""
     prefills = _shuffled(engines, "prefill", rng)
     decodes = _shuffled(engines, "decode", rng)
     mixed = _shuffled(engines, "mixed", rng)
@@ -215,13 +224,14 @@
     overlap_starts_at = FIRST_FAULT + int(rng.random() * (span - LONGEST_OVERLAP))
 
     def any_time() -> int:
+        """Draw a start within the whole time for faults."""
         return FIRST_FAULT + int(rng.random() * span)
 
     def overlapping() -> int:
-        """Within the seconds after which all that last eight seconds are active together."""
+        """Draw a start in an interval of 5 s, so that faults of at least 8 s are all active at its end."""
         return overlap_starts_at + int(rng.random() * OVERLAP_SECONDS * SECOND)
 
-    # The arguments are drawn in the order in which they stand here.
+    # The values are drawn in the order in which the arguments are evaluated, so this order must not change.
     faults = [
         FaultPlan("crash", any_time(), 8 * SECOND, targets=[decodes[0]]),
         FaultPlan("front_kill", any_time(), 2 * SECOND, targets=[rng.randrange(3)]),
@@ -267,7 +277,7 @@
 
 
 def _shuffled(engines: list[EnginePlan], engine_type: str, rng: Random) -> list[int]:
-    """Return the indices of a type's engines in an order that is drawn."""
+    """Return the indices of the engines of a type in random order."""
     indices = [index for index, engine in enumerate(engines) if engine.engine_type == engine_type]
     rng.shuffle(indices)
     return indices
--- a/runspool/lab/simulator_days.py
+++ b/runspool/lab/simulator_days.py
@@ -1,4 +1,4 @@
-"""Converts a simulator's day to a scenario: its faults, at their times and magnitudes, on a smaller fleet."""
+"""Convert a scenario of the simulator (a "day") to a plan with the same faults for a smaller fleet."""
 
 from __future__ import annotations
 
@@ -19,44 +19,46 @@
 )
 from runspool.lab.scripted_scenarios import plan_engine, source_address
 
-SimulatorDay = dict[str, Any]  # decoded JSON
-SimulatorRow = dict[str, Any]  # an object in it
+SimulatorDay = dict[str, Any]  # scenario of the simulator, as decoded from JSON
+SimulatorRow = dict[str, Any]  # object in a list of such a scenario
 
-MICROSECONDS = 100  # in a tenth of a millisecond
-RATE_PER_ENGINE = 5.5  # requests a second that load 1 means for each engine
-UNLIMITED_RATE = 1e6
-HEAVY_WORK = 200_000  # microseconds of mean work from which a request class has long prompts
+MICROSECONDS = 100  # microseconds in a tenth of a millisecond
+RATE_PER_ENGINE = 5.5  # requests per second and engine at the simulator's load 1
+UNLIMITED_RATE = 1e6  # requests per second; quota that no tenant reaches
+HEAVY_WORK = 200_000  # microseconds; request classes whose mean work is longer get long prompts
 IDEMPOTENCIES = {"safe": "rerunnable", "keyed": "ticketed", "unsafe": "exclusive"}
 DEDUPLICATION_SCOPES = {"all": "all", "zone": "zone", "cell": "rack"}
 ENGINE_TYPES = ("prefill", "decode", "mixed")
 
 
 class UnplayableDayError(RunspoolError):
-    """A day that cannot be played; the message names what is wrong."""
+    """A scenario of the simulator cannot be converted; the message states the reason."""
 
 
 def from_simulator_day(day: SimulatorDay, fronts: int, engines: int, scale: float = 1.0) -> ScenarioPlan:
-    """Return a scenario with the day's faults for a fleet of the given size.
+    """Return a plan with the faults of a simulator scenario for a fleet of the given size.
 
-    Faults of certain engines or fronts concern the same share of the smaller fleet. `scale` is a multiple of
-    the load that fits the size. Raises UnplayableDayError for a day that is none or that has other faults.
+    A fault that affects some engines or fronts affects the same share of the smaller fleet.
 
     Args:
-        day: what the simulator's draw printed; its times are microseconds.
-        fronts: how many fronts the scenario has.
-        engines: how many engines the scenario has.
-        scale: by what the rate of requests is multiplied.
+        day: the scenario that the simulator's draw printed; its times are in microseconds.
+        fronts: the number of fronts in the plan.
+        engines: the number of engines in the plan.
+        scale: the load, as a multiple of the simulator's load per engine.
+
+    Raises:
+        UnplayableDayError: `day` is not a scenario of the simulator, or has a fault of an unknown kind.
     """
     try:
         return _convert(day, fronts, engines, scale)
     except (KeyError, TypeError, IndexError, ValueError) as error:
-        raise UnplayableDayError(f"not a bench day: {type(error).__name__} at {error}") from None
+        raise UnplayableDayError(f"not a simulator day: {type(error).__name__}: {error}") from None
 
 
 def _convert(day: SimulatorDay, front_count: int, engine_count: int, scale: float) -> ScenarioPlan:
     unknown = sorted({row["kind"] for row in day["troubles"]} - {*SIMULATOR_FAULT_KINDS})
     if unknown:
-        raise UnplayableDayError(f"kind of trouble that is not known: {', '.join(unknown)}")
+        raise UnplayableDayError(f"unknown kinds of fault: {', '.join(unknown)}")
     rng = Random(int(day.get("noise", 0)) % (1 << 32))
     zones = [str(zone) for zone in day["zones"]]
     request_classes = _request_classes(day["classes"])
@@ -97,10 +99,12 @@
 
 
 def _tenths(microseconds: str | float) -> int:
+    """Convert microseconds to tenths of a millisecond."""
     return int(microseconds) // MICROSECONDS
 
 
 def _request_classes(rows: list[SimulatorRow]) -> list[RequestClassPlan]:
+    """Convert the request classes, with shares that add up to 1."""
     request_classes = [_request_class(row) for row in rows]
     total = sum(request_class.share for request_class in request_classes)
     for request_class in request_classes:
@@ -151,11 +155,15 @@
 
 
 def _engine_type(name: str) -> str:
+    """Return the engine type for a type of the simulator; unknown types become mixed engines."""
     return name if name in ENGINE_TYPES else "mixed"
 
 
 def _pick_servers(servers: list[SimulatorRow], count: int) -> list[int]:
-    """Return servers so that each type and zone has its share and no type that there is gets lost."""
+    """Return the indices of `count` servers that represent all servers.
+
+    Each type and each zone keeps about its share, and each type has at least one server.
+    """
     order = sorted(
         range(len(servers)), key=lambda index: (servers[index]["kind"], servers[index]["zone"], index)
     )
@@ -166,11 +174,13 @@
 
 
 def _tenants(day: SimulatorDay) -> list[TenantPlan]:
+    """Convert the tenants; a scenario without tenants gets one that sends all requests."""
     tenants = [TenantPlan(row["name"], float(row["share"]), UNLIMITED_RATE) for row in day.get("tenants", [])]
     return tenants or [TenantPlan("all", 1.0, UNLIMITED_RATE)]
 
 
 def _faults(day: SimulatorDay, front_count: int, engine_count: int) -> list[FaultPlan]:
+    """Convert the faults; the simulator gives the magnitude of discovery_stale in seconds."""
     server_count, balancer_count = len(day["servers"]), len(day["balancers"])
     faults = []
     for row in day["troubles"]:
@@ -199,7 +209,10 @@
 
 
 def _scale_indices(indices: list[int], count: int, smaller_count: int) -> list[int]:
-    """Return the same share of a smaller set, at least one where there was one."""
+    """Scale indices into `count` items to indices into `smaller_count` items.
+
+    The result has about the same share of the items, and is empty only if `indices` is.
+    """
     if not indices:
         return []
     wanted = max(1, round(len(indices) * smaller_count / count))
--- a/runspool/lab/standin_messages.py
+++ b/runspool/lab/standin_messages.py
@@ -1,7 +1,7 @@
-"""What a stand-in engine receives and sends: completions in the published two-stage form.
+"""The requests and responses of a stand-in engine: completions with separate prefill and decode.
 
-In the body's `standin` field the laboratory's clients give what no real engine receives: the name of the
-client attempt and the true length of the answer.
+The clients of the laboratory send information in the `standin` field of the body that a real engine does not
+get: the id of the client attempt and the length that the response will have.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 
 class StandInOptions(msgspec.Struct):
-    """What the laboratory's clients send to a stand-in only.
+    """Information that the clients of the laboratory send only to stand-in engines.
 
     Attributes:
-        attempt: the client attempt that the request belongs to ("try" in the body).
-        output_tokens: the length that the answer will have ("out" in the body).
-        poison: the engine crashes when it starts to decode the request.
+        attempt: the id of the client attempt that the request belongs to ("try" in the body).
+        output_tokens: the number of tokens to generate ("out" in the body).
+        poison: whether the request crashes an engine that is to decode it.
     """
 
     attempt: str = msgspec.field(default="", name="try")
@@ -36,7 +36,11 @@
 
 
 class StateTransferParams(msgspec.Struct):
-    """The published `kv_transfer_params`: what to do about the prefill state, and where it is held."""
+    """The field `kv_transfer_params` of the published protocol for transferring prefill state.
+
+    It tells an engine whether to produce a state for another engine or to fetch one, and where the state is
+    held.
+    """
 
     do_remote_decode: bool = False
     do_remote_prefill: bool = False
@@ -47,7 +51,7 @@
 
 
 class CompletionBody(msgspec.Struct):
-    """The body of a completion request, as far as a stand-in reads it."""
+    """The fields of a completion request's body that a stand-in engine uses."""
 
     prompt: str | list[int]
     max_tokens: int = 16
@@ -61,7 +65,7 @@
 
 @dataclass(slots=True)
 class CompletionCall:
-    """A completion request at a stand-in, with the response fault to inject, empty for none."""
+    """A received completion request, with the response fault to inject, an empty string for none."""
 
     received: ReceivedRequest
     body: CompletionBody
@@ -70,7 +74,7 @@
 
     @property
     def request_id(self) -> str:
-        """The front's name of the attempt, under which a prefill's state is held too."""
+        """The id that the front gave this attempt; a prefill state is held under it too."""
         return self.received.headers.get("x-request-id", "")
 
     @property
@@ -85,36 +89,36 @@
 
     @property
     def idempotency_key(self) -> str:
-        """The client's idempotency key, empty where there is none."""
+        """The client's idempotency key, or an empty string if there is none."""
         return self.received.headers.get("runspool-ticket", "")
 
     @property
     def is_prefill(self) -> bool:
-        """Whether only a prefill is wanted, whose state another engine will fetch."""
+        """Whether only a prefill is requested, whose state another engine will fetch."""
         params = self.body.kv_transfer_params
         return params is not None and params.do_remote_decode
 
     @property
     def fetches_state(self) -> bool:
-        """Whether a state is to be fetched from the engine that has prefilled the prompt."""
+        """Whether the prefill state has to be fetched from another engine."""
         params = self.body.kv_transfer_params
         return params is not None and params.do_remote_prefill
 
     @property
     def prompt_tokens(self) -> int:
-        """The length of the prompt."""
+        """The length of the prompt in tokens."""
         prompt = self.body.prompt
         return len(prompt) if isinstance(prompt, list) else len(prompt) // BYTES_PER_TOKEN
 
 
 def decode_body(raw: bytes) -> tuple[CompletionBody, StandInOptions]:
-    """Decode a completion's body; without options the answer has the greatest length allowed."""
+    """Decode a body; without the field `standin`, `max_tokens` is the number of tokens to generate."""
     body = _body_decoder.decode(raw)
     return body, body.standin or StandInOptions(output_tokens=body.max_tokens)
 
 
 def block_hashes(prompt: str | list[int]) -> list[int]:
-    """Return the hashes of a prompt's whole blocks, each over all that stands before it too."""
+    """Return a hash for each complete block of a prompt, computed over the prompt up to the block's end."""
     raw = prompt.encode() if isinstance(prompt, str) else msgspec.json.encode(prompt)
     running, hashes = xxhash.xxh64(), []
     for start in range(0, len(raw) - BLOCK_BYTES + 1, BLOCK_BYTES):
@@ -124,7 +128,7 @@
 
 
 def usage(job: Job) -> dict[str, Any]:
-    """Return the counts of tokens that a response ends with."""
+    """Return the token counts for the `usage` field of a response."""
     return {
         "prompt_tokens": job.prompt_tokens,
         "completion_tokens": job.generated_tokens,
@@ -134,7 +138,7 @@
 
 
 def prefill_response(job: Job, engine: str, host: str, port: int) -> dict[str, Any]:
-    """Return the response to a prefill: where its state is held, by whom and under which name."""
+    """Return the response to a prefill, which states where the prefill state is held and under which id."""
     return {
         "id": job.request_id,
         "object": "text_completion",
@@ -154,12 +158,12 @@
 
 
 def token_event(job: Job, text: str) -> bytes:
-    """Return the event of one token of a stream."""
+    """Return the server-sent event for one generated token."""
     return completion_event(job.request_id, MODEL_NAME, 0, text)
 
 
 def final_events(job: Job, max_tokens: int) -> bytes:
-    """Return a stream's last events: the finish reason, the counts of tokens, the end."""
+    """Return the last events of a stream: the finish reason, the token counts and `[DONE]`."""
     finish_reason = "length" if job.generated_tokens >= max_tokens else "stop"
     finish = completion_event(job.request_id, MODEL_NAME, 0, "", finish_reason)
     counts = b"data: " + msgspec.json.encode({"choices": [], "usage": usage(job)}) + b"\n\n"
--- a/runspool/lab/state_transfer.py
+++ b/runspool/lab/state_transfer.py
@@ -1,4 +1,4 @@
-"""Prefill states between stand-in engines: held, fetched by another engine, released, or expired."""
+"""Hold prefill states at a stand-in engine and transfer them to other engines."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from runspool.service.clock import now
 
 FETCH_PATH = "/lab/fetch"
-FETCH_TIMEOUT = 10.0  # seconds
+FETCH_TIMEOUT = 10.0  # seconds for a whole transfer
 
 
 class HeldStates:
-    """The states that an engine has prefilled and holds until they are fetched, released or too old.
+    """The prefill states that an engine holds until they are fetched, released or expired.
 
-    `on_release` is called when a state's memory is free again.
+    `on_release` is called when the memory of a state has been freed.
     """
 
     def __init__(
@@ -38,24 +38,27 @@
         self._on_release = on_release
 
     def hold(self, job: Job, attempt: str) -> None:
-        """End a prefill and hold its state under the job's request id, for a client's attempt."""
+        """End a prefill and hold its state under the job's request id.
+
+        `attempt` is the id of the client attempt that the prefill serves.
+        """
         self._model.hold_state(job, job.request_id)
         self._events.state_held(job, attempt)
 
     def drop(self, state: str) -> None:
-        """Free a state whose front will never know of it, as it has gone before the response."""
+        """Free a state that its front cannot know of, because the connection was lost before the response."""
         if self._model.release_state(state):
             self._events.state_dropped(state)
 
     async def expire(self, state: str) -> None:
-        """Free a state after its time to live, if it is still held then."""
+        """Wait for a state's time to live and free the state if it is still held."""
         await anyio.sleep(self._model.spec.state_ttl / SECOND)
         if self._model.release_state(state):
             self._events.state_expired(state)
             self._on_release()
 
     async def handle_release(self, received: ReceivedRequest) -> None:
-        """Serve a front's call to release a state; a hung engine does so when it is resumed."""
+        """Release a state at the request of a front. An engine that hangs does so when it resumes."""
         content = msgspec.json.decode(await received.read_body())
         params = content.get("kv_transfer_params") or {}
         state = params.get("remote_request_id") or content.get("request_id")
@@ -67,7 +70,7 @@
         await received.respond(200, {})
 
     async def handle_fetch(self, received: ReceivedRequest) -> None:
-        """Serve another engine's call to fetch a state; respond when all of it is transferred."""
+        """Transfer a state to another engine and free it; respond when the transfer is complete."""
         content = msgspec.json.decode(await received.read_body())
         state = content["state"]
         await self._faults.wait_until_resumed()
@@ -86,7 +89,7 @@
         await received.respond(200, {})
 
     async def _transfer(self, received: ReceivedRequest, duration: int) -> None:
-        """Take the transfer's time, or until the fetching engine is gone."""
+        """Simulate a transfer that takes `duration`; return early if the fetching engine disconnects."""
         self._model.outgoing_transfers += 1
         try:
             async with anyio.create_task_group() as tasks:
@@ -99,12 +102,12 @@
 
 
 async def fetch_state(spec: EngineSpec, params: StateTransferParams, disconnected: anyio.Event) -> bool:
-    """Fetch a state from the engine that holds it; return whether it has come.
+    """Fetch a state from the engine that holds it; return whether that succeeded.
 
     Args:
-        spec: the engine that fetches.
+        spec: the properties of the engine that fetches.
         params: where the state is held, and its name there.
-        disconnected: the fetch is given up when this is set.
+        disconnected: cancels the fetch when set.
     """
     content = msgspec.json.encode(
         {
--- a/runspool/lab/workload.py
+++ b/runspool/lab/workload.py
@@ -1,4 +1,7 @@
-"""Draws every request of a scenario from the plan's seed, before it starts. No I/O, no clock."""
+"""Draw all requests of a scenario from the plan's seed before the scenario starts.
+
+The module does no I/O and reads no clock.
+"""
 
 from __future__ import annotations
 
@@ -14,30 +17,34 @@
 
 MAX_PROMPT_TOKENS = 60_000
 
-# The seed of a generator is the plan's times this, plus an offset for what it draws.
+# The seed of each random generator is the seed of the plan times the multiplier, plus an offset that depends
+# on what the generator draws.
 SEED_MULTIPLIER = 7919
 WORKLOAD_SEED_OFFSET = 1
 TENANT_BURST_SEED_OFFSET = 2
 
-PEAK_MULTIPLE = 8  # sessions are drawn at this multiple of the mean rate and then thinned
+# Sessions are drawn at this multiple of the mean request rate. Most are then discarded, so that the rate at
+# each time is that of the load shape and the bursts (thinning).
+PEAK_MULTIPLE = 8
 
-STREAMED_SHARE = 0.8
-HOT_PREFIX_TOKENS = 3_000
-MAX_PREFIX_NUMBER = 12
-MIN_TURN_PAUSE, MAX_TURN_PAUSE = 1.0, 4.0  # seconds between the turns of a session
+STREAMED_SHARE = 0.8  # share of requests whose response is streamed
+HOT_PREFIX_TOKENS = 3_000  # length of the prefix that sessions share during a hot_key fault
+MAX_PREFIX_NUMBER = 12  # number of different prefixes per request class
+MIN_TURN_PAUSE, MAX_TURN_PAUSE = 1.0, 4.0  # seconds between the starts of two turns of a session
 
-# Tenths of a millisecond after which a client that disconnects does so.
+# Bounds of the time, in tenths of a millisecond, after which a client disconnects if it does so at all.
 MIN_DISCONNECT_DELAY, MAX_DISCONNECT_DELAY = 500, 3 * SECOND
 
-MIN_ABUSED_TIME_LIMIT = 2_000  # tenths of a millisecond
+MIN_ABUSED_TIME_LIMIT = 2_000  # tenths of a millisecond; lower bound on time limits during retry_abuse
 
-# Lengths are drawn lognormally; the divisor makes their mean the mean asked for.
+# Lengths have a lognormal distribution. Its mean is exp(sigma^2 / 2) = 1.13 times the median, so the desired
+# mean is divided by this to get the median.
 LENGTH_SIGMA = 0.5
 LENGTH_MEAN_CORRECTION = 1.13
 MIN_LENGTH = 4  # tokens
-MAX_LENGTH_MULTIPLE = 8  # of the mean
+MAX_LENGTH_MULTIPLE = 8  # upper bound on a length, as a multiple of the mean
 
-# The kinds of fault that clients bring about.
+# The kinds of fault that consist in the behaviour of clients.
 WORKLOAD_FAULT_KINDS = (
     "burst",
     "tenant_burst",
@@ -53,28 +60,30 @@
 
 
 class PlannedRequest(msgspec.Struct):
-    """One request and how its client behaves. Times in tenths of a millisecond, lengths in tokens.
+    """A request and the behaviour of its client. Times are tenths of a millisecond, and lengths are tokens.
 
     Attributes:
-        id: unique in the scenario.
-        at: when it is asked, from the scenario's start.
-        zone_index: the client's zone in the plan.
-        request_class_index: its request class in the plan.
-        tenant_index: its tenant in the plan.
-        session: the id of the session that it belongs to.
-        parts: names and lengths of the texts that make up its prompt.
-        prefix: the name of the text that its prompt shares with other sessions; empty for none.
+        id: the id of the request, unique in the scenario.
+        at: when it is sent, counted from the start of the scenario.
+        zone_index: the index of the client's zone in the plan.
+        request_class_index: the index of its request class in the plan.
+        tenant_index: the index of its tenant in the plan.
+        session: the id of its session.
+        parts: the texts that its prompt consists of, each with its name and length.
+        prefix: the name of the text that its prompt has in common with other sessions; empty for none.
         prefix_tokens: the length of that text.
         prompt_tokens: the length of the whole prompt.
-        output_tokens: the length of the answer that an engine gives.
-        stream: whether its answer is streamed.
-        time_limit: how long its client waits.
-        first_token_objective: the time within which the first token earns the full value.
-        retries: how often its client asks again at most.
-        backoff: how long its client waits before it asks again; 0 means at once, and each time anew.
-        disconnects_after: when its client disconnects by itself; 0 for never.
-        reads_slowly: whether its client reads the stream slowly.
-        poison: whether it brings down the engine that writes its answer.
+        output_tokens: the length of the response.
+        stream: whether the response is streamed.
+        time_limit: the time for which the client waits.
+        first_token_objective: the time within which the first token has to arrive for the full value.
+        retries: the maximum number of retries.
+        backoff: the time that the client waits before a retry. With 0, the client retries at once, ignores
+        the
+            wait that the front asks for, and gives each attempt the whole time limit.
+        disconnects_after: the time after which the client disconnects; 0 if it does not.
+        reads_slowly: whether the client reads the stream slowly.
+        poison: whether the request crashes an engine that is to decode it.
     """
 
     id: str
@@ -99,13 +108,13 @@
 
 
 def prompt_text(name: str, tokens: int) -> str:
-    """Return a text of so many tokens that depends on its name alone."""
+    """Return the text of this name: random characters that depend on nothing but the name and the length."""
     raw = Random(name).randbytes(tokens * 3)
     return base64.b64encode(raw).decode()[: tokens * BYTES_PER_TOKEN]
 
 
 def draw_workload(plan: ScenarioPlan) -> list[PlannedRequest]:
-    """Draw all requests of a scenario, in order of time."""
+    """Return all requests of a scenario in the order in which they are sent."""
     faults = {kind: [fault for fault in plan.faults if fault.kind == kind] for kind in WORKLOAD_FAULT_KINDS}
     requests = _draw_usual_sessions(plan, faults)
     for number, burst in enumerate(faults["tenant_burst"]):
@@ -115,12 +124,13 @@
 
 
 def _session_rate(plan: ScenarioPlan) -> float:
-    """Sessions per second, from requests per second."""
+    """Return the mean number of sessions that start per second."""
     turns_per_session = sum(row.share * row.turns for row in plan.request_classes)
     return plan.requests_per_second / turns_per_session
 
 
 def _draw_usual_sessions(plan: ScenarioPlan, faults: FaultsByKind) -> list[PlannedRequest]:
+    """Draw all requests except those that bursts of single tenants add."""
     rng = Random(plan.seed * SEED_MULTIPLIER + WORKLOAD_SEED_OFFSET)
     sessions = _SessionDrawer(plan, rng, faults, [row.share for row in plan.tenants])
     peak = plan.requests_per_second * PEAK_MULTIPLE
@@ -142,9 +152,9 @@
 def _draw_tenant_burst(
     plan: ScenarioPlan, burst_number: int, burst: FaultPlan, faults: FaultsByKind
 ) -> list[PlannedRequest]:
-    """Draw what a tenant sends beyond its share.
+    """Draw the requests that a tenant sends in addition to its share during a burst.
 
-    It has a generator of its own: all other requests stay what they are without the burst.
+    They have their own random generator, so that all other requests are the same as without the burst.
     """
     requests: list[PlannedRequest] = []
     if burst.magnitude <= 1:
@@ -167,7 +177,7 @@
 
 @dataclass(slots=True)
 class _Session:
-    """What the turns of one session have in common, and the prompt that grows with each."""
+    """The properties that all requests of a session share, and its prompt, to which each turn adds a part."""
 
     name: str
     request_class_index: int
@@ -184,7 +194,10 @@
 
 
 class _SessionDrawer:
-    """Draws sessions from one generator; the order of the draws is part of what a seed means."""
+    """Draws sessions with one random generator.
+
+    Changing the order of the draws changes the workload that a seed stands for.
+    """
 
     def __init__(
         self, plan: ScenarioPlan, rng: Random, faults: FaultsByKind, tenant_weights: list[float]
@@ -196,7 +209,7 @@
         self.request_class_weights = [row.share for row in plan.request_classes]
 
     def draw(self, name: str, starts_at: int) -> list[PlannedRequest]:
-        """Draw a session's requests, one a turn."""
+        """Draw the requests of a session that starts at `starts_at`, one per turn."""
         session = self._draw_session(name, starts_at)
         request_class = self.plan.request_classes[session.request_class_index]
         requests: list[PlannedRequest] = []
@@ -224,6 +237,7 @@
         return self.rng.choices(range(len(weights)), weights)[0]
 
     def _draw_prefix(self, session: _Session, at: int) -> None:
+        """Draw whether the session's prompt starts with a shared prefix, and with which."""
         rng = self.rng
         request_class = self.plan.request_classes[session.request_class_index]
         hot = self._draw_hot_prefix_fault(at)
@@ -237,17 +251,26 @@
             session.prefix_tokens = request_class.prefix_tokens
 
     def _draw_hot_prefix_fault(self, at: int) -> FaultPlan | None:
+        """Return the active hot_key fault that determines a session's prefix, or None.
+
+        The magnitude is the share of sessions that it affects; the secondary magnitude is the number of
+        prefixes.
+        """
         for fault in self.faults["hot_key"]:
             if _is_active(fault, at) and self.rng.random() < fault.magnitude:
                 return fault
         return None
 
     def _draw_turns(self, request_class: RequestClassPlan) -> int:
+        """Draw the number of turns: the mean rounded down or up, so that the expected value is the mean."""
         whole_turns = int(request_class.turns)
         return whole_turns + (self.rng.random() < request_class.turns - whole_turns)
 
     def _draw_new_tokens(self, session: _Session, request_class: RequestClassPlan, at: int) -> int:
-        """Draw the tokens that a turn adds to the prompt; 0 or less where the prompt is full."""
+        """Draw the number of tokens that a turn adds to the prompt.
+
+        The result is 0 or less if the prompt has reached its maximum length.
+        """
         tokens = _draw_length(self.rng, request_class.new_prompt_tokens)
         heavy = self._draw_heavy_tail_fault(session.request_class_index, at)
         if heavy is not None:
@@ -255,6 +278,10 @@
         return min(tokens, MAX_PROMPT_TOKENS - session.prompt_tokens)
 
     def _draw_heavy_tail_fault(self, request_class_index: int, at: int) -> FaultPlan | None:
+        """Return the active heavy_tail fault that lengthens a turn's new tokens, or None.
+
+        The magnitude multiplies the length; the secondary magnitude is the share of turns that it affects.
+        """
         for fault in self.faults["heavy_tail"]:
             applies = _is_active(fault, at) and fault.subject_index == request_class_index
             if applies and self.rng.random() < fault.secondary_magnitude:
@@ -291,6 +318,7 @@
         return request
 
     def _draw_behaviour(self, request: PlannedRequest) -> None:
+        """Draw how the client deviates from the usual: disconnects, slow reads and effects of faults."""
         rng = self.rng
         clients = self.plan.clients
         disconnect_faults = [fault for fault in self.faults["leaving"] if _is_active(fault, request.at)]
@@ -326,6 +354,7 @@
 
 
 def _load_multiple(bursts: list[FaultPlan], at: float) -> float:
+    """Return the product of the magnitudes of the bursts that are active at a time."""
     multiple = 1.0
     for burst in bursts:
         if _is_active(burst, at):
@@ -334,7 +363,7 @@
 
 
 def _load_shape_at(plan: ScenarioPlan, at: float) -> float:
-    """Return the multiple of the mean rate at a time, interpolated between the points of the load's shape."""
+    """Return the load at a time as a multiple of the mean rate, interpolated linearly in the load shape."""
     points = plan.load_shape
     if not points:
         return 1.0
