--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -288,9 +288,9 @@
     async def _check_for_poisonous_request(self, pending: PendingCompletion, endpoint: Endpoint) -> None:
         """Count an engine that went down during the request against the request, which may be the cause.
 
-        If too many engines were lost, the request is answered as poisonous and not attempted again. The
-        request and the release of its state wait for the check for at most ENGINE_CHECK_TIMEOUT; the check is
-        cancelled when the client disconnects.
+        Once as many engines have gone down as the cell map allows, the request is answered as poisonous and
+        not attempted again. The request and the release of its state wait for the check for at most
+        ENGINE_CHECK_TIMEOUT; the check is cancelled when the client disconnects.
         """
         is_up = await is_engine_up(self.engine_client, endpoint.address)
         if (
