--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from runspool.scheduling.engine_state import Engine
-from runspool.scheduling.front_state import RACK_BALANCE_INTERVAL, FrontState
+from runspool.scheduling.front_state import RACK_WEIGHTS_INTERVAL, FrontState
 from runspool.scheduling.latency_estimator import current_load_report, decay_factor, predicted_decode_wait
 from runspool.scheduling.slow_start import warmup_fraction
 from runspool.scheduling.time_units import MILLISECOND, SECOND
@@ -20,14 +20,14 @@
 # Wait for a first token, or for a rack's link, that costs as much as a fully loaded engine.
 FULL_LOAD_WAIT = SECOND
 # Upper bound on a rack's spare decode capacity per prefill engine, relative to the fleet's mean.
-MAX_RACK_BALANCE = 1.6
+MAX_RACK_RATIO = 1.6
 # Lower bound on a rack's spare decode capacity per prefill engine, relative to the fleet's mean.
-MIN_RACK_BALANCE = 0.2
-# Exponent of the rack balance in the limit where transfers between racks are the only delay.
-MAX_RACK_BALANCE_EXPONENT = 1.5
-# Added to the transfer and queueing delays in the denominator of the rack balance's exponent: a transfer
+MIN_RACK_RATIO = 0.2
+# Exponent of a rack's weight in the limit where transfers between racks are the only delay.
+MAX_RACK_EXPONENT = 1.5
+# Added to the transfer and queueing delays in the denominator of the exponent of the rack weights: a transfer
 # delay much shorter than this has little influence.
-RACK_BALANCE_REFERENCE_DELAY = 300 * MILLISECOND
+RACK_EXPONENT_DELAY = 300 * MILLISECOND
 
 
 def expected_memory_tokens(front: FrontState, request: Request) -> int:
@@ -115,13 +115,13 @@
     own = [e for e in front.active_engines.values() if e.ready and e.role is not Role.PREFILL]
     front.own_streams_per_engine = sum(len(e.streams) for e in own) / max(1, index.peer_count(Role.DECODE))
     front.own_memory_share = sum(e.stream_tokens for e in own) / max(1, index.decode_memory_tokens)
-    if index.is_large(Role.PREFILL) and front.now < front.rack_balance_at + RACK_BALANCE_INTERVAL:
+    if index.is_large(Role.PREFILL) and front.now < front.rack_weights_at + RACK_WEIGHTS_INTERVAL:
         return
-    front.rack_balance_at = front.now
-    front.rack_balance = _rack_balance(front)
+    front.rack_weights_at = front.now
+    front.rack_weights = _rack_weights(front)
 
 
-def _rack_balance(front: FrontState) -> dict[int, float]:
+def _rack_weights(front: FrontState) -> dict[int, float]:
     """Return the weight of each rack in the selection of prefill engines, where 1 is neutral.
 
     The weight is the number of decode engines with spare capacity per prefill engine, relative to the fleet's
@@ -136,8 +136,8 @@
     transfer_delay, queueing_delay = front.fleet_transfer_delay, front.role_queueing_delays[Role.PREFILL]
     transfer = transfer_delay.duration * decay_factor(front, transfer_delay.updated_at)
     queueing = queueing_delay.duration * decay_factor(front, queueing_delay.updated_at)
-    exponent = MAX_RACK_BALANCE_EXPONENT * transfer / (transfer + queueing + RACK_BALANCE_REFERENCE_DELAY)
+    exponent = MAX_RACK_EXPONENT * transfer / (transfer + queueing + RACK_EXPONENT_DELAY)
     return {
-        rack: min(max(with_room[rack] / count / fleet_ratio, MIN_RACK_BALANCE), MAX_RACK_BALANCE) ** exponent
+        rack: min(max(with_room[rack] / count / fleet_ratio, MIN_RACK_RATIO), MAX_RACK_RATIO) ** exponent
         for rack, count in prefill.items()
     }
--- a/runspool/scheduling/front_state.py
+++ b/runspool/scheduling/front_state.py
@@ -21,8 +21,8 @@
 INITIAL_PREFILL_RATE = 1.0
 # Repeated prefills that a front may send before any prefill has succeeded.
 INITIAL_RETRY_BUDGET = 2.0
-# Minimum time between two computations of the rack balance in a large fleet.
-RACK_BALANCE_INTERVAL = SECOND
+# Minimum time between two computations of the rack weights in a large fleet.
+RACK_WEIGHTS_INTERVAL = SECOND
 
 
 class QueuePosition(NamedTuple):
@@ -98,10 +98,10 @@
         self.own_streams_per_engine = 0.0  # this front's streams per engine that can decode
         # This front's streams as a fraction of the memory of all engines that can decode.
         self.own_memory_share = 0.0
-        self.rack_balance: dict[int, float] = {}
+        self.rack_weights: dict[int, float] = {}
         """By rack: weight of its prefill engines, which is above 1 if the rack has more decode capacity to
         spare."""
-        self.rack_balance_at = -RACK_BALANCE_INTERVAL
+        self.rack_weights_at = -RACK_WEIGHTS_INTERVAL
 
     def class_state(self, request: Request) -> RequestClassState:
         """Return the state of the request's class, or of the first class where its class is unknown."""
--- a/runspool/scheduling/latency_estimator.py
+++ b/runspool/scheduling/latency_estimator.py
@@ -19,9 +19,9 @@
 LOAD_REPORT_VALIDITY = 2 * SECOND
 # Half-life of a learned estimate without new samples from its engine.
 ESTIMATE_HALF_LIFE = 12 * SECOND
-# Half-life of queue samples: older samples weigh little against a new one.
+# Half-life of an estimate's weight against a new sample, which measures the present queue.
 SAMPLE_HALF_LIFE = 3 * SECOND
-# A sample counts for the estimate over all peers up to this time above three times that estimate.
+# A sample updates its engine's peers' estimate with at most three times that estimate plus this time.
 OUTLIER_ALLOWANCE = 600 * MILLISECOND
 # Lower bound on the weight of a sample in the estimate over its engine's peers.
 MIN_PEER_WEIGHT = 1 / 8
@@ -29,7 +29,7 @@
 MAX_PEER_WEIGHT = 1 / 4
 # Lower bound on the weight of a sample in its own engine's estimate.
 MIN_OWN_WEIGHT = 1 / 4
-# Number of samples over which the prefill rate falls towards slower ones.
+# A slower sample changes the prefill rate by its difference divided by this number; a faster one replaces it.
 PREFILL_RATE_SAMPLES = 16
 # Lower bound on the prefill rate, in tokens per tenth of a millisecond.
 MIN_PREFILL_RATE = 0.01
--- a/runspool/scheduling/prefix_affinity.py
+++ b/runspool/scheduling/prefix_affinity.py
@@ -17,7 +17,8 @@
 
 # Texts that an engine is assumed to keep cached; an older text counts as evicted.
 MAX_CACHED_TEXTS = 500
-# Candidates of a prefix as a multiple of its fair share of the prefill engines.
+# A prefix gets one candidate plus a fraction of the prefill engines that is this many times its share of the
+# recent requests.
 CANDIDATES_PER_FAIR_SHARE = 3.0
 # Share of all requests that a prefix is assumed to have before it has been seen.
 PRIOR_PREFIX_SHARE = 0.015
@@ -78,11 +79,10 @@
 def affinity_rank(front: FrontState, engine: Engine, text_hash: int) -> float:
     """Return an engine's rank for a text; the engine with the lowest rank is the first candidate.
 
-    The rank is drawn from hashes that are the same at all fronts, and is weighted by the balance of the
-    engine's rack.
+    This is rendezvous hashing, weighted by the engine's rack: all fronts draw the same ranks from the hashes.
     """
     mixed_hash = (engine.stable_hash * (2 * text_hash + 1) & HASH_MASK) + 1
-    return -log(mixed_hash / (HASH_MASK + 2)) / front.rack_balance.get(engine.rack, 1.0)
+    return -log(mixed_hash / (HASH_MASK + 2)) / front.rack_weights.get(engine.rack, 1.0)
 
 
 def tokens_to_prefill(front: FrontState, engine: Engine, request: Request) -> int:
--- a/runspool/scheduling/slow_start.py
+++ b/runspool/scheduling/slow_start.py
@@ -11,7 +11,8 @@
 
 # Fraction of the overload limit that all fronts together send to a starting engine.
 SLOW_START_LOAD_FRACTION = 0.4
-# Spreads one random draw evenly over many engines.
+# Multiple of an engine's id that is added to the random draw, which spreads one draw evenly over many
+# engines.
 GOLDEN_RATIO_FRACTION = 0.618034
 
 
--- a/runspool/scheduling/transfer_cost.py
+++ b/runspool/scheduling/transfer_cost.py
@@ -11,9 +11,9 @@
 from runspool.scheduling.latency_estimator import current_estimate
 from runspool.scheduling.types import Role
 
-# Wait, in first-token objectives, that is equivalent to a price of one request's weight.
+# Wait, in first-token objectives, that costs as much as one unit of the prices in the settings.
 WAIT_OBJECTIVES_PER_PRICE = 4.0
-# Load, in fully loaded engines, that is equivalent to a price of one request's weight.
+# Load, in fully loaded engines, that costs as much as one unit of the prices in the settings.
 LOAD_PER_PRICE = 12.0
 # Cost of a transfer to another zone, relative to one to another rack of the same zone.
 CROSS_ZONE_LINK_FACTOR = 2.5
@@ -28,7 +28,7 @@
     # The less decode capacity the rack has to spare, the more likely the state has to leave it.
     transfer_probability = 0.0
     if engine.role is Role.PREFILL:
-        transfer_probability = max(0.0, 1 - front.rack_balance.get(engine.rack, 1.0))
+        transfer_probability = max(0.0, 1 - front.rack_weights.get(engine.rack, 1.0))
     is_other_zone = engine.zone != settings.zone
     return (
         WAIT_OBJECTIVES_PER_PRICE * objective * settings.cross_zone_price * is_other_zone
--- a/tests/test_prefill_selection.py
+++ b/tests/test_prefill_selection.py
@@ -102,5 +102,5 @@
     scheduler.fleet_transfer_delay.updated_at = host.now
     scheduler.fleet_statistics_at = -1
     refresh_fleet_statistics(scheduler)
-    assert scheduler.rack_balance[1] < 0.5
-    assert scheduler.rack_balance[0] > 1
+    assert scheduler.rack_weights[1] < 0.5
+    assert scheduler.rack_weights[0] > 1
