--- a/runspool/scheduling/fleet_statistics.py
+++ b/runspool/scheduling/fleet_statistics.py
@@ -58,8 +58,8 @@
 
     The other fronts are assumed to have as many streams as this one. The estimate is this front's mean over
     all engines, scaled by its streams on this engine relative to that mean. Both are smoothed by
-    `SMOOTHING_STREAMS`: otherwise a single stream of a front, one of a hundred, would be extrapolated to a
-    full engine.
+    `SMOOTHING_STREAMS`: otherwise a single stream at one of a hundred fronts would be extrapolated to a full
+    engine.
     """
     refresh_fleet_statistics(front)
     mean_tokens = front.own_memory_share * (engine.memory_tokens or 1)
