--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -33,7 +33,7 @@
 from runspool.lab import recording
 from runspool.lab.audit import judge, read_history
 from runspool.lab.audit.history import ClientAttemptRecord
-from runspool.lab.cell_plans import bad_release, flood, full_cell, poisoned
+from runspool.lab.cell_scenarios import bad_release, flood, full_cell, poisoned
 from runspool.lab.front_configuration import front_configuration
 from runspool.lab.plan import ScenarioPlan
 from runspool.lab.recording import Event
--- a/runspool/cli/lab.py
+++ b/runspool/cli/lab.py
@@ -17,12 +17,12 @@
 from runspool.lab import audit as auditing
 from runspool.lab import recording, report
 from runspool.lab import replay as event_replay
-from runspool.lab.cell_plans import SCENARIOS
+from runspool.lab.cell_scenarios import SCENARIOS
 from runspool.lab.engine import StandInEngine
 from runspool.lab.errors import ScenarioFailedError
 from runspool.lab.plan import EnginePlan, ScenarioPlan
 from runspool.lab.scenario_runner import ScenarioRunner
-from runspool.lab.simulator_days import UnplayableDayError, from_simulator_day
+from runspool.lab.simulator_scenarios import InvalidSimulatorScenarioError, plan_from_simulator_scenario
 
 EXIT_BROKEN = 1  # exit status if a rule was violated, a required rule was not exercised, or a replay differs
 EXIT_INVALID = 2  # exit status for an argument or a file that cannot be used
@@ -89,8 +89,8 @@
 ) -> None:
     """Play the faults of a benchmark day, at their times and sizes, with real fronts."""
     try:
-        plan = from_simulator_day(json.loads(file.read_text()), fronts, engines, scale)
-    except (OSError, ValueError, UnplayableDayError) as error:
+        plan = plan_from_simulator_scenario(json.loads(file.read_text()), fronts, engines, scale)
+    except (OSError, ValueError, InvalidSimulatorScenarioError) as error:
         _fail(f"{file}: {error}")
     _play(plan, output_folder, record_events, all_rules=False)
 
--- a/runspool/lab/injected_faults.py
+++ b/runspool/lab/active_faults.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from runspool.lab.model import EngineModel
+from runspool.lab.engine_model import EngineModel
 from runspool.lab.response_faults import FAILED_500, RESPONSE_FAULTS, SILENT
 from runspool.lab.throttling import RateLimit, Throttle
 
@@ -15,7 +15,7 @@
 NO_CONNECTION_LIMIT = 100_000  # connections; more than any scenario opens to one engine
 
 
-class InjectedFaults:
+class ActiveFaults:
     """The faults that are active at one engine.
 
     Attributes:
--- a/runspool/lab/audit/cold_starts.py
+++ b/runspool/lab/audit/cold_starts.py
@@ -6,7 +6,7 @@
 
 from runspool.lab.audit.history import EngineAttemptRecord, History
 from runspool.lab.audit.verdict import RuleVerdict
-from runspool.lab.model import COLD_OVERLOAD_TOLERANCE
+from runspool.lab.engine_model import COLD_OVERLOAD_TOLERANCE
 from runspool.lab.recording import Event
 
 
--- a/runspool/lab/cell_plans.py
+++ b/runspool/lab/cell_scenarios.py
@@ -140,7 +140,7 @@
 
 
 def _migration_mode(number: int) -> str:
-    """Return the mode of the migration with this number (see `migration_script`).
+    """Return the mode of the migration with this number (see `tenant_migrator`).
 
     It states whether the migration is completed or undone and, if a process is killed, which one and when.
     """
--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -16,10 +16,10 @@
 from anyio.abc import SocketAttribute, SocketListener, SocketStream, TaskGroup, TaskStatus
 
 from runspool.engines.failure_classification import STATE_GONE
+from runspool.lab.active_faults import ActiveFaults, FaultSetting
 from runspool.lab.engine_events import EngineEvents
+from runspool.lab.engine_model import AdmissionResult, EngineModel, EngineSpec, Job, Phase, Step
 from runspool.lab.http_server import PeerClosedError, ReceivedRequest, serve_connections, serve_requests
-from runspool.lab.injected_faults import FaultSetting, InjectedFaults
-from runspool.lab.model import AdmissionResult, EngineModel, EngineSpec, Job, Phase, Step
 from runspool.lab.plan import SECOND
 from runspool.lab.recording import Recorder
 from runspool.lab.response_faults import (
@@ -86,7 +86,7 @@
     def __init__(self, spec: EngineSpec, recorder: Recorder, cold: bool, seed: int) -> None:
         self.spec = spec
         self.model = EngineModel(spec, now(), cold, seed)
-        self.faults = InjectedFaults(self.model)
+        self.faults = ActiveFaults(self.model)
         self.active_requests: dict[int, ActiveRequest] = {}
         self.token_text = "t"
         self.port = 0
--- a/runspool/lab/engine_events.py
+++ b/runspool/lab/engine_events.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from runspool.lab.model import EngineSpec, Job
+from runspool.lab.engine_model import EngineSpec, Job
 from runspool.lab.recording import Recorder
 from runspool.lab.standin_messages import CompletionCall
 
--- a/runspool/lab/engine_faults.py
+++ b/runspool/lab/engine_fault_commands.py
@@ -1,6 +1,6 @@
 """Translate the faults of a plan into the commands that switch them on and off at the stand-in engines.
 
-The names of faults and settings are those that `InjectedFaults` of runspool.lab.injected_faults accepts.
+The names of faults and settings are those that `ActiveFaults` of runspool.lab.active_faults accepts.
 """
 
 from __future__ import annotations
--- a/runspool/lab/fault_injection.py
+++ b/runspool/lab/fault_injection.py
@@ -7,11 +7,11 @@
 
 import anyio
 
-from runspool.lab.engine_faults import EngineFault, engine_faults
+from runspool.lab.engine_fault_commands import EngineFault, engine_faults
 from runspool.lab.fleet import ScenarioFleet
-from runspool.lab.migration_script import MigrationScript
 from runspool.lab.plan import SECOND, FaultPlan, ScenarioPlan
 from runspool.lab.recording import Recorder
+from runspool.lab.tenant_migrator import TenantMigrator
 from runspool.service.clock import now
 
 UPGRADE_DOWNTIME = SECOND // 2  # tenths of a millisecond that an engine is down for an upgrade
@@ -42,7 +42,7 @@
         plan: the plan of the scenario.
         fleet: the processes that the faults are injected into.
         record: records when each fault begins and ends.
-        migration_script: migrates tenants; None for a plan without cells.
+        tenant_migrator: migrates tenants; None for a plan without cells.
         rng: draws the engines whose caches are flushed.
         start: the start of the scenario, in tenths of a millisecond; to be set before the first fault.
         methods: the methods that inject the faults, by kind.
@@ -53,13 +53,13 @@
         plan: ScenarioPlan,
         fleet: ScenarioFleet,
         record: Recorder,
-        migration_script: MigrationScript | None,
+        tenant_migrator: TenantMigrator | None,
     ) -> None:
-        """Prepare the injection of faults; `migration_script` is required if the plan migrates tenants."""
+        """Prepare the injection of faults; `tenant_migrator` is required if the plan migrates tenants."""
         self.plan = plan
         self.fleet = fleet
         self.record = record
-        self.migration_script = migration_script
+        self.tenant_migrator = tenant_migrator
         self.rng = Random(plan.seed * SEED_MULTIPLIER + SEED_OFFSET)
         self.start = 0
         self.methods: dict[str, InjectFault] = {
@@ -191,9 +191,9 @@
                 await self.fleet.send_fault(index, "forget", share=1.0)
 
     async def _migrate_tenant(self, fault: FaultPlan) -> None:
-        """Migrate a tenant to another cell (see `MigrationScript.play`)."""
-        assert self.migration_script is not None, "a plan that migrates tenants has a cell map"
-        await self.migration_script.play(fault)
+        """Migrate a tenant to another cell (see `TenantMigrator.play`)."""
+        assert self.tenant_migrator is not None, "a plan that migrates tenants has a cell map"
+        await self.tenant_migrator.play(fault)
 
     async def _upgrade_to_faulty_release(self, fault: FaultPlan) -> None:
         """Upgrade engines one by one to a faulty software release; remove its faults after the duration.
--- a/runspool/lab/fleet.py
+++ b/runspool/lab/fleet.py
@@ -13,8 +13,8 @@
 import anyio
 import msgspec
 
+from runspool.lab.endpoint_list_service import EndpointListService
 from runspool.lab.front_configuration import front_configuration
-from runspool.lab.listing import EndpointListService
 from runspool.lab.load_balancer import LoadBalancer
 from runspool.lab.managed_process import START_TIMEOUT, ManagedProcess
 from runspool.lab.plan import SECOND, ScenarioPlan
--- a/runspool/lab/plan.py
+++ b/runspool/lab/plan.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from runspool.lab.model import EngineSpec
+from runspool.lab.engine_model import EngineSpec
 
 SECOND = 10_000  # tenths of a millisecond
 
@@ -114,7 +114,7 @@
     """One fault.
 
     The meaning of the magnitudes and the mode depends on the kind. The modules fault_injection,
-    engine_faults, workload and migration_script of this package define it.
+    engine_fault_commands, workload and tenant_migrator of this package define it.
 
     Attributes:
         kind: one of SIMULATOR_FAULT_KINDS or LABORATORY_FAULT_KINDS.
--- a/runspool/lab/scenario_runner.py
+++ b/runspool/lab/scenario_runner.py
@@ -14,10 +14,10 @@
 from runspool.lab.clients import WorkloadClients
 from runspool.lab.fault_injection import FaultInjector
 from runspool.lab.fleet import RUNSPOOL_COMMAND, ScenarioFleet
-from runspool.lab.migration_script import MigrationScript
 from runspool.lab.plan import SECOND, ScenarioPlan
 from runspool.lab.port_allocation import HOST, PortReservation, reserve_ports
 from runspool.lab.recording import Recorder
+from runspool.lab.tenant_migrator import TenantMigrator
 from runspool.lab.workload import PlannedRequest, draw_workload
 from runspool.service.clock import now
 
@@ -42,7 +42,7 @@
         parts: the folder for the recordings of the individual processes.
         record: records the events of clients, endpoint list and faults.
         fleet: the processes; set when the run begins.
-        migration_script: migrates tenants; None for a plan without cells.
+        tenant_migrator: migrates tenants; None for a plan without cells.
         start: the start of the scenario, in tenths of a millisecond.
     """
 
@@ -76,7 +76,7 @@
         self.parts = folder / "parts"
         self.record = Recorder(None)
         self.fleet: ScenarioFleet  # set by play()
-        self.migration_script: MigrationScript | None = None
+        self.tenant_migrator: TenantMigrator | None = None
         self.start = 0
 
     async def play(self) -> Path:
@@ -132,7 +132,7 @@
         async with anyio.create_task_group() as tasks:
             await tasks.start(self.fleet.endpoint_list.run, HOST, 0)
             if self.plan.cells is not None:
-                self.migration_script = MigrationScript(
+                self.tenant_migrator = TenantMigrator(
                     self.plan, self.folder, self.record, self.fleet.restart_beside_migration
                 )
             await self.fleet.start()
@@ -158,7 +158,7 @@
             tasks.cancel_scope.cancel()
 
     def _start_faults(self, tasks: anyio.abc.TaskGroup) -> None:
-        injector = FaultInjector(self.plan, self.fleet, self.record, self.migration_script)
+        injector = FaultInjector(self.plan, self.fleet, self.record, self.tenant_migrator)
         injector.start = self.start
         for fault in self.plan.faults:
             tasks.start_soon(injector.inject, fault)
--- a/runspool/lab/scripted_scenarios.py
+++ b/runspool/lab/scripted_scenarios.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Literal, NamedTuple
 
-from runspool.lab.model import EngineSpec
+from runspool.lab.engine_model import EngineSpec
 from runspool.lab.plan import (
     SECOND,
     ClientsPlan,
--- a/runspool/lab/simulator_days.py
+++ b/runspool/lab/simulator_scenarios.py
@@ -19,7 +19,7 @@
 )
 from runspool.lab.scripted_scenarios import plan_engine, source_address
 
-SimulatorDay = dict[str, Any]  # scenario of the simulator, as decoded from JSON
+SimulatorScenario = dict[str, Any]  # scenario of the simulator, as decoded from JSON
 SimulatorRow = dict[str, Any]  # object in a list of such a scenario
 
 MICROSECONDS = 100  # microseconds in a tenth of a millisecond
@@ -31,67 +31,71 @@
 ENGINE_TYPES = ("prefill", "decode", "mixed")
 
 
-class UnplayableDayError(RunspoolError):
+class InvalidSimulatorScenarioError(RunspoolError):
     """A scenario of the simulator cannot be converted; the message states the reason."""
 
 
-def from_simulator_day(day: SimulatorDay, fronts: int, engines: int, scale: float = 1.0) -> ScenarioPlan:
+def plan_from_simulator_scenario(
+    scenario: SimulatorScenario, fronts: int, engines: int, scale: float = 1.0
+) -> ScenarioPlan:
     """Return a plan with the faults of a simulator scenario for a fleet of the given size.
 
     A fault that affects some engines or fronts affects the same share of the smaller fleet.
 
     Args:
-        day: the scenario that the simulator's draw printed; its times are in microseconds.
+        scenario: the scenario that the simulator's draw printed; its times are in microseconds.
         fronts: the number of fronts in the plan.
         engines: the number of engines in the plan.
         scale: the load, as a multiple of the simulator's load per engine.
 
     Raises:
-        UnplayableDayError: `day` is not a scenario of the simulator, or has a fault of an unknown kind.
+        InvalidSimulatorScenarioError: `scenario` is not one of the simulator, or has faults of unknown kinds.
     """
     try:
-        return _convert(day, fronts, engines, scale)
+        return _convert(scenario, fronts, engines, scale)
     except (KeyError, TypeError, IndexError, ValueError) as error:
-        raise UnplayableDayError(f"not a simulator day: {type(error).__name__}: {error}") from None
+        raise InvalidSimulatorScenarioError(
+            f"not a simulator scenario: {type(error).__name__}: {error}"
+        ) from None
 
 
-def _convert(day: SimulatorDay, front_count: int, engine_count: int, scale: float) -> ScenarioPlan:
-    unknown = sorted({row["kind"] for row in day["troubles"]} - {*SIMULATOR_FAULT_KINDS})
+def _convert(scenario: SimulatorScenario, front_count: int, engine_count: int, scale: float) -> ScenarioPlan:
+    unknown = sorted({row["kind"] for row in scenario["troubles"]} - {*SIMULATOR_FAULT_KINDS})
     if unknown:
-        raise UnplayableDayError(f"unknown kinds of fault: {', '.join(unknown)}")
-    rng = Random(int(day.get("noise", 0)) % (1 << 32))
-    zones = [str(zone) for zone in day["zones"]]
-    request_classes = _request_classes(day["classes"])
-    engines = _engines(day, zones, request_classes, engine_count, rng)
+        raise InvalidSimulatorScenarioError(f"unknown kinds of fault: {', '.join(unknown)}")
+    rng = Random(int(scenario.get("noise", 0)) % (1 << 32))
+    zones = [str(zone) for zone in scenario["zones"]]
+    request_classes = _request_classes(scenario["classes"])
+    engines = _engines(scenario, zones, request_classes, engine_count, rng)
     fronts = [
         FrontPlan(f"front-{index}", zones[index % len(zones)], source_address(index))
         for index in range(front_count)
     ]
-    faults = _faults(day, front_count, engine_count)
-    load = float(day["traffic"]["load"])
-    clients = day["clients"]
+    faults = _faults(scenario, front_count, engine_count)
+    load = float(scenario["traffic"]["load"])
+    clients = scenario["clients"]
     return ScenarioPlan(
-        name=str(day.get("site", "bench")),
+        name=str(scenario.get("site", "bench")),
         seed=rng.randrange(1 << 30),
-        duration=_tenths(day["length"]),
+        duration=_tenths(scenario["length"]),
         requests_per_second=scale * load * engine_count * RATE_PER_ENGINE,
         zones=zones,
         request_classes=request_classes,
-        tenants=_tenants(day),
+        tenants=_tenants(scenario),
         fronts=fronts,
         engines=engines,
         faults=faults,
-        load_shape=[(float(second), float(multiple)) for second, multiple in day["traffic"]["shape"]],
-        endpoint_list_delay=_tenths(day["discovery"]["notice"]),
-        drain_grace=_tenths(day["drain_grace"]),
-        max_attempts=int(day["allow"]["max_attempts"]),
-        slow_start_overload_multiple=float(day["fall_multiple"]),
-        slow_start_overload_window=_tenths(day["fall_for"]),
+        load_shape=[(float(second), float(multiple)) for second, multiple in scenario["traffic"]["shape"]],
+        endpoint_list_delay=_tenths(scenario["discovery"]["notice"]),
+        drain_grace=_tenths(scenario["drain_grace"]),
+        max_attempts=int(scenario["allow"]["max_attempts"]),
+        slow_start_overload_multiple=float(scenario["fall_multiple"]),
+        slow_start_overload_window=_tenths(scenario["fall_for"]),
         clients=ClientsPlan(
             retries=int(clients["retries"]),
             backoff=_tenths(clients["backoff_us"]),
             attempt_time_share=float(clients["try_share"]),
-            failover_delay=_tenths(day.get("front_notice", 2_000_000)),
+            failover_delay=_tenths(scenario.get("front_notice", 2_000_000)),
             disconnecting_share=float(clients.get("impatient", 0.0)),
             slow_reading_share=0.0,
         ),
@@ -137,10 +141,14 @@
 
 
 def _engines(
-    day: SimulatorDay, zones: list[str], request_classes: list[RequestClassPlan], count: int, rng: Random
+    scenario: SimulatorScenario,
+    zones: list[str],
+    request_classes: list[RequestClassPlan],
+    count: int,
+    rng: Random,
 ) -> list[EnginePlan]:
-    type_names = [row["name"] for row in day["tiers"][0]["kinds"]]
-    servers = day["servers"]
+    type_names = [row["name"] for row in scenario["tiers"][0]["kinds"]]
+    servers = scenario["servers"]
     return [
         plan_engine(
             f"engine-{index}",
@@ -173,17 +181,19 @@
     return picked
 
 
-def _tenants(day: SimulatorDay) -> list[TenantPlan]:
+def _tenants(scenario: SimulatorScenario) -> list[TenantPlan]:
     """Convert the tenants; a scenario without tenants gets one that sends all requests."""
-    tenants = [TenantPlan(row["name"], float(row["share"]), UNLIMITED_RATE) for row in day.get("tenants", [])]
+    tenants = [
+        TenantPlan(row["name"], float(row["share"]), UNLIMITED_RATE) for row in scenario.get("tenants", [])
+    ]
     return tenants or [TenantPlan("all", 1.0, UNLIMITED_RATE)]
 
 
-def _faults(day: SimulatorDay, front_count: int, engine_count: int) -> list[FaultPlan]:
+def _faults(scenario: SimulatorScenario, front_count: int, engine_count: int) -> list[FaultPlan]:
     """Convert the faults; the simulator gives the magnitude of discovery_stale in seconds."""
-    server_count, balancer_count = len(day["servers"]), len(day["balancers"])
+    server_count, balancer_count = len(scenario["servers"]), len(scenario["balancers"])
     faults = []
-    for row in day["troubles"]:
+    for row in scenario["troubles"]:
         targets = _scale_indices(row["on"], server_count, engine_count)
         steps = [
             (_tenths(step["at"]), _scale_indices(step["stop"], balancer_count, front_count))
--- a/runspool/lab/standin_messages.py
+++ b/runspool/lab/standin_messages.py
@@ -12,8 +12,8 @@
 import msgspec
 import xxhash
 
+from runspool.lab.engine_model import BLOCK_TOKENS, Job
 from runspool.lab.http_server import ReceivedRequest
-from runspool.lab.model import BLOCK_TOKENS, Job
 from runspool.wire.completions import DONE_EVENT, completion_event
 from runspool.wire.fields import BYTES_PER_TOKEN
 
--- a/runspool/lab/state_transfer.py
+++ b/runspool/lab/state_transfer.py
@@ -7,10 +7,10 @@
 import anyio
 import msgspec
 
+from runspool.lab.active_faults import ActiveFaults
 from runspool.lab.engine_events import EngineEvents
+from runspool.lab.engine_model import EngineModel, EngineSpec, Job
 from runspool.lab.http_server import ReceivedRequest
-from runspool.lab.injected_faults import InjectedFaults
-from runspool.lab.model import EngineModel, EngineSpec, Job
 from runspool.lab.plan import SECOND
 from runspool.lab.standin_messages import StateTransferParams
 from runspool.service.clock import now
@@ -28,7 +28,7 @@
     def __init__(
         self,
         model: EngineModel,
-        faults: InjectedFaults,
+        faults: ActiveFaults,
         events: EngineEvents,
         on_release: Callable[[], None],
     ) -> None:
--- a/runspool/lab/migration_script.py
+++ b/runspool/lab/tenant_migrator.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _MoveScript:
+class _MoveMode:
     """How a move proceeds, as parsed from the mode of a fault.
 
     A mode consists of "undo" or "done" and, if a process is killed, the values of `victim` and `kill_step`,
@@ -55,14 +55,14 @@
     kill_step: str
 
 
-def _parse_mode(mode: str) -> _MoveScript:
+def _parse_mode(mode: str) -> _MoveMode:
     """Parse the mode of a fault of the kind `cell_move`."""
     ending, _, kill = mode.partition(" ")
     victim, _, kill_step = kill.partition(" ")
-    return _MoveScript(ending == "undo", victim, kill_step)
+    return _MoveMode(ending == "undo", victim, kill_step)
 
 
-class MigrationScript:
+class TenantMigrator:
     """Carries out the moves of a scenario, in which tenants migrate to other cells.
 
     Attributes:
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -18,10 +18,10 @@
 from runspool.cells.cell_map import CellMap
 from runspool.config import parse_config
 from runspool.lab import recording
+from runspool.lab.endpoint_list_service import EndpointListService
 from runspool.lab.engine import StandInEngine
+from runspool.lab.engine_model import EngineSpec
 from runspool.lab.front_configuration import front_configuration
-from runspool.lab.listing import EndpointListService
-from runspool.lab.model import EngineSpec
 from runspool.lab.plan import ClientsPlan, FrontPlan, RequestClassPlan, ScenarioPlan, TenantPlan
 from runspool.lab.recording import Event, Recorder
 from runspool.lab.scripted_scenarios import plan_engine
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,14 +11,14 @@
 import pytest
 
 from runspool.lab import recording
-from runspool.lab.cell_plans import flood
-from runspool.lab.engine_faults import engine_faults
-from runspool.lab.model import AdmissionResult, EngineModel, Job, Phase
+from runspool.lab.cell_scenarios import flood
+from runspool.lab.engine_fault_commands import engine_faults
+from runspool.lab.engine_model import AdmissionResult, EngineModel, Job, Phase
 from runspool.lab.plan import LABORATORY_FAULT_KINDS, SECOND, SIMULATOR_FAULT_KINDS, FaultPlan
 from runspool.lab.report import scenario_verdict, write_report
 from runspool.lab.scenario_runner import ScenarioRunner
 from runspool.lab.scripted_scenarios import bad_night
-from runspool.lab.simulator_days import UnplayableDayError, from_simulator_day
+from runspool.lab.simulator_scenarios import InvalidSimulatorScenarioError, plan_from_simulator_scenario
 from runspool.lab.workload import PlannedRequest, draw_workload
 from tests.small_fleet import engine_spec
 
@@ -181,7 +181,7 @@
 
 
 def test_every_kind_that_the_simulator_draws_is_playable_and_another_is_named() -> None:
-    plan = from_simulator_day(simulator_day(*SIMULATOR_FAULT_KINDS), 3, 12)
+    plan = plan_from_simulator_scenario(simulator_day(*SIMULATOR_FAULT_KINDS), 3, 12)
     assert [fault.kind for fault in plan.faults] == list(SIMULATOR_FAULT_KINDS)
     assert {engine.engine_type for engine in plan.engines} == {"prefill", "decode", "mixed"}
     assert all(0 <= target < 12 for fault in plan.faults for target in fault.targets)
@@ -189,19 +189,19 @@
     by_runner = {"ageing", "balancer_roll", "neighbour", "discovery_stale", "flush"}
     for fault in plan.faults:
         assert fault.kind in by_clients | by_runner or engine_faults(plan, fault), fault.kind
-    with pytest.raises(UnplayableDayError, match="moonshine"):
-        from_simulator_day(simulator_day("burst", "moonshine"), 3, 12)
-    with pytest.raises(UnplayableDayError, match="troubles"):
-        from_simulator_day({}, 3, 12)
+    with pytest.raises(InvalidSimulatorScenarioError, match="moonshine"):
+        plan_from_simulator_scenario(simulator_day("burst", "moonshine"), 3, 12)
+    with pytest.raises(InvalidSimulatorScenarioError, match="troubles"):
+        plan_from_simulator_scenario({}, 3, 12)
 
 
 def test_faults_of_the_workload_change_the_workload() -> None:
-    quiet = draw_workload(from_simulator_day(simulator_day(), 3, 12))
-    burst = draw_workload(from_simulator_day(simulator_day("burst"), 3, 12))
+    quiet = draw_workload(plan_from_simulator_scenario(simulator_day(), 3, 12))
+    burst = draw_workload(plan_from_simulator_scenario(simulator_day("burst"), 3, 12))
     longer = simulator_day("heavy_tail")
     longer["troubles"][0] |= {"size": 20.0, "which": 0}
-    heavy = draw_workload(from_simulator_day(longer, 3, 12))
-    abuse = draw_workload(from_simulator_day(simulator_day("retry_abuse"), 3, 12))
+    heavy = draw_workload(plan_from_simulator_scenario(longer, 3, 12))
+    abuse = draw_workload(plan_from_simulator_scenario(simulator_day("retry_abuse"), 3, 12))
     assert len(burst) > len(quiet)
     assert _mean_prompt(heavy) > 1.1 * _mean_prompt(quiet)
     assert any(request.backoff == 0 for request in abuse)
@@ -241,7 +241,7 @@
         for row in day["troubles"]
         if row["kind"] in ("ageing", "balancer_roll")
     ]  # also on top of itself
-    file = anyio.run(ScenarioRunner(from_simulator_day(day, 2, 9, 0.5), tmp_path).play)
+    file = anyio.run(ScenarioRunner(plan_from_simulator_scenario(day, 2, 9, 0.5), tmp_path).play)
     verdict = scenario_verdict(recording.read_recording(file))
     assert verdict["kept"], verdict["rules"]
     assert {fault["kind"] for fault in verdict["troubles"]} >= {
