--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -1,6 +1,8 @@
 """Plans when calls are made to the discovery agent, and decides which responses are applied. Does no I/O.
 
-The discovery agent is the platform's service that provides the endpoint list. It is called over HTTP.
+The discovery agent is the platform's service that provides the endpoint list. It is called over HTTP. A call
+requests either the whole list or the changes after a version. A call for changes is a watch: the agent delays
+its response until the list changes, or until a wait given in the request has passed.
 
 Waiting for responses is independent of making further calls. A call stays open as long as its connection
 lives, however slow the agent is, and its response is accepted whenever it arrives: an agent that queues the
@@ -46,9 +48,9 @@
 class DiscoveryState(Enum):
     """The state of a node's watch on the endpoint list; the values are written to logs and metrics."""
 
-    WATCHING = "watching"  # a watch is open and not overdue
+    WATCHING = "watching"  # a watch is open and not overdue, or is to be opened after a response
     SUSPECT = "suspect"  # the watch is overdue; the whole list is requested concurrently
-    SEARCHING = "searching"  # no watch is open; the whole list is requested
+    SEARCHING = "searching"  # no watch is open or to be opened; the whole list is requested
 
 
 @dataclass(frozen=True, slots=True)
@@ -169,8 +171,9 @@
     def make_call(self, now: int) -> PlannedCall:
         """Create the call that is due at `now` and record it as made.
 
-        The call is a watch if a response has been received and no watch is open, a backup watch if one is
-        due, and otherwise a call for the whole list.
+        The call is a watch if a response has been received and no watch is open. It is a backup watch, on
+        another connection in case the first watch after an interruption is lost, if one is due. Otherwise it
+        is a call for the whole list.
         """
         backup_watch_at = self._backup_watch.due_at()
         self.calls_made += 1
@@ -294,9 +297,9 @@
     def _least_useful(self, now: int) -> DiscoveryCall | None:
         """Return the open call to give up; None if no call may be given up.
 
-        It is chosen so that the ages of the remaining calls keep growing by about the same factor. The oldest
-        call is never chosen, because a slow agent responds to it first, and neither is the watch. A call
-        whose response is being received is chosen only if this is so for all candidates.
+        It is chosen so that each of the remaining calls is older than the next one by about the same factor.
+        The oldest call is never chosen, because a slow agent responds to it first, and neither is the watch.
+        A call whose response is being received is chosen only if this is so for all candidates.
         """
         made_at = [*(call.made_at for call in self.open_calls), now]
 
--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -34,7 +34,7 @@
 # How long a prefill waits at most for the release of the state that an earlier prefill of its request left.
 RELEASE_WAIT_SECONDS = 0.05
 DEFAULT_RELEASE_TIMEOUT_MS = 1_000  # used if the platform's settings contain no release timeout
-CELL_NAME = "node"  # the scheduler's cell; a node has one scheduler, and thus one cell
+CELL_NAME = "node"  # each scheduler serves a cell of engines; all engines of a node form a single cell
 
 
 @dataclass(frozen=True, slots=True)
@@ -234,9 +234,13 @@
         pending.prefill_endpoint = pending.possible_prefill_endpoint = None
 
     def release_unclaimed_state(self, pending: PendingNodeRequest) -> bool:
-        """Start the release of the state that no attempt is using; return False if there is no such state.
+        """Start the release of the request's state, although an attempt may be in progress.
 
-        The endpoints of the state stay recorded, because an attempt in progress may still use it.
+        Engines keep state that an attempt they have received waits for. Therefore the engines that may hold
+        state stay recorded in the request, and the state can be released again after the attempt.
+
+        Returns:
+            Whether there was any state to release.
         """
         endpoint = pending.prefill_endpoint or pending.possible_prefill_endpoint
         if endpoint is None:
@@ -252,15 +256,20 @@
         return True
 
     async def before_attempt(self, pending: PendingNodeRequest, endpoint: Endpoint) -> None:
-        """Before a prefill, wait for a release in progress, which would also release the prefill's state.
+        """Before a prefill, wait for a release of the request's state that is in progress.
+
+        A release covers all state of a request, so it would also release the state of the new prefill. The
+        wait is limited to RELEASE_WAIT_SECONDS.
 
-        The wait is limited to RELEASE_WAIT_SECONDS. No release is started here for a prefill that was
-        cancelled, because its engine may still be executing it: when one was started here, it released the
-        state of the next prefill in three cases out of four. It is started when it is due, unless the engine
-        of the next prefill is known to have received the request.
+        For the same reason, this method does not start a release for an earlier prefill that was cancelled,
+        although the earlier prefill's engine may still execute it and leave state. Releases that were started
+        at this point released the state of the new prefill in three cases out of four. Instead,
+        `ReleaseCheck` starts the release shortly before the release timeout of the settings expires, unless
+        the engine of the new prefill has responded by then.
         """
         if endpoint.role is Role.PREFILL:
-            # After the end of its attempts, only the deadline guard could respond to the request.
+            # Do not wait beyond the time limit for attempts: the scheduler would learn too late that the
+            # prefill cannot be started, and the deadline guard would have to respond to the client instead.
             remaining = (self.deadline_guard.attempt_deadline(pending) - now()) / TENTHS_PER_SECOND
             await self.state_releaser.wait_until_done(
                 pending.id, max(0.0, min(RELEASE_WAIT_SECONDS, remaining))
@@ -273,12 +282,14 @@
         if endpoint.role is Role.PREFILL and result.status in PREFILL_MAY_HAVE_RUN:
             pending.possible_prefill_endpoint = endpoint
         elif pending.lifecycle.remote_end_unknown and not pending.stream_started:
-            # An earlier attempt was ended by this node but may have continued at its engine, and this one may
-            # have used the state that it left.
+            # This node ended an attempt that may have continued at its engine and left state, which the
+            # attempt that ends now may have taken over. Record an engine, so that the state is released. Which
+            # one does not matter much: any engine accepts the release of all state of a request.
             pending.possible_prefill_endpoint = pending.possible_prefill_endpoint or endpoint
-        # A release covers all state of the request. Therefore none is started while the state of a completed
-        # prefill waits for its decode: its own release will cover the rest. If a later attempt is in
-        # progress, the state is released when it is due, unless that attempt's engine has received it.
+        # A release covers all state of the request. While the state of a completed prefill waits for its
+        # decode (`prefill_endpoint` is set), no release is started here. When that state is released, the
+        # release covers the remaining state too. If a later attempt has already started, none is started here
+        # either: `ReleaseCheck` starts it when it is due, unless that attempt's engine has responded by then.
         if (
             pending.possible_prefill_endpoint is not None
             and pending.attempt_count == attempt
@@ -291,8 +302,8 @@
     ) -> None:
         """Record the engine that holds the state of a completed prefill; None if none does any more."""
         super().set_prefill_endpoint(pending, endpoint, state)
-        # A pending release for an earlier prefill would release this state too. Withdraw it, and remember
-        # that the earlier state must still be released.
+        # A pending release of an earlier prefill's state would release this state too, so withdraw it. Record
+        # an engine, so that the earlier state is still released later; any engine accepts that release.
         if endpoint is not None and self.state_releaser.withdraw(pending.id):
             pending.possible_prefill_endpoint = pending.possible_prefill_endpoint or endpoint
 
--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -34,10 +34,12 @@
 # Time after the shutdown's deadline in which the scheduler may still end resumable streams by itself, so that
 # their clients resume them elsewhere.
 DECISION_GRACE = 1_000
-MAX_SHUTDOWN_DURATION = 600_000  # time after SIGTERM until which streams that cannot be resumed may finish
-FINAL_WRITE_DURATION = (
-    10_000  # longest time in which the final responses that are sent after that are written
-)
+# Time after SIGTERM until which streams that cannot be resumed may finish, unless the platform kills the node
+# before. The constants above describe the earliest time of the kill; it may come much later.
+MAX_SHUTDOWN_DURATION = 600_000
+# At MAX_SHUTDOWN_DURATION, all remaining requests get their final responses. This bounds the time for writing
+# these responses to the clients.
+FINAL_WRITE_DURATION = 10_000
 POLL_SECONDS = 0.02  # interval between two checks whether anything is still in progress
 MAX_LOGGED_REQUESTS = 20  # maximum number of open requests that are logged when the deadline has passed
 
@@ -104,6 +106,7 @@
         await self._wait_until_idle(end_at + FINAL_WRITE_DURATION)
 
     def _end_open_requests(self) -> None:
+        """End the requests that must not stay open any longer, and refuse those received only in part."""
         self.executor.request_terminator.end_open_requests()
         for handler in list(self.connections.handlers):
             handler.refuse_incomplete_request()
--- a/runspool/node/state_releaser.py
+++ b/runspool/node/state_releaser.py
@@ -38,7 +38,8 @@
 # Bounds, in seconds, of the delay after a later round without a confirmation. It is doubled after each.
 MIN_RETRY_DELAY = 0.1
 MAX_RETRY_DELAY = 1.0
-MAX_OVERDUE = 10_000  # maximum number of overdue releases; beyond it, the oldest one is abandoned and logged
+# Maximum number of overdue releases. Beyond it, the least recently retried one is abandoned and logged.
+MAX_OVERDUE = 10_000
 # Delays in seconds after a confirmation, and between further calls, after which a release call is repeated if
 # an attempt may still be running at an engine.
 REPEAT_DELAYS = (0.1, 0.4)
@@ -98,7 +99,9 @@
 
     Attributes:
         client: Makes the calls.
-        timeout: The time limit of a release and of each call in a round, in tenths of a millisecond.
+        timeout: The release timeout of the platform's settings, within which an engine should have released
+            state that is no longer needed, in tenths of a millisecond. It is the timeout of each call in a
+            round and determines the interval between the calls.
         candidate_engines: Returns the engines that may be called, those most likely to respond first.
         count_pending: Called with +1 and -1 as the number of pending releases changes.
         pending: All pending releases, by the id of the request.
@@ -202,8 +205,9 @@
     async def _make_long_call(self, release: PendingRelease, scope: anyio.CancelScope) -> None:
         """Make one long call of a release, concurrently with the rounds.
 
-        Engines may take longer to respond than the timeout of a round, which must stay short for the other
-        engines. The timeout is doubled for each further such call of a release.
+        An engine may take longer to respond than the timeout of the calls in a round. That timeout must stay
+        short, because the next round, and with it the calls to other engines, waits for the end of the round.
+        The timeout of the long calls is doubled for each further one of a release.
         """
         self._long_call_count += 1
         release.long_call_timeout = min(
@@ -226,7 +230,10 @@
             release.on_confirmed()
 
     async def _retry_oldest(self, concurrency: int) -> bool:
-        """Retry the `concurrency` oldest overdue releases concurrently; return whether any was confirmed."""
+        """Retry overdue releases, the least recently retried first; return whether any was confirmed.
+
+        `concurrency` is the number of releases that are retried concurrently.
+        """
         oldest = list(self.overdue.values())[:concurrency]
         confirmed: list[PendingRelease] = []
 
@@ -282,6 +289,7 @@
                 failed.set()
 
             for engine in engines:
+                # The engine that holds the state is called even without budget, except in later rounds.
                 holds_state = engine is release.endpoint and release.request not in self.overdue
                 if not self._budget.try_acquire() and not holds_state:
                     break
