--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -283,8 +283,8 @@
             pending.possible_prefill_endpoint = endpoint
         elif pending.lifecycle.remote_end_unknown and not pending.stream_started:
             # This node ended an attempt that may have continued at its engine and left state, which the
-            # attempt that ends now may have taken over. Record an engine, so that the state is released. Which
-            # one does not matter much: any engine accepts the release of all state of a request.
+            # attempt that ends now may have taken over. Record an engine, so that the state is released.
+            # Which one does not matter much: any engine accepts the release of all state of a request.
             pending.possible_prefill_endpoint = pending.possible_prefill_endpoint or endpoint
         # A release covers all state of the request. While the state of a completed prefill waits for its
         # decode (`prefill_endpoint` is set), no release is started here. When that state is released, the
