--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -40,9 +40,9 @@
 MAX_RECEIVE_DURATION = 30_000
 MAX_OPEN_CALLS = 6  # maximum number of calls that are open at the same time
 MAX_REMEMBERED_GIVEN_UP = 1_000  # maximum number of given-up calls that are remembered
-# An agent may refuse a second connection. The only open call is then given up in favour of a new one once it
-# has been open for at least this time beyond its wait.
-MIN_ONLY_CALL_AGE_LIMIT = 20_000
+# An agent may refuse a second connection. The open call is then given up in favour of a new one once it has
+# been open for the replacement age beyond its wait. This is the lower bound of the replacement age.
+MIN_REPLACEMENT_AGE = 20_000
 
 
 class DiscoveryState(Enum):
@@ -111,7 +111,7 @@
         self._last_made_at: int | None = None
         self._last_watch_at: int | None = None
         self._backoff = SearchBackoff(self.random)
-        self._only_call_age_limit = MIN_ONLY_CALL_AGE_LIMIT
+        self._replacement_age = MIN_REPLACEMENT_AGE
 
     def change_address(self, address: Address) -> list[DiscoveryCall]:
         """Direct all further calls to the agent at another address.
@@ -165,8 +165,8 @@
             return now if self._last_watch_at is None else self._last_watch_at + MIN_WATCH_INTERVAL
         if self._last_made_at is None:
             return now
-        search_at = self._last_made_at + self._backoff.interval
-        return search_at if self._watch is None else max(search_at, self._overdue_at(self._watch))
+        list_call_at = self._last_made_at + self._backoff.interval
+        return list_call_at if self._watch is None else max(list_call_at, self._overdue_at(self._watch))
 
     def make_call(self, now: int) -> PlannedCall:
         """Create the call that is due at `now` and record it as made.
@@ -216,7 +216,8 @@
         superseded = [
             other
             for other in self.open_calls
-            if other.number < call.number and not (is_backup_watch and self._is_watch_after(other, version))
+            if other.number < call.number
+            and not (is_backup_watch and self._is_watch_from_version(other, version))
         ]
         for other in superseded:
             self._remove(other)
@@ -228,7 +229,7 @@
             maxlen=MAX_REMEMBERED_GIVEN_UP,
         )
         self._latency_estimator.measure(call, now)
-        self._only_call_age_limit = max(MIN_ONLY_CALL_AGE_LIMIT, 2 * self.agent_latency)
+        self._replacement_age = max(MIN_REPLACEMENT_AGE, 2 * self.agent_latency)
         is_newer = self._applied_at is None or call.made_at >= self._applied_at
         is_usable = is_newer or version > self._version
         if is_usable:
@@ -253,20 +254,20 @@
         is_refused = call.number == self.calls_made and call.first_byte_at is None
         if not is_refused or not self.open_calls or self.state(now) is DiscoveryState.WATCHING:
             return None
-        given_up = self._least_useful(now) or self._expired_only_call(now)
+        given_up = self._least_useful(now) or self._oldest_call_to_replace(now)
         if given_up is not None:
             self._give_up(given_up)
         return given_up
 
-    def _expired_only_call(self, now: int) -> DiscoveryCall | None:
-        """Return the oldest open call if it has reached the age limit, and double the limit; else None."""
+    def _oldest_call_to_replace(self, now: int) -> DiscoveryCall | None:
+        """Return the oldest open call if it has reached the replacement age, and double it; else None."""
         oldest = self.open_calls[0]
-        if now - oldest.made_at - oldest.wait < self._only_call_age_limit:
+        if now - oldest.made_at - oldest.wait < self._replacement_age:
             return None
-        self._only_call_age_limit *= 2
+        self._replacement_age *= 2
         return oldest
 
-    def _is_watch_after(self, call: DiscoveryCall, version: int) -> bool:
+    def _is_watch_from_version(self, call: DiscoveryCall, version: int) -> bool:
         """Return whether a call is the open watch and requests the changes after `version`."""
         return call is self._watch and call.after_version == version
 
