--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -245,12 +245,12 @@
         endpoint = pending.prefill_endpoint or pending.possible_prefill_endpoint
         if endpoint is None:
             return False
-        since = pending.lifecycle.release_started()
+        reserved_since = pending.lifecycle.release_started()
         release = PendingRelease(
             pending.id,
             endpoint,
-            on_confirmed=lambda: self._release_confirmed(pending, since),
-            remote_end_unknown=lambda: self._remote_end_unknown(pending),
+            on_confirmed=lambda: self._release_confirmed(pending, reserved_since),
+            attempt_may_leave_state=lambda: self._attempt_may_leave_state(pending),
         )
         self._spawn(self.state_releaser.release, release)
         return True
@@ -312,16 +312,16 @@
         self.open_request_ids.discard(pending.id)
         self.release_prefill_state(pending)
 
-    def _release_confirmed(self, pending: PendingNodeRequest, since: int | None) -> None:
-        if not pending.lifecycle.release_confirmed(now(), since):
+    def _release_confirmed(self, pending: PendingNodeRequest, reserved_since: int | None) -> None:
+        if not pending.lifecycle.release_confirmed(now(), reserved_since):
             self.invariants.record(
                 InvariantViolation.STATE_RELEASED_LATE,
                 request=pending.id,
                 reason="the release was confirmed late",
-                held_for=now() - (since or 0),
+                held_for=now() - (reserved_since or 0),
             )
 
-    def _remote_end_unknown(self, pending: PendingNodeRequest) -> bool:
+    def _attempt_may_leave_state(self, pending: PendingNodeRequest) -> bool:
         """Return whether an attempt that this node ended may leave state that nothing else would release."""
         attempt = pending.lifecycle.last_attempt
         return (
--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -17,8 +17,8 @@
 from runspool.units import TENTHS_PER_MS, TENTHS_PER_SECOND
 
 # After SIGTERM, the platform waits at least for the longest deadline of its request classes, limited to
-# MAX_COUNTED_DEADLINE, and then for KILL_DELAY before it kills a node.
-MAX_COUNTED_DEADLINE = 30_000
+# MAX_DEADLINE_ALLOWANCE, and then for KILL_DELAY before it kills a node.
+MAX_DEADLINE_ALLOWANCE = 30_000
 KILL_DELAY = 7_000
 # Time before the expected kill at which every request must have been answered and all state at engines
 # released: the shutdown's deadline.
@@ -33,7 +33,7 @@
 FIRST_REQUEST_GRACE = 2_500
 # Time after the shutdown's deadline in which the scheduler may still end resumable streams by itself, so that
 # their clients resume them elsewhere.
-DECISION_GRACE = 1_000
+SCHEDULER_GRACE = 1_000
 # Time after SIGTERM until which streams that cannot be resumed may finish, unless the platform kills the node
 # before. The constants above describe the earliest time of the kill; it may come much later.
 MAX_SHUTDOWN_DURATION = 600_000
@@ -95,17 +95,17 @@
         self._log_timeout()
         # Requests whose deadlines are later than the kill must be ended, and their state released, before it.
         self.executor.request_terminator.end_open_requests(include_streams=False)
-        if await self._wait_until_idle(now() + DECISION_GRACE):
+        if await self._wait_until_idle(now() + SCHEDULER_GRACE):
             return
         # If the process was suspended, the scheduler's timers may be due at this moment too. Run them first.
         await anyio.sleep(POLL_SECONDS)
         end_at = self.requested_at + MAX_SHUTDOWN_DURATION
-        if await self._wait_until_idle(end_at, self._end_open_requests):
+        if await self._wait_until_idle(end_at, self._end_disallowed_requests):
             return
         self.executor.request_terminator.end_open_requests(process_ends=True)
         await self._wait_until_idle(end_at + FINAL_WRITE_DURATION)
 
-    def _end_open_requests(self) -> None:
+    def _end_disallowed_requests(self) -> None:
         """End the requests that must not stay open any longer, and refuse those received only in part."""
         self.executor.request_terminator.end_open_requests()
         for handler in list(self.connections.handlers):
@@ -156,8 +156,8 @@
         )
 
     def _time_to_answer(self) -> int:
-        longest = max(self.config.settings.deadlines) or MAX_COUNTED_DEADLINE
-        return min(MAX_COUNTED_DEADLINE, longest) + KILL_DELAY - KILL_MARGIN
+        longest = max(self.config.settings.deadlines) or MAX_DEADLINE_ALLOWANCE
+        return min(MAX_DEADLINE_ALLOWANCE, longest) + KILL_DELAY - KILL_MARGIN
 
     def _accept_until(self) -> int:
         """Return the time until which new requests are accepted.
--- a/runspool/node/state_releaser.py
+++ b/runspool/node/state_releaser.py
@@ -76,8 +76,8 @@
         request: The id of the request.
         endpoint: The engine that holds the state.
         on_confirmed: Called when an engine has confirmed the release.
-        remote_end_unknown: Returns whether an attempt of the request may still be running at its engine, so
-            that it may leave state there after the release.
+        attempt_may_leave_state: Returns whether an attempt of the request may still be running at its engine,
+            so that it may leave state there after the release.
         scope: Cancels the first round; None before it starts.
         done: Set when the release has been confirmed, withdrawn or abandoned.
         long_call_timeout: The timeout of the latest long call, in tenths of a millisecond; initially 0.
@@ -87,7 +87,7 @@
     request: str
     endpoint: Endpoint
     on_confirmed: Callable[[], None]
-    remote_end_unknown: Callable[[], bool]
+    attempt_may_leave_state: Callable[[], bool]
     scope: anyio.CancelScope | None = None
     done: anyio.Event = field(default_factory=anyio.Event)
     long_call_timeout: int = 0
@@ -103,7 +103,7 @@
             state that is no longer needed, in tenths of a millisecond. It is the timeout of each call in a
             round and determines the interval between the calls.
         candidate_engines: Returns the engines that may be called, those most likely to respond first.
-        count_pending: Called with +1 and -1 as the number of pending releases changes.
+        on_pending_change: Called with +1 and -1 as the number of pending releases changes.
         pending: All pending releases, by the id of the request.
         overdue: Those that were not confirmed in their first round, the least recently retried first.
         overdue_added: Set when a release becomes overdue.
@@ -116,13 +116,13 @@
         client: ReleaseClient,
         timeout: int,
         candidate_engines: Callable[[], list[Endpoint]],
-        count_pending: Callable[[int], None],
+        on_pending_change: Callable[[int], None],
     ) -> None:
         """Create a releaser without pending releases; the arguments are described above."""
         self.client = client
         self.timeout = timeout
         self.candidate_engines = candidate_engines
-        self.count_pending = count_pending
+        self.on_pending_change = on_pending_change
         self.pending: dict[str, PendingRelease] = {}
         self.overdue: dict[str, PendingRelease] = {}
         self.overdue_added = anyio.Event()
@@ -139,7 +139,7 @@
         """
         self.withdraw(release.request)
         self.pending[release.request] = release
-        self.count_pending(1)
+        self.on_pending_change(1)
         confirmed = False
         with anyio.CancelScope() as release.scope:
             confirmed = await self._run_round(release, self._first_round_engines(release.endpoint))
@@ -152,11 +152,11 @@
         release.on_confirmed()
         # Count the repeated calls as pending, so that a shutdown waits for them: state may be reserved until
         # the last of them.
-        self.count_pending(1)
+        self.on_pending_change(1)
         try:
             await self._repeat_release(release)
         finally:
-            self.count_pending(-1)
+            self.on_pending_change(-1)
 
     def withdraw(self, request: str) -> bool:
         """Cancel the pending release of a request's state; return False if there is none.
@@ -183,11 +183,11 @@
             if not self.overdue:
                 self.overdue_added = anyio.Event()
                 await self.overdue_added.wait()
-            oldest = next(iter(self.overdue.values()))
-            if oldest.long_call_scope is None and self._long_call_count < MAX_LONG_CALLS:
-                oldest.long_call_scope = anyio.CancelScope()
-                long_calls.start_soon(self._make_long_call, oldest, oldest.long_call_scope)
-            if await self._retry_oldest(concurrency):
+            next_release = next(iter(self.overdue.values()))
+            if next_release.long_call_scope is None and self._long_call_count < MAX_LONG_CALLS:
+                next_release.long_call_scope = anyio.CancelScope()
+                long_calls.start_soon(self._make_long_call, next_release, next_release.long_call_scope)
+            if await self._retry_overdue_batch(concurrency):
                 delay = MIN_RETRY_DELAY
                 concurrency = MAX_CONCURRENT_RETRIES
                 continue
@@ -229,12 +229,12 @@
             self._remove(release)
             release.on_confirmed()
 
-    async def _retry_oldest(self, concurrency: int) -> bool:
+    async def _retry_overdue_batch(self, concurrency: int) -> bool:
         """Retry overdue releases, the least recently retried first; return whether any was confirmed.
 
         `concurrency` is the number of releases that are retried concurrently.
         """
-        oldest = list(self.overdue.values())[:concurrency]
+        batch = list(self.overdue.values())[:concurrency]
         confirmed: list[PendingRelease] = []
 
         async def retry(release: PendingRelease) -> None:
@@ -242,9 +242,9 @@
                 confirmed.append(release)
 
         async with anyio.create_task_group() as tasks:
-            for release in oldest:
+            for release in batch:
                 tasks.start_soon(retry, release)
-        for release in oldest:
+        for release in batch:
             if self.overdue.pop(release.request, None) is release and release not in confirmed:
                 self.overdue[release.request] = release  # move it behind those not retried
         for release in confirmed:
@@ -259,10 +259,10 @@
         An attempt whose connection this node has closed may leave state after the release.
         """
         for delay in REPEAT_DELAYS:
-            if not release.remote_end_unknown():
+            if not release.attempt_may_leave_state():
                 return
             await anyio.sleep(delay)
-            if release.remote_end_unknown():
+            if release.attempt_may_leave_state():
                 await self._run_round(release, self._first_round_engines(release.endpoint))
 
     async def _run_round(self, release: PendingRelease, engines: Iterable[Endpoint]) -> bool:
@@ -290,8 +290,8 @@
 
             for engine in engines:
                 # The engine that holds the state is called even without budget, except in later rounds.
-                holds_state = engine is release.endpoint and release.request not in self.overdue
-                if not self._budget.try_acquire() and not holds_state:
+                is_exempt = engine is release.endpoint and release.request not in self.overdue
+                if not self._budget.try_acquire() and not is_exempt:
                     break
                 failed = anyio.Event()
                 tasks.start_soon(call, engine, failed)
@@ -332,9 +332,9 @@
         )
         self.overdue[release.request] = release
         if len(self.overdue) > MAX_OVERDUE:
-            oldest = next(iter(self.overdue.values()))
-            self.log.error("release_abandoned", request=oldest.request, engine=oldest.endpoint.name)
-            self._remove(oldest)
+            abandoned = next(iter(self.overdue.values()))
+            self.log.error("release_abandoned", request=abandoned.request, engine=abandoned.endpoint.name)
+            self._remove(abandoned)
         self.overdue_added.set()
 
     def _remove(self, release: PendingRelease) -> None:
@@ -344,6 +344,6 @@
             release.long_call_scope.cancel()
         if self.pending.get(release.request) is release:
             del self.pending[release.request]
-            self.count_pending(-1)
+            self.on_pending_change(-1)
         if self.overdue.get(release.request) is release:
             del self.overdue[release.request]
--- a/tests/soak/conditions.py
+++ b/tests/soak/conditions.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from random import Random
 
-MAX_COUNTED_DEADLINE = 3.0  # seconds: a longer one does not delay the kill
+MAX_DEADLINE_ALLOWANCE = 3.0  # seconds: a longer one does not delay the kill
 KILL_DELAY = 0.7  # seconds from the longest deadline to the kill
 SHORT_STREAM = 0.06  # seconds
 
@@ -29,7 +29,7 @@
     @property
     def kill_after(self) -> float:
         """The earliest SIGKILL after SIGTERM."""
-        return min(MAX_COUNTED_DEADLINE, self.longest_deadline) + KILL_DELAY
+        return min(MAX_DEADLINE_ALLOWANCE, self.longest_deadline) + KILL_DELAY
 
     def stream_duration(self, request: str) -> float:
         """How long a request's stream takes, the same at any engine."""
--- a/tests/test_node_shutdown_races.py
+++ b/tests/test_node_shutdown_races.py
@@ -153,7 +153,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # A shutdown of 0.3 s in place of 3.2 s.
-    monkeypatch.setattr(graceful_shutdown, "MAX_COUNTED_DEADLINE", 1_000)
+    monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_ALLOWANCE", 1_000)
     platform = Platform(tmp_path, PAIR)
     platform.settings = settings_with_deadline(60_000)
     platform.engines["r"].scripts = [never_responds]
--- a/tests/test_node_stop_before_kill.py
+++ b/tests/test_node_stop_before_kill.py
@@ -219,7 +219,7 @@
     decisions: Callable[..., Any], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(scheduler, "migrate_before_shutdown", decisions)
-    monkeypatch.setattr(graceful_shutdown, "MAX_COUNTED_DEADLINE", 1_000)  # the kill comes at 0.8 s
+    monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_ALLOWANCE", 1_000)  # the kill comes at 0.8 s
     platform = platform_with(tmp_path, 6_000)
     async with platform.inside() as running:
         end = asyncio.ensure_future(await running_stream(platform))
@@ -231,7 +231,7 @@
 async def test_a_stream_that_cannot_be_resumed_runs_to_its_end_past_the_last_resort(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(graceful_shutdown, "MAX_COUNTED_DEADLINE", 1_000)
+    monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_ALLOWANCE", 1_000)
     monkeypatch.setattr(graceful_shutdown, "MIN_ACCEPT_DURATION", 1_000)
     platform = platform_with(tmp_path, 6_000)
     platform.settings["family-info"]["resume"] = False
@@ -306,7 +306,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The first call may find the attempt still waiting at its engine, and leave the state to it."""
-    monkeypatch.setattr(graceful_shutdown, "MAX_COUNTED_DEADLINE", 1_000)
+    monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_ALLOWANCE", 1_000)
     platform = platform_with(tmp_path, 6_000)
     platform.settings["family-info"]["release-within-us"] = 5_000_000  # none is due by itself
     platform.engines["w"].scripts = [never_responds]
