--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -1,14 +1,15 @@
-"""What cells protect and what they cost; loopback scenarios are simulated, the rest is computed.
-
-    python benchmarks/cells.py flood  --seeds 1,2,3,4,5  # value served to the others while one tenant floods
-    python benchmarks/cells.py full   --seeds 1,2,3      # a cell whose every engine is full for 10 s
-    python benchmarks/cells.py poison --seeds 1          # one tenant's requests bring engines down
-    python benchmarks/cells.py release --seeds 1         # one cell's engines get a bad release
-    python benchmarks/cells.py radius                    # who is affected by one poisonous tenant, computed
-    python benchmarks/cells.py cost                      # a cell decision beside the scheduler's own
-
-Each pair has the same workload but for the fault, so the difference is the fault's.
-Prints a table and a JSON line.
+"""Measures how well cells isolate tenants from each other, and what cells cost.
+
+    python benchmarks/cells.py flood   --seeds 1,2,3,4,5  # value served to the others while one tenant floods
+    python benchmarks/cells.py full    --seeds 1,2,3      # all engines of one cell are full for 10 s
+    python benchmarks/cells.py poison  --seeds 1          # one tenant's requests make engines fail
+    python benchmarks/cells.py release --seeds 1          # one cell's engines get a faulty release
+    python benchmarks/cells.py radius                     # tenants affected by one poisonous tenant
+    python benchmarks/cells.py cost                       # time of a cell decision and of the scheduler's
+
+The first four play scenarios of the laboratory on loopback; `radius` is computed, and `cost` times function
+calls. A scenario is played with and without its fault on the same workload, so that the difference is caused
+by the fault. The results are printed as lines or a table, and as a line of JSON.
 """
 
 from __future__ import annotations
@@ -43,15 +44,16 @@
 from runspool.scheduling.types import EndpointUpdate, EngineRecord, EngineState, Request, Role
 from runspool.units import TENTHS_PER_SECOND
 
-FAULTY_TENANT = "tenant-0"  # the one whose requests or cell have the fault
-STUDENT_T = {2: 12.706, 3: 4.303, 4: 3.182, 5: 2.776, 6: 2.571, 8: 2.365, 10: 2.262}  # two-sided, 95%
+FAULTY_TENANT = "tenant-0"  # the tenant whose requests or cell have the fault
+# Quantiles of Student's t-distribution for two-sided 95% intervals, by the number of samples.
+STUDENT_T = {2: 12.706, 3: 4.303, 4: 3.182, 5: 2.776, 6: 2.571, 8: 2.365, 10: 2.262}
 
 
-PlacedCells = Mapping[str, Set[str]]  # cell: names of its engines
+PlacedCells = Mapping[str, Set[str]]  # the names of the engines of each cell
 
 
 def play(plan: ScenarioPlan) -> list[Event]:
-    """Play a scenario and return its recording."""
+    """Play a scenario and return its recorded events."""
     with tempfile.TemporaryDirectory() as folder:
         return list(recording.read_recording(anyio.run(ScenarioRunner(plan, Path(folder)).play)))
 
@@ -59,7 +61,11 @@
 def values_by_tenant(
     events: list[Event], start: float = 0, end: float = 1e9
 ) -> dict[str, tuple[float, float]]:
-    """Value served in time and value asked for, by tenant, of requests first sent from `start` to `end` s."""
+    """Return, by tenant, the value that was served in time and the value that was requested.
+
+    Only requests count whose first attempt was sent from `start` to `end`, in seconds from the beginning of
+    the workload. Requests whose client disconnected do not count.
+    """
     history = read_history(events)
     begin = next(event["at"] for event in events if event["what"] == "begin")
     weights = {row.name: row.priority_weight for row in history.plan.request_classes}
@@ -73,26 +79,26 @@
             continue
         if any(attempt.answer and attempt.answer["kind"] == "left" for attempt in attempts):
             continue
-        served, wanted = values.get(asked["tenant"], (0.0, 0.0))
+        served, requested = values.get(asked["tenant"], (0.0, 0.0))
         share = max(share_of_value(history.plan, attempts[0], attempt) for attempt in attempts)
         weight = weights[asked["tariff"]]
-        values[asked["tenant"]] = (served + weight * share, wanted + weight)
+        values[asked["tenant"]] = (served + weight * share, requested + weight)
     return values
 
 
 def share_of_others(values: dict[str, tuple[float, float]], tenant: str) -> float:
-    """The share of the value that all tenants but one were served."""
+    """Return the share of the requested value that was served to all tenants except `tenant`."""
     served = sum(served for name, (served, _) in values.items() if name != tenant)
-    return served / max(1e-9, sum(wanted for name, (_, wanted) in values.items() if name != tenant))
+    return served / max(1e-9, sum(requested for name, (_, requested) in values.items() if name != tenant))
 
 
 def count_violations(events: list[Event]) -> int:
-    """How often the five rules were broken."""
+    """Return the number of violations of the auditor's rules in a recording."""
     return sum(rule.broken for rule in judge(read_history(events)).values())
 
 
 def interval(values: list[float]) -> tuple[float, float]:
-    """Mean and half the 95% interval."""
+    """Return the mean and half the width of its 95% confidence interval."""
     if len(values) < 2:
         return values[0], float("nan")
     return (
@@ -102,19 +108,22 @@
 
 
 def _served_share(values: dict[str, tuple[float, float]], tenant: str) -> float:
-    served, wanted = values[tenant]
-    return served / wanted
+    served, requested = values[tenant]
+    return served / requested
 
 
 def measure_flood(seeds: list[int]) -> dict[str, Any]:
-    """Value served to the other tenants while one floods, with cells and without, against a calm run."""
+    """Measure the value served to the other tenants while one tenant sends a flood of requests.
+
+    Runs with cells and without cells are compared with a run with cells in which there is no flood.
+    """
     rows = []
     for seed in seeds:
         row: dict[str, Any] = {"seed": seed, "broken": 0}
         for cells, flooding in ((False, True), (True, True), (True, False)):
             events = play(flood(seed, cells, flooding))
             key = ("cells" if cells else "none") + ("_flood" if flooding else "_calm")
-            # The same requests of the others in both: those sent during the flood.
+            # Only the flood period counts; the other tenants send the same requests in it in every run.
             values = values_by_tenant(events, 4, 34)
             row[key] = round(share_of_others(values, FAULTY_TENANT), 4)
             row[key + "_own"] = round(_served_share(values, FAULTY_TENANT), 4)
@@ -126,12 +135,18 @@
     for key in ("cells", "none"):
         mean, half = interval([row[f"{key}_flood"] / row["cells_calm"] - 1 for row in rows])
         result[key] = {"change": round(mean, 4), "half_interval": round(half, 4)}
-        print(f"value in time of the other three, {key}: {mean:+.2%} by the flood, 95% interval {half:.2%}")
+        print(
+            f"change of the value served in time to the other tenants, {key}: {mean:+.2%} by the flood, "
+            f"95% interval ±{half:.2%}"
+        )
     return result
 
 
 def measure_fault(seeds: list[int], scenario: Callable[[int, bool, bool], ScenarioPlan]) -> dict[str, Any]:
-    """Value served to the other tenants under a fault of one, with cells and without, against a calm run."""
+    """Measure the value served to the other tenants during a fault of one tenant's requests or cell.
+
+    Each seed is played with cells and without, each with the fault and without.
+    """
     rows = []
     for seed in seeds:
         row: dict[str, Any] = {"seed": seed, "broken": 0}
@@ -150,7 +165,11 @@
 
 
 def measure_full_cell(seeds: list[int]) -> dict[str, Any]:
-    """Value served to the neighbours of a cell whose engines are full, and when its own are rejected."""
+    """Measure the effect of a cell whose engines are full.
+
+    The results are the value served to the other cells' tenants, and how late the full cell's requests are
+    rejected.
+    """
     rows = []
     for seed in seeds:
         row: dict[str, Any] = {"seed": seed, "broken": 0}
@@ -170,12 +189,12 @@
         rows.append(row)
     changes = [row["others_full"] / row["others_calm"] - 1 for row in rows]
     mean, half = interval(changes)
-    print(f"value in time of the neighbours: {mean:+.2%}, 95% interval {half:.2%}")
+    print(f"change of the value served in time to the other cells: {mean:+.2%}, 95% interval ±{half:.2%}")
     return {"rows": rows, "change": round(mean, 4), "half_interval": round(half, 4)}
 
 
 def _rejection_times(events: list[Event]) -> list[float]:
-    """When the full cell's requests were rejected, as a fraction of their first-token objective."""
+    """Return when the full cell's requests were rejected, as fractions of their first-token objectives."""
     history = read_history(events)
     begin = next(event["at"] for event in events if event["what"] == "begin")
     return [
@@ -189,7 +208,7 @@
 
 
 def build_fleet(count: int) -> list[EngineDescriptor]:
-    """Half prefill engines, three eighths decode, an eighth mixed, over four zones."""
+    """Return engines in four zones: half of them prefill, three eighths decode, and one eighth mixed."""
     roles = [
         Role.PREFILL,
         Role.DECODE,
@@ -207,10 +226,10 @@
 
 
 def cell_maps(engine_count: int) -> dict[str, CellMap]:
-    """Maps of like size by the way that they place tenants: a cell or shard has about eight engines."""
+    """Return comparable cell maps by the name of their placement; a cell or shard has about eight engines."""
     count = max(2, engine_count // 8)
     cells = {f"cell-{index}": Cell() for index in range(count)}
-    # As many shards as the map may have: two tenants then seldom share one.
+    # A map may have at most 256 shards. With many shards, two tenants seldom share the same one.
     shards = Shards(count=min(256, 16 * count), readers=4, writers=3, mixed=1)
     return {
         "no cells": CellMap(version=1, way="fixed"),
@@ -220,10 +239,12 @@
 
 
 def measure_radius(tenants: int, folder: Path | None, seed: int = 1) -> list[dict[str, Any]]:
-    """One poisonous tenant at a time takes down all engines that it can reach.
+    """Compute which tenants are affected when one poisonous tenant makes all engines of its cell fail.
 
-    A tenant is hurt where it loses all engines that prefill or all that decode, and touched where it loses
-    any. Loads are a Pareto draw for each tenant. Nothing is played: all is computed.
+    In the results, a tenant is "hurt" if it loses all engines that prefill or all engines that decode, and
+    "touched" if it loses at least one engine. The shares are means over all tenants, each of which is
+    poisonous in turn. Loads are drawn from a Pareto distribution. If `folder` is given, a plot is written to
+    it.
     """
     random = Random(seed)
     names = [f"tenant-{index}" for index in range(tenants)]
@@ -257,7 +278,7 @@
 def _affected_shares(
     cell_map: CellMap, names: list[str], engines: list[EngineDescriptor], placed: PlacedCells
 ) -> tuple[float, float]:
-    """Shares of the tenants that are hurt and touched, over every poisonous tenant in turn."""
+    """Return the shares of tenants that are hurt and touched, as means over all poisonous tenants."""
     roles = {engine.name: engine.role for engine in engines}
     capable = {
         cell: (
@@ -278,7 +299,7 @@
 
 
 def _engine_loads(cell_map: CellMap, load: dict[str, float], placed: PlacedCells) -> dict[str, float]:
-    """Each tenant's load, spread evenly over the engines of its cell."""
+    """Return each engine's load if every tenant's load is spread evenly over the engines of its cell."""
     loads: dict[str, float] = {}
     for tenant, amount in load.items():
         members = placed[home_cell(cell_map, tenant, None)]
@@ -288,7 +309,7 @@
 
 
 def _engines_moved(cell_map: CellMap, engines: list[EngineDescriptor], placed: PlacedCells) -> list[float]:
-    """How many engines change their cell as one is removed, for eight of them in turn."""
+    """Return how many engines change their cell when one is removed, for eight engines in turn."""
     moved = []
     for step in range(8):
         removed = engines[step * len(engines) // 8]
@@ -308,7 +329,7 @@
 
 
 def plot_radius(rows: list[dict[str, Any]], file: Path) -> None:
-    """Write the shares of affected tenants as a picture."""
+    """Plot the shares of affected tenants to an SVG file."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -317,16 +338,16 @@
     pyplot.rcParams.update({"svg.hashsalt": "runspool", "svg.fonttype": "none"})
     figure, axes = pyplot.subplots(figsize=(6, 3.6))
     for way in ("no cells", "cells", "shuffle shards"):
-        of_way = [row for row in rows if row["way"] == way]
+        way_rows = [row for row in rows if row["way"] == way]
         (line,) = axes.plot(
-            [row["engines"] for row in of_way],
-            [max(row["hurt"], 1e-4) for row in of_way],
+            [row["engines"] for row in way_rows],
+            [max(row["hurt"], 1e-4) for row in way_rows],
             marker="o",
             label=f"{way}: cut off",
         )
         axes.plot(
-            [row["engines"] for row in of_way],
-            [row["touched"] for row in of_way],
+            [row["engines"] for row in way_rows],
+            [row["touched"] for row in way_rows],
             marker="x",
             linestyle="--",
             color=line.get_color(),
@@ -348,7 +369,11 @@
 
 
 def measure_cost(request_count: int = 3000) -> dict[str, Any]:
-    """Microseconds a request at 64 engines: admission and finish by cells, beside the scheduler."""
+    """Measure the time that cells take at 64 engines, and the scheduler's time with the engines of one cell.
+
+    The times are microseconds for admitting and finishing a request, milliseconds for placing a new endpoint
+    list, and microseconds of the scheduler for submitting a request.
+    """
     engines = build_fleet(64)
     tenants = [f"tenant-{index}" for index in range(1000)]
     result: dict[str, Any] = {}
@@ -376,24 +401,25 @@
             "scheduler_us": round(scheduler_cost(engines[:cell_size], request_count), 1),
         }
         print(
-            f"{way}: {result[way]['a_request_us']} us a request by cells, {result[way]['scheduler_us']} us "
-            f"by the scheduler with {cell_size} engines, {result[way]['a_list_ms']} ms to place the list"
+            f"{way}: per request {result[way]['a_request_us']} us for cells and "
+            f"{result[way]['scheduler_us']} us for the scheduler with {cell_size} engines; "
+            f"{result[way]['a_list_ms']} ms to place the endpoint list"
         )
     return result
 
 
 class IgnoringHandler:
-    """Takes the scheduler driver's actions and carries nothing out."""
+    """A handler that ignores all actions of the scheduler driver."""
 
     def ignore(self, *details: object) -> None:
-        """Do nothing."""
+        """Ignore an action."""
 
     start_attempt = reject = fail_indeterminate = release_state = migrate_stream = ignore
     subscribe_to_endpoints = set_timer = log_message = forget_request = ignore
 
 
 def scheduler_cost(engines: list[EngineDescriptor], request_count: int) -> float:
-    """Microseconds that one request's submission costs the scheduler with these engines."""
+    """Return the microseconds that the scheduler takes to submit a request with these engines."""
     config = parse_config(front_configuration(flood(1), 0, 1, Path("/nowhere")))
     driver = SchedulerDriver(config.routing_settings(), 1, IgnoringHandler(), 0)
     type_names = {Role.PREFILL: "prefill", Role.DECODE: "decode", Role.MIXED: "mixed"}
@@ -427,7 +453,7 @@
     parser.add_argument("what", choices=["flood", "full", "poison", "release", "radius", "cost"])
     parser.add_argument("--seeds", default="1,2,3,4,5")
     parser.add_argument("--tenants", type=int, default=1000)
-    parser.add_argument("--out", type=Path, help="A folder for the plot.")
+    parser.add_argument("--out", type=Path, help="folder to which the plot of `radius` is written")
     options = parser.parse_args()
     seeds = [int(seed) for seed in options.seeds.split(",")]
     result: Any
--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -1,15 +1,15 @@
-"""What a front costs, against engines asked directly, in one run on real sockets.
+"""Measures the cost of a front, compared with direct requests to engines in the same run on real sockets.
 
     python benchmarks/front.py added   --rate 60 --seconds 30   # time added to the first token
     python benchmarks/front.py most    --rates 60,100,150       # load that one front process can serve
-    python benchmarks/front.py memory  --queries 400            # KiB a waiting request and an open stream
+    python benchmarks/front.py memory  --queries 400            # KiB per waiting request and per open stream
     python benchmarks/front.py soak    --rate 40 --minutes 30   # memory over time
 
-Time added is what passed outside engines until the first token, from the records of clients and engines:
-client to prefill engine, end of the prefill to decode engine, its first token to the client. Some requests go
-directly, by two calls of the client, so that both ways meet the same engines in the same second; both reuse
-connections.
-Prints a short table and one JSON line.
+The added time of a request is the time spent outside engines until the first token, computed from the
+recordings of clients and engines: from the client to the prefill engine, from the end of the prefill to the
+decode engine, and from the decode engine's first token to the client. Some requests bypass the front: their
+client calls a prefill and a decode engine itself. Requests on both paths therefore find the engines under the
+same load, and both reuse connections. The figures are printed as a short table and as a line of JSON.
 """
 
 from __future__ import annotations
@@ -45,15 +45,17 @@
 from runspool.scheduling.types import AttemptStatus
 from runspool.service.clock import now
 
-SAMPLE_INTERVAL = 1  # seconds
-WARM_UP = 5.0  # seconds at the start that are not counted
-ENGINE_TYPES = ("prefill", "decode", "prefill", "mixed")  # in turn
-MAX_OUTPUT_TOKENS = 2_000
-HELD_TIME_LIMIT = 600_000  # tenths of a millisecond: longer than the memory benchmark takes
+SAMPLE_INTERVAL = 1  # seconds between two samples of the front's processor time and memory
+WARM_UP = 5.0  # seconds at the start of a run that are not counted
+ENGINE_TYPES = ("prefill", "decode", "prefill", "mixed")  # the types of successive engines, repeated
+MAX_OUTPUT_TOKENS = 2_000  # limit of output tokens in the requests of this benchmark's clients
+# Time limit of the requests of the memory benchmark, in tenths of a millisecond; longer than the benchmark
+# takes.
+HELD_TIME_LIMIT = 600_000
 
 
 def build_plan(engines: int, rate: float, seconds: float, output_tokens: int, seed: int = 1) -> ScenarioPlan:
-    """A plan without faults: one front, `rate` requests a second, answers of `output_tokens`."""
+    """Return a plan without faults, with one front and `rate` requests per second for `seconds`."""
     request_classes = [
         RequestClassPlan(
             "ask", 1.0, "rerunnable", 1, 30_000, 0, 200_000, 2_000, 200, output_tokens, 2.0, 0.8, 800
@@ -87,7 +89,11 @@
 
 
 class ComparingClients(WorkloadClients):
-    """Sends one request in `direct_every` past the front (0: none); both ways by the same client code."""
+    """Clients that send some requests to the front and others directly to engines, with the same code.
+
+    Attributes:
+        direct_every: every request whose number is a multiple of this bypasses the front; 0 means none.
+    """
 
     def __init__(
         self, plan: ScenarioPlan, load_balancer: LoadBalancer, record: Recorder, direct_every: int
@@ -109,7 +115,7 @@
         self.request_count = 0
 
     async def attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
-        """Send a request to the front, or to a prefill and a decode engine in turn."""
+        """Send a request to the front, or first to a prefill engine and then to a decode engine."""
         self.request_count += 1
         name = f"{request.id}.{number}"
         is_direct = bool(self.direct_every) and self.request_count % self.direct_every == 0
@@ -125,14 +131,14 @@
         )
         address, state = self.load_balancer.addresses[0], None
         if is_direct:
-            turn = self.request_count // 2
-            prefill_engine = self.prefill_engines[turn % len(self.prefill_engines)]
+            index = self.request_count // 2
+            prefill_engine = self.prefill_engines[index % len(self.prefill_engines)]
             prefill = await self.client.prefill(
                 prefill_engine, body, {"X-Request-Id": name}, time_limit, UNRESTRICTED
             )
             state = prefill.state
             headers = {"X-Request-Id": name + "w"}
-            address = self.decode_engines[turn % len(self.decode_engines)]
+            address = self.decode_engines[index % len(self.decode_engines)]
         else:
             all_headers = request_headers(self.plan, request, name, time_limit, 0)
             headers = {key: value for key, value in all_headers if key.startswith("Runspool-")}
@@ -147,7 +153,7 @@
 
 
 class FirstTokenRecorder:
-    """Records when a response's first token comes."""
+    """Records when the first token of a response arrives."""
 
     def __init__(self, record: Recorder, name: str) -> None:
         self.record = record
@@ -158,18 +164,24 @@
         self.record.line("first", **{"try": self.name})
 
     async def data_received(self, text: str) -> None:
-        """Drop the text."""
+        """Ignore the text."""
 
 
 class BenchmarkRunner(ScenarioRunner):
-    """A scenario without faults whose clients run in processes of their own."""
+    """Runs a scenario without faults whose clients run in separate worker processes.
+
+    Attributes:
+        workers: the number of worker processes.
+        direct_every: as in ComparingClients.
+        samples: the front's usage, sampled every SAMPLE_INTERVAL.
+    """
 
     workers = 1
     direct_every = 2
     samples: list[ProcessUsage]
 
     async def run_workload(self, requests: list[PlannedRequest]) -> None:
-        """Have the worker processes send the plan's requests, and sample the front's usage meanwhile."""
+        """Let the worker processes send the plan's requests, and sample the front's usage meanwhile."""
         self.samples = []
         start = now() + 2 * SECOND
         self.record.line("begin", at=start)
@@ -192,20 +204,25 @@
             await anyio.sleep(SAMPLE_INTERVAL)
 
     def front_pid(self) -> int:
-        """The process of the only front."""
+        """Return the process id of the only front."""
         child = self.fleet.fronts[0].child
         assert child is not None
         return child.pid
 
 
 class MemoryRunner(BenchmarkRunner):
-    """Holds many requests at once: first waiting for their first token, then as open streams."""
+    """Measures the front's memory with many open requests, first while they wait and then while they stream.
+
+    Attributes:
+        request_count: the number of requests.
+        figures: the results in KiB, after the run.
+    """
 
     request_count = 400
     figures: dict[str, float]
 
     async def run_workload(self, requests: list[PlannedRequest]) -> None:
-        """Send requests to engines that hang, then let the engines go on, and measure after each."""
+        """Measure the memory while requests wait for hung engines, and again while the engines stream."""
         clients = WorkloadClients(self.plan, self.fleet.load_balancer, Recorder(None))
         before = process_usage(self.front_pid()).resident_bytes
         await self._hang_engines(True)
@@ -250,46 +267,50 @@
 
 
 class ProcessUsage(NamedTuple):
-    """What a process has used."""
+    """The processor time and the memory that a process has used."""
 
     cpu_seconds: float
     resident_bytes: int
 
     @property
     def resident_mib(self) -> float:
-        """Resident memory in MiB."""
+        """The resident memory in MiB, rounded to one decimal."""
         return round(self.resident_bytes / (1 << 20), 1)
 
 
 def process_usage(pid: int) -> ProcessUsage:
-    """What a process has used so far, from /proc."""
+    """Read from /proc what a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     cpu_ticks = int(fields[11]) + int(fields[12])
     return ProcessUsage(cpu_ticks / os.sysconf("SC_CLK_TCK"), int(fields[21]) * os.sysconf("SC_PAGE_SIZE"))
 
 
 def added_times(events: list[dict[str, Any]], begin: int) -> dict[str, list[int]]:
-    """Time outside engines until the first token of each request, in tenths of a millisecond, by way."""
+    """Return the time that each request spent outside engines until its first token.
+
+    The times are in tenths of a millisecond, for the paths "front" and "direct". Requests that were sent
+    within WARM_UP after `begin`, or whose recording is incomplete, are left out.
+    """
     by_attempt: dict[str, dict[str, Any]] = {}
     for event in events:
         if "try" in event:
             name = event["what"] + event.get("stage", "")
             by_attempt.setdefault(event["try"], {}).setdefault(name, event)
     times: dict[str, list[int]] = {"front": [], "direct": []}
-    for seen in by_attempt.values():
-        is_complete = {"asked", "arrivedread", "ended", "arrivedwrite", "ran", "first"} <= seen.keys()
-        if not is_complete or seen["asked"]["t"] < begin + WARM_UP * SECOND:
+    for recorded in by_attempt.values():
+        is_complete = {"asked", "arrivedread", "ended", "arrivedwrite", "ran", "first"} <= recorded.keys()
+        if not is_complete or recorded["asked"]["t"] < begin + WARM_UP * SECOND:
             continue
-        to_prefill = seen["arrivedread"]["head"] - seen["asked"]["t"]
-        to_decode = seen["arrivedwrite"]["head"] - seen["ended"]["t"]
-        to_client = seen["first"]["t"] - seen["ran"]["t"]
-        way = "direct" if seen["asked"]["front"] == "direct" else "front"
-        times[way].append(max(1, to_prefill + to_decode + to_client))
+        to_prefill = recorded["arrivedread"]["head"] - recorded["asked"]["t"]
+        to_decode = recorded["arrivedwrite"]["head"] - recorded["ended"]["t"]
+        to_client = recorded["first"]["t"] - recorded["ran"]["t"]
+        path = "direct" if recorded["asked"]["front"] == "direct" else "front"
+        times[path].append(max(1, to_prefill + to_decode + to_client))
     return times
 
 
 def quantiles(times: list[int]) -> dict[str, float]:
-    """Quantiles, in milliseconds, of times in tenths of a millisecond."""
+    """Return percentiles in milliseconds of times in tenths of a millisecond."""
     histogram = HdrHistogram(1, 10_000_000, 3)
     for duration in times:
         histogram.record_value(duration)
@@ -299,7 +320,16 @@
 def measure(
     engines: int, rate: float, seconds: float, output_tokens: int, workers: int, direct_every: int
 ) -> dict[str, Any]:
-    """Run a workload and return its figures."""
+    """Run a workload and return its figures.
+
+    Args:
+        engines: The number of engines.
+        rate: Requests per second on both paths together.
+        seconds: The duration of the workload.
+        output_tokens: The number of tokens of an answer.
+        workers: The number of worker processes that send requests.
+        direct_every: As in ComparingClients.
+    """
     with tempfile.TemporaryDirectory() as folder:
         plan = build_plan(engines, rate, seconds, output_tokens)
         runner = BenchmarkRunner(plan, Path(folder), engines_per_process=4)
@@ -333,16 +363,16 @@
         f"{figures['answer_tokens']} tokens each: {figures['succeeded']} of {figures['asked']} succeeded, "
         f"front CPU {figures['cpu_share']:.0%}, {figures['rss_mib']} MiB"
     )
-    for way in ("front", "direct"):
-        times = figures[f"{way}_ms"]
+    for path in ("front", "direct"):
+        times = figures[f"{path}_ms"]
         if times:
-            print(f"  {way:7}" + "".join(f"{name} {value:7.1f} ms  " for name, value in times.items()))
+            print(f"  {path:7}" + "".join(f"{name} {value:7.1f} ms  " for name, value in times.items()))
 
 
 async def run_worker(
     plan_file: str, index: int, workers: int, start: int, direct_every: int, recording_file: str
 ) -> None:
-    """Send every request of a plan whose number falls to this worker."""
+    """Send this worker's requests of a plan, which are every `workers`-th one from number `index` on."""
     plan: ScenarioPlan = msgspec.json.decode(Path(plan_file).read_bytes(), type=ScenarioPlan)
     requests = [request for number, request in enumerate(draw_workload(plan)) if number % workers == index]
     load_balancer = LoadBalancer([("127.0.0.1", plan.fronts[0].port)], ["a"], [True])
@@ -351,7 +381,7 @@
 
 
 def measure_most(options: argparse.Namespace) -> list[dict[str, Any]]:
-    """One run for each rate; one request in eight goes directly, so that both ways are seen in one run."""
+    """Run each rate once; one request in eight bypasses the front, so that both paths are measured."""
     runs = []
     for rate in options.rates.split(","):
         figures = measure(
@@ -363,7 +393,7 @@
 
 
 def measure_memory(options: argparse.Namespace) -> dict[str, Any]:
-    """The front's memory with many requests open."""
+    """Measure the front's memory with many open requests."""
     with tempfile.TemporaryDirectory() as folder:
         runner = MemoryRunner(build_plan(options.engines, 1, 1, options.tokens), Path(folder))
         runner.request_count = options.queries
@@ -373,7 +403,7 @@
 
 
 def measure_soak(options: argparse.Namespace) -> dict[str, Any]:
-    """The front's memory over a long run, in ten parts."""
+    """Measure the front's memory over a long run, as means of ten parts of the run."""
     with tempfile.TemporaryDirectory() as folder:
         plan = build_plan(options.engines, options.rate, options.minutes * 60, options.tokens)
         runner = BenchmarkRunner(plan, Path(folder))
@@ -383,7 +413,7 @@
     sizes = [sample.resident_bytes / (1 << 20) for sample in runner.samples]
     tenth = max(1, len(sizes) // 10)
     parts = [round(statistics.mean(sizes[at : at + tenth]), 1) for at in range(0, len(sizes), tenth)]
-    print("resident MiB over time, ten parts:", parts)
+    print("mean resident memory in MiB of each tenth of the run:", parts)
     minutes = round((time.time() - started_at) / 60, 1)
     return {"minutes": minutes, "rate": options.rate, "rss_mib": parts}
 
--- a/runspool/lab/audit/__init__.py
+++ b/runspool/lab/audit/__init__.py
@@ -1,7 +1,7 @@
-"""The auditor: judges the five rules from a recording alone.
+"""The auditor, which checks a recording of the laboratory against five rules and uses nothing else.
 
-`history` reads the recording; each rule has a module of its own; `auditor` runs them all. Each rule counts
-the cases that it was judged on, so that a recording in which a rule was never at stake shows as such.
+`history` reads the recording, each rule has its own module, and `auditor` runs all rules. Each rule counts
+the cases to which it applied, so that a recording that never exercised a rule can be recognised.
 """
 
 from __future__ import annotations
--- a/runspool/lab/audit/auditor.py
+++ b/runspool/lab/audit/auditor.py
@@ -1,4 +1,7 @@
-"""Judges the five rules from a recording: what clients, engines and the endpoint list saw, not the fronts."""
+"""Checks the five rules on a recording of what clients, engines and the endpoint list observed.
+
+The fronts' own records are not used, because the fronts are the subject of the check.
+"""
 
 from __future__ import annotations
 
@@ -25,25 +28,29 @@
 
 
 def audit(events: list[Event], tolerance: AuditTolerance = SOCKET_TOLERANCE) -> dict[str, RuleVerdict]:
-    """Judge all five rules on a recording and return their verdicts by the rule's name.
+    """Check all five rules on a recording and return the verdicts by rule name.
 
     Raises:
-        UnreadableRecordingError: the recording cannot be judged.
+        UnreadableRecordingError: the recording has no valid plan, or an event refers to an unknown name.
     """
     return judge(read_history(events, tolerance))
 
 
 def judge(history: History) -> dict[str, RuleVerdict]:
-    """Judge all five rules on a history that has been read already.
+    """Check all five rules on a history and return the verdicts by rule name.
 
-    Attempts that are still open in the history are closed in it.
+    The history is modified: attempts without a recorded end get one.
     """
     _close_open_attempts(history)
     return {rule: judge_rule(history) for rule, judge_rule in JUDGES.items()}
 
 
 def _close_open_attempts(history: History) -> None:
-    """An attempt without an end ended with the next kill of its engine, and may have run."""
+    """Set the end of each attempt that has none recorded, and mark it as killed.
+
+    The end is the next kill of its engine or, without one, the end of the recording. The attempt counts as
+    one that may have run.
+    """
     for attempt in history.engine_attempts.values():
         if attempt.ended_at is None:
             kills = history.engine_kills[attempt.engine]
--- a/runspool/lab/audit/drains.py
+++ b/runspool/lab/audit/drains.py
@@ -1,4 +1,4 @@
-"""Rule "drains kept": a front sends nothing to an engine that it was told is draining or gone."""
+"""Rule "drains kept": a front sends nothing to an engine that the list reports as draining or removed."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 
 ACTIVE = "on"
 REMOVED = "gone"
-NO_VERSION = -1  # less than every version of the endpoint list
+NO_VERSION = -1  # lower than every version of the endpoint list
 
-StateChange = tuple[int, str]  # time in tenths of a millisecond, state
+# The time in tenths of a millisecond at which a front was informed of a state, and the state.
+StateChange = tuple[int, str]
 
 
 def judge_drains(history: History) -> RuleVerdict:
-    """Judge the rule on every change away from the active state that a front was told of."""
+    """Check the rule on every change from the active state to another that a front was informed of."""
     verdict = RuleVerdict()
     for front in history.plan.fronts:
         for engine, changes in _state_changes(history, front.name).items():
@@ -38,13 +39,16 @@
         if drained_at is not None and attempt.arrived_at > drained_at + grace:
             elapsed = (attempt.arrived_at - drained_at) / TENTHS_PER_MS
             verdict.add_violation(
-                f"{attempt.request_id}: {front} sent to {engine} "
-                f"{elapsed:.0f} ms after it was told of its drain"
+                f"{attempt.request_id}: {front} sent it to {engine} "
+                f"{elapsed:.0f} ms after it was informed of the drain"
             )
 
 
 def _drained_since(changes: list[StateChange], at: int) -> int | None:
-    """Return since when the engine has not been active at `at`; None where it is active or unknown."""
+    """Return the time since which the front has known the engine as not active.
+
+    Only changes up to `at` count. Return None if the engine was active or unknown at `at`.
+    """
     known = changes[: bisect_right(changes, at, key=lambda change: change[0])]
     since = None
     for changed_at, state in reversed(known):
@@ -55,41 +59,41 @@
 
 
 def _state_changes(history: History, front: str) -> dict[str, list[StateChange]]:
-    """Return what a front was told of each engine, in order of time.
+    """Return, by engine, the states that a front was informed of, in order of time.
 
-    A kill of the front counts as if every engine were active again: its next process has to be told anew.
+    A kill of the front sets every engine to active, because the next process has not been informed yet.
     """
-    told = _ToldStates()
+    reported = _ReportedStates()
     updates: list[tuple[int, Event | None]] = [
         (update["t"], update) for update in history.list_updates[front]
     ]
     updates += [(killed_at, None) for killed_at in history.front_kills[front]]
     for at, update in sorted(updates, key=lambda timed: timed[0]):
         if update is None:
-            told.forget(at)
+            reported.reset(at)
         else:
-            told.apply(at, update)
-    return told.changes
+            reported.apply(at, update)
+    return reported.changes
 
 
-class _ToldStates:
-    """What one front was told of each engine so far.
+class _ReportedStates:
+    """The states that the endpoint list has reported to one front, by engine.
 
-    Updates that were overtaken by newer ones, or that come twice, change nothing.
+    Updates that arrive twice, or after a newer version, are ignored.
     """
 
     def __init__(self) -> None:
         self.changes: dict[str, list[StateChange]] = defaultdict(list)
         self.versions: dict[str, int] = {}
 
-    def forget(self, at: int) -> None:
-        """The front was killed."""
+    def reset(self, at: int) -> None:
+        """Record that the front was killed: all engines become active, and the versions are forgotten."""
         for changes in self.changes.values():
             changes.append((at, ACTIVE))
         self.versions.clear()
 
     def apply(self, at: int, update: Event) -> None:
-        """The front was told of an update, which is a whole list or the entries that changed."""
+        """Record an update that the front received, either a whole list or only the changed entries."""
         states = {engine: state for engine, state, _ in update["engines"]}
         is_snapshot, version = update["whole"], update["version"]
         if is_snapshot:
--- a/runspool/lab/audit/history.py
+++ b/runspool/lab/audit/history.py
@@ -1,4 +1,4 @@
-"""Reads a recording into a history: its events sorted by client attempt, engine attempt, engine and front."""
+"""Reads a recording into a history: events grouped by client attempt, engine attempt, engine and front."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from runspool.lab.plan import ScenarioPlan
 from runspool.lab.recording import Event, UnreadableRecordingError
 
-# The words of recorded `ended` lines after which an engine certainly did not run the request.
+# End statuses in recorded `ended` events that guarantee that the engine did not execute the request.
 NOT_EXECUTED = frozenset({"full", "stateless"})
 
-NO_ANSWER = "none"  # the kind of answer of a client that got none
-KILLED = "killed"  # the end status of an attempt whose engine was killed
+NO_ANSWER = "none"  # the answer kind of a client attempt for which no answer is recorded
+KILLED = "killed"  # the end status of an attempt whose engine was killed, or for which no end is recorded
 
 
 @dataclass(slots=True)
 class EngineAttemptRecord:
-    """One attempt at serving a request, as its engine saw it. Times in tenths of a millisecond.
+    """One attempt of a front at an engine, as the engine observed it. Times are in tenths of a millisecond.
 
     Attributes:
-        request_id: the id that the front gave this attempt.
+        request_id: the id that the front assigned to this attempt.
         engine: the engine's name.
-        front: the front's name, or its address where the plan does not know it.
-        stage: "read" (prefill), "write" (decode) or "knock" (a connect to an engine that is down).
-        arrived_at: when the request began to arrive.
+        front: the front's name, or its address if the plan has no front with that address.
+        stage: "read" (prefill), "write" (decode) or "knock" (a connection attempt to an engine that is down).
+        arrived_at: when the first bytes of the request arrived.
         request_class: the name of its request class.
-        client_attempt: the id of the client's attempt that it serves.
-        ended_at: when it ended; None while it has not.
-        end_status: the recorded word for how it ended.
+        client_attempt: the id of the client attempt that it serves.
+        ended_at: when it ended; None if no end is recorded.
+        end_status: how it ended, as recorded; empty if no end is recorded.
         ran: whether the engine began to execute it.
     """
 
@@ -49,28 +49,28 @@
 
     @property
     def is_decode(self) -> bool:
-        """Whether it asked for an answer, not only for a prefill."""
+        """Whether it is a decode attempt, which produces the answer."""
         return self.stage == "write"
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the request's effect may have happened here."""
+        """Whether the engine may have executed the request's effect in this attempt."""
         return self.is_decode and (self.ran or self.end_status not in NOT_EXECUTED)
 
 
 @dataclass(slots=True)
 class ClientAttemptRecord:
-    """One attempt of a client, as the client saw it. Times in tenths of a millisecond.
+    """One attempt of a client, as the client observed it. Times are in tenths of a millisecond.
 
     Attributes:
-        asked: the recorded line `asked`.
-        sent_at: when the request was sent whole.
-        first_token_at: when the first token came.
-        stream_end: the recorded line `end` of a streamed answer.
-        answer: the recorded line `answer`.
-        has_trailing_data: something came after the final answer, or a second answer.
-        has_stream_gap: a token of the stream was missing or came twice.
-        engine_attempts: the attempts that fronts made for it, in the order of their arrival.
+        asked: the recorded event `asked`.
+        sent_at: when the request had been sent completely; None if it never was.
+        first_token_at: when the first token arrived; None if none did.
+        stream_end: the recorded event `end` of a streamed answer; None if there is none.
+        answer: the recorded event `answer`; None if there is none.
+        has_trailing_data: whether data or a second answer followed the final answer.
+        has_stream_gap: whether a token of the stream was missing or repeated.
+        engine_attempts: the attempts that fronts made for it, in order of arrival.
     """
 
     asked: Event
@@ -84,30 +84,31 @@
 
     @property
     def answer_kind(self) -> str:
-        """The kind of its answer; "none" where it has no answer."""
+        """The recorded kind of its answer; NO_ANSWER if it has none."""
         return str(self.answer["kind"]) if self.answer else NO_ANSWER
 
     @property
     def decode_attempts(self) -> list[EngineAttemptRecord]:
-        """The attempts that asked for an answer, by time of arrival."""
+        """The decode attempts that fronts made for it, in order of arrival."""
         decodes = (attempt for attempt in self.engine_attempts if attempt.is_decode)
         return sorted(decodes, key=lambda attempt: attempt.arrived_at)
 
 
 @dataclass(slots=True)
 class History:
-    """A recording, sorted by whom its events concern. Times in tenths of a millisecond.
+    """The events of a recording, grouped by what they concern. Times are in tenths of a millisecond.
 
     Attributes:
         plan: the scenario's plan.
         events: all events in order of time.
-        tolerance: the delays that the audit allows for.
-        client_attempts: by id.
-        engine_attempts: by request id.
-        front_kills: times at which a front was killed, by its name.
-        engine_kills: times at which an engine was killed or went down by itself, by its name.
-        engine_starts: the `engine_up` lines of an engine, by its name.
-        list_updates: the `told` lines of a front (what the endpoint list told it), by its name.
+        tolerance: the delays of the recording that the audit tolerates.
+        client_attempts: the clients' attempts by their id.
+        engine_attempts: the fronts' attempts at engines by their request id.
+        front_kills: the times at which a front was killed, by the front's name.
+        engine_kills: the times at which an engine was killed or failed, by the engine's name.
+        engine_starts: the `engine_up` events by the engine's name.
+        list_updates: the `told` events, which are updates of the endpoint list, by the name of the front that
+            received them.
         last_time: the time of the last event.
     """
 
@@ -123,7 +124,7 @@
     last_time: int = 0
 
     def requests(self) -> dict[str, list[ClientAttemptRecord]]:
-        """Return the clients' attempts by the request that they repeat, each in the order asked."""
+        """Return the client attempts by the request that they belong to, in the order in which they began."""
         by_request: dict[str, list[ClientAttemptRecord]] = defaultdict(list)
         for attempt in self.client_attempts.values():
             by_request[attempt.asked["item"]].append(attempt)
@@ -131,10 +132,11 @@
 
 
 def read_history(events: list[Event], tolerance: AuditTolerance = SOCKET_TOLERANCE) -> History:
-    """Sort the events of a recording into a history.
+    """Group the events of a recording into a history.
 
     Raises:
-        UnreadableRecordingError: the recording has no plan, or an event names what was never introduced.
+        UnreadableRecordingError: the recording has no valid plan, or an event lacks a field or refers to an
+            attempt of which no earlier event records the beginning.
     """
     history = History(_plan_of(events), events, tolerance)
     reader = _HistoryReader(history)
@@ -142,23 +144,25 @@
         try:
             reader.read(event)
         except KeyError as error:
-            raise UnreadableRecordingError(f"event {number} ({event['what']}): no {error}") from None
+            raise UnreadableRecordingError(
+                f"event {number} ({event['what']}): missing field or unknown attempt {error}"
+            ) from None
     history.last_time = max((event["t"] for event in events), default=0)
     return history
 
 
 def _plan_of(events: list[Event]) -> ScenarioPlan:
-    day_line = next((event for event in events if event["what"] == "day"), None)
-    if day_line is None:
-        raise UnreadableRecordingError("the recording has no day line")
+    plan_event = next((event for event in events if event["what"] == "day"), None)
+    if plan_event is None:
+        raise UnreadableRecordingError("the recording has no event 'day', which holds the scenario's plan")
     try:
-        return msgspec.convert(day_line["plan"], ScenarioPlan)
+        return msgspec.convert(plan_event["plan"], ScenarioPlan)
     except (msgspec.ValidationError, KeyError) as error:
-        raise UnreadableRecordingError(f"its day line: {error}") from None
+        raise UnreadableRecordingError(f"invalid event 'day' in the recording: {error}") from None
 
 
 class _HistoryReader:
-    """Adds events to a history, one after the other; a name that it does not know is a KeyError."""
+    """Adds the events of a recording to a history, one at a time and in their order."""
 
     def __init__(self, history: History) -> None:
         self.history = history
@@ -181,7 +185,11 @@
         }
 
     def read(self, event: Event) -> None:
-        """Add one event; kinds that no rule needs are passed over."""
+        """Add one event; kinds of events that no rule uses are ignored.
+
+        Raises:
+            KeyError: the event lacks a field or refers to an unknown attempt.
+        """
         read = self.readers.get(str(event["what"]))
         if read is not None:
             read(event)
--- a/runspool/lab/audit/lost_requests.py
+++ b/runspool/lab/audit/lost_requests.py
@@ -1,4 +1,4 @@
-"""Rule "no query lost": every request sent gets one final answer in time, and nothing follows it."""
+"""Rule "no query lost": every request gets exactly one final answer in time, and nothing follows it."""
 
 from __future__ import annotations
 
@@ -6,14 +6,15 @@
 from runspool.lab.audit.verdict import RuleVerdict
 from runspool.units import TENTHS_PER_MS
 
-UNANSWERED = frozenset({"lost", NO_ANSWER})
-DISCONNECTED = "left"  # the kind of answer of a client that disconnected by itself
+UNANSWERED = frozenset({"lost", NO_ANSWER})  # answer kinds of client attempts that got no final answer
+DISCONNECTED = "left"  # the answer kind of a client attempt that ended because the client disconnected
 
 
 def judge_lost_requests(history: History) -> RuleVerdict:
-    """Judge the rule on every request that its client sent whole.
+    """Check the rule on every request that its client sent completely.
 
-    Requests that a killed front held are not judged; what it owed before its kill is.
+    Requests that a front had in progress when it was killed are exempt, unless their time limit had passed
+    before the kill.
     """
     verdict = RuleVerdict()
     for name, attempt in history.client_attempts.items():
@@ -22,10 +23,10 @@
         verdict.cases += 1
         _judge_answer(verdict, history, name, attempt)
         if attempt.has_trailing_data:
-            verdict.add_violation(f"{name}: something came after its final answer")
+            verdict.add_violation(f"{name}: data arrived after the final answer")
         if attempt.has_stream_gap:
-            verdict.add_violation(f"{name}: its stream has a gap or a repeat")
-        _judge_attempts_after_the_end(verdict, history, name, attempt)
+            verdict.add_violation(f"{name}: a token of its stream is missing or repeated")
+        _judge_attempts_after_answer(verdict, history, name, attempt)
     return verdict
 
 
@@ -40,6 +41,7 @@
 
 
 def _was_lost_with_its_front(history: History, attempt: ClientAttemptRecord) -> bool:
+    """Return whether an unanswered attempt was in progress at its front when the front was killed."""
     if attempt.answer_kind not in UNANSWERED:
         return False
     start = attempt.asked["t"] - history.tolerance.observation_delay
@@ -57,19 +59,20 @@
         return
     if kind == DISCONNECTED:
         return
-    begun_at = attempt.first_token_at
-    if begun_at is None:
-        begun_at = _answered_at(history, attempt)
-    late = begun_at - _deadline(attempt)
+    answer_began_at = attempt.first_token_at
+    if answer_began_at is None:
+        answer_began_at = _answered_at(history, attempt)
+    late = answer_began_at - _deadline(attempt)
     if late > history.tolerance.late_answer:
         verdict.add_violation(
-            f"{name}: {kind} came {late / TENTHS_PER_MS:.0f} ms after the client's time was up"
+            f"{name}: answer {kind!r} came {late / TENTHS_PER_MS:.0f} ms after the client's time limit"
         )
 
 
-def _judge_attempts_after_the_end(
+def _judge_attempts_after_answer(
     verdict: RuleVerdict, history: History, name: str, attempt: ClientAttemptRecord
 ) -> None:
+    """Add a violation for each engine attempt that began after the client got its answer or disconnected."""
     if not attempt.answer:
         return
     tolerance = history.tolerance
@@ -81,5 +84,6 @@
         late = engine_attempt.arrived_at - end
         if late > allowed:
             verdict.add_violation(
-                f"{name}: sent to {engine_attempt.engine} {late / TENTHS_PER_MS:.0f} ms after its end"
+                f"{name}: sent to {engine_attempt.engine} {late / TENTHS_PER_MS:.0f} ms after the client's "
+                f"attempt had ended"
             )
--- a/runspool/lab/audit/repeated_execution.py
+++ b/runspool/lab/audit/repeated_execution.py
@@ -1,4 +1,4 @@
-"""Rule "no effect twice": a request's effect happens no more often than its request class allows."""
+"""Rule "no effect twice": a request is executed no more often than its request class allows."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from runspool.lab.plan import EnginePlan, RequestClassPlan
 from runspool.units import TENTHS_PER_MS
 
-REJECTED = frozenset({"dismissed", "refused"})  # answers which say that nothing was executed
+REJECTED = frozenset({"dismissed", "refused"})  # answer kinds that state that nothing was executed
 
 
 def judge_repeated_execution(history: History) -> RuleVerdict:
-    """Judge the rule on every request that reached an engine."""
+    """Check the rule on every request that reached an engine."""
     verdict = RuleVerdict()
     request_classes = {row.name: row for row in history.plan.request_classes}
     engines = {engine.spec.name: engine for engine in history.plan.engines}
@@ -34,21 +34,21 @@
 def _judge_at_most_once(verdict: RuleVerdict, request: str, attempts: list[ClientAttemptRecord]) -> None:
     executions = sum(engine_attempt.ran for attempt in attempts for engine_attempt in attempt.engine_attempts)
     if executions > 1:
-        verdict.add_violation(f"{request}: exclusive, and it ran {executions} times")
+        verdict.add_violation(f"{request}: at most one execution is allowed, but it ran {executions} times")
     for attempt in attempts:
         decodes = attempt.decode_attempts
         for earlier, later in pairwise(decodes):
             if earlier.may_have_run:
                 verdict.add_violation(
-                    f"{request}: exclusive, sent to {later.engine} after {earlier.engine} may have run it "
-                    f"({earlier.end_status})"
+                    f"{request}: at most one execution is allowed, but it was sent to {later.engine} after "
+                    f"{earlier.engine} may have run it ({earlier.end_status})"
                 )
         if attempt.answer_kind in REJECTED and any(decode.may_have_run for decode in decodes):
-            verdict.add_violation(f"{request}: exclusive, dismissed though it may have run")
+            verdict.add_violation(f"{request}: rejected as not executed, although an engine may have run it")
 
 
 class _KeyedRule:
-    """The rule for a request with a deduplication key: repeated in its scope and window only."""
+    """The rule for a request with a deduplication key, which may be repeated in its scope and window only."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         self.engines = engines
 
     def judge(self, attempt: ClientAttemptRecord) -> None:
-        """Judge one attempt of the client."""
+        """Check one attempt of the client."""
         decodes = attempt.decode_attempts
         first = next((decode for decode in decodes if decode.may_have_run), None)
         if first is None:
@@ -74,18 +74,21 @@
             self._judge_repeat(first, decode)
         if self.scope != "all" and attempt.answer_kind in REJECTED:
             self.verdict.add_violation(
-                f"{self.request}: ticketed, dismissed though it may have run in a group"
+                f"{self.request}: rejected as not executed, although an engine may have run it and "
+                f"deduplication does not extend to all engines"
             )
 
     def _judge_repeat(self, first: EngineAttemptRecord, repeat: EngineAttemptRecord) -> None:
         if not self._in_scope(first.engine, repeat.engine):
             self.verdict.add_violation(
-                f"{self.request}: ticketed, sent to {repeat.engine} outside the group of {first.engine}"
+                f"{self.request}: sent again to {repeat.engine}, outside the deduplication scope of "
+                f"{first.engine}"
             )
         delay = repeat.arrived_at - first.arrived_at
         if delay > self.window:
             self.verdict.add_violation(
-                f"{self.request}: ticketed, sent again {delay / TENTHS_PER_MS:.0f} ms after the first"
+                f"{self.request}: sent again {delay / TENTHS_PER_MS:.0f} ms after the first attempt, "
+                f"outside the deduplication window"
             )
 
     def _in_scope(self, first: str, repeat: str) -> bool:
@@ -101,10 +104,10 @@
 def _judge_overlap(
     verdict: RuleVerdict, history: History, request: str, attempt: ClientAttemptRecord
 ) -> None:
-    """A front sends a request to one engine at a time."""
+    """Check that a front had the request at one engine at a time."""
     by_arrival = sorted(attempt.engine_attempts, key=lambda engine_attempt: engine_attempt.arrived_at)
     for earlier, later in pairwise(by_arrival):
         if earlier.ended_at is None or earlier.end_status == KILLED:
             continue
         if later.arrived_at < earlier.ended_at - history.tolerance.observation_delay:
-            verdict.add_violation(f"{request}: out at {earlier.engine} and {later.engine} at once")
+            verdict.add_violation(f"{request}: at {earlier.engine} and {later.engine} at the same time")
--- a/runspool/lab/audit/tolerance.py
+++ b/runspool/lab/audit/tolerance.py
@@ -1,4 +1,4 @@
-"""How much delay of the recording itself the auditor allows for, in tenths of a millisecond."""
+"""The inaccuracies of a recording that the auditor tolerates."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditTolerance:
-    """What a recording's own delays excuse.
+    """The delays that can be caused by the recording processes, so that the fronts are not blamed for them.
 
     Attributes:
-        late_answer: an answer this much after its time limit is late only because its client was slow, in
+        late_answer: how long after its time limit an answer may be recorded, because the client may have
+            been slow to read it; in tenths of a millisecond.
+        observation_delay: the longest time between an action of a front and its record at the client or
+            engine; in tenths of a millisecond.
+        disconnect_detection: the longest time until a front can detect that its client has disconnected; in
             tenths of a millisecond.
-        observation_delay: time between an action of a front and its record at the other end, in tenths of a
-            millisecond.
-        disconnect_detection: time until a front can have seen that its client disconnected, in tenths of a
-            millisecond.
-        release_periods: how many release timeouts in a row a state may be held, where an attempt at an
-            engine that was down left no trace.
+        release_periods: the number of consecutive release timeouts for which a state may be held if an engine
+            was down, because attempts at that engine are not recorded.
     """
 
     late_answer: int = 500
@@ -27,7 +27,7 @@
 
 
 SOCKET_TOLERANCE = AuditTolerance()
-# For histories on one simulated clock, in which every attempt is recorded.
+# For simulated histories, which have a single clock and record every attempt without delay.
 EXACT_TOLERANCE = AuditTolerance(
     late_answer=0, observation_delay=0, disconnect_detection=0, release_periods=1
 )
--- a/runspool/lab/audit/verdict.py
+++ b/runspool/lab/audit/verdict.py
@@ -1,10 +1,10 @@
-"""The auditor's finding about one rule."""
+"""The auditor's result for one rule."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-MAX_EXAMPLES = 20
+MAX_EXAMPLES = 20  # violations of one rule in one recording that are described rather than only counted
 
 
 @dataclass(slots=True)
@@ -12,8 +12,8 @@
     """The result of one rule on one recording.
 
     Attributes:
-        cases: how many cases the rule was judged on; 0 means that the recording never put it at stake.
-        broken: how many violations were found.
+        cases: the number of cases to which the rule applied; 0 means that the recording never exercised it.
+        broken: the number of violations.
         examples: descriptions of the first violations, at most MAX_EXAMPLES.
     """
 
@@ -22,7 +22,7 @@
     examples: list[str] = field(default_factory=list)
 
     def add_violation(self, description: str) -> None:
-        """Count a violation and keep its description while there is room."""
+        """Count a violation, and keep its description if fewer than MAX_EXAMPLES are kept."""
         self.broken += 1
         if len(self.examples) < MAX_EXAMPLES:
             self.examples.append(description)
--- a/tests/fleet/__init__.py
+++ b/tests/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Fleets of nodes whose agents are one process, as outages of the endpoint list meet them."""
+"""Trials of a fleet of nodes during outages of the endpoint list; all discovery agents run in one process."""
--- a/tests/fleet/agents.py
+++ b/tests/fleet/agents.py
@@ -1,7 +1,7 @@
-"""The agents of all nodes of a fleet, as one process: `python -m tests.fleet.agents PLAN`.
+"""Runs the discovery agents of all nodes of a fleet in one process: `python -m tests.fleet.agents PLAN`.
 
-Prints the agents' ports as a line of JSON, reads the time at which the trial starts, and prints an
-AgentsReport at the end.
+PLAN is a Plan as JSON. The process prints the ports on which it listens as a line of JSON, reads the start
+time of the trial from its standard input, and prints an AgentsReport as a line of JSON at the end.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from tests.node_platform.http_messages import http_response, read_request
 
 LISTEN_BACKLOG = 4_096
-ENGINE_PORT = 9  # of the engines on the list, which no node of a trial calls
-TARGET_PREFIX = "after="
+ENGINE_PORT = 9  # the port in all endpoint list entries; no node connects to it
+AFTER_PARAMETER = "after="  # precedes, in a request target, the version after which a watch asks for changes
 
 
 @dataclass(eq=False)
@@ -39,35 +39,52 @@
 
     @property
     def is_gone(self) -> bool:
-        """Whether the node has closed it, as far as this process has seen."""
+        """Whether this process has seen the node close the connection."""
         return self.reader.at_eof() or self.writer.transport.is_closing()
 
 
 @dataclass
 class Agents:
-    """The list, and the agents that serve it."""
+    """The endpoint list and the agents that serve it. Times are in seconds of the machine's monotonic clock.
+
+    Attributes:
+        plan: the trial that is played.
+        changes: the changes of the list, in order, from the start of the trial.
+        outages_begun: the number of outages that have begun.
+        outage_began_at: when the latest outage began.
+        calls: all calls that the agents have read.
+        outages: begin and end of each outage that is over.
+        connections: the open connections of each node.
+        connection_count: the number of connections accepted so far.
+        most_connections: the largest number of simultaneous connections of each node.
+        remaining_lost_watches: how many more watches of each node are never answered.
+        tasks: the tasks that serve listeners and connections.
+        reachable: set while there is no outage.
+        held_calls: calls that wait for the end of an outage.
+        list_changed: set at each change of the list, and then replaced by a new event.
+    """
 
     plan: Plan
-    changes: list[Change] = field(default_factory=list)  # by the plan, in order
+    changes: list[Change] = field(default_factory=list)
     outages_begun: int = 0
     outage_began_at: float = 0.0
     calls: list[Call] = field(default_factory=list)
     outages: list[tuple[float, float]] = field(default_factory=list)
-    connections: dict[int, set[Connection]] = field(default_factory=dict)  # by node
+    connections: dict[int, set[Connection]] = field(default_factory=dict)
     connection_count: int = 0
     most_connections: dict[int, int] = field(default_factory=dict)
-    lost: dict[int, int] = field(default_factory=dict)  # watches still to be lost, by node
+    remaining_lost_watches: dict[int, int] = field(default_factory=dict)
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
-    light: asyncio.Event = field(default_factory=asyncio.Event)
-    held: list[asyncio.Future[None]] = field(default_factory=list)  # calls that wait for an outage's end
-    changed: asyncio.Event = field(default_factory=asyncio.Event)  # replaced with each change
+    reachable: asyncio.Event = field(default_factory=asyncio.Event)
+    held_calls: list[asyncio.Future[None]] = field(default_factory=list)
+    list_changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def run(self, start_at: float) -> None:
-        """Plays the plan from `start_at` on, by the machine's monotonic clock."""
+        """Play the plan from `start_at` on, which is a time of the machine's monotonic clock in seconds."""
         for index, at in enumerate(sorted(self.plan.changes)):
             known_at = max([at, *(end for begin, end in self.plan.outages if begin <= at < end)])
             self.changes.append(Change(FIRST_VERSION + 1 + index, f"engine-{index}", start_at + known_at))
-        steps = [(at, self._tell) for at in self.plan.changes]
+        steps = [(at, self._notify_watches) for at in self.plan.changes]
         for begin, end in self.plan.outages:
             steps += [(begin, self._begin_outage), (end, self._end_outage)]
         steps.append((self.plan.duration, lambda: None))
@@ -76,8 +93,8 @@
             step()
 
     async def listen(self) -> Listening:
-        """Opens a listener for each node's agent, and one for all engines."""
-        self.light.set()
+        """Open a listener for each node's agent and one that stands for all engines; return their ports."""
+        self.reachable.set()
         ports = []
         for node in range(self.plan.nodes):
             listener = socket.create_server((HOST, 0), backlog=LISTEN_BACKLOG)
@@ -100,28 +117,31 @@
 
     @property
     def version(self) -> int:
-        """Of the list as the agents have it; it does not wait for this process's turn."""
+        """The present version of the list.
+
+        It is computed from the clock, so that a change counts on time even if this process is busy then.
+        """
         now = time.monotonic()
         return FIRST_VERSION + sum(change.known_at <= now for change in self.changes)
 
-    def _tell(self) -> None:
-        changed, self.changed = self.changed, asyncio.Event()
-        changed.set()
+    def _notify_watches(self) -> None:
+        list_changed, self.list_changed = self.list_changed, asyncio.Event()
+        list_changed.set()
 
     def _begin_outage(self) -> None:
         self.outages_begun += 1
         self.outage_began_at = time.monotonic()
-        self.light.clear()
+        self.reachable.clear()
 
     def _end_outage(self) -> None:
         self.outages.append((self.outage_began_at, time.monotonic()))
-        self.lost = dict.fromkeys(range(self.plan.nodes), self.plan.lost_watches)
-        self.light.set()
-        held, self.held = self.held, []
-        for waiting in reversed(held) if self.plan.backlog is Backlog.LAST_FIRST else held:
-            if not waiting.done():
-                waiting.set_result(None)
-        self._tell()
+        self.remaining_lost_watches = dict.fromkeys(range(self.plan.nodes), self.plan.lost_watches)
+        self.reachable.set()
+        held_calls, self.held_calls = self.held_calls, []
+        for held_call in reversed(held_calls) if self.plan.backlog is Backlog.LAST_FIRST else held_calls:
+            if not held_call.done():
+                held_call.set_result(None)
+        self._notify_watches()
         if self.plan.backlog is Backlog.RESET:
             for connection in set().union(*self.connections.values()):
                 connection.writer.transport.abort()
@@ -140,13 +160,15 @@
 
     async def _wait_to_read(self) -> None:
         if self.plan.backlog is Backlog.UNREAD:
-            await self.light.wait()
+            await self.reachable.wait()
 
     async def _serve(self, connection: Connection) -> None:
         connections = self.connections.setdefault(connection.node, set())
         connections.add(connection)
-        present = sum(not other.is_gone for other in connections)
-        self.most_connections[connection.node] = max(present, self.most_connections.get(connection.node, 0))
+        open_count = sum(not other.is_gone for other in connections)
+        self.most_connections[connection.node] = max(
+            open_count, self.most_connections.get(connection.node, 0)
+        )
         try:
             with suppress(OSError, asyncio.IncompleteReadError):
                 while True:
@@ -161,20 +183,24 @@
         after = _parse_after(request.target)
         call = Call(connection.node, connection.number, time.monotonic(), after is not None)
         self.calls.append(call)
-        outages_before = self.outages_begun - (not self.light.is_set())
-        if after is not None and self.lost.get(connection.node, 0):
-            self.lost[connection.node] -= 1
+        outages_before = self.outages_begun - (not self.reachable.is_set())
+        if after is not None and self.remaining_lost_watches.get(connection.node, 0):
+            self.remaining_lost_watches[connection.node] -= 1
             await asyncio.Event().wait()
-        await self._wait_for_light()
-        await self._wait_for_newer(after, request.target)
-        if self.outages_begun != outages_before and not await self._is_owed(connection):
+        await self._wait_until_reachable()
+        await self._wait_for_change(after, request.target)
+        if self.outages_begun != outages_before and not await self._answers_after_outage(connection):
             return
-        time.sleep(self.plan.call_cost)  # noqa: ASYNC251 - the process works at one call at a time
-        connection.writer.write(http_response(200, self._listed(after)))
+        # A blocking sleep, because an agent process works on one call at a time.
+        time.sleep(self.plan.call_cost)  # noqa: ASYNC251
+        connection.writer.write(http_response(200, self._encode_list(after)))
         call.answered_at = None if connection.is_gone else time.monotonic()
 
-    async def _is_owed(self, connection: Connection) -> bool:
-        """Whether a call that has met an outage is answered; never returns for a connection gone deaf."""
+    async def _answers_after_outage(self, connection: Connection) -> bool:
+        """Return whether a call that was open in an outage gets an answer after it.
+
+        With Backlog.DEAF the method never returns, so that nothing more is read from the connection.
+        """
         match self.plan.backlog:
             case Backlog.ALL | Backlog.LAST_FIRST | Backlog.UNREAD:
                 return True
@@ -186,8 +212,8 @@
                 await asyncio.Event().wait()
                 return False
 
-    async def _wait_for_newer(self, after: int | None, target: str) -> None:
-        """Holds a watch until there is something newer or its wait is over, and in an outage."""
+    async def _wait_for_change(self, after: int | None, target: str) -> None:
+        """Hold a watch until the list is newer than `after` or its wait is over, and until an outage ends."""
         if after is None:
             return
         deadline = time.monotonic() + int(target.partition("wait_ms=")[2]) / 1_000
@@ -196,16 +222,17 @@
             if left <= 0:
                 break
             with suppress(TimeoutError):
-                await asyncio.wait_for(self.changed.wait(), left)
-        await self._wait_for_light()
+                await asyncio.wait_for(self.list_changed.wait(), left)
+        await self._wait_until_reachable()
 
-    async def _wait_for_light(self) -> None:
-        if not self.light.is_set():
-            waiting = asyncio.get_running_loop().create_future()
-            self.held.append(waiting)
-            await waiting
+    async def _wait_until_reachable(self) -> None:
+        if not self.reachable.is_set():
+            held_call = asyncio.get_running_loop().create_future()
+            self.held_calls.append(held_call)
+            await held_call
 
-    def _listed(self, after: int | None) -> bytes:
+    def _encode_list(self, after: int | None) -> bytes:
+        """Return the response body: the whole list, or the changes after version `after` if it is given."""
         version = self.version
         draining = {change.engine: change.version for change in self.changes if change.version <= version}
         names = [f"engine-{index}" for index in range(ENGINES)]
@@ -233,13 +260,14 @@
 
 
 def _parse_after(target: str) -> int | None:
-    if TARGET_PREFIX not in target:
+    """Return the version after which a watch asks for changes; None for a call for the whole list."""
+    if AFTER_PARAMETER not in target:
         return None
-    return int(target.partition(TARGET_PREFIX)[2].partition("&")[0])
+    return int(target.partition(AFTER_PARAMETER)[2].partition("&")[0])
 
 
 async def run(plan: Plan) -> AgentsReport:
-    """Plays a trial."""
+    """Listen, print the ports, play the trial from the time read from standard input, and return a report."""
     agents = Agents(plan)
     print(msgspec.json.encode(await agents.listen()).decode(), flush=True)
     start_at = float(await asyncio.to_thread(sys.stdin.readline))
@@ -250,10 +278,10 @@
 
 
 async def main() -> None:
-    """Plays the trial of the command line."""
+    """Play the plan that is given on the command line."""
     report = await run(msgspec.json.decode(sys.argv[1], type=Plan))
     print(msgspec.json.encode(report).decode(), flush=True)
-    os._exit(0)  # thousands of connections may be open
+    os._exit(0)  # a regular exit would first close what may be thousands of connections
 
 
 if __name__ == "__main__":
--- a/tests/fleet/draw.py
+++ b/tests/fleet/draw.py
@@ -1,4 +1,4 @@
-"""Draws the plan of a trial from a seed: outages in series, changes after each return, what agents owe."""
+"""Draws the plan of a trial from a seed: successive outages, list changes after each, the agents' backlog."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 from tests.fleet.plan import Backlog, Plan
 
-FIRST_OUTAGE_AT = 1.0  # seconds
-LONGEST_LIGHT = 4.0  # seconds between two outages of a series
-LATEST_CHANGE = 3.0  # seconds after a return
-CHANGES_AFTER_RETURN = 2
-WATCHED_AFTER = 3.0  # seconds after the last return and what may follow it
+FIRST_OUTAGE_AT = 1.0  # seconds from the start of the trial to the first outage
+MAX_OUTAGE_GAP = 4.0  # seconds between the end of an outage and the beginning of the next
+LATEST_CHANGE = 3.0  # seconds from the end of an outage to the latest change that is drawn for it
+CHANGES_AFTER_OUTAGE = 2  # changes of the endpoint list after each outage
+OBSERVATION_TIME = 3.0  # seconds from the last outage and the last change to the end of the trial
 
 
 def draw_plan(seed: int, nodes: int = 0) -> Plan:
-    """Returns the plan of a seed; with `nodes` for so many, else for 100 to 230."""
+    """Return the plan of a seed, with `nodes` nodes or, if that is 0, with 100 to 230."""
     random = Random(f"{seed}.fleet")
     drawn_nodes = random.randint(100, 230)
     at = FIRST_OUTAGE_AT
@@ -23,8 +23,8 @@
     for _ in range(random.choice([1, 1, 2, 3])):
         end = at + random.uniform(3.0, 10.0) / (len(outages) + 1)
         outages.append((round(at, 3), round(end, 3)))
-        changes += [round(end + random.uniform(0.0, LATEST_CHANGE), 3) for _ in range(CHANGES_AFTER_RETURN)]
-        at = end + random.choice([0.5, random.uniform(0.5, LONGEST_LIGHT)])
+        changes += [round(end + random.uniform(0.0, LATEST_CHANGE), 3) for _ in range(CHANGES_AFTER_OUTAGE)]
+        at = end + random.choice([0.5, random.uniform(0.5, MAX_OUTAGE_GAP)])
     return Plan(
         nodes=nodes or drawn_nodes,
         backlog=random.choice(list(Backlog)),
@@ -33,6 +33,6 @@
         changes=tuple(sorted(changes)),
         lost_watches=random.choice([0, 0, 1]),
         request_rate=random.choice([0.0, 0.0, 2.0]),
-        duration=round(max(at, *changes) + WATCHED_AFTER, 3),
+        duration=round(max(at, *changes) + OBSERVATION_TIME, 3),
         seed=seed,
     )
--- a/tests/fleet/judge.py
+++ b/tests/fleet/judge.py
@@ -1,4 +1,4 @@
-"""Judges a trial of a fleet: when nodes knew of changes, and what they asked of their agents in outages."""
+"""Checks a trial of a fleet: how soon nodes learned of changes, and how many calls they made in outages."""
 
 from __future__ import annotations
 
@@ -8,24 +8,33 @@
 from tests.fleet.plan import Backlog, Call, Change
 from tests.fleet.trial import Outcome
 
-TOLD_WITHIN = 0.25  # seconds after the agent has a change, where it answers what it was asked in an outage
-# Seconds after its return where it answers nothing of that, or the latest first.
-RETURN_NOTICED_WITHIN = 1.0
+# Longest time in seconds from the moment at which the agent has a change to the moment at which the node
+# knows it. It applies where the agent answers, in order, the calls that it received in an outage.
+MAX_DELIVERY_DELAY = 0.25
+# Seconds that the node may need in addition to notice the end of an outage. They are granted where the agent
+# answers none of the calls that it received in the outage, or answers the latest first.
+MAX_RECOVERY_DETECTION = 1.0
 BACKLOGS_LOST = (Backlog.NONE, Backlog.DEAF, Backlog.RESET, Backlog.LAST_FIRST)
-# Calls of one node that an agent may have to work off after an outage: the watch, one for each second, and
-# one more at either end.
+# The calls of one node that its agent may have to answer after an outage are at most the watch, one call for
+# each second of the outage, and one more at its beginning and at its end.
 CALLS_AT_ANY_OUTAGE = 3
 CALLS_PER_SECOND_OF_OUTAGE = 1.0
-STEP_LATENESS = 0.1  # seconds by which the agents' process may take a step of the plan late
-LONGEST_WAIT = 1.0  # seconds that a watch waits
-READ_WITHIN = 0.3  # seconds after its return in which an agent reads what it has not read before
-MOST_CALLS_PER_SECOND = 10
-MOST_CONNECTIONS = 8
+STEP_LATENESS = 0.1  # seconds by which the agents' process may execute a step of the plan late
+LONGEST_WAIT = 1.0  # seconds that the agent holds a watch, at most
+READ_WITHIN = 0.3  # seconds after an outage within which an agent reads calls that it had left unread
+MAX_CALLS_PER_SECOND = 10  # calls of one node within any second
+MAX_CONNECTIONS = 8  # simultaneous connections of one node to its agent
 
 
 @dataclass
 class Verdict:
-    """Violations by rule: told late, too many calls owed after an outage, too many calls in a second."""
+    """The violations found in a trial, by rule.
+
+    Attributes:
+        told: nodes that learned of a change too late, or sent to an engine too long after its drain began.
+        debt: nodes that left their agent too many unanswered calls after an outage.
+        calls: nodes that made too many calls in a second or held too many connections.
+    """
 
     told: list[str] = field(default_factory=list)
     debt: list[str] = field(default_factory=list)
@@ -33,13 +42,13 @@
 
     @property
     def broken(self) -> dict[str, int]:
-        """How many violations there are, by rule, of the rules that were broken."""
+        """The number of violations of each rule that was violated."""
         counts = {"told": len(self.told), "debt": len(self.debt), "calls": len(self.calls)}
         return {rule: count for rule, count in counts.items() if count}
 
 
 def judge(outcome: Outcome) -> Verdict:
-    """Returns the violations of a trial."""
+    """Check all rules on a trial and return the violations."""
     verdict = Verdict()
     for change in outcome.agents.changes:
         _judge_change(outcome, change, verdict)
@@ -51,21 +60,28 @@
 
 
 def told_by(outcome: Outcome, change: Change) -> float:
-    """Returns when nodes have to know of a change, but for the machine's own lateness."""
+    """Return the time by which nodes have to know of a change, before delays of the machine are added."""
     times = [change.known_at]
     if outcome.plan.backlog in BACKLOGS_LOST:
         times += [
-            end + RETURN_NOTICED_WITHIN
+            end + MAX_RECOVERY_DETECTION
             for _, end in outcome.agents.outages
             if end - STEP_LATENESS <= change.known_at
         ]
-    return max(times) + TOLD_WITHIN
+    return max(times) + MAX_DELIVERY_DELAY
 
 
 def harness_fault(outcome: Outcome) -> str:
-    """Returns why a trial says nothing: the machine had no time for longer than any lateness allowed."""
+    """Return why a trial is invalid; empty if it is valid.
+
+    It is invalid if the machine delayed an idle process for longer than the delay that the rules allow.
+    """
     longest = max((end - begin for begin, end in outcome.lags), default=0.0)
-    return f"harness fault: an idle process came {longest:.3f} s late" if longest > TOLD_WITHIN else ""
+    return (
+        f"harness fault: an idle process was scheduled {longest:.3f} s late"
+        if longest > MAX_DELIVERY_DELAY
+        else ""
+    )
 
 
 def _judge_sends(outcome: Outcome, verdict: Verdict) -> None:
@@ -76,11 +92,14 @@
             outcome, change.known_at, sent.at
         ):
             late = sent.at - change.known_at
-            verdict.told.append(f"node at {sent.node} sent to {sent.engine} {late:.3f} s after it drained")
+            verdict.told.append(
+                f"the node of the agent at port {sent.node} sent a request to {sent.engine} {late:.3f} s "
+                f"after its drain had begun"
+            )
 
 
 def _lag(outcome: Outcome, since: float, until: float) -> float:
-    """Returns how long the machine had no time for an idle process in a span."""
+    """Return for how many seconds between `since` and `until` the machine delayed an idle process."""
     return sum(end - begin for begin, end in outcome.lags if end > since and begin < until)
 
 
@@ -89,34 +108,37 @@
     for node, late in enumerate(outcome.lateness(change)):
         known_at = change.known_at + late
         if known_at > due + _lag(outcome, change.known_at, known_at):
-            verdict.told.append(f"node {node} knew version {change.version} {late:.3f} s after its agent")
+            verdict.told.append(
+                f"node {node} learned of version {change.version} {late:.3f} s after its agent"
+            )
 
 
 def _judge_debt(outcome: Outcome, begin: float, end: float, verdict: Verdict) -> None:
-    # What an earlier outage met, and the agent has dropped, is not owed after this one.
+    # Calls from before the previous outage do not count: the agent has answered or dropped them after it.
     since = max([begin - LONGEST_WAIT, *(other for _, other in outcome.agents.outages if other < begin)])
-    owed = Counter(
+    unanswered = Counter(
         call.node
         for call in outcome.agents.calls
         if since < call.read_at < end and (call.answered_at is None or call.answered_at > begin)
     )
     if outcome.plan.backlog is Backlog.UNREAD:
-        # Once a node has been answered it makes watches only; the calls before are for the whole list.
-        owed += Counter(
+        # The calls of the outage are read after it. They ask for the whole list, whereas a node that has been
+        # answered makes watches only.
+        unanswered += Counter(
             call.node
             for call in outcome.agents.calls
             if end <= call.read_at < end + READ_WITHIN and not call.is_watch
         )
     most = CALLS_AT_ANY_OUTAGE + CALLS_PER_SECOND_OF_OUTAGE * (end - begin)
     verdict.debt += [
-        f"node {node}: {count} calls owed after {end - begin:.1f} s"
-        for node, count in owed.items()
+        f"node {node}: {count} unanswered calls after an outage of {end - begin:.1f} s"
+        for node, count in unanswered.items()
         if count > most
     ]
 
 
 def _is_read_late(outcome: Outcome, call: Call) -> bool:
-    """Returns whether a call was read as the agent went on to read: made it was before."""
+    """Return whether a call was made in an outage and only read after it, by an agent that reads late."""
     return outcome.plan.backlog is Backlog.UNREAD and any(
         end <= call.read_at < end + READ_WITHIN for _, end in outcome.agents.outages
     )
@@ -130,10 +152,10 @@
     for node, times in by_node.items():
         times.sort()
         most = max(sum(at <= other < at + 1.0 for other in times) for at in times)
-        if most > MOST_CALLS_PER_SECOND:
+        if most > MAX_CALLS_PER_SECOND:
             verdict.calls.append(f"node {node}: {most} calls read in a second")
     verdict.calls += [
-        f"node {node}: {most} connections"
+        f"node {node}: {most} simultaneous connections"
         for node, most in outcome.agents.most_connections.items()
-        if most > MOST_CONNECTIONS
+        if most > MAX_CONNECTIONS
     ]
--- a/tests/fleet/light_nodes.py
+++ b/tests/fleet/light_nodes.py
@@ -1,8 +1,9 @@
-"""Nodes of which only the following of the list runs, many in one process.
+"""Runs many light nodes in one process; a light node consists of the node's discovery client alone.
 
-`python -m tests.fleet.light_nodes PORTS SEED ENGINES RATE SABOTAGE` runs the product's own client for each
-agent's port, and sends so many requests a second to engines that are not known to drain. Ends with the end of
-its standard input, and prints a NodesReport then.
+`python -m tests.fleet.light_nodes PORTS SEED ENGINES RATE SABOTAGE` runs a discovery client for each agent's
+port in the JSON list PORTS. Each light node also sends RATE requests per second to port ENGINES, for engines
+that it knows as active. SABOTAGE names a rule that the nodes violate, or is empty. The process ends when its
+standard input is closed, and then prints a NodesReport as a line of JSON.
 """
 
 from __future__ import annotations
@@ -35,7 +36,16 @@
 async def send_requests(
     port: int, tracker: EndpointTracker, engines: int, rate: float, random: Random, sent: list[Sent]
 ) -> None:
-    """Sends requests to engines, as the node at an agent's port knows them."""
+    """Send requests to random engines that a node knows as active, until cancelled.
+
+    Args:
+        port: The port of the node's agent, which identifies the node.
+        tracker: The node's endpoint list.
+        engines: The port that stands for all engines.
+        rate: The mean number of requests per second.
+        random: The source of random numbers.
+        sent: Receives a record of each request.
+    """
     while True:
         await anyio.sleep(random.expovariate(rate))
         active = [entry.engine for entry in tracker.listed_entries() if entry.state == "on"]
@@ -50,7 +60,7 @@
 
 
 async def run(ports: list[int], seed: int, engines: int, rate: float) -> NodesReport:
-    """Runs a light node for each agent's port until the standard input ends."""
+    """Run a light node for each agent's port until the standard input ends, and return what they recorded."""
     told: list[Told] = []
     sent: list[Sent] = []
 
--- a/tests/fleet/plan.py
+++ b/tests/fleet/plan.py
@@ -1,4 +1,4 @@
-"""What one trial of a fleet plays; times are in seconds from its start."""
+"""The plan of a trial of a fleet, and the messages by which its processes report what they observed."""
 
 from __future__ import annotations
 
@@ -7,36 +7,38 @@
 
 import msgspec
 
-ENGINES = 24  # on the list
-FIRST_VERSION = 40
+ENGINES = 24  # number of engines on the endpoint list
+FIRST_VERSION = 40  # version of the endpoint list at the start of a trial
 
 
 class Backlog(Enum):
-    """What an agent owes after an outage of what it was asked in it."""
+    """How an agent treats, after an outage, the calls that it received in the outage."""
 
-    ALL = "all"  # everything, also on connections that have gone
-    LAST_FIRST = "last_first"  # the same, the latest first
-    PRESENT = "present"  # what is asked on connections that are still there
-    NONE = "none"  # nothing: it has dropped what it was asked
-    DEAF = "deaf"  # nothing, and it never reads those connections again
-    UNREAD = "unread"  # everything: it has neither accepted nor read in the outage
-    RESET = "reset"  # nothing: it resets all connections at its return
+    ALL = "all"  # it answers all of them, also those whose connection the node has closed
+    LAST_FIRST = "last_first"  # it answers all of them, the latest first
+    PRESENT = "present"  # it answers those whose connection is still open
+    NONE = "none"  # it answers none of them, but the calls that follow
+    DEAF = "deaf"  # it answers none of them and never reads from their connections again
+    UNREAD = "unread"  # it answers all of them; in the outage it neither accepts connections nor reads
+    RESET = "reset"  # it answers none of them and resets all connections at the end of the outage
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Plan:
-    """One trial.
+    """The plan of one trial; times are in seconds from its start.
 
     Attributes:
-        nodes: how many nodes there are, each with an agent of its own.
-        backlog: what the agents owe after an outage.
-        call_cost: for which the agents' process is busy with each call, beside the some 0.3 ms that it needs.
-        outages: their beginnings and ends.
-        changes: when the list changes: an engine begins to drain.
-        lost_watches: of each node, watches after each return that are never answered.
-        request_rate: requests a second that each node sends to an engine in the agents' process.
-        duration: of the whole.
-        seed: of the nodes' own draws.
+        nodes: the number of nodes, each of which has its own agent.
+        backlog: how the agents treat the calls that they received in an outage.
+        call_cost: the seconds for which the agents' process blocks at each call, in addition to the about
+            0.3 ms that it needs.
+        outages: begin and end of each outage of the agents.
+        changes: the times at which the list changes, each because another engine begins to drain.
+        lost_watches: how many watches of each node are never answered after each outage.
+        request_rate: the requests per second that each node sends to engines, which are simulated in the
+            agents' process.
+        duration: the length of the trial.
+        seed: the seed of the nodes' random numbers.
     """
 
     nodes: int
@@ -51,9 +53,10 @@
 
 
 class Call(msgspec.Struct):
-    """A call that an agent has read; times by the machine's monotonic clock.
+    """A call that an agent has read; times are in seconds of the machine's monotonic clock.
 
-    `answered_at` is when its answer was written, None for never, also where its connection had gone.
+    `answered_at` is when its answer was written. It is None if no answer was written, and also if the node
+    had closed the connection by then.
     """
 
     node: int
@@ -64,7 +67,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A change of the list; `known_at` is when the agents had it."""
+    """A change of the list; `known_at` is the monotonic time in seconds at which the agents have it."""
 
     version: int
     engine: str
@@ -72,24 +75,35 @@
 
 
 class AgentsReport(msgspec.Struct, frozen=True):
-    """What the agents' process has seen."""
+    """What the agents' process has observed.
+
+    Attributes:
+        calls: all calls that the agents have read.
+        changes: the changes of the list.
+        outages: begin and end of each outage, in seconds of the machine's monotonic clock.
+        most_connections: the largest number of simultaneous connections of each node.
+        processor_seconds: the processor time that the process has used.
+    """
 
     calls: list[Call]
     changes: list[Change]
-    outages: list[tuple[float, float]]  # by the machine's monotonic clock
-    most_connections: dict[int, int]  # by node
+    outages: list[tuple[float, float]]
+    most_connections: dict[int, int]
     processor_seconds: float
 
 
 class Listening(msgspec.Struct, frozen=True):
-    """The ports of the agents in the order of their nodes, and that of all engines."""
+    """The ports of the agents, in the order of their nodes, and the port that stands for all engines."""
 
     ports: list[int]
     engines: int
 
 
 class Told(msgspec.Struct, frozen=True):
-    """A node knows of an engine's state from `at` on."""
+    """A record that a node learned an engine's state at the monotonic time `at`, in seconds.
+
+    `node` is the port of the node's agent.
+    """
 
     node: int
     engine: str
@@ -98,7 +112,10 @@
 
 
 class Sent(msgspec.Struct, frozen=True):
-    """A node has begun a request to an engine."""
+    """A record that a node began a request to an engine at the monotonic time `at`, in seconds.
+
+    `node` is the port of the node's agent.
+    """
 
     node: int
     engine: str
@@ -106,7 +123,13 @@
 
 
 class NodesReport(msgspec.Struct, frozen=True):
-    """What a process of light nodes reports."""
+    """What the nodes of a trial, or of one of its processes, have observed.
+
+    Attributes:
+        told: the changes of engine states that the nodes learned of.
+        sent: the requests that the nodes sent to engines.
+        processor_seconds: the processor time that the nodes have used.
+    """
 
     told: list[Told]
     sent: list[Sent]
--- a/tests/fleet/real_nodes.py
+++ b/tests/fleet/real_nodes.py
@@ -1,4 +1,4 @@
-"""Whole node processes in a trial of a fleet, and what their logs say of changes of the list."""
+"""Runs complete node processes in a trial of a fleet; their logs show when they learned of list changes."""
 
 from __future__ import annotations
 
@@ -16,24 +16,28 @@
 from tests.node_platform.settings import SETTINGS
 from tests.process_environment import PROCESS_ENVIRONMENT
 
-STARTED_AT_ONCE = 20
-START_INTERVAL = 0.5  # seconds between two such groups
-MOST_DESCRIPTORS = 256
+START_GROUP_SIZE = 20  # nodes that are started without a pause between them
+START_INTERVAL = 0.5  # seconds between the starts of two groups of nodes
+MAX_DESCRIPTORS = 256  # limit of file descriptors in each node's configuration
 
 
 class RealNodes:
-    """One node process for each agent."""
+    """Node processes, one for each agent.
+
+    Attributes:
+        processes: for each node, the port of its agent, the process and the log file.
+    """
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.folder = folder
         self.seed = seed
-        self.processes: list[tuple[int, asyncio.subprocess.Process, Path]] = []  # by their agents' ports
+        self.processes: list[tuple[int, asyncio.subprocess.Process, Path]] = []
 
     async def start(self, agent_ports: list[int]) -> None:
-        """Starts a node for each agent; returns when the last has been started."""
+        """Start a node for each agent, without waiting until the nodes are ready."""
         for index, port in enumerate(agent_ports):
             await self._start_node(index, port)
-            if index % STARTED_AT_ONCE == STARTED_AT_ONCE - 1:
+            if index % START_GROUP_SIZE == START_GROUP_SIZE - 1:
                 await asyncio.sleep(START_INTERVAL)
 
     async def _start_node(self, index: int, agent_port: int) -> None:
@@ -45,7 +49,7 @@
                     "listen": f"{HOST}:{free_port()}",
                     "discovery": f"{HOST}:{agent_port}",
                     "seed": f"{self.seed * 1_000 + index:x}",
-                    "limits": {"sockets": MOST_DESCRIPTORS},
+                    "limits": {"sockets": MAX_DESCRIPTORS},
                     "settings": SETTINGS,
                 }
             )
@@ -61,7 +65,7 @@
         self.processes.append((agent_port, process, log))
 
     async def stop(self) -> NodesReport:
-        """Ends all nodes; returns what they knew, and when by the machine's monotonic clock."""
+        """Kill all nodes and return what they learned, with times of the machine's monotonic clock."""
         before = resource.getrusage(resource.RUSAGE_CHILDREN)
         unix_at_zero = time.time() - time.monotonic()
         for _, process, _ in self.processes:
@@ -74,6 +78,7 @@
 
 
 def _read_log(port: int, log: Path, unix_at_zero: float) -> list[Told]:
+    """Return the engine states in a node's log; `unix_at_zero` is the Unix time at monotonic time 0."""
     told = []
     for line in log.read_bytes().splitlines():
         if b'"event":"endpoint_list_changed"' in line:
--- a/tests/fleet/run.py
+++ b/tests/fleet/run.py
@@ -1,4 +1,4 @@
-"""Plays a trial of a fleet by hand and prints what was seen: `python -m tests.fleet.run --nodes 178`."""
+"""Plays one trial of a fleet and prints the observations: `python -m tests.fleet.run --nodes 178`."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from tests.fleet.plan import Backlog, Plan
 from tests.fleet.trial import Outcome, play
 
-LIGHT_BEFORE = 1.0  # seconds before the outage
-WATCHED_AFTER = 4.0  # seconds after the return
+OUTAGE_AT = 1.0  # seconds from the start of the trial to the outage
+OBSERVATION_TIME = 4.0  # seconds from the end of the outage to the end of the trial
 
 
 def main() -> None:
-    """Reads the command line."""
+    """Play the trial that the command line describes."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--nodes", type=int, default=178)
     parser.add_argument("--outage", type=float, default=6.0)
@@ -24,25 +24,25 @@
     parser.add_argument("--change", type=float, action="append")
     parser.add_argument("--lost", type=int, default=0)
     parser.add_argument("--rate", type=float, default=0.0)
-    parser.add_argument("--real", action="store_true", help="whole node processes in place of light nodes")
+    parser.add_argument("--real", action="store_true", help="run complete node processes, not light nodes")
     parser.add_argument("--sabotage", default="")
     options = parser.parse_args()
-    end = LIGHT_BEFORE + options.outage
+    end = OUTAGE_AT + options.outage
     plan = Plan(
         nodes=options.nodes,
         backlog=Backlog(options.backlog),
         call_cost=options.cost,
-        outages=((LIGHT_BEFORE, end),),
+        outages=((OUTAGE_AT, end),),
         changes=tuple(end + after for after in options.change or [0.1, 1.6]),
         lost_watches=options.lost,
         request_rate=options.rate,
-        duration=end + WATCHED_AFTER,
+        duration=end + OBSERVATION_TIME,
     )
     print_outcome(asyncio.run(play(plan, options.sabotage, options.real)))
 
 
 def print_outcome(outcome: Outcome) -> None:
-    """Prints how late nodes were told, what agents were asked, and the verdict."""
+    """Print how late nodes learned of changes, how many calls they made, and the verdict."""
     for change in outcome.agents.changes:
         late = sorted(outcome.lateness(change))
         print(f"version {change.version}: median {median(late):.3f} s, last {late[-1]:.3f} s")
@@ -52,8 +52,8 @@
         print(f"outage of {end - begin:.1f} s: {during} calls read in it, {after} in the 2 s after it")
     print(
         f"processor seconds: agents {outcome.agents.processor_seconds:.1f}, "
-        f"nodes {outcome.nodes_processor_seconds:.1f}; idle process late {len(outcome.lags)} times, "
-        f"{sum(end - begin for begin, end in outcome.lags):.2f} s"
+        f"nodes {outcome.nodes_processor_seconds:.1f}; an idle process was scheduled late "
+        f"{len(outcome.lags)} times, by {sum(end - begin for begin, end in outcome.lags):.2f} s in total"
     )
     verdict = judge(outcome)
     print(f"broken: {verdict.broken}")
--- a/tests/fleet/sabotage.py
+++ b/tests/fleet/sabotage.py
@@ -1,4 +1,4 @@
-"""Nodes that break one rule of the list's following, which the judge of a fleet has to notice."""
+"""Modifications of a node that make it violate one rule, to test that the check of a trial detects it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def hold_one_watch() -> None:
-    """Hold no backup watch after an interruption."""
+    """Make no backup watches after an interruption."""
     backup_watch.WAITS = ()
 
 
--- a/tests/fleet/sweep.py
+++ b/tests/fleet/sweep.py
@@ -1,4 +1,7 @@
-"""Plays a fleet's trial for each of many seeds, one line a seed: `python -m tests.fleet.sweep --count 10`."""
+"""Plays a trial of a fleet for each of several seeds: `python -m tests.fleet.sweep --count 10`.
+
+One line is printed for each seed.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 def play_seed(seed: int, nodes: int, is_real: bool) -> tuple[bool, str]:
-    """Plays one seed; returns whether it is clean, and its line."""
+    """Play one seed; return whether its trial was valid and without violations, and the line to print."""
     plan = draw_plan(seed, nodes)
     outcome = asyncio.run(play(plan, is_real=is_real))
     verdict = judge(outcome)
@@ -22,20 +25,20 @@
     result = fault or (f"broken {verdict.broken}" if verdict.broken else "clean")
     examples = "".join(f"\n  {line}" for line in (*verdict.told[:3], *verdict.debt[:2], *verdict.calls[:2]))
     return result == "clean", (
-        f"seed {seed}: {result}; {plan.nodes} nodes, owes {plan.backlog.value}, outages {plan.outages}, "
-        f"cost {plan.call_cost}, {plan.lost_watches} lost, {plan.request_rate} requests/s; "
-        f"{len(outcome.agents.changes)} changes known after {median(late):.3f} s, {late[-1]:.3f} the last"
-        f"{examples}"
+        f"seed {seed}: {result}; {plan.nodes} nodes, backlog {plan.backlog.value}, outages {plan.outages}, "
+        f"call cost {plan.call_cost} s, {plan.lost_watches} lost watches, {plan.request_rate} requests/s; "
+        f"{len(outcome.agents.changes)} changes known after a median of {median(late):.3f} s, "
+        f"at most {late[-1]:.3f} s{examples}"
     )
 
 
 def main() -> int:
-    """Plays the seeds that the command line names; returns 0 where all are clean."""
+    """Play the seeds of the command line; return 0 if all trials were valid and without violations."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--count", type=int, default=10)
     parser.add_argument("--nodes", type=int, default=0)
-    parser.add_argument("--real", action="store_true", help="whole node processes in place of light nodes")
+    parser.add_argument("--real", action="store_true", help="run complete node processes, not light nodes")
     options = parser.parse_args()
     all_clean = True
     for seed in range(options.first, options.first + options.count):
--- a/tests/fleet/trial.py
+++ b/tests/fleet/trial.py
@@ -1,4 +1,4 @@
-"""Plays a trial of a fleet: the agents' process, processes of light nodes, and a witness of the machine."""
+"""Plays a trial of a fleet: starts the processes of the agents and nodes, and measures scheduling delays."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 from tests.fleet.real_nodes import RealNodes
 from tests.process_environment import PROCESS_ENVIRONMENT
 
-NODES_A_PROCESS = 26
-SETTLING_TIME = 2.5  # seconds from the start of the nodes to that of the plan
-WITNESS_INTERVAL = 0.01  # seconds
-WITNESSED_LAG = 0.03  # seconds by which this idle process may come late before that is noted
-REPORT_LIMIT = 1 << 28  # bytes of a report's line
+NODES_PER_PROCESS = 26  # light nodes in one process
+SETTLING_TIME = 2.5  # seconds from the start of the nodes to the start of the plan
+LAG_CHECK_INTERVAL = 0.01  # seconds for which this process sleeps between two measurements of its lag
+RECORDED_LAG = 0.03  # seconds by which this idle process must be scheduled late for the lag to be recorded
+MAX_REPORT_SIZE = 1 << 28  # bytes of a line that a process prints
 
 
 @dataclass
 class Outcome:
-    """What a trial has shown.
+    """The observations of a trial. Times are in seconds of the machine's monotonic clock.
 
     Attributes:
-        plan: what was played.
-        agents: what the agents have seen.
-        told: what the nodes knew, and when; a node is named by its agent's port.
-        sent: requests that they sent to engines.
+        plan: the plan that was played.
+        agents: what the agents have observed.
+        told: the engine states that the nodes learned; a node is identified by its agent's port.
+        sent: the requests that the nodes sent to engines.
         ports: the agents' ports in the order of their nodes.
-        lags: spans in which an idle process of this machine got no time.
-        nodes_processor_seconds: of all nodes.
+        lags: begin and end of the periods in which the machine delayed this process while it was idle.
+        nodes_processor_seconds: the processor time of all nodes.
     """
 
     plan: Plan
@@ -46,7 +46,10 @@
     nodes_processor_seconds: float = 0.0
 
     def lateness(self, change: Change) -> list[float]:
-        """For each node, how long after its agent had a change it knew it; infinite for never."""
+        """Return for each node the seconds from when its agent had a change to when the node knew it.
+
+        The value is infinite for a node that never learned of the change.
+        """
         known = {
             each.node: each.at
             for each in reversed(self.told)
@@ -56,7 +59,7 @@
 
 
 async def play(plan: Plan, sabotage: str = "", is_real: bool = False) -> Outcome:
-    """Plays one trial, with light nodes or, where `is_real`, with whole node processes."""
+    """Play one trial, with complete node processes if `is_real`, otherwise with light nodes."""
     agents = await _start("tests.fleet.agents", msgspec.json.encode(plan).decode())
     listening: Listening = msgspec.json.decode(await _read_line(agents), type=Listening)
     lags: list[tuple[float, float]] = []
@@ -66,10 +69,10 @@
         )
         await nodes.start(listening.ports)
         await asyncio.sleep(SETTLING_TIME)
-        witness = asyncio.ensure_future(_witness(lags))
+        lag_recorder = asyncio.ensure_future(_record_lags(lags))
         _write(agents, f"{time.monotonic()}\n")
         agents_report: AgentsReport = msgspec.json.decode(await _read_line(agents), type=AgentsReport)
-        witness.cancel()
+        lag_recorder.cancel()
         report = await nodes.stop()
     _end_input(agents)
     await agents.wait()
@@ -79,20 +82,20 @@
 
 
 class LightNodes:
-    """Processes with many light nodes each."""
+    """Processes that each run many light nodes."""
 
     def __init__(self, plan: Plan, sabotage: str, engines: int) -> None:
         self.arguments = [str(plan.seed), str(engines), str(plan.request_rate), sabotage]
         self.processes: list[asyncio.subprocess.Process] = []
 
     async def start(self, agent_ports: list[int]) -> None:
-        """Starts a light node for each agent."""
-        for first in range(0, len(agent_ports), NODES_A_PROCESS):
-            group = json.dumps(agent_ports[first : first + NODES_A_PROCESS])
+        """Start a light node for each agent."""
+        for first in range(0, len(agent_ports), NODES_PER_PROCESS):
+            group = json.dumps(agent_ports[first : first + NODES_PER_PROCESS])
             self.processes.append(await _start("tests.fleet.light_nodes", group, *self.arguments))
 
     async def stop(self) -> NodesReport:
-        """Ends all nodes; returns what they reported."""
+        """End all nodes and return what they observed."""
         for process in self.processes:
             _end_input(process)
         reports: list[NodesReport] = [
@@ -116,7 +119,7 @@
         env=PROCESS_ENVIRONMENT,
         stdin=asyncio.subprocess.PIPE,
         stdout=asyncio.subprocess.PIPE,
-        limit=REPORT_LIMIT,
+        limit=MAX_REPORT_SIZE,
     )
 
 
@@ -135,10 +138,11 @@
     process.stdin.close()
 
 
-async def _witness(lags: list[tuple[float, float]]) -> None:
+async def _record_lags(lags: list[tuple[float, float]]) -> None:
+    """Record begin and end of each period in which this process was scheduled late, until cancelled."""
     while True:
-        due = time.monotonic() + WITNESS_INTERVAL
-        await asyncio.sleep(WITNESS_INTERVAL)
+        due = time.monotonic() + LAG_CHECK_INTERVAL
+        await asyncio.sleep(LAG_CHECK_INTERVAL)
         at = time.monotonic()
-        if at - due > WITNESSED_LAG:
+        if at - due > RECORDED_LAG:
             lags.append((due, at))
--- a/tests/soak/agent_judge.py
+++ b/tests/soak/agent_judge.py
@@ -1,7 +1,8 @@
-"""Judges drains by what a node's agent could have answered, and the calls that the agent got.
+"""Checks drains against what a node's agent could have answered, and the calls that the agent received.
 
-By the platform's terms what an agent has counts as told, whether or not it was asked. So the measure is when
-a call made at the right time would have been answered, and not when the node was.
+The platform counts a node as informed of a change once its agent has the change, whether or not the node has
+called the agent. A drain is therefore measured from the time at which a call made at the best moment would
+have been answered, not from the time at which the node's own call was.
 """
 
 from __future__ import annotations
@@ -15,28 +16,48 @@
 
 Event = dict[str, Any]
 
-DRAIN_GRACE = 0.3  # seconds after a node counts as told of a drain, with the platform's slack
-SILENT_WATCH = 3.0  # after a watch fell silent: the longest wait, and 2 s after it
-RETURN_NOTICED = 1.0  # after an outage whose calls were dropped: the node has to ask anew
-AFTER_RELOAD = 4.0  # after a node was told to read another address of its agent
-PACE_MEMORY = 6.0  # before a change and after it, in which the slowest answer is the agent's pace
-NEW_STARTS = ("started", "agent_reset", "agent_moved")
-RESET_LASTS = 0.001  # seconds, for which a reset of all connections counts as a break
-MOST_CALLS_PER_SECOND = 25
-OWED_AT_ANY_OUTAGE = 3  # calls: the watches, and one more; and one for each second of the outage
-OWED_AT_A_START = 3  # more, where the node starts, moves or loses its connections in the outage
-MOST_CONNECTIONS = 8  # six calls, and two connections that are being closed
+# Seconds for which a node may still send to an engine after it counts as informed of the engine's drain,
+# including the platform's tolerance.
+DRAIN_GRACE = 0.3
+# Seconds from the beginning of an outage that drops calls to the time by which a node replaces a watch that
+# the outage has dropped: the longest wait of a watch (1 s), and 2 s after it.
+DROPPED_WATCH_REPLACED = 3.0
+# Seconds that a node may need, after an outage whose calls were dropped, to call the agent again.
+RECOVERY_DETECTION = 1.0
+# Seconds that a node may need to follow its agent at another address after it was told to reload.
+AFTER_RELOAD = 4.0
+# Seconds before and after a change within which the slowest answer determines how fast the agent is.
+PACE_WINDOW = 6.0
+NEW_STARTS = ("started", "agent_reset", "agent_moved")  # events after which a node follows its agent anew
+RESET_DURATION = 0.001  # seconds for which the agent counts as unreachable at a reset of its connections
+MAX_CALLS_PER_SECOND = 25  # calls of one node within any second
+# Calls of one node that may remain unanswered at the end of an outage: the watches and one more call. One
+# call for each second of the outage is added to this number.
+UNANSWERED_AT_ANY_OUTAGE = 3
+# Calls that are added to this number each time the node starts, reloads or loses its connections in the
+# outage.
+UNANSWERED_AT_A_START = 3
+MAX_CONNECTIONS = 8  # connections of one node to its agent: six calls and two that are being closed
 
 
 @dataclass
 class _Agent:
-    """What is known of a node's agent, from outside.
-
-    `outages` are spans in which it answered nothing; `new_starts` are when its node began to follow it anew;
-    `crowded` are spans in which it refused connections. `breaks` are times at which nothing could be
-    answered, as spans; `drops` are the beginnings of those that left a watch silent, `drop_ends` their ends.
-    `answers` are when each answer was written, and how long its pace made it take; `paces` are when the agent
-    was set to another pace, and how long an answer takes at it.
+    """What was observed of a node's agent. Times are in seconds; periods are pairs of begin and end.
+
+    Attributes:
+        breaks: periods in which the agent could not answer, which are outages and resets of its connections.
+        drops: beginnings of the outages whose calls the agent dropped.
+        drop_ends: ends of those outages.
+        reloads: times at which the node was told to reload another address of its agent.
+        ready: times at which a process of the node became ready.
+        answers: for each answer, when it was written and how many seconds the agent's pace made it take.
+        paces: for each change of the agent's pace, its time and the seconds that an answer then takes.
+        calls: times of the calls that the agent received.
+        outages: periods in which the agent answered nothing.
+        new_starts: times at which the node began to follow the agent anew.
+        crowded: periods in which the agent refused connections above a limit.
+        most_connections: the largest number of simultaneous connections.
+        down_since: the beginning of the present outage; None if there is none.
     """
 
     breaks: list[tuple[float, float]] = field(default_factory=list)
@@ -53,8 +74,8 @@
     most_connections: int = 0
     down_since: float | None = None
 
-    def take_in(self, event: Event) -> None:
-        """Add what an event says of the agent."""
+    def add_event(self, event: Event) -> None:
+        """Record what an event shows of the agent."""
         at = event["t"]
         match event["what"]:
             case "agent_down":
@@ -64,7 +85,7 @@
             case "agent_up" if self.down_since is not None:
                 self._outage_ended(self.down_since, at)
             case "agent_reset":
-                self.breaks.append((at, at + RESET_LASTS))
+                self.breaks.append((at, at + RESET_DURATION))
             case "agent_moved":
                 self.reloads.append(at)
             case "ready":
@@ -85,38 +106,48 @@
         self.down_since = None
 
     def pace(self, since: float, until: float) -> float:
-        """The slowest answer around a span, as answers were given and as the agent was set."""
-        spans = [took for at, took in self.answers if since - PACE_MEMORY < at < until + PACE_MEMORY]
-        before = [seconds for at, seconds in self.paces if at <= since - PACE_MEMORY]
-        spans += before[-1:]
-        spans += [seconds for at, seconds in self.paces if since - PACE_MEMORY < at <= until]
-        return max(spans, default=0.0)
-
-    def could_have_told(self, changed: float, sent: float) -> float:
-        """When a change could have been told at the latest, by a call made at the right time."""
-        needed = 2 * self.pace(changed, sent)  # an answer settled just before the change, and one after it
-        told = changed
+        """Return the seconds that the slowest answer took between `since` and `until`, and shortly around it.
+
+        Both the answers that were written and the paces that were configured count.
+        """
+        durations = [took for at, took in self.answers if since - PACE_WINDOW < at < until + PACE_WINDOW]
+        before = [seconds for at, seconds in self.paces if at <= since - PACE_WINDOW]
+        durations += before[-1:]
+        durations += [seconds for at, seconds in self.paces if since - PACE_WINDOW < at <= until]
+        return max(durations, default=0.0)
+
+    def latest_delivery(self, changed: float, sent: float) -> float:
+        """Return the latest time at which a call made at the best moment would have delivered a change.
+
+        Args:
+            changed: When the list changed.
+            sent: When the node sent the request that is checked; what happens later does not count.
+        """
+        # One answer may have been determined just before the change; the next one contains it.
+        needed = 2 * self.pace(changed, sent)
+        delivered = changed
         for begin, end in sorted(self.breaks):
-            if begin < told + needed and end > told:
-                told = end
-        told += needed
+            if begin < delivered + needed and end > delivered:
+                delivered = end
+        delivered += needed
         for begin in self.drops:
-            if begin < told:
-                told = max(told, begin + SILENT_WATCH)
+            if begin < delivered:
+                delivered = max(delivered, begin + DROPPED_WATCH_REPLACED)
         for end in self.drop_ends:
-            if changed - RETURN_NOTICED < end <= told:
-                told = max(told, end + RETURN_NOTICED + needed)
+            if changed - RECOVERY_DETECTION < end <= delivered:
+                delivered = max(delivered, end + RECOVERY_DETECTION + needed)
         for reload in self.reloads:
-            if reload < told + AFTER_RELOAD and reload < sent:
-                told = max(told, reload + AFTER_RELOAD)
-        return max([told, *(ready + needed for ready in self.ready if changed < ready < sent)])
+            if reload < delivered + AFTER_RELOAD and reload < sent:
+                delivered = max(delivered, reload + AFTER_RELOAD)
+        return max([delivered, *(ready + needed for ready in self.ready if changed < ready < sent)])
 
 
 def _agents(events: list[Event]) -> dict[str, _Agent]:
+    """Return, by the node's name, what was observed of each agent."""
     agents: dict[str, _Agent] = defaultdict(_Agent)
     for event in events:
         if "node" in event:
-            agents[event["node"]].take_in(event)
+            agents[event["node"]].add_event(event)
         if event["what"] in NEW_STARTS:
             agents[event["node"]].new_starts.append(event["t"])
         if event["what"] == "fault" and event["kind"] == "agent_crowded":
@@ -129,7 +160,14 @@
 
 
 def judge_agents(events: list[Event], drains: RuleVerdict, calls: RuleVerdict, slack: float) -> None:
-    """Add violations of the rules on drains and on calls; `slack` is granted beyond each time, in seconds."""
+    """Add the violations of the rules on drains and on calls to agents.
+
+    Args:
+        events: The recorded events in order of time.
+        drains: Receives the violations of the rule on drains.
+        calls: Receives the violations of the rule on calls.
+        slack: The seconds that are granted in addition to each time limit.
+    """
     agents = _agents(events)
     drained_since: dict[str, float] = {}  # by engine
     for event in events:
@@ -140,35 +178,37 @@
                 drained_since.setdefault(event["engine"], event["t"])
         elif event["what"] == "sent" and event["engine"] in drained_since:
             since = drained_since[event["engine"]]
-            told = agents[event["node"]].could_have_told(since, event["t"])
-            if event["t"] > told + DRAIN_GRACE + slack:
+            delivered = agents[event["node"]].latest_delivery(since, event["t"])
+            if event["t"] > delivered + DRAIN_GRACE + slack:
                 drains.add_violation(
-                    f"{event['request']} sent by {event['node']} to {event['engine']} at {event['t']:.3f}, "
-                    f"which drains since {since:.3f}; it could have been told by {told:.3f}"
+                    f"{event['request']} sent by {event['node']} to {event['engine']} at {event['t']:.3f}; "
+                    f"the engine drains since {since:.3f}, and the node could know it by {delivered:.3f}"
                 )
     for node, agent in agents.items():
         _judge_calls(node, agent, calls)
 
 
-def _judge_calls(node: str, agent: _Agent, judged: RuleVerdict) -> None:
-    judged.cases += len(agent.calls)
+def _judge_calls(node: str, agent: _Agent, verdict: RuleVerdict) -> None:
+    verdict.cases += len(agent.calls)
     first = 0
     for last, at in enumerate(agent.calls):
         while agent.calls[first] < at - 1.0:
             first += 1
-        if last - first >= MOST_CALLS_PER_SECOND:
-            judged.add_violation(f"{node} made {last - first + 1} calls in a second up to {at:.3f}")
+        if last - first >= MAX_CALLS_PER_SECOND:
+            verdict.add_violation(f"{node} made {last - first + 1} calls in the second up to {at:.3f}")
             break
-    _judge_owed(node, agent, judged)
-    if agent.most_connections > MOST_CONNECTIONS:
-        judged.add_violation(f"{node} had {agent.most_connections} connections to its agent")
+    _judge_unanswered_calls(node, agent, verdict)
+    if agent.most_connections > MAX_CONNECTIONS:
+        verdict.add_violation(f"{node} had {agent.most_connections} connections to its agent")
 
 
-def _judge_owed(node: str, agent: _Agent, judged: RuleVerdict) -> None:
+def _judge_unanswered_calls(node: str, agent: _Agent, verdict: RuleVerdict) -> None:
     for began, ended in agent.outages:
         if any(since < ended and until > began for since, until in agent.crowded):
-            continue  # a refused call is made again soon, and is not owed
-        owed = sum(began <= at < ended for at in agent.calls)
+            continue  # a refused call is soon repeated, and the agent does not have to answer it
+        unanswered = sum(began <= at < ended for at in agent.calls)
         starts = sum(began <= at < ended for at in agent.new_starts)
-        if owed > OWED_AT_ANY_OUTAGE + OWED_AT_A_START * starts + (ended - began):
-            judged.add_violation(f"{node} owed {owed} calls after an outage of {ended - began:.1f} s")
+        if unanswered > UNANSWERED_AT_ANY_OUTAGE + UNANSWERED_AT_A_START * starts + (ended - began):
+            verdict.add_violation(
+                f"{node} had {unanswered} unanswered calls after an outage of {ended - began:.1f} s"
+            )
--- a/tests/soak/agents.py
+++ b/tests/soak/agents.py
@@ -1,4 +1,4 @@
-"""A node's agent of the endpoint list in a soak: its pace, outages, moves, and versions that begin anew."""
+"""A node's discovery agent in a soak: it can be slow, fail, change its address and restart its versions."""
 
 from __future__ import annotations
 
@@ -13,17 +13,19 @@
 from tests.node_platform.http_messages import ReceivedRequest, http_response, read_request
 from tests.soak.environment import LEFT, Environment
 
-CALLS_OUT = 6  # of each node, that may be ahead of a call at agents that are one busy process
+# Calls of each node that an agent may have to answer before a call, where all agents are one busy process.
+MAX_QUEUED_CALLS = 6
 
 
 class SoakAgent:
-    """The endpoint list with one node's own addresses, served at a pace."""
+    """The discovery agent of one node; its list has the addresses of that node's proxies to the engines."""
 
     def __init__(self, environment: Environment, node: str, port_of: Callable[[str], int]) -> None:
         self.environment, self.node, self.port_of = environment, node, port_of
         skips_abandoned = not environment.conditions.agents_owe_all
         self.pace = AgentPace(turn=environment.agent_turn, skips_abandoned=skips_abandoned)
-        self.first_revision = 0  # of the environment's list; versions count from there
+        # The agent's version of the list is the environment's revision minus this one.
+        self.first_revision = 0
         self._list_before_outage, self._revision_before_outage = b"", 0
         self.port = 0
         self.server: asyncio.Server
@@ -34,8 +36,8 @@
         self.server = await asyncio.start_server(self._serve, HOST, self.port)
         self.port = int(self.server.sockets[0].getsockname()[1])
 
-    def listed(self, after: int | None = None) -> bytes:
-        """Return the list as it is now, or what has changed after a revision."""
+    def encode_list(self, after: int | None = None) -> bytes:
+        """Return the present list as JSON, or only the entries that have changed after revision `after`."""
         status = self.environment.status
         if after is None:
             names = [name for name in status if status[name] != LEFT]
@@ -62,30 +64,30 @@
             "since_ms": engine.started_unix_ms,
         }
 
-    def known(self) -> bytes:
-        """Return the list as the agent has it: in an outage it learns nothing."""
-        return self._list_before_outage or self.listed()
+    def known_list(self) -> bytes:
+        """Return the list that the agent has as JSON; in an outage it is the list from before the outage."""
+        return self._list_before_outage or self.encode_list()
 
     @property
     def known_revision(self) -> int:
-        """The revision of that list."""
+        """The revision of the list that the agent has."""
         return self._revision_before_outage or self.environment.revision
 
     def record_pace(self, agents: int = 1) -> None:
-        """Record how long an answer takes now, at worst; `agents` are one process."""
+        """Record the longest time that an answer takes now, if `agents` agents share one process."""
         pace = self.pace
-        seconds = pace.delay + (pace.pieces - 1) * pace.piece_interval + CALLS_OUT * agents * pace.cost
+        seconds = pace.delay + (pace.pieces - 1) * pace.piece_interval + MAX_QUEUED_CALLS * agents * pace.cost
         self.environment.record("agent_pace", node=self.node, seconds=seconds)
 
     def begin_outage(self, drops: bool) -> None:
-        """Answer nothing; calls that it meets are answered at its end, or never."""
-        self._list_before_outage, self._revision_before_outage = self.known(), self.known_revision
+        """Begin an outage. With `drops`, calls that are open in it are never answered, else at its end."""
+        self._list_before_outage, self._revision_before_outage = self.known_list(), self.known_revision
         self.pace.drops = drops
         self.pace.begin_outage()
         self.environment.record("agent_down", node=self.node, drops=drops)
 
     def end_outage(self) -> None:
-        """Answer again."""
+        """End an outage; the agent answers again once no other outage overlaps."""
         self.pace.end_outage()
         if not self.pace.outages:
             self._list_before_outage, self._revision_before_outage = b"", 0
@@ -97,13 +99,13 @@
         for writer in list(self.writers):
             writer.transport.abort()
 
-    def begin_versions_anew(self) -> None:
-        """Forget the count of versions, as an agent that starts anew."""
+    def restart_versions(self) -> None:
+        """Count versions from 1 again and reset all connections, as a restarted agent does."""
         self.first_revision = self.environment.revision - 1
         self.reset()
 
     async def move(self) -> None:
-        """Listen at another address; the former one falls silent for good."""
+        """Listen on another port, close the former one, and reset all connections."""
         self.server.close()
         self.reset()
         self.port = 0
@@ -135,18 +137,19 @@
         if not (reader.at_eof() or writer.transport.is_closing()):
             self.environment.record("told", node=self.node, revision=revisions[0], took=round(took, 3))
 
-    async def _wait_for_newer(self, revision: int, seconds: float) -> None:
+    async def _wait_for_change(self, revision: int, seconds: float) -> None:
         if seconds:
             with suppress(TimeoutError):
                 async with asyncio.timeout(seconds):
-                    await self.environment.newer_than(revision)
+                    await self.environment.wait_for_change(revision)
 
     async def _respond(self, request: ReceivedRequest, revisions: list[int]) -> bytes:
+        """Return the response to a call, and append the revision that it contains to `revisions`."""
         after: int | None = None
         if "after=" in request.target:
             after = int(request.target.partition("after=")[2].partition("&")[0]) + self.first_revision
-            await self._wait_for_newer(after, int(request.target.partition("wait_ms=")[2]) / 1000)
+            await self._wait_for_change(after, int(request.target.partition("wait_ms=")[2]) / 1000)
         if after is not None and after > self.environment.revision:
-            after = None  # versions have begun anew since
+            after = None  # the version is from before the agent restarted its versions
         revisions.append(self.environment.revision)
-        return http_response(200, self.listed(after))
+        return http_response(200, self.encode_list(after))
--- a/tests/soak/client_workload.py
+++ b/tests/soak/client_workload.py
@@ -1,4 +1,4 @@
-"""The client workload of a soak: usual requests, clients that disconnect, and malformed requests."""
+"""The client workload of a soak: well-formed requests, clients that disconnect, and malformed requests."""
 
 from __future__ import annotations
 
@@ -11,21 +11,26 @@
 from tests.soak.environment import Environment, expected_stream
 from tests.soak.nodes import SoakNode
 
-CLASSES = ("ask", "ask", "book", "pay")
-DISCONNECTING_SHARE = 0.07  # of clients, that disconnect before they are answered
-MALFORMED_SHARE = 0.04
-REUSED_CONNECTION_SHARE = 0.6
-SPLIT_REQUEST_SHARE = 0.1
-GRACE = 2.0  # seconds beyond a deadline that a client still listens, so that a late answer is seen as one
-LONGEST_WAIT = (
-    22.0  # seconds that a client waits for the end of its stream, silence and slow engines included
-)
-CONNECTS_AFTER_STOP = 0.3  # seconds after SIGTERM that new connections still come
-DEADLINE_SHARES = (0.25, 0.4, 0.65, 1.0)  # of the longest deadline
+CLASSES = ("ask", "ask", "book", "pay")  # the request classes, from which one is drawn for each request
+DISCONNECTING_SHARE = 0.07  # share of the clients that disconnect before they are answered
+MALFORMED_SHARE = 0.04  # share of the requests that are malformed
+REUSED_CONNECTION_SHARE = 0.6  # share of the requests that are sent on an idle connection, if there is one
+SPLIT_REQUEST_SHARE = 0.1  # share of the requests that are sent in two pieces
+GRACE = 2.0  # seconds after its deadline for which a client still listens, so that late answers are recorded
+# Seconds that a client waits for the end of its stream; enough for a silenced connection and slow engines.
+LONGEST_WAIT = 22.0
+CONNECTS_AFTER_STOP = 0.3  # seconds after SIGTERM for which clients still open new connections to a node
+DEADLINE_SHARES = (0.25, 0.4, 0.65, 1.0)  # deadlines of requests as fractions of the longest deadline
 
 
 class ClientWorkload:
-    """Sends requests to nodes that are up, at a mean rate a node, until stopped."""
+    """Sends requests to the nodes that are up, at a mean rate per node.
+
+    Attributes:
+        rate: the mean number of requests per second and node.
+        disconnecting_share: the share of the clients that disconnect before they are answered.
+        idle_clients: by node name, the clients with an open connection and no request.
+    """
 
     def __init__(
         self,
@@ -36,18 +41,18 @@
     ) -> None:
         self.environment, self.nodes, self.rate = environment, nodes, rate
         self.disconnecting_share = disconnecting_share
-        self.random = Random(f"{environment.seed}.crowd")  # this word keeps the draws of each seed
+        self.random = Random(f"{environment.seed}.crowd")  # another string would change each seed's workload
         self.idle_clients: dict[str, list[Client]] = {node.name: [] for node in nodes}
         self.request_count = 0
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, seconds: float) -> None:
-        """Begin requests for so long, and wait for the last to end."""
+        """Begin requests for `seconds`, wait until all have ended, and close the connections."""
         end = asyncio.get_running_loop().time() + seconds
         idling = asyncio.ensure_future(self._keep_idle_clients())
         while asyncio.get_running_loop().time() < end:
             await asyncio.sleep(self.random.expovariate(self.rate * len(self.nodes)))
-            available = [node for node in self.nodes if self._can_ask(node)]
+            available = [node for node in self.nodes if self._accepts_requests(node)]
             if available:
                 task = asyncio.ensure_future(self._make_request(self.random.choice(available)))
                 self.tasks.add(task)
@@ -60,19 +65,22 @@
                 client.close()
 
     def _connects(self, node: SoakNode) -> bool:
-        """Whether clients open new connections to a node: for a moment after SIGTERM they still do."""
+        """Return whether clients open new connections to a node; shortly after SIGTERM they still do."""
         if node.stopped_at is None or node.process.returncode is not None:
             return node.up
         return asyncio.get_running_loop().time() < node.stopped_at + CONNECTS_AFTER_STOP
 
-    def _can_ask(self, node: SoakNode) -> bool:
-        """Whether a client has a connection to a node, or opens one; they are used until the kill."""
+    def _accepts_requests(self, node: SoakNode) -> bool:
+        """Return whether a client has an idle connection to a node or can open one.
+
+        Open connections are used until the node closes them or ends.
+        """
         clients = self.idle_clients[node.name]
         clients[:] = [client for client in clients if not client.reader.at_eof()]
         return self._connects(node) or bool(clients)
 
     async def _keep_idle_clients(self) -> None:
-        """Keep as many connections as the conditions say that send nothing, until cancelled."""
+        """Keep open the connections that send nothing, as many as the conditions say, until cancelled."""
         count = self.environment.conditions.idle_clients
         async with asyncio.TaskGroup() as tasks:
             for node in self.nodes:
@@ -80,6 +88,7 @@
                     tasks.create_task(self._stay_idle(node))
 
     async def _stay_idle(self, node: SoakNode) -> None:
+        """Keep one connection to a node open, and reopen it after the node has closed it."""
         while True:
             await asyncio.sleep(self.random.uniform(0.1, 0.5))
             if not node.up:
@@ -99,16 +108,16 @@
             if draw < MALFORMED_SHARE:
                 await self._send_malformed(node, name)
             else:
-                await self._send_usual(node, name, disconnects=draw > 1.0 - self.disconnecting_share)
+                await self._send_well_formed(node, name, disconnects=draw > 1.0 - self.disconnecting_share)
 
     async def _connection(self, node: SoakNode) -> tuple[Client, bool]:
-        """Return an idle connection or a new one, and whether it is new."""
+        """Return a client with an idle or a new connection, and whether the connection is new."""
         reuses = self.random.random() < REUSED_CONNECTION_SHARE or not self._connects(node)
         if self.idle_clients[node.name] and reuses:
             return self.idle_clients[node.name].pop(), False
         return Client(*await asyncio.open_connection(HOST, node.port)), True
 
-    async def _send_usual(self, node: SoakNode, name: str, disconnects: bool) -> None:
+    async def _send_well_formed(self, node: SoakNode, name: str, disconnects: bool) -> None:
         kind = self.random.choice(CLASSES)
         deadline = self.random.choice(DEADLINE_SHARES) * self.environment.conditions.longest_deadline
         body = b'{"prompt":"%b"}' % name.encode()
@@ -144,6 +153,11 @@
             client.close()
 
     async def _read_response(self, client: Client, name: str) -> tuple[int, str]:
+        """Read a response, and return its status and how it ended.
+
+        It ends as "wrong" (not the stream of this request), "cut" (incomplete), "last" (complete, and the
+        node closes the connection) or "whole" (complete, and the connection stays open).
+        """
         head = await client.read_head()
         if head.status == 200:
             self.environment.record("begun", request=name)
@@ -155,7 +169,7 @@
         return response.status, "cut" if not response.complete else "last" if closes else "whole"
 
     async def _send_malformed(self, node: SoakNode, name: str) -> None:
-        """Send what is owed an error or a close; nothing of it may reach an engine."""
+        """Send a malformed request, which the node must reject and never pass on to an engine."""
         well_formed = post(name)
         data = self.random.choice(
             [
--- a/tests/soak/clock.c
+++ b/tests/soak/clock.c
@@ -1,5 +1,5 @@
-/* Steps the wall clock of a process that it is loaded into: clock_gettime(2) gets the seconds added that the
- * file named by SOAK_CLOCK holds. Other clocks are left alone. Written from the manual pages. */
+/* Steps the wall clock of the process that this library is preloaded into: for CLOCK_REALTIME, clock_gettime(2)
+ * adds the number of seconds that is stored in the file named by SOAK_CLOCK. Other clocks are unchanged. */
 
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -7,7 +7,7 @@
 #include <stdlib.h>
 #include <time.h>
 
-static long step(void)
+static long clock_offset(void)
 {
     const char *path = getenv("SOAK_CLOCK");
     FILE *file = path ? fopen(path, "r") : NULL;
@@ -30,6 +30,6 @@
         real = (int (*)(clockid_t, struct timespec *))dlsym(RTLD_NEXT, "clock_gettime");
     failed = real(clock, now);
     if (!failed && clock == CLOCK_REALTIME)
-        now->tv_sec += step();
+        now->tv_sec += clock_offset();
     return failed;
 }
--- a/tests/soak/conditions.py
+++ b/tests/soak/conditions.py
@@ -1,22 +1,27 @@
-"""What the seed of a soak decides beside its faults: deadlines, what clients do, how long streams are."""
+"""The conditions of a soak other than its faults: deadlines, client behaviour, agents, stream durations."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from random import Random
 
-MAX_DEADLINE_ALLOWANCE = 3.0  # seconds: a longer one does not delay the kill
-KILL_DELAY = 0.7  # seconds from the longest deadline to the kill
-SHORT_STREAM = 0.06  # seconds
+MAX_DEADLINE_ALLOWANCE = 3.0  # seconds of the longest deadline that delay the kill of a node, at most
+KILL_DELAY = 0.7  # seconds between SIGTERM and SIGKILL in addition to the allowed deadline
+SHORT_STREAM = 0.06  # seconds that a stream takes unless it is a long one
 
 
 @dataclass(frozen=True, slots=True)
 class Conditions:
-    """Times are in seconds.
-
-    `resumable`: clients ask for the rest of a stream that ends without its last chunk. `idle_clients` is how
-    many each node has that send nothing. With `agents_owe_all` agents work off what they were asked in an
-    outage also where its connection has gone. A `long_share` of the streams take up to `longest_stream`.
+    """The conditions of one soak. Times are in seconds.
+
+    Attributes:
+        longest_deadline: the longest deadline of a request.
+        resumable: whether clients request the rest of a stream that ends without its last chunk.
+        idle_clients: the number of connections to each node that send nothing.
+        agents_owe_all: whether agents, after an outage, also process the calls whose connections the node
+            has closed meanwhile.
+        longest_stream: the longest duration of a long stream.
+        long_share: the share of the requests whose streams are long.
     """
 
     longest_deadline: float = 6.0
@@ -28,11 +33,11 @@
 
     @property
     def kill_after(self) -> float:
-        """The earliest SIGKILL after SIGTERM."""
+        """The shortest time after SIGTERM at which the platform sends SIGKILL to a node."""
         return min(MAX_DEADLINE_ALLOWANCE, self.longest_deadline) + KILL_DELAY
 
     def stream_duration(self, request: str) -> float:
-        """How long a request's stream takes, the same at any engine."""
+        """Return how long a request's stream takes, which is the same at every engine."""
         random = Random(f"{request}.stream")
         if random.random() >= self.long_share:
             return SHORT_STREAM
--- a/tests/soak/edges.py
+++ b/tests/soak/edges.py
@@ -1,4 +1,4 @@
-"""The edge between a node and an engine: what the node sent, when all of it was out, what it got back."""
+"""A proxy between a node and an engine that records the node's requests and the responses it receives."""
 
 from __future__ import annotations
 
@@ -8,21 +8,30 @@
 from tests.fault_proxy import FaultProxy
 from tests.soak.environment import Environment
 
-LENGTH = re.compile(rb"\r\ncontent-length: *(\d+)", re.IGNORECASE)
-FIELD = re.compile(rb"\r\n(req-id|req-deadline): *([^\r]*)", re.IGNORECASE)
+CONTENT_LENGTH = re.compile(rb"\r\ncontent-length: *(\d+)", re.IGNORECASE)
+REQUEST_FIELD = re.compile(rb"\r\n(req-id|req-deadline): *([^\r]*)", re.IGNORECASE)
 
 
 @dataclass
 class SentRequest:
-    """The request that a connection carries."""
+    """The latest request on a connection.
+
+    Attributes:
+        request: the request's id.
+        missing_bytes: the number of bytes of its body that the node has not sent yet.
+        unanswered: whether no byte of the response has reached the node.
+    """
 
     request: str
-    missing_bytes: int  # of its body
-    unanswered: bool = True  # the node waits for its response
+    missing_bytes: int
+    unanswered: bool = True
 
 
 class Edge(FaultProxy):
-    """Records what crosses it. A head always comes in one piece: the node writes it so."""
+    """Records the requests and responses that pass through it.
+
+    It relies on the node writing a request's head in one piece.
+    """
 
     def __init__(self, environment: Environment, node: str, engine: str) -> None:
         super().__init__(lambda: environment.engines[engine].port)
@@ -30,14 +39,14 @@
         self.sent_requests: dict[int, SentRequest] = {}
 
     def on_request_bytes(self, number: int, data: bytes) -> None:
-        """Record that a request was begun, and that all of it was sent."""
+        """Record the beginning of a request, and the moment at which it has been sent completely."""
         sent = self.sent_requests.get(number)
         if sent is None or not sent.missing_bytes:
             head, _, body = data.partition(b"\r\n\r\n")
-            fields = {name.lower(): value.decode() for name, value in FIELD.findall(head)}
-            length = LENGTH.search(head)
+            fields = {name.lower(): value.decode() for name, value in REQUEST_FIELD.findall(head)}
+            length = CONTENT_LENGTH.search(head)
             if b"req-id" not in fields or length is None:
-                return  # a release call, or the rest of one: its last byte comes by itself
+                return  # a release call, or its last byte, which the node sends separately
             sent = self.sent_requests[number] = SentRequest(fields[b"req-id"], int(length[1]) - len(body))
             self._record("sent", sent, deadline=fields.get(b"req-deadline", ""))
         else:
--- a/tests/soak/environment.py
+++ b/tests/soak/environment.py
@@ -1,7 +1,7 @@
-"""The environment of a soak's nodes: engines that hold states, an agent for each node, recorded events.
+"""The environment of the nodes in a soak: engines that hold states, the endpoint list and recorded events.
 
-A state belongs to a request and can be released at any engine. Everything is observed from here alone: the
-judge reads these events and never what a node reports of itself.
+A state belongs to a request and can be released at any engine. The check of the rules uses only the events
+that are recorded here, never what a node reports about itself.
 """
 
 from __future__ import annotations
@@ -31,31 +31,39 @@
 Event = dict[str, Any]
 KINDS = ("prefill", "decode", "mixed")
 EVENT_INTERVAL = 0.1  # seconds between two events of a long stream
-LEFT = "left"  # the status of an engine that is not on the list
-PREFILL_ENGINES, DECODE_ENGINES, MIXED_ENGINES = 8, 7, 3  # in a soak
+LEFT = "left"  # the status of an engine that is not on the endpoint list
+PREFILL_ENGINES, DECODE_ENGINES, MIXED_ENGINES = 8, 7, 3  # the number of engines of each kind in a soak
 
 
 @dataclass
 class Recording:
-    """Events as they were observed, by the machine's monotonic clock."""
+    """The observed events in order, each with its time `t` in seconds of the event loop's monotonic clock."""
 
     events: list[Event] = field(default_factory=list)
 
     def record(self, what: str, **details: Any) -> None:
-        """Append an event with the present time."""
+        """Append an event of the kind `what` with the present time."""
         self.events.append({"t": asyncio.get_running_loop().time(), "what": what, **details})
 
 
 @dataclass(eq=False)
 class State:
-    """Prefill state that an engine holds for a request, and how many attempts wait for it."""
+    """The prefill state that an engine holds for a request.
+
+    Attributes:
+        engine: the engine's name.
+        waiting_attempts: the number of decode attempts that are about to use the state.
+    """
 
     engine: str
     waiting_attempts: int = 0
 
 
 def expected_stream(request: str, duration: float) -> list[bytes]:
-    """Return the events that any engine answers a request with: a client can tell whether it got them all."""
+    """Return the stream with which every engine answers a request.
+
+    The stream depends only on the arguments, so that a client can check that it received all of it.
+    """
     count = max(4 + len(request) % 3, int(duration / EVENT_INTERVAL))
     words = [sha256(f"{request}.{index}".encode()).hexdigest()[:8] for index in range(count)]
     events = [
@@ -66,28 +74,36 @@
 
 
 class SoakEngine:
-    """One engine: prefills, decodes, or does both; slow now and then, failing now and then."""
+    """One engine, which prefills, decodes, or does both. Faults can make it slow, fail attempts or hang.
+
+    Attributes:
+        slowdown: the factor by which its work takes longer than usual.
+        failing_share: the share of its attempts that end in an error or a reset after they ran.
+        running: cleared while the engine hangs; it then reads and sends nothing.
+        started_unix_ms: when its process started, in milliseconds of Unix time; 0 means long ago.
+    """
 
     def __init__(self, environment: Environment, name: str, kind: str) -> None:
         self.environment, self.name, self.kind = environment, name, kind
         self.random_share = Random(f"{environment.seed}.{name}").random
         self.slowdown = 1.0
-        self.failing_share = 0.0  # share of attempts that end in an error or a reset after they ran
-        self.running = asyncio.Event()  # while clear, nothing is received on any connection
+        self.failing_share = 0.0
+        self.running = asyncio.Event()
         self.running.set()
         self.server: asyncio.Server
-        self.port = free_port()  # while it restarts, no outgoing connection may take it
-        self.started_unix_ms = 0  # 0: long ago
+        # The port is not ephemeral, so that no outgoing connection can occupy it while the engine restarts.
+        self.port = free_port()
+        self.started_unix_ms = 0
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen on the engine's port."""
         self.server = await asyncio.start_server(self._serve, HOST, self.port)
 
     async def restart(self, down: float) -> None:
-        """Lose all connections and states, and start anew; the list does not tell it yet.
+        """Drop all connections and states, and listen again after `down` seconds.
 
-        Nothing is done where that is going on already.
+        The endpoint list is not changed. Do nothing if a restart is in progress already.
         """
         if not self.server.is_serving():
             return
@@ -122,6 +138,11 @@
     async def _observe_attempt(
         self, request: ReceivedRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
+        """Serve an attempt until it is complete or the node disconnects, and record both ends of it.
+
+        Raises:
+            ConnectionResetError: the node has disconnected.
+        """
         name = request.headers.get("req-id", "")
         self.environment.record(
             "arrived",
@@ -192,7 +213,16 @@
 
 
 class Environment:
-    """All engines of a soak, their states, and the endpoint list."""
+    """All engines of a soak, their states, and the endpoint list.
+
+    Attributes:
+        states: the held prefill states by request.
+        status: each engine's status on the endpoint list.
+        changed_in: the list's revision in which each engine last changed.
+        revision: the present revision of the list.
+        agent_turn: held by the agent that is working on a call, if all agents share one process.
+        list_changed: notified at each change of the list.
+    """
 
     def __init__(self, seed: int, conditions: Conditions, mixed_engines: int = MIXED_ENGINES) -> None:
         self.seed = seed
@@ -206,9 +236,9 @@
                 name = f"{kind}-{index}"
                 self.engines[name] = SoakEngine(self, name, kind)
         self.status = dict.fromkeys(self.engines, "active")
-        self.changed_in = dict.fromkeys(self.engines, 1)  # the revision of each engine's last change
-        self.revision = 1  # of the list
-        self.agent_turn = asyncio.Lock()  # all agents are one process
+        self.changed_in = dict.fromkeys(self.engines, 1)
+        self.revision = 1
+        self.agent_turn = asyncio.Lock()
         self.list_changed = asyncio.Condition()
 
     async def start(self) -> None:
@@ -216,13 +246,13 @@
         for engine in self.engines.values():
             await engine.start()
 
-    async def newer_than(self, revision: int) -> None:
-        """Wait until the list has changed since."""
+    async def wait_for_change(self, revision: int) -> None:
+        """Wait until the list's revision differs from `revision`."""
         async with self.list_changed:
             await self.list_changed.wait_for(lambda: self.revision != revision)
 
     async def set_status(self, engine: str, status: str) -> None:
-        """Change an engine's status in a new revision of the list."""
+        """Set an engine's status, which makes a new revision of the list even if the status is the same."""
         self.status[engine] = status
         self.revision += 1
         self.changed_in[engine] = self.revision
@@ -231,22 +261,22 @@
             self.list_changed.notify_all()
 
     def hold_state(self, engine: str, request: str) -> None:
-        """A prefill has ended: its state is held."""
+        """Hold the state of a prefill that has ended."""
         self.states[request] = State(engine)
         self.record("held", engine=engine, request=request)
 
     def lose_states(self, engine: str) -> None:
-        """An engine's process has ended, and with it what it held."""
+        """Drop all states of an engine whose process has ended."""
         for request in [name for name, state in self.states.items() if state.engine == engine]:
             self.take_state(request)
 
     def take_state(self, request: str) -> None:
-        """A stream has begun: its state is not held any more."""
+        """Stop holding a state, because its stream has begun or its engine has lost it."""
         if self.states.pop(request, None) is not None:
             self.record("taken", request=request)
 
     def release_state(self, engine: str, request: str) -> None:
-        """A release call has arrived; a state that an attempt waits for stays."""
+        """Execute a release call that has arrived; a state that an attempt is about to use is kept."""
         state = self.states.get(request)
         if state is not None and not state.waiting_attempts:
             del self.states[request]
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a soak: they overlap and are drawn from a seed, as a list that can be played again."""
+"""The faults of a soak, which overlap and are drawn from a seed, so that they can be repeated."""
 
 from __future__ import annotations
 
@@ -14,22 +14,33 @@
 from tests.soak.environment import LEFT, Environment
 from tests.soak.nodes import SoakNode
 
-QUIET_END = 2.0  # seconds at the end in which no fault begins
-MAX_OUTAGE = 10.0  # seconds that discovery is down
-LATEST_CHANGE_AFTER_RETURN = 3.0  # seconds from its return to the next change of the list
-OUTAGES_IN_SERIES = 3
-LIGHT_IN_SERIES = 0.5  # seconds between two outages of a series
-MAX_ANSWER_DELAY = 3.0  # seconds that an agent's answers may come late
-MAX_CALLS_COST = 0.1  # of a second that all agents' process takes for one call of each node
-ANSWER_PIECES = 8
-DOWN_TIME = 0.1  # seconds that an engine does not listen as it starts anew
-STOPS = ("restart", "wave", "signals")
+QUIET_END = 2.0  # seconds at the end of a soak in which no fault begins
+MAX_OUTAGE = 10.0  # seconds that an outage of all agents lasts at most
+LATEST_CHANGE_AFTER_OUTAGE = 3.0  # seconds from the end of an outage to the next change of the list, at most
+OUTAGES_IN_SERIES = 3  # outages of one fault `outage_series`
+GAP_IN_SERIES = 0.5  # seconds between two outages of a series
+MAX_ANSWER_DELAY = 3.0  # seconds by which a fault delays an agent's answers, at most
+# Seconds that the process of all agents takes, at most, to answer one call of each node while it is busy.
+MAX_COST_OF_ALL_CALLS = 0.1
+ANSWER_PIECES = 8  # pieces in which an agent's answer is sent by the fault `agent_pieces`
+DOWNTIME = 0.1  # seconds for which an engine does not listen when it restarts
+STOPS = ("restart", "wave", "signals")  # faults that stop nodes gracefully
+# Faults of which some are added while nodes are stopping.
 DURING_STOPS = ("started_anew", "left_and_back", "other_kind", "hang", "silence", "drain")
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: when it begins and how long it lasts, in seconds, whom it affects, and how much, 0 to 1."""
+    """One fault.
+
+    Attributes:
+        at: when it begins, in seconds from the start of the soak.
+        kind: the name of its method in FaultInjector.
+        lasts: its duration in seconds.
+        engines: the names of the affected engines.
+        nodes: the indices of the affected nodes.
+        amount: its severity from 0 to 1, which some kinds also use to select a variant.
+    """
 
     at: float
     kind: str
@@ -40,15 +51,15 @@
 
 
 def schedule(
-    seed: int, seconds: float, environment: Environment, nodes: int, each: float = 0.5
+    seed: int, seconds: float, environment: Environment, nodes: int, mean_interval: float = 0.5
 ) -> list[Fault]:
-    """Draw faults that begin some `each` seconds apart and overlap."""
+    """Draw the faults of a soak of `seconds`; `mean_interval` is the mean time in seconds between two."""
     random = Random(f"{seed}.schedule")
     faults = []
     at = 0.5
     engines = list(environment.engines)
 
-    def draw(begins: float, kind: str) -> Fault:
+    def draw(begin: float, kind: str) -> Fault:
         affected_engines = tuple(random.sample(engines, random.choice([1, 1, 2, 4])))
         node_count = max(1, random.choice([1, 2, nodes // 2, nodes]))
         affected_nodes = tuple(random.sample(range(nodes), node_count))
@@ -56,7 +67,7 @@
         amount = round(random.random(), 3)
         if kind == "outage":
             lasts = round(random.uniform(0.0, MAX_OUTAGE), 2)
-        return Fault(round(begins, 2), kind, lasts, affected_engines, affected_nodes, amount)
+        return Fault(round(begin, 2), kind, lasts, affected_engines, affected_nodes, amount)
 
     while at < seconds - QUIET_END:
         kind = random.choice(list(KINDS))
@@ -66,12 +77,17 @@
             faults += [
                 draw(at + random.uniform(0, kill_after), random.choice(DURING_STOPS)) for _ in range(3)
             ]
-        at += random.expovariate(1 / each)
+        at += random.expovariate(1 / mean_interval)
     return faults
 
 
 class FaultInjector:
-    """Brings scheduled faults about."""
+    """Injects scheduled faults; each kind of fault is a method that returns when the fault has ended.
+
+    Attributes:
+        restarting: the names of the nodes that are being restarted.
+        clock_offset: the seconds by which the nodes' wall clocks are wrong.
+    """
 
     def __init__(self, environment: Environment, nodes: list[SoakNode]) -> None:
         self.environment, self.nodes = environment, nodes
@@ -79,7 +95,7 @@
         self.clock_offset = 0
 
     async def run(self, faults: list[Fault]) -> None:
-        """Inject all faults at their times; returns when the last has ended."""
+        """Inject all faults at their times, and return when the last one has ended."""
         began = asyncio.get_running_loop().time()
 
         async def inject(fault: Fault) -> None:
@@ -92,19 +108,23 @@
         await asyncio.gather(*map(inject, faults))
 
     def edges(self, fault: Fault) -> list[FaultProxy]:
-        """Return the edges between the nodes and the engines of a fault."""
+        """Return the proxies between the nodes and the engines of a fault."""
         return [self.nodes[index].edges[engine] for index in fault.nodes for engine in fault.engines]
 
     async def silence(self, fault: Fault) -> None:
-        """Silence both directions: what was written is acknowledged, and arrives afterwards if it can."""
+        """Hold back all bytes in both directions.
+
+        The sender's kernel still gets acknowledgements. Bytes that were held back are delivered afterwards
+        if the connection is still open.
+        """
         await self._silence_directions(fault, self._both_directions(fault))
 
     async def silence_there(self, fault: Fault) -> None:
-        """Silence the direction to the engines."""
+        """Hold back all bytes from the nodes to the engines."""
         await self._silence_directions(fault, [edge.to_engine for edge in self.edges(fault)])
 
     async def silence_back(self, fault: Fault) -> None:
-        """Silence the direction from the engines."""
+        """Hold back all bytes from the engines to the nodes."""
         await self._silence_directions(fault, [edge.from_engine for edge in self.edges(fault)])
 
     def _both_directions(self, fault: Fault) -> list[Direction]:
@@ -121,7 +141,7 @@
                 direction.gate.set()
 
     async def silent_after(self, fault: Fault) -> None:
-        """Have connections fall silent after some bytes, for good."""
+        """Deliver nothing more on a connection after its first 150 bytes, even when the fault has ended."""
         directions = self._both_directions(fault)
         for direction in directions:
             direction.silent_after = 150
@@ -130,7 +150,7 @@
             direction.silent_after = None
 
     async def delay(self, fault: Fault) -> None:
-        """Pass requests on slowly and in small pieces."""
+        """Forward requests slowly and in small pieces."""
         directions = [edge.to_engine for edge in self.edges(fault)]
         for direction in directions:
             direction.delay, direction.piece = 0.05, 64
@@ -139,12 +159,12 @@
             direction.delay, direction.piece = 0.0, 65_536
 
     async def reset(self, fault: Fault) -> None:
-        """Reset all connections of the edges."""
+        """Reset all connections between the nodes and the engines."""
         for edge in self.edges(fault):
             edge.reset()
 
     async def hang(self, fault: Fault) -> None:
-        """Stop the engines' processes, for all nodes."""
+        """Make engines hang, for all nodes."""
         for engine in fault.engines:
             self.environment.engines[engine].running.clear()
         await asyncio.sleep(fault.lasts)
@@ -152,7 +172,7 @@
             self.environment.engines[engine].running.set()
 
     async def slow(self, fault: Fault) -> None:
-        """Have engines take eight times as long."""
+        """Make engines take eight times as long."""
         for engine in fault.engines:
             self.environment.engines[engine].slowdown = 8.0
         await asyncio.sleep(fault.lasts)
@@ -160,7 +180,7 @@
             self.environment.engines[engine].slowdown = 1.0
 
     async def failing(self, fault: Fault) -> None:
-        """Have half of the attempts end in an error or a reset."""
+        """Make half of the attempts at the engines end in an error or a reset."""
         for engine in fault.engines:
             self.environment.engines[engine].failing_share = 0.5
         await asyncio.sleep(fault.lasts)
@@ -168,7 +188,7 @@
             self.environment.engines[engine].failing_share = 0.0
 
     async def drain(self, fault: Fault) -> None:
-        """Drain two engines and bring them back."""
+        """Drain the fault's first two engines, and make them active again afterwards."""
         for engine in fault.engines[:2]:
             await self.environment.set_status(engine, "leaving")
         await asyncio.sleep(fault.lasts)
@@ -179,7 +199,11 @@
         return [self.nodes[index].agent for index in fault.nodes]
 
     async def agent_silent(self, fault: Fault) -> None:
-        """Have the nodes' agents answer nothing; calls that it meets are answered at its end, or dropped."""
+        """Make the nodes' agents answer nothing.
+
+        Calls that are open during the outage are dropped if `amount` is below 0.5, and are answered at its
+        end otherwise.
+        """
         for agent in self._agents(fault):
             agent.begin_outage(drops=fault.amount < 0.5)
         await asyncio.sleep(fault.lasts)
@@ -187,39 +211,39 @@
             agent.end_outage()
 
     async def outage(self, fault: Fault) -> None:
-        """Have all agents answer nothing; engines begin to drain within three seconds of the return."""
-        everywhere = replace(fault, nodes=tuple(range(len(self.nodes))))
-        await self.agent_silent(everywhere)
-        await asyncio.sleep(LATEST_CHANGE_AFTER_RETURN * (fault.amount * 10 % 1))
-        await self.drain(replace(everywhere, lasts=2.0))
+        """Make all agents answer nothing; engines begin to drain within three seconds after that."""
+        all_nodes = replace(fault, nodes=tuple(range(len(self.nodes))))
+        await self.agent_silent(all_nodes)
+        await asyncio.sleep(LATEST_CHANGE_AFTER_OUTAGE * (fault.amount * 10 % 1))
+        await self.drain(replace(all_nodes, lasts=2.0))
 
     async def outage_series(self, fault: Fault) -> None:
-        """Have all agents answer nothing several times, with little time between; engines drain in one."""
-        everywhere = replace(fault, nodes=tuple(range(len(self.nodes))))
-        draining = asyncio.ensure_future(self.drain(replace(everywhere, lasts=2.0 + 2 * fault.lasts)))
+        """Make all agents answer nothing several times with short gaps, and drain engines from the start."""
+        all_nodes = replace(fault, nodes=tuple(range(len(self.nodes))))
+        draining = asyncio.ensure_future(self.drain(replace(all_nodes, lasts=2.0 + 2 * fault.lasts)))
         for _ in range(OUTAGES_IN_SERIES):
-            await self.agent_silent(everywhere)
-            await asyncio.sleep(LIGHT_IN_SERIES)
+            await self.agent_silent(all_nodes)
+            await asyncio.sleep(GAP_IN_SERIES)
         await draining
 
     async def agent_late(self, fault: Fault) -> None:
-        """Have answers come late."""
+        """Delay the agents' answers."""
         await self._pace_agents(self._agents(fault), fault, delay=fault.amount * MAX_ANSWER_DELAY)
 
     async def agents_busy(self, fault: Fault) -> None:
-        """Have all agents be one process that works at one call at a time."""
+        """Make all agents behave as one process that works on one call at a time."""
         agents = [node.agent for node in self.nodes]
-        await self._pace_agents(agents, fault, cost=fault.amount * MAX_CALLS_COST / len(agents))
+        await self._pace_agents(agents, fault, cost=fault.amount * MAX_COST_OF_ALL_CALLS / len(agents))
 
     async def agent_pieces(self, fault: Fault) -> None:
-        """Have answers come in pieces."""
+        """Send the agents' answers in pieces."""
         interval = fault.amount * MAX_ANSWER_DELAY / ANSWER_PIECES
         await self._pace_agents(self._agents(fault), fault, pieces=ANSWER_PIECES, piece_interval=interval)
 
     async def _pace_agents(self, agents: list[SoakAgent], fault: Fault, **paced: float) -> None:
-        """Change these attributes of the agents' pace for a while."""
-        usual = {name: getattr(AgentPace(), name) for name in paced}
-        for values in (paced, usual):
+        """Set the attributes `paced` of the agents' pace for twice the fault's duration."""
+        defaults = {name: getattr(AgentPace(), name) for name in paced}
+        for values in (paced, defaults):
             for agent in agents:
                 for name, value in values.items():
                     setattr(agent.pace, name, value)
@@ -228,7 +252,7 @@
                 await asyncio.sleep(2 * fault.lasts)
 
     async def agent_crowded(self, fault: Fault) -> None:
-        """Have agents reset connections past two or three."""
+        """Make agents reset every connection of a node above two or three."""
         for agent in self._agents(fault):
             agent.pace.most_connections = 2 + (fault.amount < 0.5)
         await asyncio.sleep(fault.lasts)
@@ -236,17 +260,17 @@
             agent.pace.most_connections = 0
 
     async def agent_reset(self, fault: Fault) -> None:
-        """Reset all connections to agents."""
+        """Reset all connections to the nodes' agents."""
         for agent in self._agents(fault):
             agent.reset()
 
     async def agent_anew(self, fault: Fault) -> None:
-        """Have agents count versions from the beginning again."""
+        """Make the nodes' agents restart the versions of the list, as if they had been restarted."""
         for agent in self._agents(fault):
-            agent.begin_versions_anew()
+            agent.restart_versions()
 
     async def agent_moves(self, fault: Fault) -> None:
-        """Have agents move to another address, and the nodes read it."""
+        """Move the nodes' agents to another port, and make the nodes reload it from their configuration."""
         for index in fault.nodes:
             node = self.nodes[index]
             if node.up:
@@ -254,13 +278,13 @@
                 node.reload()
 
     async def reload(self, fault: Fault) -> None:
-        """Have nodes read their configuration again."""
+        """Make nodes reload their configuration."""
         for index in fault.nodes:
             if self.nodes[index].up:
                 self.nodes[index].reload()
 
     async def pause(self, fault: Fault) -> None:
-        """Stop the nodes' processes for a moment."""
+        """Suspend the nodes' processes for 0.1 s."""
         for index in fault.nodes:
             self.nodes[index].signal(signal.SIGSTOP)
         await asyncio.sleep(0.1)
@@ -272,11 +296,11 @@
         await self._restart_nodes(fault, (0.0, signal.SIGTERM))
 
     async def wave(self, fault: Fault) -> None:
-        """Restart all nodes of the fault at once, gracefully."""
-        await self._restart_nodes(fault, (0.0, signal.SIGTERM), most=len(fault.nodes))
+        """Restart all nodes of the fault gracefully and at the same time."""
+        await self._restart_nodes(fault, (0.0, signal.SIGTERM), count=len(fault.nodes))
 
     async def signals(self, fault: Fault) -> None:
-        """Restart one node with signals in quick succession, as the length of the fault decides."""
+        """Restart one node with several signals in quick succession; the fault's duration selects them."""
         pause = fault.lasts % 0.3
         series = (
             [(0.0, signal.SIGHUP), (pause / 10, signal.SIGTERM)],
@@ -286,14 +310,14 @@
         await self._restart_nodes(fault, *series[int(fault.lasts * 100) % len(series)])
 
     async def stop_at_start(self, fault: Fault) -> None:
-        """Kill a node, and tell the next process to stop while it is starting."""
+        """Kill a node, stop its next process while that is starting, and start the node again."""
         node = self.nodes[fault.nodes[0]]
         if node.name not in self.restarting and node.up:
             self.restarting.add(node.name)
             node.signal(signal.SIGKILL)
             await node.wait_end()
             starting = asyncio.ensure_future(node.start())
-            await asyncio.sleep(0.5 + fault.lasts / 5)  # the imports take 0.4 s
+            await asyncio.sleep(0.5 + fault.lasts / 5)  # the process needs 0.4 s for its imports
             node.signal(signal.SIGTERM)
             await node.wait_end()
             await starting
@@ -301,24 +325,24 @@
             self.restarting.discard(node.name)
 
     async def started_anew(self, fault: Fault) -> None:
-        """Start engines anew; the list tells it after a while."""
+        """Restart engines; the endpoint list shows it when the fault has ended."""
         await self._restart_engines(fault)
 
     async def left_and_back(self, fault: Fault) -> None:
-        """Take engines off the list, and start them anew."""
+        """Remove engines from the endpoint list, restart them, and list them again when the fault ends."""
         for engine in fault.engines:
             await self.environment.set_status(engine, LEFT)
         await self._restart_engines(fault)
 
     async def _restart_engines(self, fault: Fault) -> None:
         engines = [self.environment.engines[name] for name in fault.engines]
-        await asyncio.gather(*(engine.restart(DOWN_TIME) for engine in engines))
+        await asyncio.gather(*(engine.restart(DOWNTIME) for engine in engines))
         await asyncio.sleep(fault.lasts)
         for engine in fault.engines:
             await self.environment.set_status(engine, "active")
 
     async def other_kind(self, fault: Fault) -> None:
-        """List decode engines as mixed ones for a while."""
+        """Turn decode engines into mixed ones and back."""
         engines = [self.environment.engines[name] for name in fault.engines if name.startswith("decode")]
         for kind in ("mixed", "decode"):
             for engine in engines:
@@ -327,20 +351,21 @@
             await asyncio.sleep(fault.lasts)
 
     async def kill(self, fault: Fault) -> None:
-        """Kill one node and start it again."""
+        """Kill one node, and start it again."""
         await self._restart_nodes(fault, (0.0, signal.SIGKILL))
 
     async def _restart_nodes(
-        self, fault: Fault, *signals: tuple[float, signal.Signals], most: int = 1
+        self, fault: Fault, *signals: tuple[float, signal.Signals], count: int = 1
     ) -> None:
-        nodes = [self.nodes[index] for index in fault.nodes[:most]]
+        """Restart the fault's first `count` nodes by signals, except those that are down already."""
+        nodes = [self.nodes[index] for index in fault.nodes[:count]]
         nodes = [node for node in nodes if node.name not in self.restarting and node.up]
         self.restarting |= {node.name for node in nodes}
         await asyncio.gather(*(node.restart(*signals) for node in nodes))
         self.restarting -= {node.name for node in nodes}
 
     async def wall_clock(self, fault: Fault) -> None:
-        """Step the wall clock by an hour, where the preloaded library is there to do it."""
+        """Set all nodes' wall clocks an hour ahead or behind; no effect without the preloaded library."""
         self.clock_offset = 3_600 if self.clock_offset <= 0 else -3_600
         (self.nodes[0].folder / "clock").write_text(str(self.clock_offset))
         await asyncio.sleep(0)
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -1,9 +1,17 @@
-"""Judges a soak by its rules, from the recorded events; each rule counts the cases that it judged.
-
-The names of the rules are printed and parsed: lost (no, late or wrong response), stopped (left by a node that
-was told to end), twice (repeated in spite of its class), drain, held (state not released), gone (sent after
-its client or its response), deadline, foreign (sent or answered with other contents), alive (processes that
-start and stay), calls (to the agent of the endpoint list, too many).
+"""Checks the rules of a soak on its recorded events; each rule counts the cases to which it applied.
+
+The names of the rules are printed and parsed:
+
+- lost: every request gets a valid response in time.
+- stopped: a node that is being stopped answers the requests that it has accepted.
+- twice: a request is not executed more often than its request class allows.
+- drain: a node sends nothing to an engine that it knows is draining.
+- held: prefill state is released in time.
+- gone: nothing is sent after the client has disconnected or has been answered.
+- deadline: the deadline that is sent to an engine does not exceed the client's.
+- foreign: requests and responses are passed on unchanged, and malformed requests are not passed on.
+- alive: node processes start in time, and do not fail or exit by themselves.
+- calls: a node does not make too many calls to its discovery agent.
 """
 
 from __future__ import annotations
@@ -18,23 +26,26 @@
 
 Event = dict[str, Any]
 
-SLACK = 0.15  # seconds: two processes' turns and this one's own lateness on a busy machine
-RELEASE_GRANT = 0.6  # seconds granted for a release, with the platform's slack on sockets
-DISCONNECT_GRACE = 0.1  # after a client has disconnected
-LATE_RESPONSE = 0.5  # after the deadline that a response may still come, and earns nothing
-DEADLINE_SLACK = 0.15  # by which a deadline sent to an engine may exceed what is left
-DEDUPLICATION_WINDOW = 2.0  # for repeats of the class that may be repeated within one
-MAX_START = 10.0
-
-OWED_FROM = 0.7  # after SIGTERM: what comes later may not be open at the kill
-CONNECTING_UNTIL = 0.4  # after SIGTERM, that clients open new connections
-STREAM_SILENCE = 5.0  # after which a client counts its stream as broken
+# Seconds that are granted in addition to each time limit, because a busy machine may delay the node's process
+# and this process.
+SLACK = 0.15
+RELEASE_TIMEOUT = 0.6  # seconds until unused state is released, including the platform's socket tolerance
+DISCONNECT_GRACE = 0.1  # seconds for which a node may still send after its client has disconnected
+LATE_RESPONSE = 0.5  # seconds after the deadline in which a response is too late to count, but no violation
+DEADLINE_SLACK = 0.15  # seconds by which a deadline that is sent to an engine may exceed the remaining time
+DEDUPLICATION_WINDOW = 2.0  # seconds in which a request of class "pay" may be repeated (see soak_settings)
+MAX_START = 10.0  # seconds from the start of a node's process until it is ready
+
+# Seconds after SIGTERM. Requests that are sent later may not be open any more when the node is killed.
+LAST_OPEN_AT_KILL = 0.7
+CONNECTING_UNTIL = 0.4  # seconds after SIGTERM for which clients open new connections
+STREAM_SILENCE = 5.0  # seconds without data after which a client treats its stream as broken
 
 RULES = ("lost", "stopped", "twice", "drain", "held", "gone", "deadline", "foreign", "alive", "calls")
 
 
 def judge(events: list[Event], resumable: bool = True) -> dict[str, RuleVerdict]:
-    """Return the verdict by rule; `resumable` is as in Conditions."""
+    """Check all rules and return the verdict by rule; `resumable` is the attribute of Conditions."""
     verdict = {rule: RuleVerdict() for rule in RULES}
     stops = _stops(events)
     faults = [event for event in events if event["what"] == "fault"]
@@ -43,9 +54,9 @@
         if "request" in event:
             by_request[event["request"]].append(event)
     for name, request_events in by_request.items():
-        judged = _JudgedRequest(name, request_events, stops, verdict)
-        judged.judge()
-        judged.judge_cut_stream(resumable, faults)
+        checker = _RequestChecker(name, request_events, stops, verdict)
+        checker.judge()
+        checker.judge_cut_stream(resumable, faults)
     _judge_drains(events, verdict["drain"])
     judge_agents(events, verdict["drain"], verdict["calls"], SLACK)
     _judge_alive(events, verdict["alive"])
@@ -54,16 +65,23 @@
 
 @dataclass
 class _Stop:
-    """One end of a node's process: when it was told to, was killed, and had ended."""
+    """The end of one process of a node.
+
+    Attributes:
+        node: the node's name.
+        terminated_at: when SIGTERM was sent, in seconds of the monotonic clock; None if it was not.
+        killed_at: when SIGKILL was sent; None if it was not.
+        ended_at: when the process had ended.
+    """
 
     node: str
-    told_at: float | None = None  # by SIGTERM
+    terminated_at: float | None = None
     killed_at: float | None = None
     ended_at: float = inf
 
 
 def _stops(events: list[Event]) -> list[_Stop]:
-    """Return the ends of all processes, in the order in which they were first told to end."""
+    """Return the ends of all processes, in the order of the first signal to each of them."""
     stops: list[_Stop] = []
     open_stops: dict[str, _Stop] = {}
     for event in events:
@@ -74,15 +92,15 @@
                 stops.append(stop)
             if event["kill"]:
                 stop.killed_at = event["t"]
-            elif stop.told_at is None:
-                stop.told_at = event["t"]
+            elif stop.terminated_at is None:
+                stop.terminated_at = event["t"]
         elif event["what"] == "ended" and event["node"] in open_stops:
             open_stops.pop(event["node"]).ended_at = event["t"]
     return stops
 
 
-class _JudgedRequest:
-    """One request's events, in order of time."""
+class _RequestChecker:
+    """Checks the rules on one request, whose events are in order of time."""
 
     def __init__(
         self, name: str, events: list[Event], stops: list[_Stop], verdict: dict[str, RuleVerdict]
@@ -93,7 +111,7 @@
         self.answered = self.first("answered")
 
     def first(self, what: str) -> Event | None:
-        """Return the first event of a kind."""
+        """Return the first event of a kind; None if there is none."""
         return next((event for event in self.events if event["what"] == what), None)
 
     def all(self, what: str) -> list[Event]:
@@ -101,21 +119,21 @@
         return [event for event in self.events if event["what"] == what]
 
     def add_violation(self, rule: str, text: str) -> None:
-        """Record a violation with the request's first events."""
-        trail = ", ".join(
+        """Record a violation, described by `text` and the request's first 40 events."""
+        trace = ", ".join(
             f"{event['t']:.3f} {event['what']}" + (f" {event['engine']}" if "engine" in event else "")
             for event in self.events[:40]
         )
-        self.verdict[rule].add_violation(f"{self.name}: {text} [{trail}]")
+        self.verdict[rule].add_violation(f"{self.name}: {text} [{trace}]")
 
     def judge(self) -> None:
-        """Judge all rules that are about single requests."""
+        """Check all rules that concern single requests, except the one on cut streams."""
         self._judge_foreign()
         if self.request is None:
             return
         self._judge_lost(self.request)
         self._judge_twice(self.request)
-        if not self._killed(self.request):
+        if not self._node_was_killed(self.request):
             self._judge_held()
         self._judge_gone()
         self._judge_deadlines(self.request)
@@ -123,56 +141,64 @@
     def _judge_foreign(self) -> None:
         self.verdict["foreign"].cases += 1
         if self.request is None and self.all("sent"):
-            self.add_violation("foreign", "sent on, and no client sent it whole")
+            self.add_violation("foreign", "passed on, although no client sent it as a well-formed request")
         for event in self.all("arrived"):
             if self.request is not None and event["body"] != self.request["body"]:
                 self.add_violation("foreign", f"arrived as {event['body']!r}")
         if self.answered is not None and self.answered["how"] == "wrong":
-            self.add_violation("foreign", "answered with what no engine made for it")
+            self.add_violation("foreign", "answered with a stream that no engine sent for it")
 
     def _stop_of(self, request: Event) -> _Stop | None:
-        """The end of the process that has taken the request, if it was open then; None where it was not."""
+        """Return the end of the process that accepted the request, if the request was open during that end.
+
+        Return None otherwise.
+        """
         until = inf if self.answered is None else self.answered["t"]
         for stop in self.stops:
-            begins = min(time for time in (stop.told_at, stop.killed_at) if time is not None)
+            signalled_at = min(time for time in (stop.terminated_at, stop.killed_at) if time is not None)
             if (
                 stop.node == request["node"]
-                and begins < until + SLACK
+                and signalled_at < until + SLACK
                 and request["t"] < stop.ended_at + SLACK
             ):
                 return stop
         return None
 
-    def _killed(self, request: Event) -> bool:
-        """Whether its node was killed, so that nobody is left to release what it held."""
+    def _node_was_killed(self, request: Event) -> bool:
+        """Return whether the node was killed after the request, so that it could not release the state."""
         return any(
             stop.node == request["node"] and stop.killed_at is not None and stop.killed_at > request["t"]
             for stop in self.stops
         )
 
     def _judge_stopped(self, request: Event, answered: Event, stop: _Stop) -> None:
-        """What a node had taken as it was told to end; a process killed outright owes nothing."""
-        if stop.told_at is None:
+        """Check a request that was open while its node was being stopped.
+
+        A process that gets SIGKILL without SIGTERM is exempt.
+        """
+        if stop.terminated_at is None:
             return
         self.verdict["stopped"].cases += 1
-        after_signal = request["t"] - stop.told_at
+        after_signal = request["t"] - stop.terminated_at
         by_kill = stop.killed_at is not None and answered["t"] >= stop.killed_at
         begun = self.first("begun") is not None
         if answered["how"] not in ("closed", "cut", "late"):
             return
-        if by_kill and after_signal > OWED_FROM:
-            self.add_violation("stopped", f"open at the kill, sent {after_signal:.3f} s after SIGTERM")
-        elif not by_kill and not begun and not self._crossed(request, after_signal):
+        if by_kill and after_signal > LAST_OPEN_AT_KILL:
             self.add_violation(
-                "stopped", f"no answer: {answered['how']}, sent {after_signal:.3f} s after SIGTERM"
+                "stopped", f"still open at the kill, although sent {after_signal:.3f} s after SIGTERM"
+            )
+        elif not by_kill and not begun and not self._sent_while_closing(request, after_signal):
+            self.add_violation(
+                "stopped", f"no answer ({answered['how']}), sent {after_signal:.3f} s after SIGTERM"
             )
 
-    def _crossed(self, request: Event, after_signal: float) -> bool:
-        """Whether a request that nobody received crossed the end of its connection."""
+    def _sent_while_closing(self, request: Event, after_signal: float) -> bool:
+        """Return whether the node closed the connection while the request was sent, and so never read it."""
         return not self.all("sent") and (not request["new"] or after_signal > CONNECTING_UNTIL)
 
     def judge_cut_stream(self, resumable: bool, faults: list[Event]) -> None:
-        """Where clients do not ask for the rest, a stream may not be cut while its events still come."""
+        """Check that a node does not cut a stream whose events still arrive, unless clients can resume it."""
         request, begun, answered = self.request, self.first("begun"), self.answered
         if resumable or request is None or begun is None or answered is None or answered["how"] != "cut":
             return
@@ -180,7 +206,7 @@
         by_kill = stop is not None and stop.killed_at is not None and answered["t"] >= stop.killed_at
         engine = self.all("ran")[-1]["engine"]
         if not by_kill and not _has_fault(faults, engine, begun["t"], answered["t"]):
-            self.add_violation("lost", "cut, though its events still came")
+            self.add_violation("lost", "the stream was cut, although the engine still sent its events")
 
     def _judge_lost(self, request: Event) -> None:
         if self.left is not None or self.answered is None:
@@ -194,24 +220,24 @@
                 return
         took = (begun or answered)["t"] - request["t"]
         if answered["how"] == "closed" and not (self.all("sent") or request["new"]):
-            return  # the end of an idle connection, crossed by a request that nobody received
+            return  # the node closed the idle connection while the request was sent, and so never read it
         if answered["how"] in ("closed", "late") and begun is None:
-            self.add_violation("lost", f"no answer: {answered['how']}")
+            self.add_violation("lost", f"no answer ({answered['how']})")
         elif took > request["deadline"] + LATE_RESPONSE + SLACK:
             self.add_violation(
-                "lost", f"answered {took:.2f} s after it was asked, {request['deadline']} s allowed"
+                "lost", f"answered {took:.2f} s after it was sent, {request['deadline']} s are allowed"
             )
         elif answered["status"] not in (0, 200, 500, 503):
-            self.add_violation("lost", f"a sound request got {answered['status']}")
+            self.add_violation("lost", f"a well-formed request was answered with status {answered['status']}")
 
     def _judge_twice(self, request: Event) -> None:
         self.verdict["twice"].cases += 1
         ran = self.all("ran")
         if request["kind"] == "book" and len(ran) > 1:
-            self.add_violation("twice", f"ran {len(ran)} times")
+            self.add_violation("twice", f"executed {len(ran)} times")
         if request["kind"] == "book" and ran and self.answered is not None and self.answered["status"] == 503:
-            self.add_violation("twice", "refused, though it ran")
-        declined = {event["engine"] for event in self.all("declined")}  # it did not execute there
+            self.add_violation("twice", "rejected as not executed, although it was executed")
+        declined = {event["engine"] for event in self.all("declined")}  # these engines did not execute it
         decode_attempts = [
             event
             for event in self.all("sent_whole")
@@ -222,17 +248,20 @@
             and decode_attempts
             and decode_attempts[-1]["t"] > decode_attempts[0]["t"] + DEDUPLICATION_WINDOW + SLACK
         ):
-            self.add_violation("twice", "sent again after its window")
+            self.add_violation("twice", "sent again after its deduplication window")
 
     def _judge_held(self) -> None:
-        """Time counts while state is held and no attempt that has arrived is unanswered."""
+        """Check how long the request's state was held.
+
+        The time counts while no attempt that has arrived at an engine is unanswered.
+        """
         since: float | None = None
-        unanswered: dict[str, bool] = {}  # by engine: whether the attempt there has arrived
+        unanswered: dict[str, bool] = {}  # by engine: whether the unanswered attempt has arrived there
         held = False
         for event in self.events:
             what, engine = event["what"], event.get("engine", "")
             paused = any(unanswered.values())
-            if held and not paused and since is not None and event["t"] - since > RELEASE_GRANT + SLACK:
+            if held and not paused and since is not None and event["t"] - since > RELEASE_TIMEOUT + SLACK:
                 self.add_violation("held", f"held for {event['t'] - since:.3f} s")
                 return
             if what == "sent_whole":
@@ -249,15 +278,17 @@
             counts = held and not any(unanswered.values())
             since = (since if since is not None and not paused else event["t"]) if counts else None
         if held and since is not None:
-            self.add_violation("held", "never taken and never let go of")
+            self.add_violation("held", "its state was neither used nor released")
 
     def _judge_gone(self) -> None:
         self.verdict["gone"].cases += 1
         for event in self.all("sent"):
             if self.left is not None and event["t"] > self.left["t"] + DISCONNECT_GRACE + SLACK:
-                self.add_violation("gone", f"sent {event['t'] - self.left['t']:.3f} s after its client went")
+                self.add_violation(
+                    "gone", f"sent {event['t'] - self.left['t']:.3f} s after its client had disconnected"
+                )
             if self.answered is not None and event["t"] > self.answered["t"] + SLACK:
-                self.add_violation("gone", "sent after its answer")
+                self.add_violation("gone", "sent after its client had been answered")
 
     def _judge_deadlines(self, request: Event) -> None:
         for event in self.all("sent"):
@@ -265,15 +296,20 @@
             sent_deadline = int(event["deadline"].removesuffix("u") or 0) / 1e6
             left = request["t"] + request["deadline"] - event["t"]
             if sent_deadline > left + DEADLINE_SLACK + SLACK / 3:
-                self.add_violation("deadline", f"told {sent_deadline:.3f} s, {left:.3f} s are left")
+                self.add_violation(
+                    "deadline", f"the engine got a deadline of {sent_deadline:.3f} s, {left:.3f} s are left"
+                )
+
 
+def _judge_drains(events: list[Event], verdict: RuleVerdict) -> None:
+    """Check that nodes send nothing to engines that they know are draining.
 
-def _judge_drains(events: list[Event], judged: RuleVerdict) -> None:
-    """A drain counts from the list with which a node started, or the response by which it learned of it."""
+    A node knows of a drain from the endpoint list with which it started, or from a response of its agent.
+    """
     changes = [event for event in events if event["what"] == "status"]
     known_since: dict[tuple[str, str], float] = {}  # by node and engine, of a drain
     for event in events:
-        if event["what"] in ("told", "started"):  # a process starts with the list of its configuration
+        if event["what"] in ("told", "started"):  # a process starts with the list in its configuration
             for engine in {change["engine"] for change in changes}:
                 last = [
                     change
@@ -286,27 +322,27 @@
                 else:
                     known_since.pop(key, None)
         elif event["what"] == "sent":
-            judged.cases += 1
+            verdict.cases += 1
             since = known_since.get((event["node"], event["engine"]))
             if since is not None and event["t"] > since + DRAIN_GRACE + SLACK:
-                judged.add_violation(
+                verdict.add_violation(
                     f"{event['request']} sent by {event['node']} to {event['engine']} "
-                    f"{event['t'] - since:.3f} s after it was told of the drain"
+                    f"{event['t'] - since:.3f} s after the node was informed of the drain"
                 )
 
 
-def _judge_alive(events: list[Event], judged: RuleVerdict) -> None:
+def _judge_alive(events: list[Event], verdict: RuleVerdict) -> None:
     for event in events:
         if event["what"] in ("started", "ready"):
-            judged.cases += 1
+            verdict.cases += 1
         if event["what"] in ("crashed", "not_started", "node_fault", "hung"):
-            judged.add_violation(str(event))
+            verdict.add_violation(str(event))
         if event["what"] == "ready" and event["took"] > MAX_START:
-            judged.add_violation(f"{event['node']} took {event['took']:.1f} s to be ready")
+            verdict.add_violation(f"{event['node']} took {event['took']:.1f} s to become ready")
 
 
 def _has_fault(faults: list[Event], engine: str, since: float, until: float) -> bool:
-    """Whether a fault at an engine may have broken a stream there."""
+    """Return whether a fault that affects an engine may have broken a stream between `since` and `until`."""
     return any(
         engine in fault["engines"]
         and fault["t"] < until
