--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -1,4 +1,4 @@
-"""Real nodes of a soak, started as the deploy file does, each with an agent and edges of its own."""
+"""The node processes of a soak, each with its own discovery agent and its own proxies to the engines."""
 
 from __future__ import annotations
 
@@ -25,6 +25,7 @@
 from tests.soak.environment import Environment
 
 READY_WITHIN = 10.0  # seconds that a start may take
+# Lines in a node's log that report a fault of the node.
 FAULT_LINE = re.compile(
     rb"Traceback|"
     rb'"event":"(\w+_failed|invariant_violated|answered_by_deadline_guard|release_abandoned)"'
@@ -32,7 +33,7 @@
 
 
 def soak_settings(conditions: Conditions) -> dict[str, Any]:
-    """Return the tests' settings with a request class of each effect."""
+    """Return the tests' settings for the conditions, extended by a request class with deduplication."""
     settings = copy.deepcopy(SETTINGS)
     for row in settings["classes"]:
         row["deadline-us"] = int(conditions.longest_deadline * 1_000_000)
@@ -50,7 +51,22 @@
 
 @dataclass(eq=False)
 class SoakNode:
-    """One node process with its agent and edges."""
+    """One node, whose process may be restarted, with its agent and its proxies to the engines.
+
+    Attributes:
+        environment: the environment of the soak.
+        name: the node's name.
+        folder: the folder for its configuration file.
+        sabotage: the rule that it violates; empty for none.
+        preload: the path of a library to preload; empty for none.
+        edges: by engine, the proxy between the node and the engine.
+        port: the port on which it listens for clients.
+        log: what all of its processes have logged.
+        up: whether it is ready and has not been signalled to end.
+        stopped_at: when SIGTERM was sent to the present process; None if it was not.
+        ended_by_test: whether the present process was signalled to end.
+        is_listening: whether the present process has logged that it listens.
+    """
 
     environment: Environment
     name: str
@@ -60,27 +76,27 @@
     edges: dict[str, FaultProxy] = field(default_factory=dict)
     port: int = 0
     log: bytes = b""
-    up: bool = False  # it is ready, and no signal to end has been sent
-    stopped_at: float | None = None  # when SIGTERM was sent to this process
+    up: bool = False
+    stopped_at: float | None = None
     ended_by_test: bool = False
-    is_listening: bool = False  # this process has logged that it listens
+    is_listening: bool = False
 
-    async def prepare(self, edge: Callable[[str, str], FaultProxy]) -> None:
-        """Start its edges, each made for its name and the engine's, and its agent."""
+    async def prepare(self, make_edge: Callable[[str, str], FaultProxy]) -> None:
+        """Start the agent and the proxies; `make_edge` is called with the node's and an engine's name."""
         for engine in self.environment.engines:
-            self.edges[engine] = edge(self.name, engine)
+            self.edges[engine] = make_edge(self.name, engine)
             await self.edges[engine].start()
         self.agent = SoakAgent(self.environment, self.name, lambda engine: self.edges[engine].port)
         await self.agent.start()
         self.port = free_port()
 
     def reload(self) -> None:
-        """Have it read its configuration again."""
+        """Write the node's configuration, and make the process reload it."""
         self.write_config()
         self.signal(signal.SIGHUP)
 
     def write_config(self) -> Path:
-        """Write the node's configuration as it is now."""
+        """Write the node's present configuration, and return its path."""
         file = self.folder / f"{self.name}.json"
         file.write_text(
             json.dumps(
@@ -90,7 +106,7 @@
                     "discovery": f"{HOST}:{self.agent.port}",
                     "seed": f"{crc32(f'{self.environment.seed}.{self.name}'.encode()):x}",
                     "limits": {"sockets": 512 + 3 * self.environment.conditions.idle_clients},
-                    "known": json.loads(self.agent.known()),
+                    "known": json.loads(self.agent.known_list()),
                     "settings": soak_settings(self.environment.conditions),
                 }
             )
@@ -98,7 +114,10 @@
         return file
 
     async def start(self) -> None:
-        """Start the process; returns when it is ready, or when it never will be."""
+        """Start a process, and return when it is ready.
+
+        Return also if it has ended, or is not ready after 30 s.
+        """
         command = ["-m", "tests.soak.sabotage", self.sabotage] if self.sabotage else ["-m", "runspool.node"]
         revision = self.agent.known_revision
         variables = os.environ | {"BALANCER_CONFIG": str(self.write_config()), "PYTHONPATH": str(Path.cwd())}
@@ -121,7 +140,7 @@
         self.environment.record("ready", node=self.name, took=asyncio.get_running_loop().time() - began)
 
     async def healthy(self) -> bool:
-        """Return whether it answers within a second that it is ready."""
+        """Return whether the node answers its health check with status 200 within a second."""
         writer: asyncio.StreamWriter | None = None
         try:
             async with asyncio.timeout(1.0):
@@ -135,6 +154,7 @@
                 writer.transport.abort()
 
     async def _read_log(self) -> None:
+        """Read the process's log until it ends, then record its end."""
         assert self.process.stderr is not None
         async for line in self.process.stderr:
             self.log += line
@@ -144,27 +164,27 @@
         code = await self.process.wait()
         self.up = False
         self.environment.record("ended", node=self.name, code=code)
-        # Before its handlers are installed, SIGTERM ends it at once.
+        # SIGTERM ends the process with -SIGTERM as long as the process has not installed its handlers.
         expected = (0, -signal.SIGKILL) if self.is_listening else (0, -signal.SIGKILL, -signal.SIGTERM)
         if not self.ended_by_test or code not in expected:
             self.environment.record("crashed", node=self.name, code=code)
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal; one that ends the process is recorded first."""
+        """Send a signal to the process unless it has ended; record SIGTERM and SIGKILL beforehand."""
         if self.process.returncode is None:
             if number in (signal.SIGTERM, signal.SIGKILL):
                 self.up, self.ended_by_test = False, True
                 self.environment.record("told_to_end", node=self.name, kill=number is signal.SIGKILL)
                 if number is signal.SIGTERM and self.stopped_at is None:
                     self.stopped_at = asyncio.get_running_loop().time()
-            # Not send_signal(): it reaps a process that has just ended, and asyncio reports 255 then.
+            # send_signal() would reap a process that has just ended, and asyncio would then report 255.
             with suppress(ProcessLookupError):
                 os.kill(self.process.pid, number)
 
     async def restart(self, *signals: tuple[float, Signals]) -> None:
-        """Send signals, each so many seconds after the one before, until it ends, and start it again.
+        """Send signals, each its delay in seconds after the previous one, then wait for the end and restart.
 
-        SIGKILL follows SIGTERM as early as the platform sends it.
+        SIGKILL is sent as soon after SIGTERM as the platform may send it.
         """
         for delay, number in signals:
             await asyncio.sleep(delay)
@@ -173,7 +193,7 @@
         await self.start()
 
     async def wait_end(self) -> None:
-        """Wait until the process has ended; kill it as early as the platform does."""
+        """Wait until the process has ended, and kill it at the earliest time at which the platform does."""
         since_stop = 0.0 if self.stopped_at is None else asyncio.get_running_loop().time() - self.stopped_at
         try:
             async with asyncio.timeout(self.environment.conditions.kill_after - since_stop):
@@ -184,7 +204,7 @@
             await self.logging
 
     async def close(self) -> None:
-        """End process, agent and edges."""
+        """Stop the process, the agent and the proxies."""
         if self.process.returncode is None:
             self.signal(signal.SIGTERM)
             await self.wait_end()
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,7 @@
-"""Plays one soak: `python -m tests.soak.run --seed 3 --seconds 20 --nodes 24`; prints faults and verdict."""
+"""Runs one soak and prints its faults and its verdict.
+
+python -m tests.soak.run --seed 3 --seconds 20 --nodes 24
+"""
 
 from __future__ import annotations
 
@@ -23,30 +26,42 @@
 from tests.soak.nodes import SoakNode
 from tests.soak.sabotage_conditions import conditions_for
 
-STARTED_AT_ONCE = 6
-HARNESS_FAULT = 3  # exit code
-RECORDED_LAG = 0.05  # seconds by which this process may come late before that is an event
-LAG_INTERVAL = 0.02
-MOST_LAG = SLACK  # seconds: the judge grants no more, so that with more its verdict would mean nothing
-RELEASE_TIME = 2.5  # seconds at the end, in which what is held may still be released
+START_GROUP_SIZE = 6  # nodes that are started at the same time
+HARNESS_FAULT = 3  # exit code if this process was too slow for a valid verdict
+RECORDED_LAG = 0.05  # seconds by which this process must be scheduled late for the lag to be recorded
+LAG_INTERVAL = 0.02  # seconds between two measurements of the lag
+# Seconds of lag of this process up to which a verdict is valid. The rules grant the same time, so that a
+# larger lag could be reported as a violation of a node.
+MAX_LAG = SLACK
+RELEASE_TIME = 2.5  # seconds after the load has ended for the nodes to release the states that are still held
 
 
 @dataclass(frozen=True, slots=True)
 class Soak:
-    """What is played; the options of the command line."""
+    """The options of a soak, which are those of the command line.
+
+    Attributes:
+        seed: the seed of conditions, faults and load.
+        seconds: the duration of the load.
+        nodes: the number of nodes.
+        rate: the mean number of requests per second and node.
+        each: the mean number of seconds between two faults.
+        sabotage: the rule that the nodes violate, as in tests.soak.sabotage; empty for none.
+        preload: the path of the library that steps the nodes' wall clocks; empty for none.
+    """
 
     seed: int
     seconds: float = 10.0
     nodes: int = 6
-    rate: float = 8.0  # requests a second and node
-    each: float = 0.4  # seconds between two faults
+    rate: float = 8.0
+    each: float = 0.4
     sabotage: str = ""
     preload: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Result:
-    """Faults, events and verdict of a soak, and what each node has logged."""
+    """The faults, the events and the verdict of a soak, and the log of each node by its name."""
 
     faults: list[Fault]
     events: list[Event]
@@ -55,7 +70,7 @@
 
     @property
     def lag(self) -> float:
-        """The seconds by which this process came late at worst."""
+        """The largest recorded delay of this process, in seconds."""
         return max((event["late"] for event in self.events if event["what"] == "lag"), default=0.0)
 
     @property
@@ -65,7 +80,7 @@
 
 
 async def play(soak: Soak, folder: Path) -> Result:
-    """Start everything, inject the faults under load, end everything, judge."""
+    """Start the environment and the nodes, inject the faults under load, stop everything, check the rules."""
     conditions = conditions_for(soak.sabotage, soak.nodes) if soak.sabotage else None
     environment = Environment(
         soak.seed,
@@ -86,8 +101,8 @@
     try:
         for node in nodes:
             await node.prepare(lambda node, engine: Edge(environment, node, engine))
-        for first in range(0, len(nodes), STARTED_AT_ONCE):
-            await asyncio.gather(*(node.start() for node in nodes[first : first + STARTED_AT_ONCE]))
+        for first in range(0, len(nodes), START_GROUP_SIZE):
+            await asyncio.gather(*(node.start() for node in nodes[first : first + START_GROUP_SIZE]))
         injection = asyncio.ensure_future(FaultInjector(environment, nodes).run(faults))
         await ClientWorkload(environment, nodes, soak.rate, disconnecting_share).run(soak.seconds)
         await injection
@@ -104,6 +119,7 @@
 
 
 async def _record_lag(environment: Environment) -> None:
+    """Record each time that this process is scheduled late, until cancelled."""
     loop = asyncio.get_running_loop()
     while True:
         due = loop.time() + LAG_INTERVAL
@@ -113,7 +129,7 @@
 
 
 def clock_library(folder: Path) -> str:
-    """Build the library that steps wall clocks; the path is empty where there is no C compiler."""
+    """Build the library that steps wall clocks and return its path; empty if there is no C compiler."""
     compiler, library = which("cc"), folder / "clock.so"
     if compiler is None:
         return ""
@@ -123,12 +139,12 @@
 
 
 def play_now(soak: Soak, folder: Path) -> Result:
-    """Run play() on a loop of its own."""
+    """Run play() in a new event loop."""
     return asyncio.run(play(soak, folder))
 
 
 def main() -> int:
-    """Play one soak as the command line says; returns the exit code."""
+    """Run the soak that the command line describes, and return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     for name, kind, default in (
         ("seed", int, 1),
@@ -139,13 +155,13 @@
     ):
         parser.add_argument(f"--{name}", type=kind, default=default)
     parser.add_argument("--sabotage", default="")
-    parser.add_argument("--logs", type=Path, help="a folder where each node's log is written")
-    parser.add_argument("--events", type=Path, help="where what was seen is written, a JSON object a line")
+    parser.add_argument("--logs", type=Path, help="folder to which each node's log is written")
+    parser.add_argument("--events", type=Path, help="file to which the events are written as JSON lines")
     options = vars(parser.parse_args())
     events, logs = options.pop("events"), options.pop("logs")
     with TemporaryDirectory() as folder:
         preload = clock_library(Path(folder))
-        print("wall clocks " + ("step" if preload else "do not step: no C compiler"))
+        print("wall clocks " + ("are stepped" if preload else "are not stepped: no C compiler found"))
         result = play_now(Soak(**options, preload=preload), Path(folder))
     if logs is not None:
         logs.mkdir(parents=True, exist_ok=True)
@@ -153,9 +169,10 @@
             (logs / f"{name}.log").write_bytes(log)
     if events is not None:
         events.write_text("".join(json.dumps(event) + "\n" for event in result.events))
-    if result.lag > MOST_LAG:
+    if result.lag > MAX_LAG:
         print(
-            f"harness fault: this process came {result.lag:.3f} s late, {MOST_LAG} s are granted; no verdict"
+            f"harness fault: this process was scheduled {result.lag:.3f} s late; the verdict is valid up to "
+            f"{MAX_LAG} s only and is not shown"
         )
         return HARNESS_FAULT
     print_result(result)
@@ -163,7 +180,7 @@
 
 
 def print_result(result: Result) -> None:
-    """Print faults, counts of events, and the verdict by rule with examples."""
+    """Print the faults, the number of events of each kind, and the verdict by rule with examples."""
     for fault in result.faults:
         print(json.dumps(asdict(fault)))
     print(json.dumps(Counter(event["what"] for event in result.events)))
--- a/tests/soak/sabotage.py
+++ b/tests/soak/sabotage.py
@@ -1,6 +1,7 @@
-"""A node that violates one rule, which the judge of a soak has to notice: `-m tests.soak.sabotage NAME`.
+"""Runs a node that violates one rule, to test that a soak detects it: `python -m tests.soak.sabotage NAME`.
 
-A name is that of the rule, with a point and the way behind it where there are several.
+NAME is the name of the rule. Where a rule can be violated in several ways, a dot and the name of the way
+follow.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 def drop_rejections() -> None:
-    """Never send the responses that are no stream."""
+    """Send no rejections and no indeterminate responses."""
     original = RequestExecutor.finish
 
     def finish_streams_only(self: Any, pending: Any, final: Any) -> bool:
@@ -42,7 +43,7 @@
 
 
 def repeat_attempts() -> None:
-    """Treat every request class as one that may be repeated."""
+    """Repeat attempts of every request class, as if all classes were idempotent."""
     original = Scheduler.__init__
 
     def init_with_idempotent_classes(self: Scheduler, terms: Any, seed: int) -> None:
@@ -56,20 +57,20 @@
 
 
 def ignore_drains() -> None:
-    """Keep the first endpoint list."""
+    """Apply only the first endpoint list."""
     original = RequestExecutor.endpoints_changed
-    lists: list[Any] = []
+    received_lists: list[Any] = []
 
-    def take_first_list(self: Any, entries: Any) -> None:
-        if not lists:
+    def apply_first_list(self: Any, entries: Any) -> None:
+        if not received_lists:
             original(self, entries)
-        lists.append(entries)
+        received_lists.append(entries)
 
-    RequestExecutor.endpoints_changed = take_first_list  # type: ignore[method-assign, assignment]
+    RequestExecutor.endpoints_changed = apply_first_list  # type: ignore[method-assign, assignment]
 
 
 def release_nothing() -> None:
-    """Make no release call."""
+    """Make no release calls."""
 
     async def withdraw_only(self: StateReleaser, release: Any) -> None:
         self.withdraw(release.request)
@@ -78,18 +79,18 @@
 
 
 def ignore_disconnects() -> None:
-    """Take no notice of clients that disconnect."""
+    """Ignore that clients disconnect."""
     RequestExecutor.client_disconnected = lambda *arguments: None  # type: ignore[method-assign]
 
 
 def extend_deadlines() -> None:
-    """Send engines deadlines that are a second too long."""
+    """Send deadlines to engines that are one second too long."""
     original = calls._encode_request
     calls._encode_request = lambda request, remaining: original(request, remaining + 10_000)
 
 
 def change_bodies() -> None:
-    """Send on what no client has sent, now and then."""
+    """Change the body of every twentieth request."""
     original = exchange.encode_request
     encoded_count = 0
 
@@ -103,7 +104,7 @@
 
 
 def exit_unexpectedly() -> None:
-    """Exit after some seconds."""
+    """Exit at the first connection that is served later than three seconds after the start."""
     original = ClientConnections.serve
     began = time.monotonic()
 
@@ -116,7 +117,7 @@
 
 
 def leave_streams_open() -> None:
-    """End no stream in a shutdown, as decisions or by the request terminator."""
+    """End no stream in a shutdown, neither by a scheduling decision nor by the request terminator."""
     original = RequestLifecycle.deny_staying_open
 
     def deny_unanswered_only(self: RequestLifecycle, process_ends: bool) -> DenialReason | None:
@@ -127,7 +128,7 @@
 
 
 def exit_at_shutdown() -> None:
-    """Exit a moment after SIGTERM, whatever is open."""
+    """Exit half a second after SIGTERM, even if requests are open."""
 
     async def exit_soon(self: GracefulShutdown, accepts_requests: bool = True) -> None:
         await anyio.sleep(0.5)
@@ -137,7 +138,7 @@
 
 
 def cut_all_streams() -> None:
-    """Treat every stream as one that can be resumed, as the request terminator does."""
+    """Treat every stream as resumable, so that the request terminator cuts it in a shutdown."""
     original = AttemptPolicy.for_class.__func__  # type: ignore[attr-defined]
     AttemptPolicy.for_class = classmethod(  # type: ignore[method-assign, assignment]
         lambda cls, *arguments: replace(original(cls, *arguments), stream_can_resume=True)
@@ -145,23 +146,23 @@
 
 
 def give_up_late_answers() -> None:
-    """Give each call for the endpoint list up after a fixed time."""
+    """Abandon every call for the endpoint list after 0.4 s."""
     discovery_client.MAX_CALL_DURATION = 4_000
 
 
 def ask_rarely() -> None:
-    """Ask an agent that does not answer only every other second."""
+    """Call an agent that does not respond only every four seconds."""
     search_backoff.MIN_INTERVAL = search_backoff.MAX_INTERVAL
 
 
 def ask_without_pause() -> None:
-    """Ask an agent that does not answer a hundred times a second."""
+    """Call an agent that does not respond a hundred times a second."""
     search_backoff.MIN_INTERVAL = 100
     search_backoff.MAX_INTERVAL = 100
 
 
 def ask_often() -> None:
-    """Ask an agent that does not answer ten times a second."""
+    """Call an agent that does not respond ten times a second."""
     search_backoff.MIN_INTERVAL = 1_000
     search_backoff.MAX_INTERVAL = 1_000
 
--- a/tests/soak/sabotage_conditions.py
+++ b/tests/soak/sabotage_conditions.py
@@ -1,4 +1,4 @@
-"""The conditions in which a node that does not keep one rule is seen to break it."""
+"""The conditions of a soak in which a node's violation of a rule becomes visible."""
 
 from __future__ import annotations
 
@@ -10,15 +10,22 @@
 from tests.soak.environment import DECODE_ENGINES, MIXED_ENGINES, PREFILL_ENGINES
 from tests.soak.faults import Fault
 
-PREFILL = tuple(f"prefill-{index}" for index in range(PREFILL_ENGINES))
-DECODE = tuple(f"decode-{index}" for index in range(DECODE_ENGINES))
+PREFILL = tuple(f"prefill-{index}" for index in range(PREFILL_ENGINES))  # the names of all prefill engines
+DECODE = tuple(f"decode-{index}" for index in range(DECODE_ENGINES))  # the names of all decode engines
 LONG_STREAMS = Conditions(longest_stream=10.0, long_share=0.5)
-Nodes = tuple[int, ...]
+Nodes = tuple[int, ...]  # indices of nodes
 
 
 @dataclass(frozen=True, slots=True)
 class RuleConditions:
-    """Faults, engines and clients of such a soak."""
+    """The faults, engines and clients of a soak that makes one violation visible.
+
+    Attributes:
+        faults: the faults of the soak.
+        mixed_engines: the number of mixed engines.
+        disconnecting_share: the share of the clients that disconnect before they are answered.
+        soak: the other conditions.
+    """
 
     faults: list[Fault]
     mixed_engines: int = MIXED_ENGINES
@@ -43,8 +50,8 @@
     return [Fault(0.2, "outage", lasts, PREFILL[:2], nodes, amount)]
 
 
-# Where a violation shows only behind a prefill, or as a decode goes wrong, there is no mixed engine: those
-# serve a request in one attempt, and on a slow machine hardly any other would be left to judge.
+# There are no mixed engines where a violation can occur only after a prefill, or only when a decode fails.
+# Mixed engines serve a request in one attempt, and on a slow machine almost all requests would go to them.
 CONDITIONS: dict[str, Callable[[Nodes], RuleConditions]] = {
     "stopped": lambda nodes: RuleConditions([_wave(nodes)], soak=LONG_STREAMS),
     "stopped.exits": lambda nodes: RuleConditions(
@@ -66,7 +73,7 @@
 
 
 def conditions_for(sabotage: str, nodes: int) -> RuleConditions:
-    """Return the conditions for one way to violate a rule, in a soak of so many nodes."""
+    """Return the conditions for a name in tests.soak.sabotage, in a soak with `nodes` nodes."""
     all_nodes = tuple(range(nodes))
     if sabotage in CONDITIONS:
         return CONDITIONS[sabotage](all_nodes)
--- a/tests/soak/sweep.py
+++ b/tests/soak/sweep.py
@@ -1,7 +1,8 @@
-"""Plays a soak for each of many seeds: `python -m tests.soak.sweep --first 1 --count 50`; one line a seed.
+"""Runs a soak for each of several seeds: `python -m tests.soak.sweep --first 1 --count 50`.
 
-A seed is clean, broken (with the rules and the number of violations), or a fault of the harness itself. The
-output, the events and the nodes' logs of a seed that is not clean are kept in the folder of `--out`.
+One line is printed for each seed. It says that the seed is clean, or broken (with the number of violations of
+each violated rule), or that the harness itself failed. The output, the events and the nodes' logs of a seed
+that is not clean are kept in the folder of `--out`.
 """
 
 from __future__ import annotations
@@ -17,11 +18,11 @@
 from tests.soak.judge import RULES
 from tests.soak.verdict import read_verdict
 
-TIMEOUT_MARGIN = 120.0  # seconds beyond a soak's own duration
+TIMEOUT_MARGIN = 120.0  # seconds that a soak's process may take in addition to the duration of its load
 
 
 def play_seed(seed: int, seconds: float, nodes: int, rate: float, out: Path) -> str:
-    """Play one soak in a process of its own; returns its line."""
+    """Run one soak in its own process, and return the line to print."""
     logs = out / f"{seed}.logs"
     options = [f"--seed={seed}", f"--seconds={seconds}", f"--nodes={nodes}", f"--logs={logs}"]
     options.append(f"--rate={rate}")
@@ -32,7 +33,7 @@
         )
         output = process.stdout + process.stderr
     except subprocess.TimeoutExpired as expired:
-        output = f"not over in time: {expired}"
+        output = f"the soak did not end in time: {expired}"
     verdict = read_verdict(output)
     broken = {rule: violations for rule, (_, violations) in verdict.items() if violations}
     result = "clean" if set(verdict) == set(RULES) and not broken else f"broken {broken}"
@@ -48,7 +49,7 @@
 
 
 def main() -> int:
-    """Play the seeds that the command line names; returns 0 where all are clean."""
+    """Run the seeds that the command line names, and return 0 if all of them are clean."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--count", type=int, default=50)
--- a/tests/soak/verdict.py
+++ b/tests/soak/verdict.py
@@ -1,4 +1,4 @@
-"""Reads a soak's printed verdict."""
+"""Parses the verdict that a soak prints."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def read_verdict(output: str) -> dict[str, tuple[int, int]]:
-    """Return cases and violations by rule, as far as they are in a soak's output."""
+    """Return the number of cases and of violations of each rule that a soak's output contains."""
     return {rule: (int(cases), int(broken)) for rule, cases, broken in VERDICT_LINE.findall(output)}
