--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -90,9 +90,9 @@
     """Sends one request in `direct_every` past the front (0: none); both ways by the same client code."""
 
     def __init__(
-        self, plan: ScenarioPlan, load_balancer: LoadBalancer, record: Recorder, direct_every: int
+        self, plan: ScenarioPlan, load_balancer: LoadBalancer, recorder: Recorder, direct_every: int
     ) -> None:
-        super().__init__(plan, load_balancer, record)
+        super().__init__(plan, load_balancer, recorder)
         settings = EngineClientConfig(
             connect_ms=1000,
             idle_ms=15000,
@@ -113,7 +113,7 @@
         self.request_count += 1
         name = f"{request.id}.{number}"
         is_direct = bool(self.direct_every) and self.request_count % self.direct_every == 0
-        self.record.line(
+        self.recorder.record_event(
             "asked",
             item=request.id,
             front="direct" if is_direct else "front-0",
@@ -136,26 +136,26 @@
         else:
             all_headers = request_headers(self.plan, request, name, time_limit, 0)
             headers = {key: value for key, value in all_headers if key.startswith("Runspool-")}
-        listener = FirstTokenRecorder(self.record, name)
+        listener = FirstTokenRecorder(self.recorder, name)
         result = await self.client.decode(
             address, body, state, headers, time_limit, UNRESTRICTED, MAX_OUTPUT_TOKENS, listener
         )
         succeeded = result.status is AttemptStatus.SUCCEEDED
         kind = "succeeded" if succeeded else result.status.name.lower()
-        self.record.line("answer", kind=kind, **{"try": name})
+        self.recorder.record_event("answer", kind=kind, **{"try": name})
         return ClientOutcome(kind)
 
 
 class FirstTokenRecorder:
     """Records when a response's first token comes."""
 
-    def __init__(self, record: Recorder, name: str) -> None:
-        self.record = record
+    def __init__(self, recorder: Recorder, name: str) -> None:
+        self.recorder = recorder
         self.name = name
 
     async def stream_started(self) -> None:
         """Record the first token."""
-        self.record.line("first", **{"try": self.name})
+        self.recorder.record_event("first", **{"try": self.name})
 
     async def data_received(self, text: str) -> None:
         """Drop the text."""
@@ -172,7 +172,7 @@
         """Have the worker processes send the plan's requests, and sample the front's usage meanwhile."""
         self.samples = []
         start = now() + 2 * SECOND
-        self.record.line("begin", at=start)
+        self.recorder.record_event("begin", at=start)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._sample_usage)
             async with anyio.create_task_group() as workers:
--- a/runspool/lab/clients.py
+++ b/runspool/lab/clients.py
@@ -29,13 +29,13 @@
     Attributes:
         plan: the plan of the scenario.
         load_balancer: selects a front for each attempt.
-        record: records what the clients send and receive.
+        recorder: records what the clients send and receive.
     """
 
-    def __init__(self, plan: ScenarioPlan, load_balancer: LoadBalancer, record: Recorder) -> None:
+    def __init__(self, plan: ScenarioPlan, load_balancer: LoadBalancer, recorder: Recorder) -> None:
         self.plan = plan
         self.load_balancer = load_balancer
-        self.record = record
+        self.recorder = recorder
 
     async def run(self, requests: list[PlannedRequest], start: int) -> None:
         """Send every request at its planned time and wait until all have ended.
@@ -79,7 +79,7 @@
         front_index = self.load_balancer.pick(self.plan.zones[request.zone_index])
         self._record_attempt(request, attempt_id, number, front_index, time_limit)
         outcome = await self._connect_and_exchange(request, attempt_id, front_index, time_limit)
-        self.record.line(
+        self.recorder.record_event(
             "answer",
             kind=outcome.kind,
             code=outcome.code,
@@ -92,7 +92,7 @@
         self, request: PlannedRequest, attempt_id: str, number: int, front_index: int, time_limit: int
     ) -> None:
         plan = self.plan
-        self.record.line(
+        self.recorder.record_event(
             "asked",
             item=request.id,
             front=plan.fronts[front_index].name,
@@ -133,8 +133,8 @@
             connection.send(h11.EndOfMessage())
         except CONNECTION_ERRORS:
             return ClientOutcome("lost", "while_sending")
-        self.record.line("sent", **{"try": attempt_id})
-        reader = ResponseReader(self.record, request, attempt_id, stream, connection)
+        self.recorder.record_event("sent", **{"try": attempt_id})
+        reader = ResponseReader(self.recorder, request, attempt_id, stream, connection)
         deadline = started_at + time_limit + LATE_ANSWER_GRACE
         if not request.disconnects_after:
             return await reader.read(deadline)
--- a/runspool/lab/endpoint_list_service.py
+++ b/runspool/lab/endpoint_list_service.py
@@ -28,7 +28,7 @@
     """Publishes the state of the engines to all fronts that watch the list, after a delay.
 
     Attributes:
-        record: records every message that was sent to a front intact.
+        recorder: records every message that was sent to a front intact.
         delay: tenths of a millisecond between an update and its publication.
         noisy: whether some messages are truncated, repeated or reordered.
         rng: draws which messages are, and how.
@@ -39,8 +39,8 @@
         port: the port that the service listens on; 0 until it does.
     """
 
-    def __init__(self, record: Recorder, delay: int, seed: int = 0) -> None:
-        self.record = record
+    def __init__(self, recorder: Recorder, delay: int, seed: int = 0) -> None:
+        self.recorder = recorder
         self.delay = delay
         self.noisy = False
         self.rng = Random(seed)
@@ -188,7 +188,7 @@
     def _record_message(self, message: EndpointListMessage) -> None:
         """Record that a message was sent to the front intact."""
         engines = [[entry.engine, entry.state, entry.started_unix_ms] for entry in message.engines]
-        self._service.record.line(
+        self._service.recorder.record_event(
             "told",
             front=self._front,
             version=message.version,
--- a/runspool/lab/engine_events.py
+++ b/runspool/lab/engine_events.py
@@ -22,7 +22,7 @@
     def started(self, cold: bool) -> None:
         """Record the engine's start, with the parameters of the slow start that the audit needs."""
         spec = self._spec
-        self._line(
+        self._record(
             "engine_up",
             role=spec.role,
             zone=spec.zone,
@@ -37,26 +37,26 @@
 
     def fault_switched(self, name: str, settings: dict[str, str | float | None]) -> None:
         """Record a command that switches a fault on or off."""
-        self._line("fault", fault=name, **settings)
+        self._record("fault", fault=name, **settings)
 
     def crashed_by_overload(self) -> None:
         """Record that the engine crashes because it was overloaded during its slow start."""
-        self._line("fell")
+        self._record("fell")
 
     def crashed_by_poison(self) -> None:
         """Record that the engine crashes because of a poisonous request (one that crashes every engine)."""
-        self._line("fell", poison=True)
+        self._record("fell", poison=True)
 
     def reset_before_body(self, request_id: str) -> None:
         """Record that the engine resets the connection of a request before it has read the body."""
-        self._line("cut_in", request=request_id)
+        self._record("cut_in", request=request_id)
 
     def arrived(self, call: CompletionCall, head_at: int) -> None:
         """Record that a request has been received completely.
 
         `head_at` is when its head had been read, in tenths of a millisecond.
         """
-        self._line(
+        self._record(
             "arrived",
             request=call.request_id,
             head=head_at,
@@ -73,37 +73,37 @@
     def executed(self, call: CompletionCall) -> None:
         """Record that the engine has begun to execute a request; a prefill has no effect to record."""
         if not call.is_prefill:
-            self._line("ran", request=call.request_id, **{ATTEMPT: call.options.attempt})
+            self._record("ran", request=call.request_id, **{ATTEMPT: call.options.attempt})
 
     def ended(self, call: CompletionCall, ending: str) -> None:
         """Record that a request has ended; `ending` is the recorded word for how."""
-        self._line("ended", request=call.request_id, how=ending, **{ATTEMPT: call.options.attempt})
+        self._record("ended", request=call.request_id, how=ending, **{ATTEMPT: call.options.attempt})
 
     def state_held(self, job: Job, attempt: str) -> None:
         """Record that the engine holds the prefill state of a job, under the job's request id.
 
         `attempt` is the id of the client attempt that the prefill serves.
         """
-        self._line("held", state=job.request_id, tokens=job.prompt_tokens, **{ATTEMPT: attempt})
+        self._record("held", state=job.request_id, tokens=job.prompt_tokens, **{ATTEMPT: attempt})
 
     def state_dropped(self, state: str) -> None:
         """Record that the engine has freed a state because it could not send the response to its front."""
-        self._line("dropped", state=state)
+        self._record("dropped", state=state)
 
     def state_expired(self, state: str) -> None:
         """Record that the engine has freed a state at the end of its time to live."""
-        self._line("expired", state=state)
+        self._record("expired", state=state)
 
     def state_released(self, state: str, received_at: int) -> None:
         """Record that the engine has freed a state because a front released it.
 
         `received_at` is when the call was received, in tenths of a millisecond.
         """
-        self._line("released", state=state, told=received_at)
+        self._record("released", state=state, told=received_at)
 
     def state_taken(self, state: str, by: str) -> None:
         """Record that another engine, `by`, has fetched a state."""
-        self._line("taken", state=state, by=by)
+        self._record("taken", state=state, by=by)
 
-    def _line(self, what: str, **fields: object) -> None:
-        self._recorder.line(what, engine=self._spec.name, **fields)
+    def _record(self, what: str, **fields: object) -> None:
+        self._recorder.record_event(what, engine=self._spec.name, **fields)
--- a/runspool/lab/fault_injection.py
+++ b/runspool/lab/fault_injection.py
@@ -41,7 +41,7 @@
     Attributes:
         plan: the plan of the scenario.
         fleet: the processes that the faults are injected into.
-        record: records when each fault begins and ends.
+        recorder: records when each fault begins and ends.
         tenant_migrator: migrates tenants; None for a plan without cells.
         rng: draws the engines whose caches are flushed.
         start: the start of the scenario, in tenths of a millisecond; to be set before the first fault.
@@ -52,13 +52,13 @@
         self,
         plan: ScenarioPlan,
         fleet: ScenarioFleet,
-        record: Recorder,
+        recorder: Recorder,
         tenant_migrator: TenantMigrator | None,
     ) -> None:
         """Prepare the injection of faults; `tenant_migrator` is required if the plan migrates tenants."""
         self.plan = plan
         self.fleet = fleet
-        self.record = record
+        self.recorder = recorder
         self.tenant_migrator = tenant_migrator
         self.rng = Random(plan.seed * SEED_MULTIPLIER + SEED_OFFSET)
         self.start = 0
@@ -88,14 +88,14 @@
         if method is None and not faults_of_engines:
             return
         await self._sleep_until(fault.starts_at)
-        self.record.line(
+        self.recorder.record_event(
             "trouble", kind=fault.kind, on=fault.targets, size=fault.magnitude, length=fault.duration
         )
         if method is not None:
             await method(fault)
         else:
             await self._inject_engine_faults(faults_of_engines, fault.duration)
-        self.record.line("trouble_over", kind=fault.kind, on=fault.targets)
+        self.recorder.record_event("trouble_over", kind=fault.kind, on=fault.targets)
 
     async def _sleep_until(self, at: int) -> None:
         """Sleep until a time that counts from the start of the scenario; return at once if it has passed."""
--- a/runspool/lab/fleet.py
+++ b/runspool/lab/fleet.py
@@ -58,7 +58,7 @@
         plan: ScenarioPlan,
         folder: Path,
         parts: Path,
-        record: Recorder,
+        recorder: Recorder,
         record_events: bool,
         front_command: Sequence[str],
         engines_per_process: int,
@@ -69,7 +69,7 @@
             plan: the plan of the scenario; ports must have been assigned to its engines and fronts.
             folder: the folder for configurations, logs and the files that the fronts write.
             parts: the folder for the recordings of the individual processes.
-            record: records starts, kills and stops of processes.
+            recorder: records starts, kills and stops of processes.
             record_events: whether each front records the events and actions of its scheduler.
             front_command: the command that runs a front; the path of a configuration is appended.
             engines_per_process: how many engines share a process. Must be 1 if engines are killed, because a
@@ -78,11 +78,11 @@
         self.plan = plan
         self.folder = folder
         self.parts = parts
-        self.record = record
+        self.recorder = recorder
         self.record_events = record_events
         self.front_command = front_command
         self.engines_per_process = engines_per_process
-        self.endpoint_list = EndpointListService(record, plan.endpoint_list_delay, plan.seed)
+        self.endpoint_list = EndpointListService(recorder, plan.endpoint_list_delay, plan.seed)
         self.engines: list[ManagedProcess] = []
         self.fronts: list[ManagedProcess] = []
         self.engine_starts_unix_ms = [0] * len(plan.engines)
@@ -200,7 +200,7 @@
             if process.child is not None:
                 with anyio.move_on_after(STOP_TIMEOUT):
                     exit_code = await process.child.wait()
-            self.record.line("front_stopped", front=process.name, code=exit_code)
+            self.recorder.record_event("front_stopped", front=process.name, code=exit_code)
 
     async def close(self) -> None:
         """Kill all processes that are still running."""
@@ -273,12 +273,12 @@
             options += ["--tape", str(self.folder / f"{front.name}.{process.starts}.tape")]
         await process.open(options, self.folder / f"{front.name}.log", takes_input=False)
         await process.wait_until_listening(front.port)
-        self.record.line("front_up", front=front.name, life=process.starts)
+        self.recorder.record_event("front_up", front=front.name, life=process.starts)
 
     async def _kill(self, process: ManagedProcess, **subject: str) -> None:
         """Record a kill, with the name of the engine or front as `subject`, and kill the process."""
         if process.running_child is not None:
-            self.record.line("killed", process=process.name, **subject)
+            self.recorder.record_event("killed", process=process.name, **subject)
             await process.kill()
 
     async def _fail_over(self, index: int, start: int) -> None:
--- a/runspool/lab/recording.py
+++ b/runspool/lab/recording.py
@@ -34,7 +34,7 @@
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
         self.file = os.open(path, flags, FILE_MODE) if path is not None else NO_FILE
 
-    def line(self, what: str, **fields: object) -> None:
+    def record_event(self, what: str, **fields: object) -> None:
         """Append a line for an event of the kind `what`, with the present time."""
         if self.file >= 0:
             os.write(self.file, msgspec.json.encode({"t": now(), "what": what, **fields}) + b"\n")
--- a/runspool/lab/response_reader.py
+++ b/runspool/lab/response_reader.py
@@ -61,7 +61,7 @@
     """Reads the response to one attempt.
 
     Attributes:
-        record: records what is received.
+        recorder: records what is received.
         request: the request.
         attempt_id: the id of the attempt.
         stream: the connection to the front.
@@ -70,13 +70,13 @@
 
     def __init__(
         self,
-        record: Recorder,
+        recorder: Recorder,
         request: PlannedRequest,
         attempt_id: str,
         stream: SocketStream,
         connection: h11.Connection,
     ) -> None:
-        self.record = record
+        self.recorder = recorder
         self.request = request
         self.attempt_id = attempt_id
         self.stream = stream
@@ -101,7 +101,7 @@
             return ClientOutcome("lost", type(error).__name__)
 
     async def _read_stream(self) -> ClientOutcome:
-        streamed = _StreamedResponse(self.record, self.attempt_id)
+        streamed = _StreamedResponse(self.recorder, self.attempt_id)
         # The deadline applies to the start of the stream only. From here on, only an idle timeout ends the
         # read.
         with anyio.CancelScope(shield=True) as scope:
@@ -129,7 +129,7 @@
         ended_at = now()
         message = _parse(bytes(body))
         if head.status_code == HTTP_OK:
-            self.record.line("first", whole=True, **{"try": self.attempt_id})
+            self.recorder.record_event("first", whole=True, **{"try": self.attempt_id})
             return await self._read_trailing_data(ClientOutcome("succeeded", ended_at=ended_at))
         outcome = _outcome_of_error(head, message, ended_at)
         if outcome.kind == "malformed":
@@ -157,7 +157,7 @@
             except (anyio.EndOfStream, anyio.BrokenResourceError, OSError):
                 pass
         if trailing:
-            self.record.line("extra", bytes=len(trailing), **{"try": self.attempt_id})
+            self.recorder.record_event("extra", bytes=len(trailing), **{"try": self.attempt_id})
         return outcome
 
     async def _read_end_of_message(self) -> bool:
@@ -175,8 +175,8 @@
     Stand-in engines generate the tokens t1, t2 and so on, so a missing or repeated token is detected.
     """
 
-    def __init__(self, record: Recorder, attempt_id: str) -> None:
-        self.record = record
+    def __init__(self, recorder: Recorder, attempt_id: str) -> None:
+        self.recorder = recorder
         self.attempt_id = attempt_id
         self.splitter = EventSplitter(MAX_EVENT_BYTES)
         self.finish_reason = ""
@@ -196,7 +196,9 @@
         return None
 
     def _finish(self) -> ClientOutcome:
-        self.record.line("end", tokens=self.tokens, finish=self.finish_reason, **{"try": self.attempt_id})
+        self.recorder.record_event(
+            "end", tokens=self.tokens, finish=self.finish_reason, **{"try": self.attempt_id}
+        )
         kind = "succeeded" if self.finish_reason else "lost"
         return ClientOutcome(kind, self.finish_reason, ended_at=now())
 
@@ -206,14 +208,14 @@
                 self._check_token(token)
             if not self.has_begun:
                 self.has_begun = True
-                self.record.line("first", **{"try": self.attempt_id})
+                self.recorder.record_event("first", **{"try": self.attempt_id})
         self.finish_reason = choice.finish_reason or self.finish_reason
 
     def _check_token(self, token: str) -> None:
         """Record a token that is not the next in sequence."""
         number = self.tokens + 1
         if token != f"t{number}":
-            self.record.line("gap", said=token, wanted=number, **{"try": self.attempt_id})
+            self.recorder.record_event("gap", said=token, wanted=number, **{"try": self.attempt_id})
         self.tokens = number
 
 
--- a/runspool/lab/scenario_runner.py
+++ b/runspool/lab/scenario_runner.py
@@ -40,7 +40,7 @@
 
     Attributes:
         parts: the folder for the recordings of the individual processes.
-        record: records the events of clients, endpoint list and faults.
+        recorder: records the events of clients, endpoint list and faults.
         fleet: the processes; set when the run begins.
         tenant_migrator: migrates tenants; None for a plan without cells.
         start: the start of the scenario, in tenths of a millisecond.
@@ -74,7 +74,7 @@
         self.front_command = front_command or [*RUNSPOOL_COMMAND, "front"]
         self.engines_per_process = engines_per_process
         self.parts = folder / "parts"
-        self.record = Recorder(None)
+        self.recorder = Recorder(None)
         self.fleet: ScenarioFleet  # set by play()
         self.tenant_migrator: TenantMigrator | None = None
         self.start = 0
@@ -86,20 +86,20 @@
             ScenarioFailedError: there are not enough free ports, or a process does not start.
         """
         self._clear_parts()
-        self.record = Recorder(self.parts / "director.jsonl")
+        self.recorder = Recorder(self.parts / "director.jsonl")
         self.fleet = self._new_fleet()
         reservation = reserve_ports(len(self.plan.engines) + len(self.plan.fronts))
         self._assign_ports(reservation)
         requests = draw_workload(self.plan)
         (self.folder / "plan.json").write_bytes(msgspec.json.encode(self.plan))
-        self.record.line("day", plan=msgspec.to_builtins(self.plan), items=len(requests))
+        self.recorder.record_event("day", plan=msgspec.to_builtins(self.plan), items=len(requests))
         try:
             await self._run_with_fleet(requests)
         finally:
             with anyio.CancelScope(shield=True):
                 await self.fleet.close()
             reservation.release()
-        self.record.close()
+        self.recorder.close()
         merged = self.folder / "wire.jsonl"
         recording.merge_recordings(sorted(self.parts.iterdir()), merged)
         return merged
@@ -109,7 +109,7 @@
             self.plan,
             self.folder,
             self.parts,
-            self.record,
+            self.recorder,
             self.record_events,
             self.front_command,
             self.engines_per_process,
@@ -133,7 +133,7 @@
             await tasks.start(self.fleet.endpoint_list.run, HOST, 0)
             if self.plan.cells is not None:
                 self.tenant_migrator = TenantMigrator(
-                    self.plan, self.folder, self.record, self.fleet.restart_beside_migration
+                    self.plan, self.folder, self.recorder, self.fleet.restart_beside_migration
                 )
             await self.fleet.start()
             await self.run_workload(requests)
@@ -143,8 +143,8 @@
     async def run_workload(self, requests: list[PlannedRequest]) -> None:
         """Send the requests and inject the faults; return when all requests have ended."""
         self.start = now() + START_LEAD
-        self.record.line("begin", at=self.start)
-        clients = WorkloadClients(self.plan, self.fleet.load_balancer, self.record)
+        self.recorder.record_event("begin", at=self.start)
+        clients = WorkloadClients(self.plan, self.fleet.load_balancer, self.recorder)
         async with anyio.create_task_group() as tasks:
             self._start_faults(tasks)
             tasks.start_soon(self._record_lag)
@@ -153,12 +153,12 @@
             if self.progress is not None:
                 tasks.start_soon(self._report_progress, self.progress)
             await clients.run(requests, self.start)
-            self.record.line("all_asked")
+            self.recorder.record_event("all_asked")
             await anyio.sleep(RELEASE_TIME)
             tasks.cancel_scope.cancel()
 
     def _start_faults(self, tasks: anyio.abc.TaskGroup) -> None:
-        injector = FaultInjector(self.plan, self.fleet, self.record, self.tenant_migrator)
+        injector = FaultInjector(self.plan, self.fleet, self.recorder, self.tenant_migrator)
         injector.start = self.start
         for fault in self.plan.faults:
             tasks.start_soon(injector.inject, fault)
@@ -181,7 +181,7 @@
             due = now() + LAG_INTERVAL
             await anyio.sleep(LAG_INTERVAL / SECOND)
             if now() > due + MAX_LAG:
-                self.record.line("lag", late=now() - due)
+                self.recorder.record_event("lag", late=now() - due)
 
     async def _report_progress(self, progress: Callable[[float], None]) -> None:
         while True:
--- a/runspool/lab/tenant_migrator.py
+++ b/runspool/lab/tenant_migrator.py
@@ -68,16 +68,16 @@
     Attributes:
         plan: the plan of the scenario.
         folder: the folder with the fronts' cell map files.
-        record: records every new version of the cell map.
+        recorder: records every new version of the cell map.
         kill: kills a process and starts it again; takes "front" or "engine", and the index in the plan.
         cell_map: the newest cell map.
         written_versions: the version of the map in each front's file.
     """
 
-    def __init__(self, plan: ScenarioPlan, folder: Path, record: Recorder, kill: KillProcess) -> None:
+    def __init__(self, plan: ScenarioPlan, folder: Path, recorder: Recorder, kill: KillProcess) -> None:
         self.plan = plan
         self.folder = folder
-        self.record = record
+        self.recorder = recorder
         self.kill = kill
         self.cell_map = CellMap.model_validate(plan.cells)
         self.written_versions = [0] * len(plan.fronts)
@@ -164,7 +164,7 @@
         Each front's file is written `skew` tenths of a millisecond after that of the previous front.
         """
         self.cell_map = cell_map
-        self.record.line("map", version=cell_map.version, change=change, move=move_id)
+        self.recorder.record_event("map", version=cell_map.version, change=change, move=move_id)
         for front_index in range(len(self.plan.fronts)):
             tasks.start_soon(self._write_later, front_index, cell_map, front_index * skew / SECOND)
 
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -101,10 +101,10 @@
             self.map_file = folder / "front-0.map"
             cell_store.write_with_checksum(self.map_file, cell_store.encode_map(cells))
         self.file = folder / "small-fleet.jsonl"
-        self.record = Recorder(self.file)
-        self.listing = EndpointListService(self.record, 0)
+        self.recorder = Recorder(self.file)
+        self.listing = EndpointListService(self.recorder, 0)
         self.engines = [
-            StandInEngine(planned.spec, self.record, False, index)
+            StandInEngine(planned.spec, self.recorder, False, index)
             for index, planned in enumerate(self.plan.engines)
         ]
         self.started = [0] * len(self.engines)  # Unix milliseconds, 0 for long ago
@@ -137,7 +137,7 @@
 
     def kill(self, at: int) -> None:
         """Kill an engine, with all its connections and states."""
-        self.record.line("killed", process=f"e{at}", engine=f"e{at}")
+        self.recorder.record_event("killed", process=f"e{at}", engine=f"e{at}")
         self.engines[at].model.held_states.clear()
         self.lives[at].cancel()
 
--- a/tests/test_auditor_rejects_forged_recordings.py
+++ b/tests/test_auditor_rejects_forged_recordings.py
@@ -246,21 +246,21 @@
     for at, one in enumerate(fleet.plan.engines):
         multiple = settings.get("slow_start_overload_multiple", one.spec.slow_start_overload_multiple)
         one.spec = replace(one.spec, zone="ab"[at % 2], slow_start_overload_multiple=multiple)
-        fleet.engines[at] = StandInEngine(one.spec, fleet.record, at == settings.get("cold"), at)
+        fleet.engines[at] = StandInEngine(one.spec, fleet.recorder, at == settings.get("cold"), at)
         fleet.started[at] = int(time() * 1000) if at == settings.get("cold") else 0
     for name in settings.keys() - {"cold", "held_on"}:
         setattr(fleet.plan, name, settings[name])
-    fleet.record.line("day", plan=msgspec.to_builtins(fleet.plan))
+    fleet.recorder.record_event("day", plan=msgspec.to_builtins(fleet.plan))
     async with fleet.open(), anyio.create_task_group() as tasks:
         tasks.start_soon(inject_fault, fleet)
         load_balancer = LoadBalancer([("127.0.0.1", fleet.port)], ["a"], [True])
-        clients = WorkloadClients(fleet.plan, load_balancer, fleet.record)
+        clients = WorkloadClients(fleet.plan, load_balancer, fleet.recorder)
         with anyio.fail_after(30):
             await clients.run(planned, now())
             while fleet.running.front.requests:
                 await anyio.sleep(0.01)
         await anyio.sleep(settings.get("held_on", 0))  # a state is pinned by being there for so long
-        fleet.record.line("over")
+        fleet.recorder.record_event("over")
     found = audit(list(recording.read_recording(fleet.file)), tolerance)
     broken = {name: judged.broken for name, judged in found.items() if judged.broken}
     assert found[rule].cases
--- a/tests/test_front_recordings.py
+++ b/tests/test_front_recordings.py
@@ -44,7 +44,7 @@
 
 async def test_a_fleet_at_work_keeps_every_rule(tmp_path: Path) -> None:
     fleet = SmallFleet(tmp_path, FOUR_ENGINES)
-    fleet.record.line("day", plan=msgspec.to_builtins(fleet.plan))
+    fleet.recorder.record_event("day", plan=msgspec.to_builtins(fleet.plan))
     async with fleet.open():
         async with anyio.create_task_group() as tasks:
             for number in range(30):
