--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -53,7 +53,7 @@
 def play(plan: ScenarioPlan) -> list[Event]:
     """Play a scenario and return its recording."""
     with tempfile.TemporaryDirectory() as folder:
-        return list(recording.read_recording(anyio.run(ScenarioRunner(plan, Path(folder)).play)))
+        return list(recording.read_recording(anyio.run(ScenarioRunner(plan, Path(folder)).run)))
 
 
 def values_by_tenant(
--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -182,7 +182,7 @@
 
     async def _run_worker(self, index: int, start: int) -> None:
         arguments = (self.folder / "plan.json", index, self.workers, start, self.direct_every)
-        recording_file = self.parts / f"clients-{index}.jsonl"
+        recording_file = self.recordings_folder / f"clients-{index}.jsonl"
         command = [sys.executable, __file__, "worker", *map(str, arguments), str(recording_file)]
         await anyio.run_process(command, stderr=None)
 
@@ -304,7 +304,7 @@
         plan = build_plan(engines, rate, seconds, output_tokens)
         runner = BenchmarkRunner(plan, Path(folder), engines_per_process=4)
         runner.workers, runner.direct_every = workers, direct_every
-        events = list(recording.read_recording(anyio.run(runner.play)))
+        events = list(recording.read_recording(anyio.run(runner.run)))
     begin = next(event["at"] for event in events if event["what"] == "begin")
     times = added_times(events, begin)
     samples = runner.samples[int(WARM_UP) :]
@@ -367,7 +367,7 @@
     with tempfile.TemporaryDirectory() as folder:
         runner = MemoryRunner(build_plan(options.engines, 1, 1, options.tokens), Path(folder))
         runner.request_count = options.queries
-        anyio.run(runner.play)
+        anyio.run(runner.run)
     print("\n".join(f"{name}: {value:.1f}" for name, value in runner.figures.items()))
     return {"requests": options.queries, **runner.figures}
 
@@ -379,7 +379,7 @@
         runner = BenchmarkRunner(plan, Path(folder))
         runner.workers, runner.direct_every = options.workers, 0
         started_at = time.time()
-        anyio.run(runner.play)
+        anyio.run(runner.run)
     sizes = [sample.resident_bytes / (1 << 20) for sample in runner.samples]
     tenth = max(1, len(sizes) // 10)
     parts = [round(statistics.mean(sizes[at : at + tenth]), 1) for at in range(0, len(sizes), tenth)]
--- a/runspool/cli/lab.py
+++ b/runspool/cli/lab.py
@@ -210,7 +210,7 @@
 
         runner = ScenarioRunner(plan, folder, record_events, show_progress)
         try:
-            return anyio.run(runner.play)
+            return anyio.run(runner.run)
         except ScenarioFailedError as error:
             _fail(str(error), EXIT_NOT_PLAYED)
         except BaseExceptionGroup as group:
--- a/runspool/lab/clients.py
+++ b/runspool/lab/clients.py
@@ -76,7 +76,7 @@
             time_limit: how long the client waits for the response, in tenths of a millisecond.
         """
         attempt_id = f"{request.id}.{number}"
-        front_index = self.load_balancer.pick(self.plan.zones[request.zone_index])
+        front_index = self.load_balancer.select_front(self.plan.zones[request.zone_index])
         self._record_attempt(request, attempt_id, number, front_index, time_limit)
         outcome = await self._connect_and_exchange(request, attempt_id, front_index, time_limit)
         self.recorder.record_event(
--- a/runspool/lab/fault_injection.py
+++ b/runspool/lab/fault_injection.py
@@ -191,9 +191,9 @@
                 await self.fleet.send_fault(index, "forget", share=1.0)
 
     async def _migrate_tenant(self, fault: FaultPlan) -> None:
-        """Migrate a tenant to another cell (see `TenantMigrator.play`)."""
+        """Migrate a tenant to another cell (see `TenantMigrator.migrate`)."""
         assert self.tenant_migrator is not None, "a plan that migrates tenants has a cell map"
-        await self.tenant_migrator.play(fault)
+        await self.tenant_migrator.migrate(fault)
 
     async def _upgrade_to_faulty_release(self, fault: FaultPlan) -> None:
         """Upgrade engines one by one to a faulty software release; remove its faults after the duration.
--- a/runspool/lab/fleet.py
+++ b/runspool/lab/fleet.py
@@ -57,7 +57,7 @@
         self,
         plan: ScenarioPlan,
         folder: Path,
-        parts: Path,
+        recordings_folder: Path,
         recorder: Recorder,
         record_events: bool,
         front_command: Sequence[str],
@@ -68,7 +68,7 @@
         Args:
             plan: the plan of the scenario; ports must have been assigned to its engines and fronts.
             folder: the folder for configurations, logs and the files that the fronts write.
-            parts: the folder for the recordings of the individual processes.
+            recordings_folder: the folder for the recordings of the individual processes.
             recorder: records starts, kills and stops of processes.
             record_events: whether each front records the events and actions of its scheduler.
             front_command: the command that runs a front; the path of a configuration is appended.
@@ -77,7 +77,7 @@
         """
         self.plan = plan
         self.folder = folder
-        self.parts = parts
+        self.recordings_folder = recordings_folder
         self.recorder = recorder
         self.record_events = record_events
         self.front_command = front_command
@@ -172,14 +172,14 @@
         process.is_restarting = True
         await self._kill(process, front=process.name)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._fail_over, index, process.starts)
+            tasks.start_soon(self._fail_over, index, process.start_count)
             await anyio.sleep(downtime / SECOND)
             await self._start_front(index)
             self.load_balancer.is_up[index] = True
             process.is_restarting = False
             tasks.cancel_scope.cancel()
 
-    async def restart_beside_migration(self, kind: str, index: int) -> None:
+    async def restart_during_migration(self, kind: str, index: int) -> None:
         """Kill and restart a front or an engine (`kind`: "front" or "engine") while a tenant is migrated."""
         if kind == "front":
             await self.restart_front(index, MIGRATION_DOWNTIME)
@@ -230,7 +230,7 @@
             str(self.folder / "plan.json"),
             *indices,
             "--out",
-            str(self.parts / f"engine-{first_index}.jsonl"),
+            str(self.recordings_folder / f"engine-{first_index}.jsonl"),
         ]
         return ManagedProcess(self.plan.engines[first_index].spec.name, command)
 
@@ -254,11 +254,11 @@
     async def _start_engine(self, index: int, cold: bool) -> None:
         """Start the process of an engine and wait until the engine listens."""
         process = self.engines[index]
-        process.starts += 1
-        options = ["--life", str(process.starts)]
+        process.start_count += 1
+        options = ["--life", str(process.start_count)]
         if cold:
             options.append("--cold")
-        await process.open(options, self.folder / "engines.log", takes_input=True)
+        await process.start(options, self.folder / "engines.log", takes_input=True)
         await process.wait_until_listening(self.plan.engines[index].port)
         self.engine_starts_unix_ms[index] = round(time.time() * MS_PER_SECOND) if cold else 0
 
@@ -266,14 +266,14 @@
         """Start a front, wait until it listens and record the start."""
         process = self.fronts[index]
         front = self.plan.fronts[index]
-        process.starts += 1
-        seed = self.plan.seed * SEEDS_PER_PLAN + index * SEEDS_PER_FRONT + process.starts
+        process.start_count += 1
+        seed = self.plan.seed * SEEDS_PER_PLAN + index * SEEDS_PER_FRONT + process.start_count
         options = ["--seed", str(seed)]
         if self.record_events:
-            options += ["--tape", str(self.folder / f"{front.name}.{process.starts}.tape")]
-        await process.open(options, self.folder / f"{front.name}.log", takes_input=False)
+            options += ["--tape", str(self.folder / f"{front.name}.{process.start_count}.tape")]
+        await process.start(options, self.folder / f"{front.name}.log", takes_input=False)
         await process.wait_until_listening(front.port)
-        self.recorder.record_event("front_up", front=front.name, life=process.starts)
+        self.recorder.record_event("front_up", front=front.name, life=process.start_count)
 
     async def _kill(self, process: ManagedProcess, **subject: str) -> None:
         """Record a kill, with the name of the engine or front as `subject`, and kill the process."""
@@ -287,5 +287,5 @@
         `start` is how often the front had been started when it was killed.
         """
         await anyio.sleep(self.plan.clients.failover_delay / SECOND)
-        if self.fronts[index].starts == start:
+        if self.fronts[index].start_count == start:
             self.load_balancer.is_up[index] = False
--- a/runspool/lab/load_balancer.py
+++ b/runspool/lab/load_balancer.py
@@ -13,15 +13,15 @@
         addresses: each front's host and port.
         zones: each front's zone.
         is_up: whether each front is considered up; a front that goes down is marked only after a delay.
-        turns: how often a front has been selected for clients of each zone.
+        selection_counts: how often a front has been selected for clients of each zone.
     """
 
     addresses: list[tuple[str, int]]
     zones: list[str]
     is_up: list[bool]
-    turns: dict[str, int] = field(default_factory=dict)
+    selection_counts: dict[str, int] = field(default_factory=dict)
 
-    def pick(self, zone: str) -> int:
+    def select_front(self, zone: str) -> int:
         """Return the next front for a client in `zone`.
 
         Select in turn from the fronts in that zone that are up; if there is none, from all fronts that are
@@ -34,6 +34,6 @@
             candidates = [index for index, is_up in enumerate(self.is_up) if is_up]
         if not candidates:
             candidates = list(range(len(self.is_up)))
-        turn = self.turns.get(zone, 0)
-        self.turns[zone] = turn + 1
+        turn = self.selection_counts.get(zone, 0)
+        self.selection_counts[zone] = turn + 1
         return candidates[turn % len(candidates)]
--- a/runspool/lab/managed_process.py
+++ b/runspool/lab/managed_process.py
@@ -27,14 +27,14 @@
         name: the name for error messages and the recording.
         command: the command and the arguments that are the same for every start.
         child: the process of the last start, which may have ended; None before the first start.
-        starts: how often the process has been started.
+        start_count: how often the process has been started.
         is_restarting: whether it was killed and will be started again; another fault must not start it too.
     """
 
     name: str
     command: list[str]
     child: anyio.abc.Process | None = None
-    starts: int = 0
+    start_count: int = 0
     is_restarting: bool = False
 
     @property
@@ -49,7 +49,7 @@
         """Whether it has been started and is no longer running."""
         return self.child is not None and self.child.returncode is not None
 
-    async def open(self, options: list[str], log_path: Path, takes_input: bool) -> None:
+    async def start(self, options: list[str], log_path: Path, takes_input: bool) -> None:
         """Start the process, with standard output and standard error appended to a log.
 
         Args:
--- a/runspool/lab/scenario_runner.py
+++ b/runspool/lab/scenario_runner.py
@@ -39,7 +39,7 @@
     The arguments of `__init__` are attributes too.
 
     Attributes:
-        parts: the folder for the recordings of the individual processes.
+        recordings_folder: the folder for the recordings of the individual processes.
         recorder: records the events of clients, endpoint list and faults.
         fleet: the processes; set when the run begins.
         tenant_migrator: migrates tenants; None for a plan without cells.
@@ -73,20 +73,20 @@
         self.record_events = record_events
         self.front_command = front_command or [*RUNSPOOL_COMMAND, "front"]
         self.engines_per_process = engines_per_process
-        self.parts = folder / "parts"
+        self.recordings_folder = folder / "parts"
         self.recorder = Recorder(None)
-        self.fleet: ScenarioFleet  # set by play()
+        self.fleet: ScenarioFleet  # set by run()
         self.tenant_migrator: TenantMigrator | None = None
         self.start = 0
 
-    async def play(self) -> Path:
+    async def run(self) -> Path:
         """Run the whole scenario and return the path of its recording.
 
         Raises:
             ScenarioFailedError: there are not enough free ports, or a process does not start.
         """
-        self._clear_parts()
-        self.recorder = Recorder(self.parts / "director.jsonl")
+        self._clear_recordings()
+        self.recorder = Recorder(self.recordings_folder / "director.jsonl")
         self.fleet = self._new_fleet()
         reservation = reserve_ports(len(self.plan.engines) + len(self.plan.fronts))
         self._assign_ports(reservation)
@@ -101,24 +101,24 @@
             reservation.release()
         self.recorder.close()
         merged = self.folder / "wire.jsonl"
-        recording.merge_recordings(sorted(self.parts.iterdir()), merged)
+        recording.merge_recordings(sorted(self.recordings_folder.iterdir()), merged)
         return merged
 
     def _new_fleet(self) -> ScenarioFleet:
         return ScenarioFleet(
             self.plan,
             self.folder,
-            self.parts,
+            self.recordings_folder,
             self.recorder,
             self.record_events,
             self.front_command,
             self.engines_per_process,
         )
 
-    def _clear_parts(self) -> None:
+    def _clear_recordings(self) -> None:
         """Create the folder for the recordings of the processes, and remove those of an earlier run."""
-        self.parts.mkdir(parents=True, exist_ok=True)
-        for part in self.parts.iterdir():
+        self.recordings_folder.mkdir(parents=True, exist_ok=True)
+        for part in self.recordings_folder.iterdir():
             part.unlink()
 
     def _assign_ports(self, reservation: PortReservation) -> None:
@@ -133,7 +133,7 @@
             await tasks.start(self.fleet.endpoint_list.run, HOST, 0)
             if self.plan.cells is not None:
                 self.tenant_migrator = TenantMigrator(
-                    self.plan, self.folder, self.recorder, self.fleet.restart_beside_migration
+                    self.plan, self.folder, self.recorder, self.fleet.restart_during_migration
                 )
             await self.fleet.start()
             await self.run_workload(requests)
--- a/runspool/lab/tenant_migrator.py
+++ b/runspool/lab/tenant_migrator.py
@@ -69,22 +69,25 @@
         plan: the plan of the scenario.
         folder: the folder with the fronts' cell map files.
         recorder: records every new version of the cell map.
-        kill: kills a process and starts it again; takes "front" or "engine", and the index in the plan.
+        kill_process: kills a process and starts it again; takes "front" or "engine", and the index in the
+        plan.
         cell_map: the newest cell map.
         written_versions: the version of the map in each front's file.
     """
 
-    def __init__(self, plan: ScenarioPlan, folder: Path, recorder: Recorder, kill: KillProcess) -> None:
+    def __init__(
+        self, plan: ScenarioPlan, folder: Path, recorder: Recorder, kill_process: KillProcess
+    ) -> None:
         self.plan = plan
         self.folder = folder
         self.recorder = recorder
-        self.kill = kill
+        self.kill_process = kill_process
         self.cell_map = CellMap.model_validate(plan.cells)
         self.written_versions = [0] * len(plan.fronts)
         for front_index in range(len(plan.fronts)):
             self._write(front_index, self.cell_map)
 
-    def longest_binding(self) -> int:
+    def max_binding_time(self) -> int:
         """Return how long requests may stay bound to a tenant's former cell, in tenths of a millisecond.
 
         A client may send a request with an idempotency key again until the deduplication window ends. If not
@@ -99,7 +102,7 @@
             default=0,
         )
 
-    async def play(self, fault: FaultPlan) -> None:
+    async def migrate(self, fault: FaultPlan) -> None:
         """Carry out the move that a fault of the kind `cell_move` describes.
 
         Publish a map with the move, wait until the move has started, then complete or undo it. The magnitude
@@ -123,9 +126,11 @@
                 undone = tenant_migration.undo_move(self.cell_map, move.id, unix_ms())
                 self._publish(tasks, undone, fault.magnitude, "undone", move.id)
             else:
-                await anyio.sleep((self.longest_binding() / TENTHS_PER_MS + FINISH_MARGIN_MS) / MS_PER_SECOND)
+                await anyio.sleep(
+                    (self.max_binding_time() / TENTHS_PER_MS + FINISH_MARGIN_MS) / MS_PER_SECOND
+                )
                 finished = tenant_migration.finish_move(
-                    self.cell_map, move.id, unix_ms(), self.longest_binding()
+                    self.cell_map, move.id, unix_ms(), self.max_binding_time()
                 )
                 self._publish(tasks, finished, fault.magnitude, "done", move.id)
             tasks.start_soon(kill_at, "over")
@@ -148,13 +153,13 @@
         """Kill and restart a front, or an engine in the source or target cell of a move."""
         kill_number = move_number // MOVES_PER_KILL
         if victim == "front":
-            await self.kill("front", kill_number % len(self.plan.fronts))
+            await self.kill_process("front", kill_number % len(self.plan.fronts))
             return
         cell = move.source if victim == "source" else move.target
         engines = [
             index for index, engine in enumerate(self.plan.engines) if engine.spec.name.startswith(f"{cell}-")
         ]
-        await self.kill("engine", engines[kill_number % len(engines)])
+        await self.kill_process("engine", engines[kill_number % len(engines)])
 
     def _publish(
         self, tasks: anyio.abc.TaskGroup, cell_map: CellMap, skew: float, change: str, move_id: str
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -224,7 +224,7 @@
         FaultPlan("list_noise", SECOND, 4 * SECOND),
         FaultPlan("errors", 2 * SECOND, 3 * SECOND, magnitude=0.3, targets=[decode + 4]),
     ]
-    file = anyio.run(ScenarioRunner(plan, tmp_path).play)
+    file = anyio.run(ScenarioRunner(plan, tmp_path).run)
     verdict = scenario_verdict(recording.read_recording(file))
     write_report(verdict, tmp_path)
     assert verdict["kept"], verdict["rules"]
@@ -241,7 +241,7 @@
         for row in day["troubles"]
         if row["kind"] in ("ageing", "balancer_roll")
     ]  # also on top of itself
-    file = anyio.run(ScenarioRunner(plan_from_simulator_scenario(day, 2, 9, 0.5), tmp_path).play)
+    file = anyio.run(ScenarioRunner(plan_from_simulator_scenario(day, 2, 9, 0.5), tmp_path).run)
     verdict = scenario_verdict(recording.read_recording(file))
     assert verdict["kept"], verdict["rules"]
     assert {fault["kind"] for fault in verdict["troubles"]} >= {
--- a/tests/test_lab_commands.py
+++ b/tests/test_lab_commands.py
@@ -35,7 +35,7 @@
     def __init__(self, plan: Any, folder: Path, record_events: bool, progress: Any) -> None:
         self.given.append((plan.name, plan.seed, folder, record_events))
 
-    async def play(self) -> Path:
+    async def run(self) -> Path:
         raise ScenarioFailedError("front-0 does not listen")
 
 
