--- a/runspool/cli/lab.py
+++ b/runspool/cli/lab.py
@@ -183,7 +183,7 @@
     settings = json.loads(line)
     stand_in = engines[settings.pop("at")]
     name = settings.pop("fault")
-    stand_in.fault(name, **settings)
+    stand_in.set_fault(name, **settings)
 
 
 def _play(plan: ScenarioPlan, folder: Path, record_events: bool, all_rules: bool) -> NoReturn:
--- a/runspool/lab/active_faults.py
+++ b/runspool/lab/active_faults.py
@@ -31,7 +31,7 @@
         self._resumed.set()
         self._response_fault_shares: dict[str, float] = {}
         self._failing_classes: dict[str, tuple[str, float]] = {}  # "silence" or "error", share of requests
-        self._switches: dict[str, Callable[[dict[str, FaultSetting]], None]] = {
+        self._setters: dict[str, Callable[[dict[str, FaultSetting]], None]] = {
             "hang": self._set_hang,
             "slow": self._set_slowdown,
             "links": self._set_network_slowdown,
@@ -42,17 +42,17 @@
             "connections": self._limit_connections,
         }
 
-    def switch(self, name: str, settings: dict[str, FaultSetting]) -> None:
+    def apply(self, name: str, settings: dict[str, FaultSetting]) -> None:
         """Apply a command: switch the fault `name` on or off as its settings say.
 
         Raises:
             ValueError: there is no such fault.
             KeyError: a setting is missing.
         """
-        switch = self._switches.get(name)
-        if switch is None:
-            raise ValueError(f"unknown fault {name!r}; known are {', '.join(self._switches)}")
-        switch(settings)
+        setter = self._setters.get(name)
+        if setter is None:
+            raise ValueError(f"unknown fault {name!r}; known are {', '.join(self._setters)}")
+        setter(settings)
 
     async def wait_until_resumed(self) -> None:
         """Wait while the engine hangs; return at once if it does not."""
--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -92,7 +92,7 @@
         self.port = 0
         self._events = EngineEvents(spec, recorder)
         self._draw = Random(seed + 1).random
-        self._states = HeldStates(self.model, self.faults, self._events, self._wake)
+        self._states = HeldStates(self.model, self.faults, self._events, self._resume_steps)
         self._work_available = anyio.Event()
         self._open_connections = 0
         self._host = "127.0.0.1"
@@ -119,14 +119,14 @@
         """End the process at once, to simulate a crash by an overload during slow start or by a request."""
         os._exit(CRASH_EXIT_CODE)
 
-    def fault(self, name: str, **settings: FaultSetting) -> None:
+    def set_fault(self, name: str, **settings: FaultSetting) -> None:
         """Record and apply a command that switches a fault on or off.
 
         Raises:
             ValueError: there is no fault of this name.
         """
-        self._events.fault_switched(name, settings)
-        self.faults.switch(name, settings)
+        self._events.fault_set(name, settings)
+        self.faults.apply(name, settings)
 
     # Running the model.
 
@@ -157,7 +157,7 @@
                 self._events.executed(request.call)
             request.progress.set()
 
-    def _wake(self) -> None:
+    def _resume_steps(self) -> None:
         """Resume the steps, because a job was added or memory was freed."""
         self._work_available.set()
 
@@ -170,7 +170,7 @@
         else:
             request.state_lost = True
             request.progress.set()
-        self._wake()
+        self._resume_steps()
 
     # Serving requests.
 
@@ -252,7 +252,7 @@
             await received.respond(503, rejection, self._load_report())
             return "full"
         self.active_requests[id(job)] = request
-        self._wake()
+        self._resume_steps()
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._watch, request)
@@ -268,7 +268,7 @@
         finally:
             self.active_requests.pop(id(job), None)
             self.model.remove(job)
-            self._wake()
+            self._resume_steps()
 
     async def _watch(self, request: ActiveRequest) -> None:
         """Notify a request when its connection is lost."""
--- a/runspool/lab/engine_events.py
+++ b/runspool/lab/engine_events.py
@@ -35,7 +35,7 @@
             work=spec.mean_work,
         )
 
-    def fault_switched(self, name: str, settings: dict[str, str | float | None]) -> None:
+    def fault_set(self, name: str, settings: dict[str, str | float | None]) -> None:
         """Record a command that switches a fault on or off."""
         self._record("fault", fault=name, **settings)
 
--- a/tests/test_auditor_rejects_forged_recordings.py
+++ b/tests/test_auditor_rejects_forged_recordings.py
@@ -75,13 +75,13 @@
 async def resets(fleet: SmallFleet) -> None:
     for one in fleet.engines:
         if one.spec.role == "writer":
-            one.fault("row", row="reset_after", share=0.7)
+            one.set_fault("row", row="reset_after", share=0.7)
 
 
 async def full_writers(fleet: SmallFleet) -> None:
     for one in fleet.engines:
         if one.spec.role == "writer":
-            one.fault("row", row="full_503", share=1.0)
+            one.set_fault("row", row="full_503", share=1.0)
 
 
 async def drained(fleet: SmallFleet) -> None:
--- a/tests/test_failure_classification.py
+++ b/tests/test_failure_classification.py
@@ -132,13 +132,13 @@
     async with anyio.create_task_group() as tasks:
         port = await tasks.start(engine.run, "127.0.0.1", 0)
         tasks.start_soon(client.watchdog.run)
-        engine.fault("row", row=fault, share=1.0)
+        engine.set_fault("row", row=fault, share=1.0)
         with anyio.fail_after(20):
             result = await decode(client, ("127.0.0.1", port), ONE_SECOND // 2)
         assert result.failure_cause in CAUSES_BY_FAULT[fault], result
         assert result.status is STATUS_BY_CAUSE[result.failure_cause]
         # That connection is not used again; the engine is, once the fault is over.
-        engine.fault("row", row=fault, share=0.0)
+        engine.set_fault("row", row=fault, share=0.0)
         with anyio.fail_after(20):
             assert (await decode(client, ("127.0.0.1", port))).status is AttemptStatus.SUCCEEDED
         tasks.cancel_scope.cancel()
--- a/tests/test_front_attempts.py
+++ b/tests/test_front_attempts.py
@@ -21,7 +21,7 @@
 ) -> None:
     async with SmallFleet(tmp_path, TWO_DECODE_ENGINES).open() as fleet:
         for engine in fleet.engines[1:]:
-            engine.fault("row", row="reset_after", share=1.0)
+            engine.set_fault("row", row="reset_after", share=1.0)
         response = await fleet.ask("book")
         assert (response.status, response.error["type"]) == (424, "scrapped")
         # Client libraries repeat 408, 409, 429 and 5xx by themselves; this error must be none of them.
@@ -32,7 +32,7 @@
 async def test_an_at_most_once_request_that_did_not_execute_is_tried_again(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, TWO_DECODE_ENGINES).open() as fleet:
         for engine in fleet.engines[1:]:
-            engine.fault("row", row="full_503", share=0.6)
+            engine.set_fault("row", row="full_503", share=0.6)
         response = await fleet.ask("book")
         assert response.status in (200, 503)  # served in the end or rejected, never failed
         assert len(fleet.seen("ran")) <= 1
@@ -40,7 +40,7 @@
 
 async def test_a_stream_interrupted_in_the_middle_ends_in_one_error_event(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
-        fleet.engines[1].fault("row", row="reset_stream", share=1.0)
+        fleet.engines[1].set_fault("row", row="reset_stream", share=1.0)
         response = await fleet.ask(out=50)
         assert response.status == 200
         assert b'"type":"scrapped"' in response.body.split(b"\n\n")[-2]
@@ -93,7 +93,7 @@
 
         monkeypatch.setattr(front.engine_client, "accepts_connections", never_answers)
         monkeypatch.setattr("runspool.service.engine_check.ENGINE_CHECK_TIMEOUT", 60.0)
-        fleet.engines[1].fault("row", row="reset_after", share=1.0)
+        fleet.engines[1].set_fault("row", row="reset_after", share=1.0)
         with anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(fleet.ask)
--- a/tests/test_front_cells.py
+++ b/tests/test_front_cells.py
@@ -174,7 +174,7 @@
 @pytest.mark.anyio
 async def test_a_cell_that_rejects_everything_overflows_into_the_reserve_and_recovers(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, ENGINE_TYPES, CELL_MAP).open() as fleet:
-        fleet.engines[0].fault("row", row="full_503", share=1.0)
+        fleet.engines[0].set_fault("row", row="full_503", share=1.0)
         overflow = fleet.running.front.cell_router.overflow_policy.state("a")
         number = 0
         with anyio.fail_after(30):
@@ -182,7 +182,7 @@
                 number += 1
                 await fleet.ask(runspool_tenant="one", runspool_limit_ms="300", runspool_mark=f"o{number}")
             assert overflow.overflowing
-            fleet.engines[0].fault("row", row="full_503", share=0.0)
+            fleet.engines[0].set_fault("row", row="full_503", share=0.0)
             while overflow.overflowing:
                 await fleet.ask(runspool_tenant="one", runspool_mark=f"o{number}")
         assert not fleet.seen("arrived", engine="e2") and not fleet.seen("arrived", engine="e3")
@@ -212,7 +212,7 @@
 async def test_a_reset_by_a_running_engine_is_not_counted_against_the_request(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, ["prefill", "decode", "decode"]).open() as fleet:
         for engine in fleet.engines[1:]:
-            engine.fault("row", row="reset_after", share=0.7)
+            engine.set_fault("row", row="reset_after", share=0.7)
         for number in range(10):
             await fleet.ask(runspool_mark=f"r{number}")
         assert not fleet.running.front.cell_router.poison_detector.losses
--- a/tests/test_front_disconnects.py
+++ b/tests/test_front_disconnects.py
@@ -25,7 +25,7 @@
 
 async def test_a_client_that_disconnects_ends_its_attempt_and_its_state(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
-        fleet.engines[1].fault("hang", on=True)
+        fleet.engines[1].set_fault("hang", on=True)
         raw = msgspec.json.encode({"prompt": "abcd" * 40, "stream": True, "standin": {"try": "t", "out": 5}})
         async with await anyio.connect_tcp("127.0.0.1", fleet.port) as stream:
             await stream.send(REQUEST_HEAD + b"Content-Length: %d\r\n\r\n" % len(raw) + raw)
@@ -112,7 +112,7 @@
 
 async def test_a_shutdown_that_cannot_wait_fails_what_is_left(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR, drain_ms=200).open() as fleet:
-        fleet.engines[1].fault("hang", on=True)
+        fleet.engines[1].set_fault("hang", on=True)
         responses = []
 
         async def make_request() -> None:
--- a/tests/test_front_recordings.py
+++ b/tests/test_front_recordings.py
@@ -20,8 +20,8 @@
 async def test_a_recording_replays_to_the_same_actions(tmp_path: Path) -> None:
     recording = tmp_path / "front.tape"
     async with SmallFleet(tmp_path, FOUR_ENGINES).open(recording) as fleet:
-        fleet.engines[0].fault("row", row="failed_500", share=0.3)
-        fleet.engines[2].fault("row", row="reset_after", share=0.2)
+        fleet.engines[0].set_fault("row", row="failed_500", share=0.3)
+        fleet.engines[2].set_fault("row", row="reset_after", share=0.2)
         async with anyio.create_task_group() as tasks:
             for number in range(40):
                 tasks.start_soon(
--- a/tests/test_front_requests.py
+++ b/tests/test_front_requests.py
@@ -150,7 +150,7 @@
 
 async def test_beyond_its_limits_a_front_rejects_cleanly(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR, queries=1, connections=3).open() as fleet:
-        fleet.engines[0].fault("hang", on=True)
+        fleet.engines[0].set_fault("hang", on=True)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(fleet.ask)
             while not fleet.running.front.requests:
@@ -165,4 +165,4 @@
             assert (excess.status, excess.error["code"]) == (503, "connections_full")
             for stream in idle:
                 await stream.aclose()
-            fleet.engines[0].fault("hang", on=False)
+            fleet.engines[0].set_fault("hang", on=False)
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -127,7 +127,7 @@
     await cluster.until("arrived", stage="read")
     cluster.tell(DECODE, "draining")
     await poll_until(lambda: not cluster.running.front.first_driver.scheduler.engines[DECODE].ready)
-    cluster.engines[PREFILL].fault("hang", on=False)
+    cluster.engines[PREFILL].set_fault("hang", on=False)
     await cluster.until("held")
     await poll_until(lambda: any(pending.state for pending in cluster.running.front.requests.values()))
 
@@ -144,7 +144,7 @@
         raise AssertionError
 
     monkeypatch.setattr("runspool.engines.connection_pool.connect", hang_at_decode_engine)
-    cluster.engines[PREFILL].fault("hang", on=False)
+    cluster.engines[PREFILL].set_fault("hang", on=False)
     await connecting.wait()
 
 
@@ -285,7 +285,7 @@
     earlier_request = ClientRequest(cluster, LONG_TIME_LIMIT_MS)
     async with cluster.open(), anyio.create_task_group() as tasks:
         for engine in case.hanging_engines:
-            cluster.engines[engine].fault("hang", on=True)
+            cluster.engines[engine].set_fault("hang", on=True)
         if stage == QUEUED:
             # So long that the next request is queued at the front.
             tasks.start_soon(earlier_request.send, 5, 5_000)
@@ -297,7 +297,7 @@
             await request.ended.wait()
             earlier_request.scope.cancel()
             for engine in case.hanging_engines:
-                cluster.engines[engine].fault("hang", on=False)  # it now sees what came meanwhile
+                cluster.engines[engine].set_fault("hang", on=False)  # it now sees what came meanwhile
         with anyio.move_on_after(LEAK_TIMEOUT_SECONDS):
             while leaks(cluster, way):
                 await anyio.sleep(0.01)
@@ -329,7 +329,7 @@
             return FailureCause.CONNECT_FAILED if len(calls) < 4 else await release_state(*arguments)
 
         monkeypatch.setattr(client, "release_state", lose_three_calls)
-        cluster.engines[PREFILL].fault("hang", on=True)
+        cluster.engines[PREFILL].set_fault("hang", on=True)
         tasks.start_soon(request.send, 5)
         with anyio.fail_after(END_TIMEOUT_SECONDS):
             await reach_state_reserved(cluster, monkeypatch)
