--- a/runspool/lab/endpoint_list_service.py
+++ b/runspool/lab/endpoint_list_service.py
@@ -21,7 +21,7 @@
 MAX_QUEUED_MESSAGES = 1024  # messages that may wait for a slow front before its subscription is ended
 IDLE_WAIT = 3600.0  # seconds to wait for an update while none is pending
 MIN_WAIT = 0.001  # seconds; lower bound on the wait for a pending update
-NOISES = ["", "repeat", "reorder", "tear"]  # how a message is corrupted; drawn with equal probability
+CORRUPTIONS = ["", "repeat", "reorder", "tear"]  # how a message is corrupted; drawn with equal probability
 
 
 class EndpointListService:
@@ -30,30 +30,30 @@
     Attributes:
         recorder: records every message that was sent to a front intact.
         delay: tenths of a millisecond between an update and its publication.
-        noisy: whether some messages are truncated, repeated or reordered.
+        corrupts_messages: whether some messages are truncated, repeated or reordered.
         rng: draws which messages are, and how.
         epoch: the epoch of the list, within which version numbers are comparable.
         version: the version of the published list.
-        known: the published entries by the engine's name.
-        watchers: the fronts' subscriptions.
+        entries: the published entries by the engine's name.
+        subscriptions: the open watches, one per front.
         port: the port that the service listens on; 0 until it does.
     """
 
     def __init__(self, recorder: Recorder, delay: int, seed: int = 0) -> None:
         self.recorder = recorder
         self.delay = delay
-        self.noisy = False
+        self.corrupts_messages = False
         self.rng = Random(seed)
         self.epoch = f"{now():x}"
         self.version = 0
-        self.known: dict[str, EndpointEntry] = {}
-        self.watchers: list[_Subscription] = []
+        self.entries: dict[str, EndpointEntry] = {}
+        self.subscriptions: list[_Subscription] = []
         self.port = 0
         self._history: deque[EndpointListMessage] = deque(maxlen=HISTORY_MESSAGES)
         self._pending: deque[tuple[int, EndpointEntry]] = deque()  # (time of publication, entry), by time
         self._changed = anyio.Event()
 
-    def set(self, entry: EndpointEntry, at_once: bool = False) -> None:
+    def update(self, entry: EndpointEntry, at_once: bool = False) -> None:
         """Update an engine's entry, which is published after the present delay, or now with `at_once`.
 
         An update is never published before an earlier one, even with `at_once`.
@@ -92,13 +92,13 @@
         """Update the published list and queue the update for every front."""
         self.version += 1
         if entry.state == "gone":
-            self.known.pop(entry.engine, None)
+            self.entries.pop(entry.engine, None)
         else:
-            self.known[entry.engine] = entry
+            self.entries[entry.engine] = entry
         message = EndpointListMessage(self.version, self.epoch, engines=[entry])
         self._history.append(message)
-        for watcher in list(self.watchers):
-            watcher.put(message)
+        for subscription in list(self.subscriptions):
+            subscription.enqueue(message)
 
     async def _serve_connection(self, stream: SocketStream) -> None:
         await serve_requests(stream, self._handle)
@@ -115,8 +115,8 @@
         await received.open_stream({"Content-Type": "application/x-ndjson"})
         subscription = _Subscription(self, received, front)
         for message in self._messages_since(after):
-            subscription.put(message, intact=True)
-        self.watchers.append(subscription)
+            subscription.enqueue(message, intact=True)
+        self.subscriptions.append(subscription)
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(_cancel_on_disconnect, received, tasks.cancel_scope)
@@ -126,19 +126,19 @@
             if group.split(PeerClosedError)[1] is not None:
                 raise
         finally:
-            self.watchers.remove(subscription)
+            self.subscriptions.remove(subscription)
 
     def _messages_since(self, version: int) -> list[EndpointListMessage]:
         """Return the updates since `version` if the history has all of them, otherwise a snapshot."""
         missed = [message for message in self._history if message.version > version]
         if 0 <= version <= self.version and len(missed) == self.version - version:
             return missed
-        entries = list(self.known.values())
+        entries = list(self.entries.values())
         return [EndpointListMessage(self.version, self.epoch, is_snapshot=True, engines=entries)]
 
 
 async def _cancel_on_disconnect(received: ReceivedRequest, scope: anyio.CancelScope) -> None:
-    await received.watch()
+    await received.wait_for_disconnect()
     scope.cancel()
 
 
@@ -153,20 +153,20 @@
         self._queued = anyio.Event()
         self._too_slow = False
 
-    def put(self, message: EndpointListMessage, intact: bool = False) -> None:
+    def enqueue(self, message: EndpointListMessage, intact: bool = False) -> None:
         """Queue a message; it may be corrupted if the service does so, unless it must be `intact`."""
         if len(self._queue) >= MAX_QUEUED_MESSAGES:
             self._too_slow = True  # the front subscribes again and gets a snapshot
-        may_corrupt = self._service.noisy and not intact
-        noise = self._service.rng.choice(NOISES) if may_corrupt else ""
+        may_corrupt = self._service.corrupts_messages and not intact
+        corruption = self._service.rng.choice(CORRUPTIONS) if may_corrupt else ""
         line = encode_message(message)
-        if noise == "tear":
+        if corruption == "tear":
             line = line[: len(line) // 2] + b"\n"
-        if noise == "reorder" and self._queue:
+        if corruption == "reorder" and self._queue:
             self._queue.insert(len(self._queue) - 1, (message, line))
         else:
             self._queue.append((message, line))
-        if noise == "repeat":
+        if corruption == "repeat":
             self._queue.append((message, line))
         self._queued.set()
 
--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -272,7 +272,7 @@
 
     async def _watch(self, request: ActiveRequest) -> None:
         """Notify a request when its connection is lost."""
-        await request.call.received.watch()
+        await request.call.received.wait_for_disconnect()
         request.progress.set()
 
     async def _wait_for_progress(self, request: ActiveRequest) -> None:
--- a/runspool/lab/fault_injection.py
+++ b/runspool/lab/fault_injection.py
@@ -180,9 +180,9 @@
 
     async def _corrupt_endpoint_list(self, fault: FaultPlan) -> None:
         """Truncate, repeat and reorder some messages of the endpoint list for the duration of the fault."""
-        self.fleet.endpoint_list.noisy = True
+        self.fleet.endpoint_list.corrupts_messages = True
         await anyio.sleep(fault.duration / SECOND)
-        self.fleet.endpoint_list.noisy = False
+        self.fleet.endpoint_list.corrupts_messages = False
 
     async def _flush_caches(self, fault: FaultPlan) -> None:
         """Flush the prefix cache of each engine with a probability of the magnitude."""
--- a/runspool/lab/fleet.py
+++ b/runspool/lab/fleet.py
@@ -24,7 +24,7 @@
 
 RUNSPOOL_COMMAND = (sys.executable, "-m", "runspool.cli.main")
 STOP_TIMEOUT = 30.0  # seconds
-WATCH_INTERVAL = 0.02  # seconds between checks of how many fronts watch the endpoint list
+SUBSCRIPTION_CHECK_INTERVAL = 0.02  # seconds between checks of how many fronts watch the endpoint list
 MS_PER_SECOND = 1000
 
 # Tenths of a millisecond that a process is down after it is killed during the migration of a tenant.
@@ -113,7 +113,7 @@
             for index in range(len(self.fronts)):
                 tasks.start_soon(self._start_front, index)
         with anyio.move_on_after(START_TIMEOUT):
-            await self._wait_for_watchers()
+            await self._wait_for_subscriptions()
 
     def publish_state(self, engine_index: int, state: str, at_once: bool = False) -> None:
         """Publish an engine's state, "on", "draining" or "gone", through the endpoint list.
@@ -133,7 +133,7 @@
             },
             EndpointEntry,
         )
-        self.endpoint_list.set(entry, at_once)
+        self.endpoint_list.update(entry, at_once)
 
     async def send_fault(self, engine_index: int, name: str, **settings: object) -> None:
         """Send an engine the command that switches a fault on or off; do nothing if the engine is down."""
@@ -244,12 +244,12 @@
             (self.folder / f"{name}{suffix}").unlink(missing_ok=True)
         return ManagedProcess(name, [*self.front_command, str(path)])
 
-    async def _wait_for_watchers(self) -> None:
-        """Wait until as many watches of the endpoint list are open as there are fronts."""
+    async def _wait_for_subscriptions(self) -> None:
+        """Wait until every front watches the endpoint list."""
         while True:
-            if len(self.endpoint_list.watchers) >= len(self.fronts):
+            if len(self.endpoint_list.subscriptions) >= len(self.fronts):
                 return
-            await anyio.sleep(WATCH_INTERVAL)
+            await anyio.sleep(SUBSCRIPTION_CHECK_INTERVAL)
 
     async def _start_engine(self, index: int, cold: bool) -> None:
         """Start the process of an engine and wait until the engine listens."""
--- a/runspool/lab/http_server.py
+++ b/runspool/lab/http_server.py
@@ -37,7 +37,7 @@
         stream: the connection.
         protocol: the HTTP state of the connection.
         peer: the IP address of the client.
-        disconnected: set when the connection is lost; only watch() detects this.
+        disconnected: set when the connection is lost; only wait_for_disconnect() detects this.
     """
 
     method: str
@@ -95,7 +95,7 @@
         """Close the connection without ending the response."""
         await anyio.aclose_forcefully(self.stream)
 
-    async def watch(self) -> None:
+    async def wait_for_disconnect(self) -> None:
         """Wait until the connection is lost, buffering received data; then set `disconnected`."""
         try:
             while True:
--- a/runspool/lab/state_transfer.py
+++ b/runspool/lab/state_transfer.py
@@ -93,7 +93,7 @@
         self._model.outgoing_transfers += 1
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(received.watch)
+                tasks.start_soon(received.wait_for_disconnect)
                 with anyio.move_on_after(duration / SECOND):
                     await received.disconnected.wait()
                 tasks.cancel_scope.cancel()
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -144,7 +144,7 @@
     def tell(self, at: int, state: str) -> None:
         """Publish an engine's state in the endpoint list."""
         planned = self.plan.engines[at]
-        self.listing.set(
+        self.listing.update(
             msgspec.convert(
                 {
                     "engine": planned.spec.name,
