--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -108,7 +108,7 @@
         self.decode_engines = [("127.0.0.1", e.port) for e in plan.engines if e.spec.role != "reader"]
         self.request_count = 0
 
-    async def attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
+    async def send_attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
         """Send a request to the front, or to a prefill and a decode engine in turn."""
         self.request_count += 1
         name = f"{request.id}.{number}"
@@ -211,7 +211,7 @@
         await self._hang_engines(True)
         async with anyio.create_task_group() as tasks:
             for number in range(self.request_count):
-                tasks.start_soon(clients.attempt, _held_request(number), 1, HELD_TIME_LIMIT)
+                tasks.start_soon(clients.send_attempt, _held_request(number), 1, HELD_TIME_LIMIT)
             await anyio.sleep(5)
             waiting = process_usage(self.front_pid()).resident_bytes
             await self._hang_engines(False)
--- a/runspool/cli/lab.py
+++ b/runspool/cli/lab.py
@@ -125,8 +125,8 @@
             result = event_replay.replay(file)
         except (OSError, event_replay.UnreadableEventsError) as error:
             _fail(str(error))
-        typer.echo(result.differs or _describe_match(file, result))
-        differs = differs or bool(result.differs)
+        typer.echo(result.first_difference or _describe_match(file, result))
+        differs = differs or bool(result.first_difference)
     raise typer.Exit(EXIT_BROKEN if differs else 0)
 
 
--- a/runspool/lab/cell_scenarios.py
+++ b/runspool/lab/cell_scenarios.py
@@ -46,48 +46,48 @@
 MIGRATIONS_PER_KILL = 4  # a process is killed during one of so many migrations
 
 
-def flood(seed: int, cells: bool = True, flooded: bool = True) -> ScenarioPlan:
+def flood(seed: int, with_cells: bool = True, with_fault: bool = True) -> ScenarioPlan:
     """Return a scenario in which one of four tenants sends six times its share of the requests for 30 s.
 
-    Without `cells` the fleet has no cells; without `flooded` the tenant sends its share only.
+    Without `with_cells` the fleet has no cells; without `with_fault` the tenant sends its share only.
     """
-    plan = _fleet("flood", seed, 36 * SECOND, REQUESTS_PER_SECOND, CELLS, cells)
-    if flooded:
+    plan = _fleet("flood", seed, 36 * SECOND, REQUESTS_PER_SECOND, CELLS, with_cells)
+    if with_fault:
         plan.faults = [FaultPlan("tenant_burst", 4 * SECOND, 30 * SECOND, magnitude=6, subject_index=0)]
     return plan
 
 
-def full_cell(seed: int, full: bool = True) -> ScenarioPlan:
+def full_cell(seed: int, with_fault: bool = True) -> ScenarioPlan:
     """Return a scenario in which every engine of one cell rejects all requests as overloaded for 10 s.
 
-    Without `full` no engine does.
+    Without `with_fault` no engine does.
     """
     plan = _fleet("full-cell", seed, 30 * SECOND, REQUESTS_PER_SECOND, CELLS, True)
-    if full:
+    if with_fault:
         plan.faults = [FaultPlan("full", 8 * SECOND, 10 * SECOND, targets=[*FIRST_CELL_ENGINES])]
     return plan
 
 
-def poisoned(seed: int, cells: bool = True, poison: bool = True) -> ScenarioPlan:
+def poisoned(seed: int, with_cells: bool = True, with_fault: bool = True) -> ScenarioPlan:
     """Return a scenario in which some requests crash every engine that decodes them.
 
-    For 15 s, one request in thirty of one of the four tenants does so; without `poison`, none does. Without
-    `cells` the fleet has no cells.
+    For 15 s, one request in thirty of one of the four tenants does so; without `with_fault`, none does.
+    Without `with_cells` the fleet has no cells.
     """
-    plan = _fleet("poisoned", seed, 24 * SECOND, REQUESTS_PER_SECOND, CELLS, cells)
-    if poison:
+    plan = _fleet("poisoned", seed, 24 * SECOND, REQUESTS_PER_SECOND, CELLS, with_cells)
+    if with_fault:
         plan.faults = [FaultPlan("poison", 4 * SECOND, 15 * SECOND, magnitude=0.033, subject_index=0)]
     return plan
 
 
-def bad_release(seed: int, cells: bool = True, released: bool = True) -> ScenarioPlan:
+def bad_release(seed: int, with_cells: bool = True, with_fault: bool = True) -> ScenarioPlan:
     """Return a scenario in which the engines of one cell are upgraded to a faulty software release.
 
-    The release fails half of its requests and runs at a third of the usual speed. Without `released` no
-    engine is upgraded; without `cells` the fleet has no cells.
+    The release fails half of its requests and runs at a third of the usual speed. Without `with_fault` no
+    engine is upgraded; without `with_cells` the fleet has no cells.
     """
-    plan = _fleet("bad-release", seed, 30 * SECOND, REQUESTS_PER_SECOND, CELLS, cells)
-    if released:
+    plan = _fleet("bad-release", seed, 30 * SECOND, REQUESTS_PER_SECOND, CELLS, with_cells)
+    if with_fault:
         plan.faults = [
             FaultPlan(
                 "bad_release",
@@ -101,15 +101,15 @@
     return plan
 
 
-def moving_night(seed: int, moves: int = 200, every: int = SECOND // 2) -> ScenarioPlan:
+def moving_night(seed: int, migrations: int = 200, interval: int = SECOND // 2) -> ScenarioPlan:
     """Return a scenario that migrates tenants between cells while they send requests.
 
-    One migration starts every `every` tenths of a millisecond, until there have been `moves`. A third of them
+    There are `migrations`, one every `interval` tenths of a millisecond. A third of them
     are undone half-way. During every fourth migration a process is killed: each combination of a process and
     a step of the migration (KILLS) in turn. A tenant is migrated again only once its previous migration no
     longer affects any of its requests.
     """
-    duration = MIGRATIONS_START_AT + moves * every + AFTER_LAST_MIGRATION
+    duration = MIGRATIONS_START_AT + migrations * interval + AFTER_LAST_MIGRATION
     plan = _fleet(
         "moving-night",
         seed,
@@ -124,11 +124,11 @@
     plan.clients.slow_reading_share = 0.0
     for request_class in plan.request_classes:
         request_class.time_limit = min(request_class.time_limit, MIGRATION_CLASS_TIME_LIMIT)
-    for number in range(moves):
+    for number in range(migrations):
         plan.faults.append(
             FaultPlan(
                 "cell_move",
-                MIGRATIONS_START_AT + number * every,
+                MIGRATIONS_START_AT + number * interval,
                 0,
                 magnitude=MAP_SKEW,
                 targets=[number % MIGRATING_TENANTS],
--- a/runspool/lab/clients.py
+++ b/runspool/lab/clients.py
@@ -59,7 +59,7 @@
                 time_left -= now() - first_attempt_at
             if time_left < MIN_TIME_LEFT:
                 return
-            outcome = await self.attempt(request, number, time_left)
+            outcome = await self.send_attempt(request, number, time_left)
             if outcome.kind in FINAL_OUTCOMES:
                 return
             if not _may_retry(outcome, request_class, first_attempt_at):
@@ -67,7 +67,7 @@
             pause = request.backoff + (outcome.retry_after if request.backoff else 0)
             await anyio.sleep(pause / SECOND)
 
-    async def attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
+    async def send_attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
         """Make one attempt at a request: send it, read the response and record both.
 
         Args:
--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -29,9 +29,9 @@
     SILENT,
     STREAM_FAULTS,
     TOKENS_BEFORE_STREAM_FAULT,
-    break_stream,
-    end_stream_wrongly,
+    end_stream_abnormally,
     inject_response_fault,
+    interrupt_stream,
 )
 from runspool.lab.standin_messages import (
     CompletionCall,
@@ -78,7 +78,7 @@
         model: the engine's queue, jobs, memory and prefix cache.
         faults: the faults that are injected into the engine.
         active_requests: the accepted completion requests, by the `id()` of their jobs.
-        token_text: the text that each generated token starts with; the token's number follows.
+        token_prefix: the text that each generated token starts with; the token's number follows.
         port: the port that it listens on; 0 until it does.
         tasks: the task group of the running engine; None before the start.
     """
@@ -88,7 +88,7 @@
         self.model = EngineModel(spec, now(), cold, seed)
         self.faults = ActiveFaults(self.model)
         self.active_requests: dict[int, ActiveRequest] = {}
-        self.token_text = "t"
+        self.token_prefix = "t"
         self.port = 0
         self._events = EngineEvents(spec, recorder)
         self._draw = Random(seed + 1).random
@@ -314,17 +314,17 @@
                 if tokens_sent == 0:
                     await received.open_stream(self._load_report())
                 if tokens_sent >= TOKENS_BEFORE_STREAM_FAULT and fault in STREAM_FAULTS:
-                    await break_stream(received, fault)
+                    await interrupt_stream(received, fault)
                     return "broken"
                 tokens_sent += 1
-                await received.send_chunk(token_event(job, f"{self.token_text}{tokens_sent} "))
+                await received.send_chunk(token_event(job, f"{self.token_prefix}{tokens_sent} "))
             if job.generated_tokens >= length:
                 return await self._end_stream(request)
 
     async def _end_stream(self, request: ActiveRequest) -> str:
         received, fault = request.call.received, request.call.fault
         if fault in (NO_FINISH, ERROR_EVENT):
-            await end_stream_wrongly(received, fault)
+            await end_stream_abnormally(received, fault)
             return "broken"
         await received.send_chunk(final_events(request.job, request.call.body.max_tokens))
         await received.end_stream()
--- a/runspool/lab/fault_injection.py
+++ b/runspool/lab/fault_injection.py
@@ -44,8 +44,8 @@
         recorder: records when each fault begins and ends.
         tenant_migrator: migrates tenants; None for a plan without cells.
         rng: draws the engines whose caches are flushed.
-        start: the start of the scenario, in tenths of a millisecond; to be set before the first fault.
-        methods: the methods that inject the faults, by kind.
+        start_time: the start of the scenario, in tenths of a millisecond; to be set before the first fault.
+        injectors: the methods that inject the faults, by kind.
     """
 
     def __init__(
@@ -61,8 +61,8 @@
         self.recorder = recorder
         self.tenant_migrator = tenant_migrator
         self.rng = Random(plan.seed * SEED_MULTIPLIER + SEED_OFFSET)
-        self.start = 0
-        self.methods: dict[str, InjectFault] = {
+        self.start_time = 0
+        self.injectors: dict[str, InjectFault] = {
             "crash": self._crash,
             "restart": self._crash,
             "drain": self._drain,
@@ -80,26 +80,26 @@
     async def inject(self, fault: FaultPlan) -> None:
         """Wait until a fault is due, inject it and record its beginning and its end.
 
-        The attribute `start` must have been set. Kinds of fault that the clients cause (see `workload`) are
-        ignored.
+        The attribute `start_time` must have been set. Kinds of fault that the clients cause (see `workload`)
+        are ignored.
         """
-        method = self.methods.get(fault.kind)
-        faults_of_engines = [] if method is not None else engine_faults(self.plan, fault)
-        if method is None and not faults_of_engines:
+        inject = self.injectors.get(fault.kind)
+        faults_of_engines = [] if inject is not None else engine_faults(self.plan, fault)
+        if inject is None and not faults_of_engines:
             return
         await self._sleep_until(fault.starts_at)
         self.recorder.record_event(
             "trouble", kind=fault.kind, on=fault.targets, size=fault.magnitude, length=fault.duration
         )
-        if method is not None:
-            await method(fault)
+        if inject is not None:
+            await inject(fault)
         else:
             await self._inject_engine_faults(faults_of_engines, fault.duration)
         self.recorder.record_event("trouble_over", kind=fault.kind, on=fault.targets)
 
     async def _sleep_until(self, at: int) -> None:
         """Sleep until a time that counts from the start of the scenario; return at once if it has passed."""
-        await anyio.sleep(max(0.0, (self.start + at - now()) / SECOND))
+        await anyio.sleep(max(0.0, (self.start_time + at - now()) / SECOND))
 
     async def _inject_engine_faults(self, faults: list[EngineFault], duration: int) -> None:
         """Switch faults of engines on, and off again after `duration` tenths of a millisecond."""
--- a/runspool/lab/replay.py
+++ b/runspool/lab/replay.py
@@ -30,12 +30,12 @@
 class ReplayResult:
     """The number of replayed events and of identical actions, and the first difference.
 
-    `differs` is empty if there is no difference.
+    `first_difference` is empty if there is no difference.
     """
 
     events: int = 0
     actions: int = 0
-    differs: str = ""
+    first_difference: str = ""
 
 
 class ActionRecorder:
@@ -112,7 +112,7 @@
             replayer.replay_event(place, at, word, values)
         else:
             replayer.compare_action(place, [word, *values])
-        if replayer.result.differs:
+        if replayer.result.first_difference:
             break
     return replayer.result
 
@@ -129,18 +129,20 @@
         """Compare a recorded action with the next action that the driver has requested."""
         if not self.recorder.actions:
             word, *values = recorded
-            self.result.differs = f"{place}: recorded action {word} {values}, but no replayed action"
+            self.result.first_difference = f"{place}: recorded action {word} {values}, but no replayed action"
             return
         replayed = self.recorder.actions.popleft()
         if replayed != recorded:
-            self.result.differs = f"{place}: recorded action {recorded}, but replayed action {replayed}"
+            self.result.first_difference = (
+                f"{place}: recorded action {recorded}, but replayed action {replayed}"
+            )
             return
         self.result.actions += 1
 
     def replay_event(self, place: str, at: int, word: str, values: list[Any]) -> None:
         """Pass an event to the driver, provided that all actions of the previous event have been compared."""
         if self.recorder.actions:
-            self.result.differs = (
+            self.result.first_difference = (
                 f"{place}: replayed action {self.recorder.actions[0]}, but no recorded action"
             )
             return
--- a/runspool/lab/response_faults.py
+++ b/runspool/lab/response_faults.py
@@ -48,7 +48,7 @@
 REJECTION_STATUSES = {"full_429": 429, "full_503": 503, "bad_400": 400, "missing_404": 404}
 EXECUTED_FAULTS = ("reset_after", "close_after", "failed_500_after_run")
 
-ENDLESS_PART = b"data: " + b"x" * 8192
+ENDLESS_CHUNK = b"data: " + b"x" * 8192
 HUGE_EVENT_BYTES = 1_000_000
 
 
@@ -79,7 +79,7 @@
     return "mishap"
 
 
-async def break_stream(received: ReceivedRequest, fault: str) -> None:
+async def interrupt_stream(received: ReceivedRequest, fault: str) -> None:
     """Interrupt an open stream with one of STREAM_FAULTS."""
     if fault == SILENT_STREAM:
         await received.disconnected.wait()
@@ -89,7 +89,7 @@
         await received.close()
 
 
-async def end_stream_wrongly(received: ReceivedRequest, fault: str) -> None:
+async def end_stream_abnormally(received: ReceivedRequest, fault: str) -> None:
     """End a stream without a finish reason (NO_FINISH), or with an error event instead (ERROR_EVENT)."""
     if fault == ERROR_EVENT:
         await received.send_chunk(b"data: " + error_body("engine", "broke", "the engine broke") + b"\n\n")
@@ -119,7 +119,7 @@
 async def _respond_endlessly(received: ReceivedRequest) -> None:
     await received.stream.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     while True:
-        await received.stream.send(b"%x\r\n%b\r\n" % (len(ENDLESS_PART), ENDLESS_PART))
+        await received.stream.send(b"%x\r\n%b\r\n" % (len(ENDLESS_CHUNK), ENDLESS_CHUNK))
 
 
 async def _send_huge_event(received: ReceivedRequest) -> None:
--- a/runspool/lab/scenario_runner.py
+++ b/runspool/lab/scenario_runner.py
@@ -43,7 +43,7 @@
         recorder: records the events of clients, endpoint list and faults.
         fleet: the processes; set when the run begins.
         tenant_migrator: migrates tenants; None for a plan without cells.
-        start: the start of the scenario, in tenths of a millisecond.
+        start_time: the start of the scenario, in tenths of a millisecond.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self.recorder = Recorder(None)
         self.fleet: ScenarioFleet  # set by run()
         self.tenant_migrator: TenantMigrator | None = None
-        self.start = 0
+        self.start_time = 0
 
     async def run(self) -> Path:
         """Run the whole scenario and return the path of its recording.
@@ -142,8 +142,8 @@
 
     async def run_workload(self, requests: list[PlannedRequest]) -> None:
         """Send the requests and inject the faults; return when all requests have ended."""
-        self.start = now() + START_LEAD
-        self.recorder.record_event("begin", at=self.start)
+        self.start_time = now() + START_LEAD
+        self.recorder.record_event("begin", at=self.start_time)
         clients = WorkloadClients(self.plan, self.fleet.load_balancer, self.recorder)
         async with anyio.create_task_group() as tasks:
             self._start_faults(tasks)
@@ -152,14 +152,14 @@
                 tasks.start_soon(self._restart_crashed_engines, tasks)
             if self.progress is not None:
                 tasks.start_soon(self._report_progress, self.progress)
-            await clients.run(requests, self.start)
+            await clients.run(requests, self.start_time)
             self.recorder.record_event("all_asked")
             await anyio.sleep(RELEASE_TIME)
             tasks.cancel_scope.cancel()
 
     def _start_faults(self, tasks: anyio.abc.TaskGroup) -> None:
         injector = FaultInjector(self.plan, self.fleet, self.recorder, self.tenant_migrator)
-        injector.start = self.start
+        injector.start_time = self.start_time
         for fault in self.plan.faults:
             tasks.start_soon(injector.inject, fault)
 
@@ -185,5 +185,5 @@
 
     async def _report_progress(self, progress: Callable[[float], None]) -> None:
         while True:
-            progress((now() - self.start) / self.plan.duration)
+            progress((now() - self.start_time) / self.plan.duration)
             await anyio.sleep(PROGRESS_INTERVAL)
--- a/tests/test_front_disconnects.py
+++ b/tests/test_front_disconnects.py
@@ -40,7 +40,7 @@
 async def test_a_client_that_does_not_read_its_response_counts_as_disconnected(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR, answer_write_ms=300).open() as fleet:
         # Tokens of a size that fills every buffer on the way soon.
-        fleet.engines[1].token_text = "t" * 60_000
+        fleet.engines[1].token_prefix = "t" * 60_000
         raw = msgspec.json.encode(
             {"prompt": "abcd" * 40, "max_tokens": 900, "stream": True, "standin": {"try": "t", "out": 800}}
         )
--- a/tests/test_front_recordings.py
+++ b/tests/test_front_recordings.py
@@ -34,12 +34,12 @@
                 )
         fleet.running.front.cell_scheduler("whole").recorder.close()
     replayed = replay(recording)
-    assert replayed.differs == ""
+    assert replayed.first_difference == ""
     assert replayed.events > 100
     assert replayed.actions > 100
     # A changed recording is found to differ.
     recording.write_bytes(recording.read_bytes().replace(b'"send",5,', b'"send",6,', 1))
-    assert "replayed action" in replay(recording).differs
+    assert "replayed action" in replay(recording).first_difference
 
 
 async def test_a_fleet_at_work_keeps_every_rule(tmp_path: Path) -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -254,7 +254,7 @@
 
 
 def test_a_tenants_flood_leaves_the_requests_of_all_others_as_they_were() -> None:
-    calm, flooded = draw_workload(flood(3, flooded=False)), draw_workload(flood(3))
+    calm, flooded = draw_workload(flood(3, with_fault=False)), draw_workload(flood(3))
     assert _of_others(flooded) == _of_others(calm)
     assert 4.5 < _count_in_flood(flooded) / _count_in_flood(calm) < 7.5
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -31,7 +31,7 @@
     plain = tmp_path / "events"
     plain.write_bytes(lzma.decompress(recording.read_bytes()))
     found = replay(plain)
-    assert found.differs == ""
+    assert found.first_difference == ""
     assert found.actions > 400
 
 
