--- a/runspool/lab/cell_scenarios.py
+++ b/runspool/lab/cell_scenarios.py
@@ -104,10 +104,10 @@
 def moving_night(seed: int, migrations: int = 200, interval: int = SECOND // 2) -> ScenarioPlan:
     """Return a scenario that migrates tenants between cells while they send requests.
 
-    There are `migrations`, one every `interval` tenths of a millisecond. A third of them
-    are undone half-way. During every fourth migration a process is killed: each combination of a process and
-    a step of the migration (KILLS) in turn. A tenant is migrated again only once its previous migration no
-    longer affects any of its requests.
+    The parameters are the number of migrations and the time between the starts of two of them in tenths of a
+    millisecond. A third of the migrations are undone half-way. During every fourth migration a process is
+    killed: each combination of a process and a step of the migration (KILLS) in turn. A tenant is migrated again
+    only once its previous migration no longer affects any of its requests.
     """
     duration = MIGRATIONS_START_AT + migrations * interval + AFTER_LAST_MIGRATION
     plan = _fleet(
@@ -211,6 +211,7 @@
     }
 
 
+# The scenarios by their names on the command line.
 SCENARIOS: dict[str, Callable[[int], ScenarioPlan]] = {
     "bad-night": bad_night,
     "quiet": quiet,
