--- a/runspool/lab/cell_scenarios.py
+++ b/runspool/lab/cell_scenarios.py
@@ -106,8 +106,8 @@
 
     The parameters are the number of migrations and the time between the starts of two of them in tenths of a
     millisecond. A third of the migrations are undone half-way. During every fourth migration a process is
-    killed: each combination of a process and a step of the migration (KILLS) in turn. A tenant is migrated again
-    only once its previous migration no longer affects any of its requests.
+    killed: each combination of a process and a step of the migration (KILLS) in turn. A tenant is migrated
+    again only once its previous migration no longer affects any of its requests.
     """
     duration = MIGRATIONS_START_AT + migrations * interval + AFTER_LAST_MIGRATION
     plan = _fleet(
