--- a/runspool/lab/cell_scenarios.py
+++ b/runspool/lab/cell_scenarios.py
@@ -40,7 +40,7 @@
 MIGRATION_CLASS_TIME_LIMIT = 8 * SECOND  # upper bound on the time limit of every request class
 MAP_SKEW = 300  # tenths of a millisecond between one front receiving a new cell map and the next front
 # The process that is killed during a migration, and the step of the migration that the kill follows.
-KILLS = [
+KILL_VARIANTS = [
     (process, step) for step in ("ahead", "settling", "over") for process in ("front", "source", "target")
 ]
 MIGRATIONS_PER_KILL = 4  # a process is killed during one of so many migrations
@@ -106,8 +106,8 @@
 
     The parameters are the number of migrations and the time between the starts of two of them in tenths of a
     millisecond. A third of the migrations are undone half-way. During every fourth migration a process is
-    killed: each combination of a process and a step of the migration (KILLS) in turn. A tenant is migrated
-    again only once its previous migration no longer affects any of its requests.
+    killed: each combination of a process and a step of the migration (KILL_VARIANTS) in turn. A tenant is
+    migrated again only once its previous migration no longer affects any of its requests.
     """
     duration = MIGRATIONS_START_AT + migrations * interval + AFTER_LAST_MIGRATION
     plan = _fleet(
@@ -147,7 +147,7 @@
     ending = "undo" if number % 3 == 2 else "done"
     if number % MIGRATIONS_PER_KILL:
         return ending
-    process, step = KILLS[number // MIGRATIONS_PER_KILL % len(KILLS)]
+    process, step = KILL_VARIANTS[number // MIGRATIONS_PER_KILL % len(KILL_VARIANTS)]
     return f"{ending} {process} {step}"
 
 
--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -238,9 +238,9 @@
         if not call.is_prefill and not call.fetches_state and self.spec.role == "writer":
             await call.received.respond(409, error_body("no_state", STATE_GONE, "a writer does not read"))
             return "stateless"
-        return await self._work(ActiveRequest(job, call))
+        return await self._process(ActiveRequest(job, call))
 
-    async def _work(self, request: ActiveRequest) -> str:
+    async def _process(self, request: ActiveRequest) -> str:
         """Submit a request to the model and respond with its result; return how it ended."""
         job, received = request.job, request.call.received
         admission = self.model.submit(now(), job)
--- a/runspool/lab/port_allocation.py
+++ b/runspool/lab/port_allocation.py
@@ -21,16 +21,16 @@
     """A reserved block of ports.
 
     Attributes:
-        claim: the socket that is bound to the first port of the block.
+        guard_socket: the socket that is bound to the first port of the block.
         ports: the ports of the block that may be used.
     """
 
-    claim: socket.socket
+    guard_socket: socket.socket
     ports: list[int]
 
     def release(self) -> None:
         """End the reservation."""
-        self.claim.close()
+        self.guard_socket.close()
 
 
 def reserve_ports(count: int) -> PortReservation:
@@ -40,27 +40,27 @@
         ScenarioFailedError: no unreserved block has so many free ports.
     """
     for first_port in range(FIRST_BLOCK, END_OF_BLOCKS, BLOCK_SIZE):
-        claim = _claim(first_port)
-        if claim is None:
+        guard_socket = _bind_guard_socket(first_port)
+        if guard_socket is None:
             continue
         ports = [port for port in range(first_port + 1, first_port + BLOCK_SIZE) if _is_free(port)]
         if len(ports) >= count:
-            return PortReservation(claim, ports[:count])
-        claim.close()
+            return PortReservation(guard_socket, ports[:count])
+        guard_socket.close()
     raise ScenarioFailedError(
         f"no block of ports from {FIRST_BLOCK} to {END_OF_BLOCKS - 1} has {count} free ports"
     )
 
 
-def _claim(port: int) -> socket.socket | None:
+def _bind_guard_socket(port: int) -> socket.socket | None:
     """Return a socket that is bound to the port, or None if the port is in use."""
-    claim = socket.socket()
+    guard_socket = socket.socket()
     try:
-        claim.bind((HOST, port))
+        guard_socket.bind((HOST, port))
     except OSError:
-        claim.close()
+        guard_socket.close()
         return None
-    return claim
+    return guard_socket
 
 
 def _is_free(port: int) -> bool:
--- a/runspool/lab/replay.py
+++ b/runspool/lab/replay.py
@@ -101,67 +101,69 @@
     for number, raw in enumerate(lines, 1):
         if not raw:
             continue
-        place = f"{recording}:{number}"
+        location = f"{recording}:{number}"
         try:
-            at, word, *values = msgspec.json.decode(raw)
+            at, name, *values = msgspec.json.decode(raw)
         except (msgspec.DecodeError, ValueError, TypeError) as error:
             if number >= len(lines) - 1:
                 break
-            raise UnreadableEventsError(f"{place}: {error}") from None
-        if word in EVENTS:
-            replayer.replay_event(place, at, word, values)
+            raise UnreadableEventsError(f"{location}: {error}") from None
+        if name in EVENTS:
+            replayer.replay_event(location, at, name, values)
         else:
-            replayer.compare_action(place, [word, *values])
+            replayer.compare_action(location, [name, *values])
         if replayer.result.first_difference:
             break
     return replayer.result
 
 
 class _Replayer:
-    """The state of one replay. Arguments named `place` are the file and line for messages."""
+    """The state of one replay. Arguments named `location` are the file and line for messages."""
 
     def __init__(self) -> None:
         self.result = ReplayResult()
         self.recorder = ActionRecorder()
         self.driver: SchedulerDriver | None = None
 
-    def compare_action(self, place: str, recorded: list[Any]) -> None:
+    def compare_action(self, location: str, recorded: list[Any]) -> None:
         """Compare a recorded action with the next action that the driver has requested."""
         if not self.recorder.actions:
-            word, *values = recorded
-            self.result.first_difference = f"{place}: recorded action {word} {values}, but no replayed action"
+            name, *values = recorded
+            self.result.first_difference = (
+                f"{location}: recorded action {name} {values}, but no replayed action"
+            )
             return
         replayed = self.recorder.actions.popleft()
         if replayed != recorded:
             self.result.first_difference = (
-                f"{place}: recorded action {recorded}, but replayed action {replayed}"
+                f"{location}: recorded action {recorded}, but replayed action {replayed}"
             )
             return
         self.result.actions += 1
 
-    def replay_event(self, place: str, at: int, word: str, values: list[Any]) -> None:
+    def replay_event(self, location: str, at: int, name: str, values: list[Any]) -> None:
         """Pass an event to the driver, provided that all actions of the previous event have been compared."""
         if self.recorder.actions:
             self.result.first_difference = (
-                f"{place}: replayed action {self.recorder.actions[0]}, but no recorded action"
+                f"{location}: replayed action {self.recorder.actions[0]}, but no recorded action"
             )
             return
         self.result.events += 1
         try:
-            if word == RecordedEvent.STARTED:
+            if name == RecordedEvent.STARTED:
                 settings = from_stored(values[1], RoutingSettings)
                 self.driver = SchedulerDriver(settings, values[0], self.recorder, at)
             elif self.driver is None:
-                raise UnreadableEventsError(f"{place}: event {word!r} before the event 'start'")
+                raise UnreadableEventsError(f"{location}: event {name!r} before the event 'start'")
             else:
-                _pass_event(self.driver, at, word, values)
+                _pass_event(self.driver, at, name, values)
         except (msgspec.ValidationError, IndexError) as error:
-            raise UnreadableEventsError(f"{place}: {error}") from None
+            raise UnreadableEventsError(f"{location}: {error}") from None
 
 
-def _pass_event(driver: SchedulerDriver, at: int, word: str, values: list[Any]) -> None:
-    """Call the method of the driver for an event of the type `word`."""
-    match word:
+def _pass_event(driver: SchedulerDriver, at: int, name: str, values: list[Any]) -> None:
+    """Call the method of the driver for an event of the type `name`."""
+    match name:
         case RecordedEvent.SUBMITTED:
             driver.submit(at, from_stored(values[0], Request))
         case RecordedEvent.STREAM_STARTED:
--- a/runspool/lab/response_faults.py
+++ b/runspool/lab/response_faults.py
@@ -96,23 +96,23 @@
     await received.end_stream()
 
 
-async def _fail(received: ReceivedRequest) -> None:
+async def _respond_with_failure(received: ReceivedRequest) -> None:
     await received.respond(500, error_body("engine", FAILED_500, "failed before it ran"))
 
 
-async def _fail_after_execution(received: ReceivedRequest) -> None:
+async def _respond_with_failure_after_execution(received: ReceivedRequest) -> None:
     await received.respond(500, error_body("engine", "failed_500_after_run", "failed after it ran"))
 
 
-async def _garble_body(received: ReceivedRequest) -> None:
+async def _send_malformed_body(received: ReceivedRequest) -> None:
     await received.respond(200, b'{"choices": [')
 
 
-async def _garble_status(received: ReceivedRequest) -> None:
+async def _send_unexpected_status(received: ReceivedRequest) -> None:
     await received.stream.send(b"HTTP/1.1 302 Found\r\nContent-Length: 0\r\n\r\n")
 
 
-async def _garble_head(received: ReceivedRequest) -> None:
+async def _send_malformed_head(received: ReceivedRequest) -> None:
     await received.stream.send(b"\x00\x01\x02 nonsense\r\n\r\n")
 
 
@@ -128,7 +128,7 @@
     await received.end_stream()
 
 
-async def _cut_response(received: ReceivedRequest) -> None:
+async def _send_truncated_response(received: ReceivedRequest) -> None:
     await received.stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{")
     await received.close()
 
@@ -136,12 +136,12 @@
 _INJECTIONS: dict[str, Callable[[ReceivedRequest], Awaitable[None]]] = {
     "reset_after": ReceivedRequest.reset,
     "close_after": ReceivedRequest.close,
-    FAILED_500: _fail,
-    "failed_500_after_run": _fail_after_execution,
-    "garbled": _garble_body,
-    "garbled_status": _garble_status,
-    "head_garbled": _garble_head,
+    FAILED_500: _respond_with_failure,
+    "failed_500_after_run": _respond_with_failure_after_execution,
+    "garbled": _send_malformed_body,
+    "garbled_status": _send_unexpected_status,
+    "head_garbled": _send_malformed_head,
     "endless": _respond_endlessly,
     "huge_event": _send_huge_event,
-    "cut_answer": _cut_response,
+    "cut_answer": _send_truncated_response,
 }
--- a/runspool/lab/scripted_scenarios.py
+++ b/runspool/lab/scripted_scenarios.py
@@ -24,7 +24,7 @@
 STEP_TIME = 120  # tenths of a millisecond; duration of a step that decodes, without the part per stream
 STEP_TIME_PER_STREAM = 1.5  # tenths of a millisecond that each stream adds to a step
 # Bounds of the random factors that multiply the prefill rate and the step time of each engine.
-SLOWEST, FASTEST = 0.9, 1.1
+MIN_FACTOR, MAX_FACTOR = 0.9, 1.1
 MIN_SLOTS = 2
 # Divides the time of a prefill in the mean work of a mixed engine, which prefills in the steps in which it
 # also decodes.
@@ -36,10 +36,11 @@
 BAD_NIGHT_ZONE_ENGINES = ("prefill", "prefill", "decode", "mixed")
 BAD_NIGHT_FRONTS = 3
 BAD_NIGHT_RATE = 40  # requests per second
-FIRST_FAULT = 12 * SECOND  # earliest start of a fault; by then every engine is processing streams
+FIRST_FAULT_AT = 12 * SECOND  # earliest start of a fault; by then every engine is processing streams
 FAULT_FREE_END = 10 * SECOND  # time at the end of the scenario in which no fault starts
-LONGEST_OVERLAP = 6 * SECOND  # minimum time from the first overlapping fault's start to FAULT_FREE_END
-OVERLAP_SECONDS = 5  # seconds; the overlapping faults all start within an interval of this length
+# Minimum time from the start of the interval of overlapping faults to FAULT_FREE_END.
+MIN_TIME_AFTER_OVERLAP_START = 6 * SECOND
+OVERLAP_SECONDS = 5  # seconds; length of the interval in which all overlapping faults start
 
 QUIET_DURATION = 20 * SECOND
 
@@ -133,8 +134,8 @@
     `capacity_multiple` multiplies its slots and its prefill rate.
     """
     usual = _ENGINE_TYPES[engine_type]
-    prefill_rate = usual.prefill_rate * rng.uniform(SLOWEST, FASTEST) * capacity_multiple
-    step_time = STEP_TIME * rng.uniform(SLOWEST, FASTEST)
+    prefill_rate = usual.prefill_rate * rng.uniform(MIN_FACTOR, MAX_FACTOR) * capacity_multiple
+    step_time = STEP_TIME * rng.uniform(MIN_FACTOR, MAX_FACTOR)
     slots = max(MIN_SLOTS, usual.slots * capacity_multiple)
     full_step_time = step_time + STEP_TIME_PER_STREAM * slots
     mean_work = {}
@@ -220,40 +221,46 @@
     prefills = _shuffled(engines, "prefill", rng)
     decodes = _shuffled(engines, "decode", rng)
     mixed = _shuffled(engines, "mixed", rng)
-    span = duration - FIRST_FAULT - FAULT_FREE_END
-    overlap_starts_at = FIRST_FAULT + int(rng.random() * (span - LONGEST_OVERLAP))
+    span = duration - FIRST_FAULT_AT - FAULT_FREE_END
+    overlap_starts_at = FIRST_FAULT_AT + int(rng.random() * (span - MIN_TIME_AFTER_OVERLAP_START))
 
-    def any_time() -> int:
+    def draw_start() -> int:
         """Draw a start within the whole time for faults."""
-        return FIRST_FAULT + int(rng.random() * span)
+        return FIRST_FAULT_AT + int(rng.random() * span)
 
-    def overlapping() -> int:
+    def draw_overlapping_start() -> int:
         """Draw a start in an interval of 5 s, so that faults of at least 8 s are all active at its end."""
         return overlap_starts_at + int(rng.random() * OVERLAP_SECONDS * SECOND)
 
     # The values are drawn in the order in which the arguments are evaluated, so this order must not change.
     faults = [
-        FaultPlan("crash", any_time(), 8 * SECOND, targets=[decodes[0]]),
-        FaultPlan("front_kill", any_time(), 2 * SECOND, targets=[rng.randrange(3)]),
-        FaultPlan("front_kill", overlapping(), 3 * SECOND, targets=[rng.randrange(3)]),
-        FaultPlan("hang", any_time(), 4 * SECOND, targets=[prefills[0]]),
-        FaultPlan("pause", any_time(), SECOND, targets=[mixed[0]]),
-        FaultPlan("slow", overlapping(), 10 * SECOND, magnitude=rng.uniform(2, 5), targets=[prefills[1]]),
-        FaultPlan("drain", any_time(), 5 * SECOND, targets=[mixed[1]]),
-        FaultPlan("drain", any_time(), 5 * SECOND, targets=[prefills[2]]),
-        FaultPlan("restart", any_time(), SECOND, targets=[prefills[3]]),
-        FaultPlan("errors", overlapping(), 8 * SECOND, magnitude=0.2, targets=[decodes[1], mixed[2]]),
-        FaultPlan("resets", overlapping(), 8 * SECOND, magnitude=0.1, targets=[decodes[2], prefills[1]]),
-        FaultPlan("list_noise", overlapping(), 10 * SECOND),
-        FaultPlan("discovery_stale", any_time(), 8 * SECOND, magnitude=3 * SECOND),
-        FaultPlan("origin_slow", overlapping(), 8 * SECOND, magnitude=rng.uniform(2, 6)),
-        FaultPlan("flush", any_time(), 0, magnitude=0.8),
-        FaultPlan("burst", any_time(), 4 * SECOND, magnitude=1.5),
-        FaultPlan("heavy_tail", any_time(), 8 * SECOND, magnitude=10, secondary_magnitude=0.03),
-        FaultPlan("hot_key", overlapping(), 8 * SECOND, magnitude=0.15),
+        FaultPlan("crash", draw_start(), 8 * SECOND, targets=[decodes[0]]),
+        FaultPlan("front_kill", draw_start(), 2 * SECOND, targets=[rng.randrange(3)]),
+        FaultPlan("front_kill", draw_overlapping_start(), 3 * SECOND, targets=[rng.randrange(3)]),
+        FaultPlan("hang", draw_start(), 4 * SECOND, targets=[prefills[0]]),
+        FaultPlan("pause", draw_start(), SECOND, targets=[mixed[0]]),
+        FaultPlan(
+            "slow", draw_overlapping_start(), 10 * SECOND, magnitude=rng.uniform(2, 5), targets=[prefills[1]]
+        ),
+        FaultPlan("drain", draw_start(), 5 * SECOND, targets=[mixed[1]]),
+        FaultPlan("drain", draw_start(), 5 * SECOND, targets=[prefills[2]]),
+        FaultPlan("restart", draw_start(), SECOND, targets=[prefills[3]]),
+        FaultPlan(
+            "errors", draw_overlapping_start(), 8 * SECOND, magnitude=0.2, targets=[decodes[1], mixed[2]]
+        ),
+        FaultPlan(
+            "resets", draw_overlapping_start(), 8 * SECOND, magnitude=0.1, targets=[decodes[2], prefills[1]]
+        ),
+        FaultPlan("list_noise", draw_overlapping_start(), 10 * SECOND),
+        FaultPlan("discovery_stale", draw_start(), 8 * SECOND, magnitude=3 * SECOND),
+        FaultPlan("origin_slow", draw_overlapping_start(), 8 * SECOND, magnitude=rng.uniform(2, 6)),
+        FaultPlan("flush", draw_start(), 0, magnitude=0.8),
+        FaultPlan("burst", draw_start(), 4 * SECOND, magnitude=1.5),
+        FaultPlan("heavy_tail", draw_start(), 8 * SECOND, magnitude=10, secondary_magnitude=0.03),
+        FaultPlan("hot_key", draw_overlapping_start(), 8 * SECOND, magnitude=0.15),
         FaultPlan(
             "retry_abuse",
-            overlapping(),
+            draw_overlapping_start(),
             8 * SECOND,
             magnitude=4,
             secondary_magnitude=0.4,
@@ -261,7 +268,7 @@
         ),
         FaultPlan(
             "throttle",
-            overlapping(),
+            draw_overlapping_start(),
             8 * SECOND,
             magnitude=0.2,
             secondary_magnitude=0.2,
@@ -269,8 +276,8 @@
             mode="tenant",
             subject_index=rng.randrange(3),
         ),
-        FaultPlan("class_fail", any_time(), 8 * SECOND, magnitude=1.0, targets=[mixed[2]], mode="silence"),
-        FaultPlan("leaving", any_time(), 8 * SECOND, magnitude=0.1),
+        FaultPlan("class_fail", draw_start(), 8 * SECOND, magnitude=1.0, targets=[mixed[2]], mode="silence"),
+        FaultPlan("leaving", draw_start(), 8 * SECOND, magnitude=0.1),
     ]
     faults.sort(key=lambda fault: fault.starts_at)
     return faults
--- a/runspool/lab/simulator_scenarios.py
+++ b/runspool/lab/simulator_scenarios.py
@@ -22,7 +22,7 @@
 SimulatorScenario = dict[str, Any]  # scenario of the simulator, as decoded from JSON
 SimulatorRow = dict[str, Any]  # object in a list of such a scenario
 
-MICROSECONDS = 100  # microseconds in a tenth of a millisecond
+MICROSECONDS_PER_TENTH_MS = 100  # microseconds in a tenth of a millisecond
 RATE_PER_ENGINE = 5.5  # requests per second and engine at the simulator's load 1
 UNLIMITED_RATE = 1e6  # requests per second; quota that no tenant reaches
 HEAVY_WORK = 200_000  # microseconds; request classes whose mean work is longer get long prompts
@@ -77,7 +77,7 @@
     return ScenarioPlan(
         name=str(scenario.get("site", "bench")),
         seed=rng.randrange(1 << 30),
-        duration=_tenths(scenario["length"]),
+        duration=_to_tenths_of_ms(scenario["length"]),
         requests_per_second=scale * load * engine_count * RATE_PER_ENGINE,
         zones=zones,
         request_classes=request_classes,
@@ -86,25 +86,25 @@
         engines=engines,
         faults=faults,
         load_shape=[(float(second), float(multiple)) for second, multiple in scenario["traffic"]["shape"]],
-        endpoint_list_delay=_tenths(scenario["discovery"]["notice"]),
-        drain_grace=_tenths(scenario["drain_grace"]),
+        endpoint_list_delay=_to_tenths_of_ms(scenario["discovery"]["notice"]),
+        drain_grace=_to_tenths_of_ms(scenario["drain_grace"]),
         max_attempts=int(scenario["allow"]["max_attempts"]),
         slow_start_overload_multiple=float(scenario["fall_multiple"]),
-        slow_start_overload_window=_tenths(scenario["fall_for"]),
+        slow_start_overload_window=_to_tenths_of_ms(scenario["fall_for"]),
         clients=ClientsPlan(
             retries=int(clients["retries"]),
-            backoff=_tenths(clients["backoff_us"]),
+            backoff=_to_tenths_of_ms(clients["backoff_us"]),
             attempt_time_share=float(clients["try_share"]),
-            failover_delay=_tenths(scenario.get("front_notice", 2_000_000)),
+            failover_delay=_to_tenths_of_ms(scenario.get("front_notice", 2_000_000)),
             disconnecting_share=float(clients.get("impatient", 0.0)),
             slow_reading_share=0.0,
         ),
     )
 
 
-def _tenths(microseconds: str | float) -> int:
+def _to_tenths_of_ms(microseconds: str | float) -> int:
     """Convert microseconds to tenths of a millisecond."""
-    return int(microseconds) // MICROSECONDS
+    return int(microseconds) // MICROSECONDS_PER_TENTH_MS
 
 
 def _request_classes(rows: list[SimulatorRow]) -> list[RequestClassPlan]:
@@ -125,9 +125,9 @@
         share=float(row["share"]),
         idempotency=idempotency,  # type: ignore[arg-type]
         priority_weight=float(row["worth"]),
-        first_token_objective=_tenths(row["aim"]),
+        first_token_objective=_to_tenths_of_ms(row["aim"]),
         first_token_objective_per_1000_tokens=400,
-        time_limit=_tenths(row["deadline"]),
+        time_limit=_to_tenths_of_ms(row["deadline"]),
         time_per_output_token=700,
         new_prompt_tokens=1500 if heavy else 250,
         output_tokens=60,
@@ -136,7 +136,7 @@
         prefix_tokens=1500,
         late_value=float(row["late_worth"]),
         deduplication_scope=scope,  # type: ignore[arg-type]
-        deduplication_window=_tenths(row["window"]),
+        deduplication_window=_to_tenths_of_ms(row["window"]),
     )
 
 
@@ -196,7 +196,7 @@
     for row in scenario["troubles"]:
         targets = _scale_indices(row["on"], server_count, engine_count)
         steps = [
-            (_tenths(step["at"]), _scale_indices(step["stop"], balancer_count, front_count))
+            (_to_tenths_of_ms(step["at"]), _scale_indices(step["stop"], balancer_count, front_count))
             for step in row.get("steps", [])
         ]
         magnitude = float(row["size"])
@@ -205,8 +205,8 @@
         faults.append(
             FaultPlan(
                 kind=row["kind"],
-                starts_at=_tenths(row["at"]),
-                duration=_tenths(row["len"]),
+                starts_at=_to_tenths_of_ms(row["at"]),
+                duration=_to_tenths_of_ms(row["len"]),
                 magnitude=magnitude,
                 secondary_magnitude=float(row["extra"]),
                 targets=targets,
--- a/runspool/lab/tenant_migrator.py
+++ b/runspool/lab/tenant_migrator.py
@@ -39,27 +39,27 @@
 class _MoveMode:
     """How a move proceeds, as parsed from the mode of a fault.
 
-    A mode consists of "undo" or "done" and, if a process is killed, the values of `victim` and `kill_step`,
-    all separated by spaces.
+    A mode consists of "undo" or "done" and, if a process is killed, the values of `killed_process` and
+    `kill_step`, all separated by spaces.
 
     Attributes:
         is_undone: whether the move is undone half-way instead of completed.
-        victim: the process that is killed: "front", "source" or "target" (an engine in the source or target
-            cell); empty if none is.
+        killed_process: the process that is killed: "front", or "source" or "target" for an engine in that cell
+            of the move; empty if none is.
         kill_step: when it is killed: "ahead" (before the move starts), "settling" (after its start) or "over"
             (after it was completed or undone).
     """
 
     is_undone: bool
-    victim: str
+    killed_process: str
     kill_step: str
 
 
 def _parse_mode(mode: str) -> _MoveMode:
     """Parse the mode of a fault of the kind `cell_move`."""
     ending, _, kill = mode.partition(" ")
-    victim, _, kill_step = kill.partition(" ")
-    return _MoveMode(ending == "undo", victim, kill_step)
+    killed_process, _, kill_step = kill.partition(" ")
+    return _MoveMode(ending == "undo", killed_process, kill_step)
 
 
 class TenantMigrator:
@@ -108,12 +108,12 @@
         Publish a map with the move, wait until the move has started, then complete or undo it. The magnitude
         is the time between the updates of one front and the next, in tenths of a millisecond.
         """
-        script = _parse_mode(fault.mode)
+        mode = _parse_mode(fault.mode)
         move = self._next_move(fault)
 
         async def kill_at(step: str) -> None:
-            if step == script.kill_step:
-                await self._kill_victim(script.victim, fault.subject_index, move)
+            if step == mode.kill_step:
+                await self._kill_selected_process(mode.killed_process, fault.subject_index, move)
 
         async with anyio.create_task_group() as tasks:
             planned = tenant_migration.plan_move(self.cell_map, move, [])
@@ -121,7 +121,7 @@
             tasks.start_soon(kill_at, "ahead")
             await anyio.sleep(ANNOUNCEMENT_LEAD + START_MARGIN)
             tasks.start_soon(kill_at, "settling")
-            if script.is_undone:
+            if mode.is_undone:
                 await anyio.sleep(UNDO_DELAY)
                 undone = tenant_migration.undo_move(self.cell_map, move.id, unix_ms())
                 self._publish(tasks, undone, fault.magnitude, "undone", move.id)
@@ -149,13 +149,13 @@
             starts_unix_ms=unix_ms() + int(ANNOUNCEMENT_LEAD * MS_PER_SECOND),
         )
 
-    async def _kill_victim(self, victim: str, move_number: int, move: Move) -> None:
+    async def _kill_selected_process(self, killed_process: str, move_number: int, move: Move) -> None:
         """Kill and restart a front, or an engine in the source or target cell of a move."""
         kill_number = move_number // MOVES_PER_KILL
-        if victim == "front":
+        if killed_process == "front":
             await self.kill_process("front", kill_number % len(self.plan.fronts))
             return
-        cell = move.source if victim == "source" else move.target
+        cell = move.source if killed_process == "source" else move.target
         engines = [
             index for index, engine in enumerate(self.plan.engines) if engine.spec.name.startswith(f"{cell}-")
         ]
