--- a/runspool/lab/engine_model.py
+++ b/runspool/lab/engine_model.py
@@ -44,8 +44,7 @@
         slow_start_initial_fraction: the fraction of its capacity that a cold engine has when it starts.
         slow_start_duration: the time until a cold engine has its full capacity.
         slow_start_overload_multiple: the load, as a multiple of its present capacity, above which a cold
-        engine
-            crashes.
+            engine crashes.
         slow_start_overload_window: the time over which this load is measured.
         state_ttl: the time for which the engine holds a prefill state that no engine fetches.
         mean_work: for each request class, the mean time that a request takes at full capacity.
@@ -101,10 +100,10 @@
         request_class: the name of the request class.
         prompt_tokens: the length of the prompt.
         block_hashes: the hash of each block of the prompt, computed over the prompt up to the end of the
-        block.
+            block.
         output_tokens: the number of tokens to generate.
         decodes: whether it generates tokens; if not, it only prefills its prompt and produces a prefill
-        state.
+            state.
         fetches_state: whether it decodes from a prefill state that has to be fetched from another engine.
         phase: the present phase.
         prefill_remaining: the number of tokens that are still to be prefilled.
@@ -172,7 +171,7 @@
         overloaded: whether the engine has been overloaded during its slow start.
         slowdown: the factor by which the engine is slower than usual; 1 without faults.
         network_slowdown: the factor by which transfers out of the rack are slower than usual; 1 without
-        faults.
+            faults.
         outgoing_transfers: the number of states that other engines are fetching at present.
     """
 
--- a/runspool/lab/fleet.py
+++ b/runspool/lab/fleet.py
@@ -49,7 +49,7 @@
         engines: the processes by the index of their engine; engines may share a process.
         fronts: the processes by the index of their front.
         engine_starts_unix_ms: when each engine was last started cold, in Unix milliseconds; 0 if it never
-        was.
+            was.
         load_balancer: distributes the clients' requests over the fronts.
     """
 
--- a/runspool/lab/plan.py
+++ b/runspool/lab/plan.py
@@ -22,8 +22,7 @@
         name: the name of the class.
         share: the share of all sessions that belong to the class, from 0 to 1.
         idempotency: "rerunnable" if a request may be executed more than once, "ticketed" if engines recognise
-        a
-            repeated request by its idempotency key, "exclusive" if it must not be executed again.
+            a repeated request by its idempotency key, "exclusive" if it must not be executed again.
         priority_weight: the value of a request that is served within its objectives.
         first_token_objective: the time within which the first token has to arrive for the full value.
         first_token_objective_per_1000_tokens: the time that each 1,000 prompt tokens add to the objective.
@@ -96,7 +95,7 @@
         retries: the maximum number of retries of a request.
         backoff: the time between the end of an attempt and the next attempt.
         attempt_time_share: the time for which a client waits, as a fraction of the request class's time
-        limit.
+            limit.
         failover_delay: the time for which the load balancer keeps sending requests to a front that is down.
         disconnecting_share: the share of requests whose client may disconnect before the end of the response.
         slow_reading_share: the share of streamed requests whose client reads the response slowly.
@@ -123,14 +122,12 @@
         magnitude: the strength of the fault.
         secondary_magnitude: a second parameter, for kinds that have one.
         targets: indices in the plan of the engines that it affects; of fronts or tenants for kinds that
-        affect
-            these.
+            affect these.
         subject_index: the index in the plan of the request class or tenant that it affects, for kinds that
             affect one; the number of the migration for cell_move.
         mode: the variant of the kind.
         steps: for balancer_roll: times from the start of the scenario, each with the indices of the fronts
-        that
-            are restarted then.
+            that are restarted then.
     """
 
     kind: str
@@ -163,13 +160,12 @@
             library.
         cells: the cell map as plain data; None for a fleet without cells.
         load_shape: points (time in seconds, multiple of the mean rate) between which the load is
-        interpolated;
-            empty for a constant load.
+            interpolated; empty for a constant load.
         endpoint_list_delay: the time from a change of an engine's state to its publication in the list.
         drain_grace: the time for which a front may still send requests to an engine after it has learned that
             the engine is draining.
         state_release_timeout: the time within which a front must release a prefill state that no attempt
-        uses.
+            uses.
         max_attempts: the maximum number of attempts that a front makes for a request.
         slow_start_initial_fraction: the value in the fronts' configuration, which may differ from that of the
             engines (see EngineSpec); this applies to the next three attributes too.
--- a/runspool/lab/response_reader.py
+++ b/runspool/lab/response_reader.py
@@ -43,9 +43,8 @@
 
     Attributes:
         kind: the recorded word for the outcome: "succeeded", "dismissed" or "scrapped" as the front reports
-        it,
-            "refused" (rejected before admission), "malformed", "unreachable" (connecting failed), "lost" (the
-            response ended early), "none" (no response in time) or "left" (the client disconnected).
+            it, "refused" (rejected before admission), "malformed", "unreachable" (connecting failed), "lost"
+            (the response ended early), "none" (no response in time) or "left" (the client disconnected).
         code: the error code or finish reason of the response, or what failed.
         retry_after: the time after which the front allows a retry, in tenths of a millisecond.
         ended_at: when the end of the response was received, in tenths of a millisecond; 0 if it was not.
--- a/runspool/lab/tenant_migrator.py
+++ b/runspool/lab/tenant_migrator.py
@@ -44,8 +44,8 @@
 
     Attributes:
         is_undone: whether the move is undone half-way instead of completed.
-        killed_process: the process that is killed: "front", or "source" or "target" for an engine in that cell
-            of the move; empty if none is.
+        killed_process: the process that is killed: "front", or "source" or "target" for an engine in that
+            cell of the move; empty if none is.
         kill_step: when it is killed: "ahead" (before the move starts), "settling" (after its start) or "over"
             (after it was completed or undone).
     """
@@ -70,7 +70,7 @@
         folder: the folder with the fronts' cell map files.
         recorder: records every new version of the cell map.
         kill_process: kills a process and starts it again; takes "front" or "engine", and the index in the
-        plan.
+            plan.
         cell_map: the newest cell map.
         written_versions: the version of the map in each front's file.
     """
--- a/runspool/lab/workload.py
+++ b/runspool/lab/workload.py
@@ -79,8 +79,7 @@
         first_token_objective: the time within which the first token has to arrive for the full value.
         retries: the maximum number of retries.
         backoff: the time that the client waits before a retry. With 0, the client retries at once, ignores
-        the
-            wait that the front asks for, and gives each attempt the whole time limit.
+            the wait that the front asks for, and gives each attempt the whole time limit.
         disconnects_after: the time after which the client disconnects; 0 if it does not.
         reads_slowly: whether the client reads the stream slowly.
         poison: whether the request crashes an engine that is to decode it.
