--- a/runspool/lab/active_faults.py
+++ b/runspool/lab/active_faults.py
@@ -8,8 +8,8 @@
 import anyio
 
 from runspool.lab.engine_model import EngineModel
+from runspool.lab.rate_limiting import RateLimit, RateLimiter
 from runspool.lab.response_faults import FAILED_500, RESPONSE_FAULTS, SILENT
-from runspool.lab.throttling import RateLimit, Throttle
 
 FaultSetting = str | float | None  # value of a setting in a command, as decoded from JSON
 NO_CONNECTION_LIMIT = 100_000  # connections; more than any scenario opens to one engine
@@ -20,12 +20,12 @@
 
     Attributes:
         max_connections: how many connections may be open; further ones are closed at once.
-        throttle: the rate limits for tenants and request classes.
+        rate_limiter: the rate limits for tenants and request classes.
     """
 
     def __init__(self, model: EngineModel) -> None:
         self.max_connections = NO_CONNECTION_LIMIT
-        self.throttle = Throttle()
+        self.rate_limiter = RateLimiter()
         self._model = model
         self._resumed = anyio.Event()
         self._resumed.set()
@@ -99,10 +99,10 @@
 
     def _set_rate_limit(self, settings: dict[str, FaultSetting]) -> None:
         if settings["per_second"] is None:
-            self.throttle.limits.pop(cast(str, settings["whose"]), None)
+            self.rate_limiter.limits.pop(cast(str, settings["whose"]), None)
             return
         limit = RateLimit(_number(settings["per_second"]), int(cast(float, settings["say_after"])))
-        self.throttle.limits[cast(str, settings["whose"])] = limit
+        self.rate_limiter.limits[cast(str, settings["whose"])] = limit
 
     def _limit_connections(self, settings: dict[str, FaultSetting]) -> None:
         self.max_connections = int(cast(float, settings["most"]))
--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -232,7 +232,7 @@
             decodes=not call.is_prefill,
             fetches_state=call.fetches_state,
         )
-        if await self.faults.throttle.rejects(call.request_class, call.tenant):
+        if await self.faults.rate_limiter.rejects(call.request_class, call.tenant):
             await call.received.respond(503, error_body("overloaded", "throttled", "over its rate"))
             return "full"
         if not call.is_prefill and not call.fetches_state and self.spec.role == "writer":
--- a/runspool/lab/throttling.py
+++ b/runspool/lab/rate_limiting.py
@@ -20,7 +20,7 @@
     rejection_delay: int
 
 
-class Throttle:
+class RateLimiter:
     """Token buckets by the name of a tenant or request class.
 
     A bucket keeps its level while its limit is switched off.
