--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -231,7 +231,7 @@
 def _held_request(number: int) -> PlannedRequest:
     return PlannedRequest(
         id=f"m{number}",
-        at=0,
+        send_at=0,
         zone_index=0,
         request_class_index=0,
         tenant_index=0,
--- a/runspool/lab/clients.py
+++ b/runspool/lab/clients.py
@@ -44,7 +44,7 @@
         """
         async with anyio.create_task_group() as tasks:
             for request in requests:
-                wait = start + request.at - now()
+                wait = start + request.send_at - now()
                 if wait > 0:
                     await anyio.sleep(wait / SECOND)
                 tasks.start_soon(self._send, request)
--- a/runspool/lab/workload.py
+++ b/runspool/lab/workload.py
@@ -64,7 +64,7 @@
 
     Attributes:
         id: the id of the request, unique in the scenario.
-        at: when it is sent, counted from the start of the scenario.
+        send_at: when it is sent, counted from the start of the scenario.
         zone_index: the index of the client's zone in the plan.
         request_class_index: the index of its request class in the plan.
         tenant_index: the index of its tenant in the plan.
@@ -86,7 +86,7 @@
     """
 
     id: str
-    at: int
+    send_at: int
     zone_index: int
     request_class_index: int
     tenant_index: int
@@ -118,7 +118,7 @@
     requests = _draw_usual_sessions(plan, faults)
     for number, burst in enumerate(faults["tenant_burst"]):
         requests += _draw_tenant_burst(plan, number, burst, faults)
-    requests.sort(key=lambda request: request.at)
+    requests.sort(key=lambda request: request.send_at)
     return requests
 
 
@@ -295,7 +295,7 @@
         time_limit = request_class.time_limit + 2 * objective_per_1000_tokens * prompt_tokens // 1000
         request = PlannedRequest(
             id=request_id,
-            at=at,
+            send_at=at,
             zone_index=session.zone_index,
             request_class_index=session.request_class_index,
             tenant_index=session.tenant_index,
@@ -320,7 +320,7 @@
         """Draw how the client deviates from the usual: disconnects, slow reads and effects of faults."""
         rng = self.rng
         clients = self.plan.clients
-        disconnect_faults = [fault for fault in self.faults["leaving"] if _is_active(fault, request.at)]
+        disconnect_faults = [fault for fault in self.faults["leaving"] if _is_active(fault, request.send_at)]
         disconnecting_share = clients.disconnecting_share + sum(
             fault.magnitude for fault in disconnect_faults
         )
@@ -339,7 +339,7 @@
         return [
             fault
             for fault in self.faults[kind]
-            if _is_active(fault, request.at) and fault.subject_index == request.tenant_index
+            if _is_active(fault, request.send_at) and fault.subject_index == request.tenant_index
         ]
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -100,7 +100,7 @@
     one, two, other = (draw_workload(bad_night(seed)) for seed in (3, 3, 4))
     assert one == two != other
     assert {request.request_class_index for request in one} == {0, 1, 2}
-    assert all(before.at <= after.at for before, after in pairwise(one))
+    assert all(before.send_at <= after.send_at for before, after in pairwise(one))
 
 
 def test_a_bad_night_has_at_least_eight_faults_at_one_time_for_any_seed() -> None:
@@ -265,4 +265,4 @@
 
 def _count_in_flood(requests: list[PlannedRequest]) -> int:
     """The first tenant's requests from the flood's start to its end."""
-    return sum(40_000 <= request.at < 340_000 and request.tenant_index == 0 for request in requests)
+    return sum(40_000 <= request.send_at < 340_000 and request.tenant_index == 0 for request in requests)
