--- a/runspool/node/client_connections.py
+++ b/runspool/node/client_connections.py
@@ -67,7 +67,7 @@
         """
         waiting = sorted(
             (handler for handler in self.handlers if handler.idle_since),
-            key=lambda handler: (handler.has_served, handler.idle_since),
+            key=lambda handler: (handler.has_accepted_request, handler.idle_since),
         )
         return any(handler.close_if_waiting() for handler in waiting) or any(
             handler.close_if_waiting(even_if_head_started=True) for handler in waiting
--- a/runspool/node/discovery_call.py
+++ b/runspool/node/discovery_call.py
@@ -23,7 +23,7 @@
         first_byte_at: When the first byte of the response was received; None before that.
         last_byte_at: When the most recent bytes of the response were received; None before the first ones.
         local_port: The local port of the call's connection; None before the request has been sent.
-        position: The position of the request on its connection, counted from 1.
+        position_on_connection: The position of the request on its connection, counted from 1.
     """
 
     number: int
@@ -34,7 +34,7 @@
     first_byte_at: int | None = None
     last_byte_at: int | None = None
     local_port: int | None = None
-    position: int = 0
+    position_on_connection: int = 0
 
     def record_received_bytes(self, now: int) -> None:
         """Record that bytes of the response were received at `now`."""
--- a/runspool/node/discovery_call_log.py
+++ b/runspool/node/discovery_call_log.py
@@ -129,7 +129,7 @@
         "call": call.number,
         "after": call.after_version,
         "local_port": call.local_port,
-        "position": call.position,
+        "position": call.position_on_connection,
         "age_ms": (now - call.made_at) / TENTHS_PER_MS,
         "first_byte_ms": _milliseconds_between(call.made_at, call.first_byte_at),
     }
--- a/runspool/node/discovery_client.py
+++ b/runspool/node/discovery_client.py
@@ -203,7 +203,7 @@
                 connect_ms=MAX_CALL_DURATION / TENTHS_PER_MS,
             )
             call.local_port = exchange.connection.tcp.local_port
-            call.position = exchange.connection.exchange_count
+            call.position_on_connection = exchange.connection.exchange_count
             await self._read_head(exchange)
             return await self._read_body(exchange)
         raise ExchangeAbortedError(FailureCause.CANCELLED)
--- a/runspool/node/request_handler.py
+++ b/runspool/node/request_handler.py
@@ -71,7 +71,7 @@
 
     Attributes:
         executor: Executes the requests.
-        has_served: Whether a request from the connection has been accepted.
+        has_accepted_request: Whether a request from the connection has been accepted.
         awaits_first_request: Whether the connection still waits for its first complete request.
         first_request_deadline: The time limit of the first request, on the event loop's clock.
         idle_since: When the wait for the next request began, in tenths of a millisecond; 0 while a request is
@@ -92,7 +92,7 @@
         """
         super().__init__(LIMITS, connection, count_active)
         self.executor = executor
-        self.has_served = False
+        self.has_accepted_request = False
         self.awaits_first_request = True
         self.first_request_deadline = super()._deadline_after(FIRST_REQUEST_TIMEOUT_MS)
         self.idle_since = 0
@@ -109,7 +109,7 @@
 
     def head_wait_ms(self) -> float:
         """Return the time limit until the next request begins, in milliseconds."""
-        return REUSED_IDLE_TIMEOUT_MS if self.has_served else self.limits.idle_ms
+        return REUSED_IDLE_TIMEOUT_MS if self.has_accepted_request else self.limits.idle_ms
 
     def _deadline_after(self, wait_ms: float) -> float:
         deadline = super()._deadline_after(wait_ms)
@@ -181,7 +181,7 @@
         except RequestNotAcceptedError as rejection:
             await self.send_response(REJECTED_STATUS, self.error_body(rejection.code, rejection.message))
             return
-        self.has_served = True
+        self.has_accepted_request = True
         final = await self.wait_for_final_response(self.executor, pending, streaming)
         await self._send_final(streaming, final)
 
