--- a/runspool/node/discovery_call_log.py
+++ b/runspool/node/discovery_call_log.py
@@ -46,7 +46,7 @@
         self.consecutive_given_up = 0
         self.is_interrupted = True
         self.log = structlog.get_logger()
-        self.bounded_log = RateLimitedLog()
+        self._rate_limited_log = RateLimitedLog()
 
     def log_end(
         self,
@@ -66,7 +66,7 @@
             reason: Why the call failed; empty if it did not.
         """
         self.counts[f"discovery_call_{outcome.value}"] += 1
-        write = self.bounded_log.info if self._is_noteworthy(call, outcome, now) else self.log.debug
+        write = self._rate_limited_log.info if self._is_noteworthy(call, outcome, now) else self.log.debug
         write(
             "discovery_call_ended",
             how=outcome.value,
@@ -100,7 +100,7 @@
         """Log and count a change of the discovery state at `now`."""
         self.is_interrupted = self.is_interrupted or state is not DiscoveryState.WATCHING
         self.counts[f"discovery_{state.value}"] += 1
-        self.bounded_log.info(
+        self._rate_limited_log.info(
             "discovery_state_changed",
             former=former.value,
             state=state.value,
@@ -110,7 +110,7 @@
     def log_overdue_watch(self, watch: DiscoveryCall, now: int, planner: DiscoveryCallPlanner) -> None:
         """Log and count a watch whose response is overdue at `now`."""
         self.counts["discovery_watch_overdue"] += 1
-        self.bounded_log.info(
+        self._rate_limited_log.info(
             "discovery_watch_overdue", **_call_fields(watch, now), **self._planner_fields(now, planner)
         )
 
