--- a/runspool/node/backup_watch.py
+++ b/runspool/node/backup_watch.py
@@ -11,10 +11,11 @@
 
 from runspool.node.discovery_call import DiscoveryCall
 
-# From the last response to a call that was made before the interruption ended, to the first backup watch.
+# Time from the end of the interruption to the first backup watch. It starts anew with each later response to
+# a call that was made before that end.
 START_DELAY = 1_500
-# Waits of the successive backup watches. Their sum exceeds the first watch's wait and the time until the
-# first watch counts as overdue.
+# Waits of the successive backup watches. With START_DELAY, they last until the first watch counts as overdue,
+# which takes its wait and the overdue margin of a fast agent.
 WAITS: tuple[int, ...] = (
     2_000,
     4_000,
@@ -46,7 +47,7 @@
         return self._due_at if self._remaining_waits and self.call is None else None
 
     def record_call(self, call: DiscoveryCall) -> None:
-        """Make `call` the open backup watch, and set its wait to the next one of the sequence."""
+        """Record `call` as the open backup watch, and set its wait to the next one of the sequence."""
         call.wait = self._remaining_waits.pop(0)
         self.call = call
 
--- a/runspool/node/discovery_call_log.py
+++ b/runspool/node/discovery_call_log.py
@@ -13,8 +13,8 @@
 from runspool.node.discovery_call_planner import DiscoveryCallPlanner, DiscoveryState
 from runspool.units import TENTHS_PER_MS
 
-# A response that is complete so long after the end of the call's wait is logged at level info; tenths of a
-# millisecond.
+# Time after the end of a call's wait, in tenths of a millisecond. A response that is completed later is
+# logged at level info.
 SLOW_RESPONSE_THRESHOLD = 1_000
 
 
--- a/runspool/node/search_backoff.py
+++ b/runspool/node/search_backoff.py
@@ -1,7 +1,7 @@
 """Determines how often the discovery agent is called while it does not respond. Does no I/O.
 
-The interval grows with the outage, because the agent may have to process every call when it recovers, before
-the next watch.
+The interval grows with the duration of an outage: when the agent recovers, it may have to process every call
+made during the outage before it can respond to the next watch (see `DiscoveryCall`).
 
 All times are in tenths of a millisecond.
 """
@@ -10,14 +10,12 @@
 
 from collections.abc import Callable
 
-MIN_INTERVAL = 10_000  # shortest interval between two calls while the agent does not respond
-# Longest interval between two calls while a fast agent does not respond. The platform requires that a node
-# knows a change at most 6 s after the agent is reachable again.
+# Bounds of the interval between two calls while the agent does not respond, before jitter. The platform
+# requires that a node knows a change at most 6 s after the agent is reachable again.
+MIN_INTERVAL = 10_000
 MAX_INTERVAL = 40_000
-SILENCE_DIVISOR = (
-    10  # an interval is the time without a response divided by this, within the two bounds above
-)
-# A slow agent is called at intervals of at least half of its response latency, but this bounds that minimum.
+SILENCE_DIVISOR = 10  # within these bounds, the interval is the time without a response divided by this
+# A slow agent is called at intervals of at least half of its response latency. This bounds that minimum.
 MAX_INTERVAL_OF_SLOW_AGENT = 20_000
 # Interval after a call that failed. It is short because a failed call leaves the agent nothing to process.
 RETRY_INTERVAL = 2_000
