--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -90,9 +90,9 @@
     """Sends one request in `direct_every` past the front (0: none); both ways by the same client code."""
 
     def __init__(
-        self, plan: ScenarioPlan, load_balancer: LoadBalancer, record: Recorder, direct_every: int
+        self, plan: ScenarioPlan, load_balancer: LoadBalancer, recorder: Recorder, direct_every: int
     ) -> None:
-        super().__init__(plan, load_balancer, record)
+        super().__init__(plan, load_balancer, recorder)
         settings = EngineClientConfig(
             connect_ms=1000,
             idle_ms=15000,
@@ -108,12 +108,12 @@
         self.decode_engines = [("127.0.0.1", e.port) for e in plan.engines if e.spec.role != "reader"]
         self.request_count = 0
 
-    async def attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
+    async def send_attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
         """Send a request to the front, or to a prefill and a decode engine in turn."""
         self.request_count += 1
         name = f"{request.id}.{number}"
         is_direct = bool(self.direct_every) and self.request_count % self.direct_every == 0
-        self.record.line(
+        self.recorder.record_event(
             "asked",
             item=request.id,
             front="direct" if is_direct else "front-0",
@@ -136,26 +136,26 @@
         else:
             all_headers = request_headers(self.plan, request, name, time_limit, 0)
             headers = {key: value for key, value in all_headers if key.startswith("Runspool-")}
-        listener = FirstTokenRecorder(self.record, name)
+        listener = FirstTokenRecorder(self.recorder, name)
         result = await self.client.decode(
             address, body, state, headers, time_limit, UNRESTRICTED, MAX_OUTPUT_TOKENS, listener
         )
         succeeded = result.status is AttemptStatus.SUCCEEDED
         kind = "succeeded" if succeeded else result.status.name.lower()
-        self.record.line("answer", kind=kind, **{"try": name})
+        self.recorder.record_event("answer", kind=kind, **{"try": name})
         return ClientOutcome(kind)
 
 
 class FirstTokenRecorder:
     """Records when a response's first token comes."""
 
-    def __init__(self, record: Recorder, name: str) -> None:
-        self.record = record
+    def __init__(self, recorder: Recorder, name: str) -> None:
+        self.recorder = recorder
         self.name = name
 
     async def stream_started(self) -> None:
         """Record the first token."""
-        self.record.line("first", **{"try": self.name})
+        self.recorder.record_event("first", **{"try": self.name})
 
     async def data_received(self, text: str) -> None:
         """Drop the text."""
@@ -172,7 +172,7 @@
         """Have the worker processes send the plan's requests, and sample the front's usage meanwhile."""
         self.samples = []
         start = now() + 2 * SECOND
-        self.record.line("begin", at=start)
+        self.recorder.record_event("begin", at=start)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._sample_usage)
             async with anyio.create_task_group() as workers:
@@ -182,7 +182,7 @@
 
     async def _run_worker(self, index: int, start: int) -> None:
         arguments = (self.folder / "plan.json", index, self.workers, start, self.direct_every)
-        recording_file = self.parts / f"clients-{index}.jsonl"
+        recording_file = self.recordings_folder / f"clients-{index}.jsonl"
         command = [sys.executable, __file__, "worker", *map(str, arguments), str(recording_file)]
         await anyio.run_process(command, stderr=None)
 
@@ -211,7 +211,7 @@
         await self._hang_engines(True)
         async with anyio.create_task_group() as tasks:
             for number in range(self.request_count):
-                tasks.start_soon(clients.attempt, _held_request(number), 1, HELD_TIME_LIMIT)
+                tasks.start_soon(clients.send_attempt, _held_request(number), 1, HELD_TIME_LIMIT)
             await anyio.sleep(5)
             waiting = process_usage(self.front_pid()).resident_bytes
             await self._hang_engines(False)
@@ -304,7 +304,7 @@
         plan = build_plan(engines, rate, seconds, output_tokens)
         runner = BenchmarkRunner(plan, Path(folder), engines_per_process=4)
         runner.workers, runner.direct_every = workers, direct_every
-        events = list(recording.read_recording(anyio.run(runner.play)))
+        events = list(recording.read_recording(anyio.run(runner.run)))
     begin = next(event["at"] for event in events if event["what"] == "begin")
     times = added_times(events, begin)
     samples = runner.samples[int(WARM_UP) :]
@@ -367,7 +367,7 @@
     with tempfile.TemporaryDirectory() as folder:
         runner = MemoryRunner(build_plan(options.engines, 1, 1, options.tokens), Path(folder))
         runner.request_count = options.queries
-        anyio.run(runner.play)
+        anyio.run(runner.run)
     print("\n".join(f"{name}: {value:.1f}" for name, value in runner.figures.items()))
     return {"requests": options.queries, **runner.figures}
 
@@ -379,7 +379,7 @@
         runner = BenchmarkRunner(plan, Path(folder))
         runner.workers, runner.direct_every = options.workers, 0
         started_at = time.time()
-        anyio.run(runner.play)
+        anyio.run(runner.run)
     sizes = [sample.resident_bytes / (1 << 20) for sample in runner.samples]
     tenth = max(1, len(sizes) // 10)
     parts = [round(statistics.mean(sizes[at : at + tenth]), 1) for at in range(0, len(sizes), tenth)]
--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -16,10 +16,10 @@
 from anyio.abc import SocketAttribute, SocketListener, SocketStream, TaskGroup, TaskStatus
 
 from runspool.engines.failure_classification import STATE_GONE
+from runspool.lab.active_faults import ActiveFaults, FaultSetting
 from runspool.lab.engine_events import EngineEvents
+from runspool.lab.engine_model import AdmissionResult, EngineModel, EngineSpec, Job, Phase, Step
 from runspool.lab.http_server import PeerClosedError, ReceivedRequest, serve_connections, serve_requests
-from runspool.lab.injected_faults import FaultSetting, InjectedFaults
-from runspool.lab.model import AdmissionResult, EngineModel, EngineSpec, Job, Phase, Step
 from runspool.lab.plan import SECOND
 from runspool.lab.recording import Recorder
 from runspool.lab.response_faults import (
@@ -29,9 +29,9 @@
     SILENT,
     STREAM_FAULTS,
     TOKENS_BEFORE_STREAM_FAULT,
-    break_stream,
-    end_stream_wrongly,
+    end_stream_abnormally,
     inject_response_fault,
+    interrupt_stream,
 )
 from runspool.lab.standin_messages import (
     CompletionCall,
@@ -78,7 +78,7 @@
         model: the engine's queue, jobs, memory and prefix cache.
         faults: the faults that are injected into the engine.
         active_requests: the accepted completion requests, by the `id()` of their jobs.
-        token_text: the text that each generated token starts with; the token's number follows.
+        token_prefix: the text that each generated token starts with; the token's number follows.
         port: the port that it listens on; 0 until it does.
         tasks: the task group of the running engine; None before the start.
     """
@@ -86,13 +86,13 @@
     def __init__(self, spec: EngineSpec, recorder: Recorder, cold: bool, seed: int) -> None:
         self.spec = spec
         self.model = EngineModel(spec, now(), cold, seed)
-        self.faults = InjectedFaults(self.model)
+        self.faults = ActiveFaults(self.model)
         self.active_requests: dict[int, ActiveRequest] = {}
-        self.token_text = "t"
+        self.token_prefix = "t"
         self.port = 0
         self._events = EngineEvents(spec, recorder)
         self._draw = Random(seed + 1).random
-        self._states = HeldStates(self.model, self.faults, self._events, self._wake)
+        self._states = HeldStates(self.model, self.faults, self._events, self._resume_steps)
         self._work_available = anyio.Event()
         self._open_connections = 0
         self._host = "127.0.0.1"
@@ -119,14 +119,14 @@
         """End the process at once, to simulate a crash by an overload during slow start or by a request."""
         os._exit(CRASH_EXIT_CODE)
 
-    def fault(self, name: str, **settings: FaultSetting) -> None:
+    def set_fault(self, name: str, **settings: FaultSetting) -> None:
         """Record and apply a command that switches a fault on or off.
 
         Raises:
             ValueError: there is no fault of this name.
         """
-        self._events.fault_switched(name, settings)
-        self.faults.switch(name, settings)
+        self._events.fault_set(name, settings)
+        self.faults.apply(name, settings)
 
     # Running the model.
 
@@ -157,7 +157,7 @@
                 self._events.executed(request.call)
             request.progress.set()
 
-    def _wake(self) -> None:
+    def _resume_steps(self) -> None:
         """Resume the steps, because a job was added or memory was freed."""
         self._work_available.set()
 
@@ -170,7 +170,7 @@
         else:
             request.state_lost = True
             request.progress.set()
-        self._wake()
+        self._resume_steps()
 
     # Serving requests.
 
@@ -252,7 +252,7 @@
             await received.respond(503, rejection, self._load_report())
             return "full"
         self.active_requests[id(job)] = request
-        self._wake()
+        self._resume_steps()
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._watch, request)
@@ -268,11 +268,11 @@
         finally:
             self.active_requests.pop(id(job), None)
             self.model.remove(job)
-            self._wake()
+            self._resume_steps()
 
     async def _watch(self, request: ActiveRequest) -> None:
         """Notify a request when its connection is lost."""
-        await request.call.received.watch()
+        await request.call.received.wait_for_disconnect()
         request.progress.set()
 
     async def _wait_for_progress(self, request: ActiveRequest) -> None:
@@ -314,17 +314,17 @@
                 if tokens_sent == 0:
                     await received.open_stream(self._load_report())
                 if tokens_sent >= TOKENS_BEFORE_STREAM_FAULT and fault in STREAM_FAULTS:
-                    await break_stream(received, fault)
+                    await interrupt_stream(received, fault)
                     return "broken"
                 tokens_sent += 1
-                await received.send_chunk(token_event(job, f"{self.token_text}{tokens_sent} "))
+                await received.send_chunk(token_event(job, f"{self.token_prefix}{tokens_sent} "))
             if job.generated_tokens >= length:
                 return await self._end_stream(request)
 
     async def _end_stream(self, request: ActiveRequest) -> str:
         received, fault = request.call.received, request.call.fault
         if fault in (NO_FINISH, ERROR_EVENT):
-            await end_stream_wrongly(received, fault)
+            await end_stream_abnormally(received, fault)
             return "broken"
         await received.send_chunk(final_events(request.job, request.call.body.max_tokens))
         await received.end_stream()
--- a/runspool/lab/fault_injection.py
+++ b/runspool/lab/fault_injection.py
@@ -7,11 +7,11 @@
 
 import anyio
 
-from runspool.lab.engine_faults import EngineFault, engine_faults
+from runspool.lab.engine_fault_commands import EngineFault, engine_faults
 from runspool.lab.fleet import ScenarioFleet
-from runspool.lab.migration_script import MigrationScript
 from runspool.lab.plan import SECOND, FaultPlan, ScenarioPlan
 from runspool.lab.recording import Recorder
+from runspool.lab.tenant_migrator import TenantMigrator
 from runspool.service.clock import now
 
 UPGRADE_DOWNTIME = SECOND // 2  # tenths of a millisecond that an engine is down for an upgrade
@@ -41,28 +41,28 @@
     Attributes:
         plan: the plan of the scenario.
         fleet: the processes that the faults are injected into.
-        record: records when each fault begins and ends.
-        migration_script: migrates tenants; None for a plan without cells.
+        recorder: records when each fault begins and ends.
+        tenant_migrator: migrates tenants; None for a plan without cells.
         rng: draws the engines whose caches are flushed.
-        start: the start of the scenario, in tenths of a millisecond; to be set before the first fault.
-        methods: the methods that inject the faults, by kind.
+        start_time: the start of the scenario, in tenths of a millisecond; to be set before the first fault.
+        injectors: the methods that inject the faults, by kind.
     """
 
     def __init__(
         self,
         plan: ScenarioPlan,
         fleet: ScenarioFleet,
-        record: Recorder,
-        migration_script: MigrationScript | None,
+        recorder: Recorder,
+        tenant_migrator: TenantMigrator | None,
     ) -> None:
-        """Prepare the injection of faults; `migration_script` is required if the plan migrates tenants."""
+        """Prepare the injection of faults; `tenant_migrator` is required if the plan migrates tenants."""
         self.plan = plan
         self.fleet = fleet
-        self.record = record
-        self.migration_script = migration_script
+        self.recorder = recorder
+        self.tenant_migrator = tenant_migrator
         self.rng = Random(plan.seed * SEED_MULTIPLIER + SEED_OFFSET)
-        self.start = 0
-        self.methods: dict[str, InjectFault] = {
+        self.start_time = 0
+        self.injectors: dict[str, InjectFault] = {
             "crash": self._crash,
             "restart": self._crash,
             "drain": self._drain,
@@ -80,26 +80,26 @@
     async def inject(self, fault: FaultPlan) -> None:
         """Wait until a fault is due, inject it and record its beginning and its end.
 
-        The attribute `start` must have been set. Kinds of fault that the clients cause (see `workload`) are
-        ignored.
+        The attribute `start_time` must have been set. Kinds of fault that the clients cause (see `workload`)
+        are ignored.
         """
-        method = self.methods.get(fault.kind)
-        faults_of_engines = [] if method is not None else engine_faults(self.plan, fault)
-        if method is None and not faults_of_engines:
+        inject = self.injectors.get(fault.kind)
+        faults_of_engines = [] if inject is not None else engine_faults(self.plan, fault)
+        if inject is None and not faults_of_engines:
             return
         await self._sleep_until(fault.starts_at)
-        self.record.line(
+        self.recorder.record_event(
             "trouble", kind=fault.kind, on=fault.targets, size=fault.magnitude, length=fault.duration
         )
-        if method is not None:
-            await method(fault)
+        if inject is not None:
+            await inject(fault)
         else:
             await self._inject_engine_faults(faults_of_engines, fault.duration)
-        self.record.line("trouble_over", kind=fault.kind, on=fault.targets)
+        self.recorder.record_event("trouble_over", kind=fault.kind, on=fault.targets)
 
     async def _sleep_until(self, at: int) -> None:
         """Sleep until a time that counts from the start of the scenario; return at once if it has passed."""
-        await anyio.sleep(max(0.0, (self.start + at - now()) / SECOND))
+        await anyio.sleep(max(0.0, (self.start_time + at - now()) / SECOND))
 
     async def _inject_engine_faults(self, faults: list[EngineFault], duration: int) -> None:
         """Switch faults of engines on, and off again after `duration` tenths of a millisecond."""
@@ -180,9 +180,9 @@
 
     async def _corrupt_endpoint_list(self, fault: FaultPlan) -> None:
         """Truncate, repeat and reorder some messages of the endpoint list for the duration of the fault."""
-        self.fleet.endpoint_list.noisy = True
+        self.fleet.endpoint_list.corrupts_messages = True
         await anyio.sleep(fault.duration / SECOND)
-        self.fleet.endpoint_list.noisy = False
+        self.fleet.endpoint_list.corrupts_messages = False
 
     async def _flush_caches(self, fault: FaultPlan) -> None:
         """Flush the prefix cache of each engine with a probability of the magnitude."""
@@ -191,9 +191,9 @@
                 await self.fleet.send_fault(index, "forget", share=1.0)
 
     async def _migrate_tenant(self, fault: FaultPlan) -> None:
-        """Migrate a tenant to another cell (see `MigrationScript.play`)."""
-        assert self.migration_script is not None, "a plan that migrates tenants has a cell map"
-        await self.migration_script.play(fault)
+        """Migrate a tenant to another cell (see `TenantMigrator.migrate`)."""
+        assert self.tenant_migrator is not None, "a plan that migrates tenants has a cell map"
+        await self.tenant_migrator.migrate(fault)
 
     async def _upgrade_to_faulty_release(self, fault: FaultPlan) -> None:
         """Upgrade engines one by one to a faulty software release; remove its faults after the duration.
--- a/runspool/lab/fleet.py
+++ b/runspool/lab/fleet.py
@@ -13,8 +13,8 @@
 import anyio
 import msgspec
 
+from runspool.lab.endpoint_list_service import EndpointListService
 from runspool.lab.front_configuration import front_configuration
-from runspool.lab.listing import EndpointListService
 from runspool.lab.load_balancer import LoadBalancer
 from runspool.lab.managed_process import START_TIMEOUT, ManagedProcess
 from runspool.lab.plan import SECOND, ScenarioPlan
@@ -24,7 +24,7 @@
 
 RUNSPOOL_COMMAND = (sys.executable, "-m", "runspool.cli.main")
 STOP_TIMEOUT = 30.0  # seconds
-WATCH_INTERVAL = 0.02  # seconds between checks of how many fronts watch the endpoint list
+SUBSCRIPTION_CHECK_INTERVAL = 0.02  # seconds between checks of how many fronts watch the endpoint list
 MS_PER_SECOND = 1000
 
 # Tenths of a millisecond that a process is down after it is killed during the migration of a tenant.
@@ -57,8 +57,8 @@
         self,
         plan: ScenarioPlan,
         folder: Path,
-        parts: Path,
-        record: Recorder,
+        recordings_folder: Path,
+        recorder: Recorder,
         record_events: bool,
         front_command: Sequence[str],
         engines_per_process: int,
@@ -68,8 +68,8 @@
         Args:
             plan: the plan of the scenario; ports must have been assigned to its engines and fronts.
             folder: the folder for configurations, logs and the files that the fronts write.
-            parts: the folder for the recordings of the individual processes.
-            record: records starts, kills and stops of processes.
+            recordings_folder: the folder for the recordings of the individual processes.
+            recorder: records starts, kills and stops of processes.
             record_events: whether each front records the events and actions of its scheduler.
             front_command: the command that runs a front; the path of a configuration is appended.
             engines_per_process: how many engines share a process. Must be 1 if engines are killed, because a
@@ -77,12 +77,12 @@
         """
         self.plan = plan
         self.folder = folder
-        self.parts = parts
-        self.record = record
+        self.recordings_folder = recordings_folder
+        self.recorder = recorder
         self.record_events = record_events
         self.front_command = front_command
         self.engines_per_process = engines_per_process
-        self.endpoint_list = EndpointListService(record, plan.endpoint_list_delay, plan.seed)
+        self.endpoint_list = EndpointListService(recorder, plan.endpoint_list_delay, plan.seed)
         self.engines: list[ManagedProcess] = []
         self.fronts: list[ManagedProcess] = []
         self.engine_starts_unix_ms = [0] * len(plan.engines)
@@ -113,7 +113,7 @@
             for index in range(len(self.fronts)):
                 tasks.start_soon(self._start_front, index)
         with anyio.move_on_after(START_TIMEOUT):
-            await self._wait_for_watchers()
+            await self._wait_for_subscriptions()
 
     def publish_state(self, engine_index: int, state: str, at_once: bool = False) -> None:
         """Publish an engine's state, "on", "draining" or "gone", through the endpoint list.
@@ -133,7 +133,7 @@
             },
             EndpointEntry,
         )
-        self.endpoint_list.set(entry, at_once)
+        self.endpoint_list.update(entry, at_once)
 
     async def send_fault(self, engine_index: int, name: str, **settings: object) -> None:
         """Send an engine the command that switches a fault on or off; do nothing if the engine is down."""
@@ -172,14 +172,14 @@
         process.is_restarting = True
         await self._kill(process, front=process.name)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._fail_over, index, process.starts)
+            tasks.start_soon(self._fail_over, index, process.start_count)
             await anyio.sleep(downtime / SECOND)
             await self._start_front(index)
             self.load_balancer.is_up[index] = True
             process.is_restarting = False
             tasks.cancel_scope.cancel()
 
-    async def restart_beside_migration(self, kind: str, index: int) -> None:
+    async def restart_during_migration(self, kind: str, index: int) -> None:
         """Kill and restart a front or an engine (`kind`: "front" or "engine") while a tenant is migrated."""
         if kind == "front":
             await self.restart_front(index, MIGRATION_DOWNTIME)
@@ -200,7 +200,7 @@
             if process.child is not None:
                 with anyio.move_on_after(STOP_TIMEOUT):
                     exit_code = await process.child.wait()
-            self.record.line("front_stopped", front=process.name, code=exit_code)
+            self.recorder.record_event("front_stopped", front=process.name, code=exit_code)
 
     async def close(self) -> None:
         """Kill all processes that are still running."""
@@ -230,7 +230,7 @@
             str(self.folder / "plan.json"),
             *indices,
             "--out",
-            str(self.parts / f"engine-{first_index}.jsonl"),
+            str(self.recordings_folder / f"engine-{first_index}.jsonl"),
         ]
         return ManagedProcess(self.plan.engines[first_index].spec.name, command)
 
@@ -244,21 +244,21 @@
             (self.folder / f"{name}{suffix}").unlink(missing_ok=True)
         return ManagedProcess(name, [*self.front_command, str(path)])
 
-    async def _wait_for_watchers(self) -> None:
-        """Wait until as many watches of the endpoint list are open as there are fronts."""
+    async def _wait_for_subscriptions(self) -> None:
+        """Wait until every front watches the endpoint list."""
         while True:
-            if len(self.endpoint_list.watchers) >= len(self.fronts):
+            if len(self.endpoint_list.subscriptions) >= len(self.fronts):
                 return
-            await anyio.sleep(WATCH_INTERVAL)
+            await anyio.sleep(SUBSCRIPTION_CHECK_INTERVAL)
 
     async def _start_engine(self, index: int, cold: bool) -> None:
         """Start the process of an engine and wait until the engine listens."""
         process = self.engines[index]
-        process.starts += 1
-        options = ["--life", str(process.starts)]
+        process.start_count += 1
+        options = ["--life", str(process.start_count)]
         if cold:
             options.append("--cold")
-        await process.open(options, self.folder / "engines.log", takes_input=True)
+        await process.start(options, self.folder / "engines.log", takes_input=True)
         await process.wait_until_listening(self.plan.engines[index].port)
         self.engine_starts_unix_ms[index] = round(time.time() * MS_PER_SECOND) if cold else 0
 
@@ -266,19 +266,19 @@
         """Start a front, wait until it listens and record the start."""
         process = self.fronts[index]
         front = self.plan.fronts[index]
-        process.starts += 1
-        seed = self.plan.seed * SEEDS_PER_PLAN + index * SEEDS_PER_FRONT + process.starts
+        process.start_count += 1
+        seed = self.plan.seed * SEEDS_PER_PLAN + index * SEEDS_PER_FRONT + process.start_count
         options = ["--seed", str(seed)]
         if self.record_events:
-            options += ["--tape", str(self.folder / f"{front.name}.{process.starts}.tape")]
-        await process.open(options, self.folder / f"{front.name}.log", takes_input=False)
+            options += ["--tape", str(self.folder / f"{front.name}.{process.start_count}.tape")]
+        await process.start(options, self.folder / f"{front.name}.log", takes_input=False)
         await process.wait_until_listening(front.port)
-        self.record.line("front_up", front=front.name, life=process.starts)
+        self.recorder.record_event("front_up", front=front.name, life=process.start_count)
 
     async def _kill(self, process: ManagedProcess, **subject: str) -> None:
         """Record a kill, with the name of the engine or front as `subject`, and kill the process."""
         if process.running_child is not None:
-            self.record.line("killed", process=process.name, **subject)
+            self.recorder.record_event("killed", process=process.name, **subject)
             await process.kill()
 
     async def _fail_over(self, index: int, start: int) -> None:
@@ -287,5 +287,5 @@
         `start` is how often the front had been started when it was killed.
         """
         await anyio.sleep(self.plan.clients.failover_delay / SECOND)
-        if self.fronts[index].starts == start:
+        if self.fronts[index].start_count == start:
             self.load_balancer.is_up[index] = False
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -18,10 +18,10 @@
 from runspool.cells.cell_map import CellMap
 from runspool.config import parse_config
 from runspool.lab import recording
+from runspool.lab.endpoint_list_service import EndpointListService
 from runspool.lab.engine import StandInEngine
+from runspool.lab.engine_model import EngineSpec
 from runspool.lab.front_configuration import front_configuration
-from runspool.lab.listing import EndpointListService
-from runspool.lab.model import EngineSpec
 from runspool.lab.plan import ClientsPlan, FrontPlan, RequestClassPlan, ScenarioPlan, TenantPlan
 from runspool.lab.recording import Event, Recorder
 from runspool.lab.scripted_scenarios import plan_engine
@@ -101,10 +101,10 @@
             self.map_file = folder / "front-0.map"
             cell_store.write_with_checksum(self.map_file, cell_store.encode_map(cells))
         self.file = folder / "small-fleet.jsonl"
-        self.record = Recorder(self.file)
-        self.listing = EndpointListService(self.record, 0)
+        self.recorder = Recorder(self.file)
+        self.listing = EndpointListService(self.recorder, 0)
         self.engines = [
-            StandInEngine(planned.spec, self.record, False, index)
+            StandInEngine(planned.spec, self.recorder, False, index)
             for index, planned in enumerate(self.plan.engines)
         ]
         self.started = [0] * len(self.engines)  # Unix milliseconds, 0 for long ago
@@ -137,14 +137,14 @@
 
     def kill(self, at: int) -> None:
         """Kill an engine, with all its connections and states."""
-        self.record.line("killed", process=f"e{at}", engine=f"e{at}")
+        self.recorder.record_event("killed", process=f"e{at}", engine=f"e{at}")
         self.engines[at].model.held_states.clear()
         self.lives[at].cancel()
 
     def tell(self, at: int, state: str) -> None:
         """Publish an engine's state in the endpoint list."""
         planned = self.plan.engines[at]
-        self.listing.set(
+        self.listing.update(
             msgspec.convert(
                 {
                     "engine": planned.spec.name,
