--- a/runspool/lab/active_faults.py
+++ b/runspool/lab/active_faults.py
@@ -18,6 +18,12 @@
 class ActiveFaults:
     """The faults that are active at one engine.
 
+    The command "row" injects one of RESPONSE_FAULTS into a share of the responses, "tariff" makes a share of
+    the requests of one class fail or remain unanswered, and "throttle" limits the rate of a class or a
+    tenant. The commands "slow" and "links" slow down the engine and its network, "forget" evicts from the
+    prefix cache, "connections" limits the open connections, and "hang" stops the engine until it is switched
+    off.
+
     Attributes:
         max_connections: how many connections may be open; further ones are closed at once.
         rate_limiter: the rate limits for tenants and request classes.
@@ -30,7 +36,7 @@
         self._resumed = anyio.Event()
         self._resumed.set()
         self._response_fault_shares: dict[str, float] = {}
-        self._failing_classes: dict[str, tuple[str, float]] = {}  # "silence" or "error", share of requests
+        self._failing_classes: dict[str, tuple[str, float]] = {}  # ("silence" or "error", share of requests)
         self._setters: dict[str, Callable[[dict[str, FaultSetting]], None]] = {
             "hang": self._set_hang,
             "slow": self._set_slowdown,
--- a/runspool/lab/cell_scenarios.py
+++ b/runspool/lab/cell_scenarios.py
@@ -19,17 +19,17 @@
     source_address,
 )
 
-CELLS, FRONTS = 4, 4
+CELLS, FRONTS = 4, 4  # numbers of cells and fronts
 # Capacity of each engine as a multiple of the capacity that engines have in the scenario bad-night. With
 # 0.15, cells are full without any fault at 24 requests per second, but not at the 14 requests per second used
-# here; a tenant that sends six times its share raises those to 31. With full capacity, the flood had no
-# effect.
+# here; a tenant that sends six times its share raises the total to 31. At full capacity, the requests of such
+# a tenant had no effect on the others.
 CAPACITY_MULTIPLE = 0.15
 FULL_CAPACITY = 1.0
 CELL_ENGINES = ("prefill", "prefill", "decode", "mixed")  # types of the engines in each cell
 FIRST_CELL_ENGINES = tuple(range(len(CELL_ENGINES)))  # indices in the plan of the first cell's engines
 ZONES = ("waw-1", "waw-2")
-REQUESTS_PER_SECOND = 14
+REQUESTS_PER_SECOND = 14  # mean rate of all clients without faults
 
 # The scenario with migrations. Times are in tenths of a millisecond.
 MIGRATING_TENANTS = 40
@@ -51,7 +51,7 @@
 
     Without `with_cells` the fleet has no cells; without `with_fault` the tenant sends its share only.
     """
-    plan = _fleet("flood", seed, 36 * SECOND, REQUESTS_PER_SECOND, CELLS, with_cells)
+    plan = _plan_without_faults("flood", seed, 36 * SECOND, REQUESTS_PER_SECOND, CELLS, with_cells)
     if with_fault:
         plan.faults = [FaultPlan("tenant_burst", 4 * SECOND, 30 * SECOND, magnitude=6, subject_index=0)]
     return plan
@@ -60,9 +60,9 @@
 def full_cell(seed: int, with_fault: bool = True) -> ScenarioPlan:
     """Return a scenario in which every engine of one cell rejects all requests as overloaded for 10 s.
 
-    Without `with_fault` no engine does.
+    Without `with_fault` no engine does so.
     """
-    plan = _fleet("full-cell", seed, 30 * SECOND, REQUESTS_PER_SECOND, CELLS, True)
+    plan = _plan_without_faults("full-cell", seed, 30 * SECOND, REQUESTS_PER_SECOND, CELLS, True)
     if with_fault:
         plan.faults = [FaultPlan("full", 8 * SECOND, 10 * SECOND, targets=[*FIRST_CELL_ENGINES])]
     return plan
@@ -74,7 +74,7 @@
     For 15 s, one request in thirty of one of the four tenants does so; without `with_fault`, none does.
     Without `with_cells` the fleet has no cells.
     """
-    plan = _fleet("poisoned", seed, 24 * SECOND, REQUESTS_PER_SECOND, CELLS, with_cells)
+    plan = _plan_without_faults("poisoned", seed, 24 * SECOND, REQUESTS_PER_SECOND, CELLS, with_cells)
     if with_fault:
         plan.faults = [FaultPlan("poison", 4 * SECOND, 15 * SECOND, magnitude=0.033, subject_index=0)]
     return plan
@@ -86,7 +86,7 @@
     The release fails half of its requests and runs at a third of the usual speed. Without `with_fault` no
     engine is upgraded; without `with_cells` the fleet has no cells.
     """
-    plan = _fleet("bad-release", seed, 30 * SECOND, REQUESTS_PER_SECOND, CELLS, with_cells)
+    plan = _plan_without_faults("bad-release", seed, 30 * SECOND, REQUESTS_PER_SECOND, CELLS, with_cells)
     if with_fault:
         plan.faults = [
             FaultPlan(
@@ -110,7 +110,7 @@
     migrated again only once its previous migration no longer affects any of its requests.
     """
     duration = MIGRATIONS_START_AT + migrations * interval + AFTER_LAST_MIGRATION
-    plan = _fleet(
+    plan = _plan_without_faults(
         "moving-night",
         seed,
         duration,
@@ -151,7 +151,7 @@
     return f"{ending} {process} {step}"
 
 
-def _fleet(
+def _plan_without_faults(
     name: str,
     seed: int,
     duration: int,
--- a/runspool/lab/clients.py
+++ b/runspool/lab/clients.py
@@ -18,9 +18,10 @@
 MIN_TIME_LEFT = 500  # tenths of a millisecond; with less left of the time limit, a client does not retry
 CONNECT_TIMEOUT = 1.0  # seconds
 
-# Recorded outcomes of an attempt, with `left` for a client that disconnected.
-FINAL_OUTCOMES = frozenset({"succeeded", "left", "malformed"})  # no retry follows
-NOT_EXECUTED_OUTCOMES = frozenset({"dismissed", "refused", "unreachable"})  # a retry is always safe
+# Kinds of outcome (see ClientOutcome) after which a client does not retry.
+FINAL_OUTCOMES = frozenset({"succeeded", "left", "malformed"})
+# Kinds of outcome after which a client may always retry, because the request has not been executed.
+NOT_EXECUTED_OUTCOMES = frozenset({"dismissed", "refused", "unreachable"})
 
 
 class WorkloadClients:
@@ -110,6 +111,7 @@
     async def _connect_and_exchange(
         self, request: PlannedRequest, attempt_id: str, front_index: int, time_limit: int
     ) -> ClientOutcome:
+        """Connect to a front, send the request and read the response."""
         try:
             with anyio.fail_after(CONNECT_TIMEOUT):
                 stream = await anyio.connect_tcp(*self.load_balancer.addresses[front_index])
--- a/runspool/lab/endpoint_list_service.py
+++ b/runspool/lab/endpoint_list_service.py
@@ -21,7 +21,9 @@
 MAX_QUEUED_MESSAGES = 1024  # messages that may wait for a slow front before its subscription is ended
 IDLE_WAIT = 3600.0  # seconds to wait for an update while none is pending
 MIN_WAIT = 0.001  # seconds; lower bound on the wait for a pending update
-CORRUPTIONS = ["", "repeat", "reorder", "tear"]  # how a message is corrupted; drawn with equal probability
+# How a message is corrupted: not at all, sent twice, sent before the previous one, or truncated. All are
+# equally probable.
+CORRUPTIONS = ["", "repeat", "reorder", "tear"]
 
 
 class EndpointListService:
@@ -59,7 +61,7 @@
         An update is never published before an earlier one, even with `at_once`.
         """
         publish_at = now() + (0 if at_once else self.delay)
-        # The delay is one of the whole service, so updates keep their order when the delay becomes shorter.
+        # The delay simulates a service that is late as a whole, so a shorter delay must not change the order.
         publish_at = max(publish_at, self._pending[-1][0] if self._pending else 0)
         self._pending.append((publish_at, entry))
         self._changed.set()
@@ -154,7 +156,7 @@
         self._too_slow = False
 
     def enqueue(self, message: EndpointListMessage, intact: bool = False) -> None:
-        """Queue a message; it may be corrupted if the service does so, unless it must be `intact`."""
+        """Queue a message. While `corrupts_messages` is set, it may be corrupted unless it must be `intact`."""
         if len(self._queue) >= MAX_QUEUED_MESSAGES:
             self._too_slow = True  # the front subscribes again and gets a snapshot
         may_corrupt = self._service.corrupts_messages and not intact
--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -175,6 +175,7 @@
     # Serving requests.
 
     async def _serve_connection(self, stream: SocketStream) -> None:
+        """Serve the requests of a connection, or close it at once if too many are open."""
         if self._open_connections >= self.faults.max_connections:
             await anyio.aclose_forcefully(stream)
             return
@@ -185,6 +186,7 @@
             self._open_connections -= 1
 
     async def _handle(self, received: ReceivedRequest) -> None:
+        """Serve a request according to its path."""
         if received.target == COMPLETIONS_PATH:
             await self._complete(received)
         elif received.target == RELEASE_PATH:
@@ -255,7 +257,7 @@
         self._resume_steps()
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._watch, request)
+                tasks.start_soon(self._notify_on_disconnect, request)
                 if request.call.fault == SILENT:
                     await received.disconnected.wait()
                 ending = await (self._decode(request) if job.decodes else self._prefill(request))
@@ -270,7 +272,7 @@
             self.model.remove(job)
             self._resume_steps()
 
-    async def _watch(self, request: ActiveRequest) -> None:
+    async def _notify_on_disconnect(self, request: ActiveRequest) -> None:
         """Notify a request when its connection is lost."""
         await request.call.received.wait_for_disconnect()
         request.progress.set()
@@ -322,6 +324,7 @@
                 return await self._end_stream(request)
 
     async def _end_stream(self, request: ActiveRequest) -> str:
+        """End the stream, or inject a fault into its end; return how the request ended."""
         received, fault = request.call.received, request.call.fault
         if fault in (NO_FINISH, ERROR_EVENT):
             await end_stream_abnormally(received, fault)
--- a/runspool/lab/engine_events.py
+++ b/runspool/lab/engine_events.py
@@ -71,7 +71,7 @@
         )
 
     def executed(self, call: CompletionCall) -> None:
-        """Record that the engine has begun to execute a request; a prefill has no effect to record."""
+        """Record that the engine has begun to execute a request; do nothing for a prefill."""
         if not call.is_prefill:
             self._record("ran", request=call.request_id, **{ATTEMPT: call.options.attempt})
 
--- a/runspool/lab/engine_fault_commands.py
+++ b/runspool/lab/engine_fault_commands.py
@@ -42,8 +42,8 @@
 def engine_faults(plan: ScenarioPlan, fault: FaultPlan) -> list[EngineFault]:
     """Return the faults to inject into engines for a fault of the plan.
 
-    The result is empty if the kind of the fault is not one that commands to engines can switch. A fault
-    without targets applies to all engines.
+    The result is empty if faults of this kind are not injected by commands to engines. A fault without
+    targets applies to all engines.
     """
     build = _BUILDERS.get(fault.kind)
     if build is None:
@@ -62,10 +62,12 @@
 
 
 def _slow(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
+    """Slow down the engine by the factor of the magnitude."""
     return [FaultSwitch("slow", {"times": fault.magnitude}, {"times": 1.0})]
 
 
 def _slow_links(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
+    """Slow down transfers to other racks by the factor of the magnitude."""
     return [FaultSwitch("links", {"times": fault.magnitude}, {"times": 1.0})]
 
 
@@ -78,10 +80,12 @@
 
 
 def _response_fault(name: str, share: float) -> FaultSwitch:
+    """Return the switch that injects a response fault into a share of the responses."""
     return FaultSwitch("row", {"row": name, "share": share}, {"row": name, "share": 0})
 
 
 def _class_failure(plan: ScenarioPlan, fault: FaultPlan) -> list[FaultSwitch]:
+    """Make the magnitude's share of the requests of one class fail or, in the mode "silence", hang."""
     request_class = plan.request_classes[fault.subject_index % len(plan.request_classes)]
     subject: Settings = {
         "tariff": request_class.name,
@@ -118,6 +122,7 @@
     ]
 
 
+# The functions that build the switches, by the kind of fault.
 _BUILDERS: dict[str, Callable[[ScenarioPlan, FaultPlan], list[FaultSwitch]]] = {
     "hang": _hang,
     "pause": _hang,
--- a/runspool/lab/fault_injection.py
+++ b/runspool/lab/fault_injection.py
@@ -21,10 +21,9 @@
 MAX_AGEING_SLOWDOWN = 50  # upper bound on the factor by which an ageing engine becomes slower
 MIN_AGEING_DOWNTIME = 0.5  # seconds that an ageing engine is down at least when it is restarted
 
-MIN_NEIGHBOUR_PERIOD = 0.2  # seconds; lower bound on each slow and each undisturbed interval of an engine
-MIN_NEIGHBOUR_SPEED = (
-    0.05  # lower bound on the speed that a neighbour leaves to an engine, 1 being full speed
-)
+# A neighbour is another workload on an engine's host, which slows the engine down in intervals.
+MIN_NEIGHBOUR_PERIOD = 0.2  # seconds; lower bound on the length of the slow and of the undisturbed intervals
+MIN_NEIGHBOUR_SPEED = 0.05  # lower bound on the engine's speed in slow intervals; 1 is full speed
 
 FAULTY_RELEASE_ERROR = "failed_500"  # the response fault of a faulty release
 
--- a/runspool/lab/fleet.py
+++ b/runspool/lab/fleet.py
@@ -23,7 +23,7 @@
 from runspool.wire.endpoint_list import EndpointEntry
 
 RUNSPOOL_COMMAND = (sys.executable, "-m", "runspool.cli.main")
-STOP_TIMEOUT = 30.0  # seconds
+STOP_TIMEOUT = 30.0  # seconds to wait for a front to end after SIGTERM
 SUBSCRIPTION_CHECK_INTERVAL = 0.02  # seconds between checks of how many fronts watch the endpoint list
 MS_PER_SECOND = 1000
 
@@ -35,7 +35,7 @@
 SEEDS_PER_PLAN = 1_000
 SEEDS_PER_FRONT = 100
 
-# Endings of the names of the files that a front writes, and finds again when it is restarted.
+# Suffixes of the files that a front writes. Restarts keep them; they are deleted before the first start.
 FRONT_FILE_SUFFIXES = (".list", ".log", ".tape", ".list.cells")
 
 
@@ -281,11 +281,11 @@
             self.recorder.record_event("killed", process=process.name, **subject)
             await process.kill()
 
-    async def _fail_over(self, index: int, start: int) -> None:
+    async def _fail_over(self, index: int, start_count: int) -> None:
         """Mark a front as down after the failover delay, unless it has been started again by then.
 
-        `start` is how often the front had been started when it was killed.
+        `start_count` is how often the front had been started when it was killed.
         """
         await anyio.sleep(self.plan.clients.failover_delay / SECOND)
-        if self.fronts[index].start_count == start:
+        if self.fronts[index].start_count == start_count:
             self.load_balancer.is_up[index] = False
--- a/runspool/lab/front_configuration.py
+++ b/runspool/lab/front_configuration.py
@@ -22,7 +22,7 @@
 SEEDS_PER_PLAN = 100  # a front's seed is so many times the seed of the plan, plus the front's index
 LIST_IDLE_TIMEOUT_MS = 5_000  # milliseconds without a message after which a front renews its watch
 LIST_RETRY_MS = 200  # milliseconds before a front tries again to watch the endpoint list
-LIST_LINE_BYTES = 4 << 20  # upper bound on a message of the endpoint list
+LIST_LINE_BYTES = 4 << 20  # bytes; upper bound on a message of the endpoint list
 
 LIBRARY_DEFAULTS = """
         local r = import 'runspool.libsonnet';
@@ -88,7 +88,7 @@
 
 
 def _engine_types_section(plan: ScenarioPlan) -> Section:
-    """Return the engine types of the plan, and the three usual types with unknown memory (0)."""
+    """Return the engine types of the plan, and those of three standard types that it lacks, with unknown memory (0)."""
     roles_and_memory: dict[str, tuple[str, int]] = {
         "prefill": ("reader", 0),
         "decode": ("writer", 0),
--- a/runspool/lab/replay.py
+++ b/runspool/lab/replay.py
@@ -19,7 +19,7 @@
 from runspool.scheduling.types import AttemptOutcome, EndpointUpdate, EngineRecord, Request
 from runspool.service.recording_format import RecordedAction, RecordedEvent, from_stored
 
-EVENTS = frozenset(RecordedEvent)
+EVENTS = frozenset(RecordedEvent)  # stored names of events; all other names are those of actions
 
 
 class UnreadableEventsError(RunspoolError):
--- a/runspool/lab/scripted_scenarios.py
+++ b/runspool/lab/scripted_scenarios.py
@@ -53,6 +53,7 @@
     prefill_rate: float
 
 
+# The prefill rates are in tokens per tenth of a millisecond, the memory in tokens.
 _ENGINE_TYPES = {
     "prefill": _EngineType("reader", 8, 40, 220_000, 1.9),
     "decode": _EngineType("writer", 64, 32, 160_000, 0.7),
@@ -129,7 +130,7 @@
     rng: Random,
     capacity_multiple: float = 1.0,
 ) -> EnginePlan:
-    """Return an engine of a type ("prefill", "decode" or "mixed") whose speed is drawn.
+    """Return an engine of a type ("prefill", "decode" or "mixed") whose prefill rate and step time are drawn.
 
     `capacity_multiple` multiplies its slots and its prefill rate.
     """
@@ -175,7 +176,7 @@
 def bad_night(seed: int, duration: int = BAD_NIGHT_DURATION) -> ScenarioPlan:
     """Return a scenario with many faults, of which at least eight kinds are active at the same time.
 
-    Fronts and engines are killed among others.
+    The faults include kills of fronts and engines.
     """
     rng = Random(seed)
     request_classes = default_request_classes()
@@ -217,10 +218,10 @@
 
 
 def _bad_night_faults(engines: list[EnginePlan], duration: int, rng: Random) -> list[FaultPlan]:
-    """Draw the faults of `bad_night`, and return them by start."""
-    prefills = _shuffled(engines, "prefill", rng)
-    decodes = _shuffled(engines, "decode", rng)
-    mixed = _shuffled(engines, "mixed", rng)
+    """Draw the faults of `bad_night`, and return them in the order in which they start."""
+    prefills = _shuffled_indices(engines, "prefill", rng)
+    decodes = _shuffled_indices(engines, "decode", rng)
+    mixed = _shuffled_indices(engines, "mixed", rng)
     span = duration - FIRST_FAULT_AT - FAULT_FREE_END
     overlap_starts_at = FIRST_FAULT_AT + int(rng.random() * (span - MIN_TIME_AFTER_OVERLAP_START))
 
@@ -229,7 +230,7 @@
         return FIRST_FAULT_AT + int(rng.random() * span)
 
     def draw_overlapping_start() -> int:
-        """Draw a start in an interval of 5 s, so that faults of at least 8 s are all active at its end."""
+        """Draw a start within OVERLAP_SECONDS, so that faults of 8 s or more are all active at their end."""
         return overlap_starts_at + int(rng.random() * OVERLAP_SECONDS * SECOND)
 
     # The values are drawn in the order in which the arguments are evaluated, so this order must not change.
@@ -283,7 +284,7 @@
     return faults
 
 
-def _shuffled(engines: list[EnginePlan], engine_type: str, rng: Random) -> list[int]:
+def _shuffled_indices(engines: list[EnginePlan], engine_type: str, rng: Random) -> list[int]:
     """Return the indices of the engines of a type in random order."""
     indices = [index for index, engine in enumerate(engines) if engine.engine_type == engine_type]
     rng.shuffle(indices)
--- a/runspool/lab/simulator_scenarios.py
+++ b/runspool/lab/simulator_scenarios.py
@@ -20,12 +20,13 @@
 from runspool.lab.scripted_scenarios import plan_engine, source_address
 
 SimulatorScenario = dict[str, Any]  # scenario of the simulator, as decoded from JSON
-SimulatorRow = dict[str, Any]  # object in a list of such a scenario
+SimulatorObject = dict[str, Any]  # object in a list of such a scenario
 
 MICROSECONDS_PER_TENTH_MS = 100  # microseconds in a tenth of a millisecond
 RATE_PER_ENGINE = 5.5  # requests per second and engine at the simulator's load 1
 UNLIMITED_RATE = 1e6  # requests per second; quota that no tenant reaches
 HEAVY_WORK = 200_000  # microseconds; request classes whose mean work is longer get long prompts
+# The values in plans for those of the simulator.
 IDEMPOTENCIES = {"safe": "rerunnable", "keyed": "ticketed", "unsafe": "exclusive"}
 DEDUPLICATION_SCOPES = {"all": "all", "zone": "zone", "cell": "rack"}
 ENGINE_TYPES = ("prefill", "decode", "mixed")
@@ -107,7 +108,7 @@
     return int(microseconds) // MICROSECONDS_PER_TENTH_MS
 
 
-def _request_classes(rows: list[SimulatorRow]) -> list[RequestClassPlan]:
+def _request_classes(rows: list[SimulatorObject]) -> list[RequestClassPlan]:
     """Convert the request classes, with shares that add up to 1."""
     request_classes = [_request_class(row) for row in rows]
     total = sum(request_class.share for request_class in request_classes)
@@ -116,7 +117,7 @@
     return request_classes
 
 
-def _request_class(row: SimulatorRow) -> RequestClassPlan:
+def _request_class(row: SimulatorObject) -> RequestClassPlan:
     idempotency = IDEMPOTENCIES[row["effect"]]
     scope = DEDUPLICATION_SCOPES[row["group"]]
     heavy = float(row["work"]) > HEAVY_WORK
@@ -152,13 +153,13 @@
     return [
         plan_engine(
             f"engine-{index}",
-            _engine_type(type_names[servers[picked]["kind"]]),
-            zones[servers[picked]["zone"]],
-            int(servers[picked]["cell"]),
+            _engine_type(type_names[servers[selected]["kind"]]),
+            zones[servers[selected]["zone"]],
+            int(servers[selected]["cell"]),
             request_classes,
             rng,
         )
-        for index, picked in enumerate(_pick_servers(servers, count))
+        for index, selected in enumerate(_select_servers(servers, count))
     ]
 
 
@@ -167,7 +168,7 @@
     return name if name in ENGINE_TYPES else "mixed"
 
 
-def _pick_servers(servers: list[SimulatorRow], count: int) -> list[int]:
+def _select_servers(servers: list[SimulatorObject], count: int) -> list[int]:
     """Return the indices of `count` servers that represent all servers.
 
     Each type and each zone keeps about its share, and each type has at least one server.
@@ -175,10 +176,10 @@
     order = sorted(
         range(len(servers)), key=lambda index: (servers[index]["kind"], servers[index]["zone"], index)
     )
-    picked = [order[index * len(order) // count] for index in range(count)]
-    for kind in {row["kind"] for row in servers} - {servers[index]["kind"] for index in picked}:
-        picked[-1 - kind % count] = next(index for index in order if servers[index]["kind"] == kind)
-    return picked
+    selected = [order[index * len(order) // count] for index in range(count)]
+    for kind in {row["kind"] for row in servers} - {servers[index]["kind"] for index in selected}:
+        selected[-1 - kind % count] = next(index for index in order if servers[index]["kind"] == kind)
+    return selected
 
 
 def _tenants(scenario: SimulatorScenario) -> list[TenantPlan]:
--- a/runspool/lab/tenant_migrator.py
+++ b/runspool/lab/tenant_migrator.py
@@ -26,8 +26,8 @@
 # the updates of the first and the last front, so that every front knows of a move before it starts.
 ANNOUNCEMENT_LEAD = 0.4
 START_MARGIN = 0.1  # seconds after the scheduled start at which the move has started on every front
-UNDO_DELAY = 1.0  # seconds from START_MARGIN to the undo of a move
-FINISH_MARGIN_MS = 300  # milliseconds added to the time for which requests stay bound to the former cell
+UNDO_DELAY = 1.0  # seconds from the end of START_MARGIN to the undo of a move
+FINISH_MARGIN_MS = 300  # milliseconds to wait after `max_binding_time` before a move is completed
 
 # A process is killed during every fourth move; successive kills select the fronts or engines in turn.
 MOVES_PER_KILL = 4
@@ -95,9 +95,9 @@
         """
         return max(
             (
-                row.deduplication_window + self.plan.max_time_limit
-                for row in self.plan.request_classes
-                if row.idempotency == "ticketed" and row.deduplication_scope != "all"
+                request_class.deduplication_window + self.plan.max_time_limit
+                for request_class in self.plan.request_classes
+                if request_class.idempotency == "ticketed" and request_class.deduplication_scope != "all"
             ),
             default=0,
         )
