--- a/runspool/lab/endpoint_list_service.py
+++ b/runspool/lab/endpoint_list_service.py
@@ -156,7 +156,7 @@
         self._too_slow = False
 
     def enqueue(self, message: EndpointListMessage, intact: bool = False) -> None:
-        """Queue a message. While `corrupts_messages` is set, it may be corrupted unless it must be `intact`."""
+        """Queue a message; corrupt it at random while the service does so, unless it must be `intact`."""
         if len(self._queue) >= MAX_QUEUED_MESSAGES:
             self._too_slow = True  # the front subscribes again and gets a snapshot
         may_corrupt = self._service.corrupts_messages and not intact
--- a/runspool/lab/engine_model.py
+++ b/runspool/lab/engine_model.py
@@ -19,13 +19,13 @@
 
 BLOCK_TOKENS = 64  # tokens per block, the unit in which the prefix cache stores and evicts
 PREFILL_CHUNK_TOKENS = 2048  # upper bound on the prompt tokens prefilled in one step
-# How much random arrivals may exceed the budget of a cold engine before it crashes, in multiples of the mean
-# work of a request.
+# How far the load may exceed the budget of a cold engine by chance before it crashes, in multiples of the
+# largest mean work of a request class.
 COLD_OVERLOAD_TOLERANCE = 3.0
 
 
 class EngineSpec(msgspec.Struct, frozen=True):
-    """The fixed properties of an engine. `name` in a field is its name in stored plans.
+    """The fixed properties of an engine. Plans are stored with the `name` that a field gives, if any.
 
     Attributes:
         name: the engine's name, unique in the plan.
@@ -47,7 +47,7 @@
             engine crashes.
         slow_start_overload_window: the time over which this load is measured.
         state_ttl: the time for which the engine holds a prefill state that no engine fetches.
-        mean_work: for each request class, the mean time that a request takes at full capacity.
+        mean_work: for each request class, the mean engine time that a request takes at full capacity.
         cache_capacity_blocks: the capacity of the prefix cache in blocks.
     """
 
@@ -342,6 +342,7 @@
         job.phase = Phase.PREFILLING
 
     def _prefill(self, job: Job, tokens: int, result: StepResult) -> None:
+        """Prefill a part of a job's tokens; after the last part, cache its blocks and let it decode."""
         job.prefill_remaining -= tokens
         if job.prefill_remaining > 0:
             return
@@ -352,6 +353,7 @@
             result.prefilled.append(job)
 
     def _decode(self, job: Job, result: StepResult) -> None:
+        """Generate one token of a job, and remove the job after its last."""
         job.generated_tokens += 1
         job.allocated_tokens += 1
         self.used_memory += 1
@@ -361,6 +363,7 @@
             self.remove(job)
 
     def _cache(self, blocks: Sequence[int]) -> None:
+        """Add blocks to the prefix cache, and evict the least recently used ones over its capacity."""
         for block in blocks:
             self.cached_blocks[block] = None
             self.cached_blocks.move_to_end(block)
--- a/runspool/lab/front_configuration.py
+++ b/runspool/lab/front_configuration.py
@@ -88,7 +88,7 @@
 
 
 def _engine_types_section(plan: ScenarioPlan) -> Section:
-    """Return the engine types of the plan, and those of three standard types that it lacks, with unknown memory (0)."""
+    """Return the engine types of the plan, and the standard types that it lacks with unknown memory (0)."""
     roles_and_memory: dict[str, tuple[str, int]] = {
         "prefill": ("reader", 0),
         "decode": ("writer", 0),
--- a/runspool/lab/http_server.py
+++ b/runspool/lab/http_server.py
@@ -16,8 +16,9 @@
 from runspool.errors import RunspoolError
 from runspool.transport.tcp import accept_socket
 
-RECEIVE_BYTES = 65_536
-MAX_HEAD_BYTES = 65_536
+RECEIVE_BYTES = 65_536  # bytes requested from the socket at a time
+MAX_HEAD_BYTES = 65_536  # bytes; upper bound on the head of a request
+# The errors of a socket whose peer has closed or lost the connection.
 PEER_GONE_ERRORS = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # value of SO_LINGER: on, with a timeout of 0 s
 
@@ -62,7 +63,7 @@
         """Send a complete response; encode `content` as JSON unless it is bytes.
 
         Raises:
-            PeerClosedError: the connection is lost; so with the other methods that send.
+            PeerClosedError: the connection is lost. The other methods that send raise this too.
         """
         body = content if isinstance(content, bytes) else msgspec.json.encode(content)
         fields = {"Content-Type": "application/json", "Content-Length": str(len(body)), **(headers or {})}
--- a/runspool/lab/port_allocation.py
+++ b/runspool/lab/port_allocation.py
@@ -11,9 +11,9 @@
 
 # Ports are reserved in blocks below the range from which Linux takes the ports of outgoing connections (32768
 # by default). A block is reserved as long as a socket is bound to its first port.
-BLOCK_SIZE = 100
-FIRST_BLOCK = 20_000
-END_OF_BLOCKS = 30_000
+BLOCK_SIZE = 100  # ports per block
+FIRST_BLOCK = 20_000  # first port of the first block
+END_OF_BLOCKS = 30_000  # first port after the last block
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,6 +64,7 @@
 
 
 def _is_free(port: int) -> bool:
+    """Return whether a server can bind the port at present."""
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
--- a/runspool/lab/response_faults.py
+++ b/runspool/lab/response_faults.py
@@ -20,32 +20,34 @@
 SILENT_STREAM = "silent_stream"
 
 RESPONSE_FAULTS = (
-    RESET_BEFORE_BODY,
-    "reset_after",
-    "close_after",
-    SILENT,
-    "full_429",
-    "full_503",
-    "bad_400",
-    "missing_404",
-    FAILED_500,
-    "failed_500_after_run",
-    "garbled",
-    "garbled_status",
-    "endless",
-    "cut_answer",
-    CUT_STREAM,
-    RESET_STREAM,
-    SILENT_STREAM,
-    NO_FINISH,
-    ERROR_EVENT,
-    "head_garbled",
-    "huge_event",
+    RESET_BEFORE_BODY,  # reset of the connection before the body of the request is read
+    "reset_after",  # reset after execution, without a response
+    "close_after",  # close after execution, without a response
+    SILENT,  # no response; the connection stays open
+    "full_429",  # rejection with the status 429
+    "full_503",  # rejection with the status 503
+    "bad_400",  # rejection with the status 400
+    "missing_404",  # rejection with the status 404
+    FAILED_500,  # status 500 without execution
+    "failed_500_after_run",  # status 500 after execution
+    "garbled",  # body that is not complete JSON
+    "garbled_status",  # status that the protocol does not define (302)
+    "endless",  # event that never ends
+    "cut_answer",  # close before the end of a response with Content-Length
+    CUT_STREAM,  # close of a stream after some tokens
+    RESET_STREAM,  # reset of a stream after some tokens
+    SILENT_STREAM,  # stream without data after some tokens; the connection stays open
+    NO_FINISH,  # stream that ends without a finish reason
+    ERROR_EVENT,  # stream that ends with an error event
+    "head_garbled",  # response that is not HTTP
+    "huge_event",  # event of HUGE_EVENT_BYTES
 )
-STREAM_FAULTS = (CUT_STREAM, RESET_STREAM, SILENT_STREAM)
+STREAM_FAULTS = (CUT_STREAM, RESET_STREAM, SILENT_STREAM)  # faults that interrupt a stream
 TOKENS_BEFORE_STREAM_FAULT = 2  # tokens that are streamed before a fault of STREAM_FAULTS is injected
 
+# The faults that are rejections, with their status codes.
 REJECTION_STATUSES = {"full_429": 429, "full_503": 503, "bad_400": 400, "missing_404": 404}
+# The faults that simulate a failure after the request has been executed.
 EXECUTED_FAULTS = ("reset_after", "close_after", "failed_500_after_run")
 
 ENDLESS_CHUNK = b"data: " + b"x" * 8192
@@ -133,6 +135,7 @@
     await received.close()
 
 
+# The functions that inject faults in place of the normal response.
 _INJECTIONS: dict[str, Callable[[ReceivedRequest], Awaitable[None]]] = {
     "reset_after": ReceivedRequest.reset,
     "close_after": ReceivedRequest.close,
--- a/runspool/lab/response_reader.py
+++ b/runspool/lab/response_reader.py
@@ -19,8 +19,8 @@
 IDLE_TIMEOUT = 20.0  # seconds without data after which a client abandons a stream
 TRAILING_DATA_TIMEOUT = 0.3  # seconds for which a client checks for data after the end of the response
 SLOW_READ_PAUSE = 0.05  # seconds between reads of a client that reads slowly
-READ_SIZE = 65_536  # bytes
-MAX_EVENT_BYTES = 1 << 20  # upper bound on one server-sent event
+READ_SIZE = 65_536  # bytes requested from the socket at a time
+MAX_EVENT_BYTES = 1 << 20  # bytes; upper bound on one server-sent event
 
 STREAM_DONE = b"[DONE]"
 HTTP_OK = 200
@@ -100,9 +100,10 @@
             return ClientOutcome("lost", type(error).__name__)
 
     async def _read_stream(self) -> ClientOutcome:
+        """Read a streamed response whose head has been read."""
         streamed = _StreamedResponse(self.recorder, self.attempt_id)
-        # The deadline applies to the start of the stream only. From here on, only an idle timeout ends the
-        # read.
+        # The deadline applies only to the start of the stream. From here on, the idle timeout applies
+        # instead.
         with anyio.CancelScope(shield=True) as scope:
             scope.deadline = anyio.current_time() + IDLE_TIMEOUT
             while True:
@@ -120,6 +121,7 @@
         return ClientOutcome("none", "stalled")
 
     async def _read_complete(self, head: h11.Response) -> ClientOutcome:
+        """Read a response that is not streamed, or an error response, whose head has been read."""
         body = bytearray()
         while isinstance(event := await self._next_event(), h11.Data):
             body += event.data
@@ -145,7 +147,7 @@
         return event
 
     async def _read_trailing_data(self, outcome: ClientOutcome) -> ClientOutcome:
-        """Record data that follows the end of the response, which the audit counts as a second response."""
+        """Record data after the end of the response, which the audit reports; return `outcome`."""
         if not await self._read_end_of_message():
             return outcome
         trailing = bytes(self.connection.trailing_data[0])
--- a/runspool/lab/state_transfer.py
+++ b/runspool/lab/state_transfer.py
@@ -15,7 +15,7 @@
 from runspool.lab.standin_messages import StateTransferParams
 from runspool.service.clock import now
 
-FETCH_PATH = "/lab/fetch"
+FETCH_PATH = "/lab/fetch"  # path of a call between stand-in engines; no real engine has it
 FETCH_TIMEOUT = 10.0  # seconds for a whole transfer
 
 
@@ -89,7 +89,7 @@
         await received.respond(200, {})
 
     async def _transfer(self, received: ReceivedRequest, duration: int) -> None:
-        """Simulate a transfer that takes `duration`; return early if the fetching engine disconnects."""
+        """Wait for the duration of a transfer; return early if the fetching engine disconnects."""
         self._model.outgoing_transfers += 1
         try:
             async with anyio.create_task_group() as tasks:
--- a/runspool/lab/workload.py
+++ b/runspool/lab/workload.py
@@ -115,7 +115,7 @@
 def draw_workload(plan: ScenarioPlan) -> list[PlannedRequest]:
     """Return all requests of a scenario in the order in which they are sent."""
     faults = {kind: [fault for fault in plan.faults if fault.kind == kind] for kind in WORKLOAD_FAULT_KINDS}
-    requests = _draw_usual_sessions(plan, faults)
+    requests = _draw_regular_sessions(plan, faults)
     for number, burst in enumerate(faults["tenant_burst"]):
         requests += _draw_tenant_burst(plan, number, burst, faults)
     requests.sort(key=lambda request: request.send_at)
@@ -124,14 +124,16 @@
 
 def _session_rate(plan: ScenarioPlan) -> float:
     """Return the mean number of sessions that start per second."""
-    turns_per_session = sum(row.share * row.turns for row in plan.request_classes)
+    turns_per_session = sum(
+        request_class.share * request_class.turns for request_class in plan.request_classes
+    )
     return plan.requests_per_second / turns_per_session
 
 
-def _draw_usual_sessions(plan: ScenarioPlan, faults: FaultsByKind) -> list[PlannedRequest]:
+def _draw_regular_sessions(plan: ScenarioPlan, faults: FaultsByKind) -> list[PlannedRequest]:
     """Draw all requests except those that bursts of single tenants add."""
     rng = Random(plan.seed * SEED_MULTIPLIER + WORKLOAD_SEED_OFFSET)
-    sessions = _SessionDrawer(plan, rng, faults, [row.share for row in plan.tenants])
+    sessions = _SessionDrawer(plan, rng, faults, [tenant.share for tenant in plan.tenants])
     peak = plan.requests_per_second * PEAK_MULTIPLE
     mean_rate = _session_rate(plan)
     requests: list[PlannedRequest] = []
@@ -159,7 +161,7 @@
     if burst.magnitude <= 1:
         return requests
     rng = Random(plan.seed * SEED_MULTIPLIER + TENANT_BURST_SEED_OFFSET + burst_number)
-    share = plan.tenants[burst.subject_index].share / max(1e-9, sum(row.share for row in plan.tenants))
+    share = plan.tenants[burst.subject_index].share / max(1e-9, sum(tenant.share for tenant in plan.tenants))
     this_tenant_only = [float(index == burst.subject_index) for index in range(len(plan.tenants))]
     sessions = _SessionDrawer(plan, rng, faults, this_tenant_only)
     added_rate = _session_rate(plan) * share * (burst.magnitude - 1)
@@ -205,7 +207,7 @@
         self.rng = rng
         self.faults = faults
         self.tenant_weights = tenant_weights
-        self.request_class_weights = [row.share for row in plan.request_classes]
+        self.request_class_weights = [request_class.share for request_class in plan.request_classes]
 
     def draw(self, name: str, starts_at: int) -> list[PlannedRequest]:
         """Draw the requests of a session that starts at `starts_at`, one per turn."""
