--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -55,7 +55,7 @@
 def play(plan: ScenarioPlan) -> list[Event]:
     """Play a scenario and return its recorded events."""
     with tempfile.TemporaryDirectory() as folder:
-        return list(recording.read_recording(anyio.run(ScenarioRunner(plan, Path(folder)).play)))
+        return list(recording.read_recording(anyio.run(ScenarioRunner(plan, Path(folder)).run)))
 
 
 def values_by_tenant(
--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -96,9 +96,9 @@
     """
 
     def __init__(
-        self, plan: ScenarioPlan, load_balancer: LoadBalancer, record: Recorder, direct_every: int
+        self, plan: ScenarioPlan, load_balancer: LoadBalancer, recorder: Recorder, direct_every: int
     ) -> None:
-        super().__init__(plan, load_balancer, record)
+        super().__init__(plan, load_balancer, recorder)
         settings = EngineClientConfig(
             connect_ms=1000,
             idle_ms=15000,
@@ -114,12 +114,12 @@
         self.decode_engines = [("127.0.0.1", e.port) for e in plan.engines if e.spec.role != "reader"]
         self.request_count = 0
 
-    async def attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
+    async def send_attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
         """Send a request to the front, or first to a prefill engine and then to a decode engine."""
         self.request_count += 1
         name = f"{request.id}.{number}"
         is_direct = bool(self.direct_every) and self.request_count % self.direct_every == 0
-        self.record.line(
+        self.recorder.record_event(
             "asked",
             item=request.id,
             front="direct" if is_direct else "front-0",
@@ -142,26 +142,26 @@
         else:
             all_headers = request_headers(self.plan, request, name, time_limit, 0)
             headers = {key: value for key, value in all_headers if key.startswith("Runspool-")}
-        listener = FirstTokenRecorder(self.record, name)
+        listener = FirstTokenRecorder(self.recorder, name)
         result = await self.client.decode(
             address, body, state, headers, time_limit, UNRESTRICTED, MAX_OUTPUT_TOKENS, listener
         )
         succeeded = result.status is AttemptStatus.SUCCEEDED
         kind = "succeeded" if succeeded else result.status.name.lower()
-        self.record.line("answer", kind=kind, **{"try": name})
+        self.recorder.record_event("answer", kind=kind, **{"try": name})
         return ClientOutcome(kind)
 
 
 class FirstTokenRecorder:
     """Records when the first token of a response arrives."""
 
-    def __init__(self, record: Recorder, name: str) -> None:
-        self.record = record
+    def __init__(self, recorder: Recorder, name: str) -> None:
+        self.recorder = recorder
         self.name = name
 
     async def stream_started(self) -> None:
         """Record the first token."""
-        self.record.line("first", **{"try": self.name})
+        self.recorder.record_event("first", **{"try": self.name})
 
     async def data_received(self, text: str) -> None:
         """Ignore the text."""
@@ -184,7 +184,7 @@
         """Let the worker processes send the plan's requests, and sample the front's usage meanwhile."""
         self.samples = []
         start = now() + 2 * SECOND
-        self.record.line("begin", at=start)
+        self.recorder.record_event("begin", at=start)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._sample_usage)
             async with anyio.create_task_group() as workers:
@@ -194,7 +194,7 @@
 
     async def _run_worker(self, index: int, start: int) -> None:
         arguments = (self.folder / "plan.json", index, self.workers, start, self.direct_every)
-        recording_file = self.parts / f"clients-{index}.jsonl"
+        recording_file = self.recordings_folder / f"clients-{index}.jsonl"
         command = [sys.executable, __file__, "worker", *map(str, arguments), str(recording_file)]
         await anyio.run_process(command, stderr=None)
 
@@ -228,7 +228,7 @@
         await self._hang_engines(True)
         async with anyio.create_task_group() as tasks:
             for number in range(self.request_count):
-                tasks.start_soon(clients.attempt, _held_request(number), 1, HELD_TIME_LIMIT)
+                tasks.start_soon(clients.send_attempt, _held_request(number), 1, HELD_TIME_LIMIT)
             await anyio.sleep(5)
             waiting = process_usage(self.front_pid()).resident_bytes
             await self._hang_engines(False)
@@ -248,7 +248,7 @@
 def _held_request(number: int) -> PlannedRequest:
     return PlannedRequest(
         id=f"m{number}",
-        at=0,
+        send_at=0,
         zone_index=0,
         request_class_index=0,
         tenant_index=0,
@@ -334,7 +334,7 @@
         plan = build_plan(engines, rate, seconds, output_tokens)
         runner = BenchmarkRunner(plan, Path(folder), engines_per_process=4)
         runner.workers, runner.direct_every = workers, direct_every
-        events = list(recording.read_recording(anyio.run(runner.play)))
+        events = list(recording.read_recording(anyio.run(runner.run)))
     begin = next(event["at"] for event in events if event["what"] == "begin")
     times = added_times(events, begin)
     samples = runner.samples[int(WARM_UP) :]
@@ -397,7 +397,7 @@
     with tempfile.TemporaryDirectory() as folder:
         runner = MemoryRunner(build_plan(options.engines, 1, 1, options.tokens), Path(folder))
         runner.request_count = options.queries
-        anyio.run(runner.play)
+        anyio.run(runner.run)
     print("\n".join(f"{name}: {value:.1f}" for name, value in runner.figures.items()))
     return {"requests": options.queries, **runner.figures}
 
@@ -409,7 +409,7 @@
         runner = BenchmarkRunner(plan, Path(folder))
         runner.workers, runner.direct_every = options.workers, 0
         started_at = time.time()
-        anyio.run(runner.play)
+        anyio.run(runner.run)
     sizes = [sample.resident_bytes / (1 << 20) for sample in runner.samples]
     tenth = max(1, len(sizes) // 10)
     parts = [round(statistics.mean(sizes[at : at + tenth]), 1) for at in range(0, len(sizes), tenth)]
--- a/runspool/cli/lab.py
+++ b/runspool/cli/lab.py
@@ -125,8 +125,8 @@
             result = event_replay.replay(file)
         except (OSError, event_replay.UnreadableEventsError) as error:
             _fail(str(error))
-        typer.echo(result.differs or _describe_match(file, result))
-        differs = differs or bool(result.differs)
+        typer.echo(result.first_difference or _describe_match(file, result))
+        differs = differs or bool(result.first_difference)
     raise typer.Exit(EXIT_BROKEN if differs else 0)
 
 
@@ -183,7 +183,7 @@
     settings = json.loads(line)
     stand_in = engines[settings.pop("at")]
     name = settings.pop("fault")
-    stand_in.fault(name, **settings)
+    stand_in.set_fault(name, **settings)
 
 
 def _play(plan: ScenarioPlan, folder: Path, record_events: bool, all_rules: bool) -> NoReturn:
@@ -210,7 +210,7 @@
 
         runner = ScenarioRunner(plan, folder, record_events, show_progress)
         try:
-            return anyio.run(runner.play)
+            return anyio.run(runner.run)
         except ScenarioFailedError as error:
             _fail(str(error), EXIT_NOT_PLAYED)
         except BaseExceptionGroup as group:
--- a/runspool/lab/active_faults.py
+++ b/runspool/lab/active_faults.py
@@ -8,8 +8,8 @@
 import anyio
 
 from runspool.lab.engine_model import EngineModel
+from runspool.lab.rate_limiting import RateLimit, RateLimiter
 from runspool.lab.response_faults import FAILED_500, RESPONSE_FAULTS, SILENT
-from runspool.lab.throttling import RateLimit, Throttle
 
 FaultSetting = str | float | None  # value of a setting in a command, as decoded from JSON
 NO_CONNECTION_LIMIT = 100_000  # connections; more than any scenario opens to one engine
@@ -18,20 +18,26 @@
 class ActiveFaults:
     """The faults that are active at one engine.
 
+    The command "row" injects one of RESPONSE_FAULTS into a share of the responses, "tariff" makes a share of
+    the requests of one class fail or remain unanswered, and "throttle" limits the rate of a class or a
+    tenant. The commands "slow" and "links" slow down the engine and its network, "forget" evicts from the
+    prefix cache, "connections" limits the open connections, and "hang" stops the engine until it is switched
+    off.
+
     Attributes:
         max_connections: how many connections may be open; further ones are closed at once.
-        throttle: the rate limits for tenants and request classes.
+        rate_limiter: the rate limits for tenants and request classes.
     """
 
     def __init__(self, model: EngineModel) -> None:
         self.max_connections = NO_CONNECTION_LIMIT
-        self.throttle = Throttle()
+        self.rate_limiter = RateLimiter()
         self._model = model
         self._resumed = anyio.Event()
         self._resumed.set()
         self._response_fault_shares: dict[str, float] = {}
-        self._failing_classes: dict[str, tuple[str, float]] = {}  # "silence" or "error", share of requests
-        self._switches: dict[str, Callable[[dict[str, FaultSetting]], None]] = {
+        self._failing_classes: dict[str, tuple[str, float]] = {}  # ("silence" or "error", share of requests)
+        self._setters: dict[str, Callable[[dict[str, FaultSetting]], None]] = {
             "hang": self._set_hang,
             "slow": self._set_slowdown,
             "links": self._set_network_slowdown,
@@ -42,17 +48,17 @@
             "connections": self._limit_connections,
         }
 
-    def switch(self, name: str, settings: dict[str, FaultSetting]) -> None:
+    def apply(self, name: str, settings: dict[str, FaultSetting]) -> None:
         """Apply a command: switch the fault `name` on or off as its settings say.
 
         Raises:
             ValueError: there is no such fault.
             KeyError: a setting is missing.
         """
-        switch = self._switches.get(name)
-        if switch is None:
-            raise ValueError(f"unknown fault {name!r}; known are {', '.join(self._switches)}")
-        switch(settings)
+        setter = self._setters.get(name)
+        if setter is None:
+            raise ValueError(f"unknown fault {name!r}; known are {', '.join(self._setters)}")
+        setter(settings)
 
     async def wait_until_resumed(self) -> None:
         """Wait while the engine hangs; return at once if it does not."""
@@ -99,10 +105,10 @@
 
     def _set_rate_limit(self, settings: dict[str, FaultSetting]) -> None:
         if settings["per_second"] is None:
-            self.throttle.limits.pop(cast(str, settings["whose"]), None)
+            self.rate_limiter.limits.pop(cast(str, settings["whose"]), None)
             return
         limit = RateLimit(_number(settings["per_second"]), int(cast(float, settings["say_after"])))
-        self.throttle.limits[cast(str, settings["whose"])] = limit
+        self.rate_limiter.limits[cast(str, settings["whose"])] = limit
 
     def _limit_connections(self, settings: dict[str, FaultSetting]) -> None:
         self.max_connections = int(cast(float, settings["most"]))
--- a/runspool/lab/cell_scenarios.py
+++ b/runspool/lab/cell_scenarios.py
@@ -19,17 +19,17 @@
     source_address,
 )
 
-CELLS, FRONTS = 4, 4
+CELLS, FRONTS = 4, 4  # numbers of cells and fronts
 # Capacity of each engine as a multiple of the capacity that engines have in the scenario bad-night. With
 # 0.15, cells are full without any fault at 24 requests per second, but not at the 14 requests per second used
-# here; a tenant that sends six times its share raises those to 31. With full capacity, the flood had no
-# effect.
+# here; a tenant that sends six times its share raises the total to 31. At full capacity, the requests of such
+# a tenant had no effect on the others.
 CAPACITY_MULTIPLE = 0.15
 FULL_CAPACITY = 1.0
 CELL_ENGINES = ("prefill", "prefill", "decode", "mixed")  # types of the engines in each cell
 FIRST_CELL_ENGINES = tuple(range(len(CELL_ENGINES)))  # indices in the plan of the first cell's engines
 ZONES = ("waw-1", "waw-2")
-REQUESTS_PER_SECOND = 14
+REQUESTS_PER_SECOND = 14  # mean rate of all clients without faults
 
 # The scenario with migrations. Times are in tenths of a millisecond.
 MIGRATING_TENANTS = 40
@@ -40,54 +40,54 @@
 MIGRATION_CLASS_TIME_LIMIT = 8 * SECOND  # upper bound on the time limit of every request class
 MAP_SKEW = 300  # tenths of a millisecond between one front receiving a new cell map and the next front
 # The process that is killed during a migration, and the step of the migration that the kill follows.
-KILLS = [
+KILL_VARIANTS = [
     (process, step) for step in ("ahead", "settling", "over") for process in ("front", "source", "target")
 ]
 MIGRATIONS_PER_KILL = 4  # a process is killed during one of so many migrations
 
 
-def flood(seed: int, cells: bool = True, flooded: bool = True) -> ScenarioPlan:
+def flood(seed: int, with_cells: bool = True, with_fault: bool = True) -> ScenarioPlan:
     """Return a scenario in which one of four tenants sends six times its share of the requests for 30 s.
 
-    Without `cells` the fleet has no cells; without `flooded` the tenant sends its share only.
+    Without `with_cells` the fleet has no cells; without `with_fault` the tenant sends its share only.
     """
-    plan = _fleet("flood", seed, 36 * SECOND, REQUESTS_PER_SECOND, CELLS, cells)
-    if flooded:
+    plan = _plan_without_faults("flood", seed, 36 * SECOND, REQUESTS_PER_SECOND, CELLS, with_cells)
+    if with_fault:
         plan.faults = [FaultPlan("tenant_burst", 4 * SECOND, 30 * SECOND, magnitude=6, subject_index=0)]
     return plan
 
 
-def full_cell(seed: int, full: bool = True) -> ScenarioPlan:
+def full_cell(seed: int, with_fault: bool = True) -> ScenarioPlan:
     """Return a scenario in which every engine of one cell rejects all requests as overloaded for 10 s.
 
-    Without `full` no engine does.
+    Without `with_fault` no engine does so.
     """
-    plan = _fleet("full-cell", seed, 30 * SECOND, REQUESTS_PER_SECOND, CELLS, True)
-    if full:
+    plan = _plan_without_faults("full-cell", seed, 30 * SECOND, REQUESTS_PER_SECOND, CELLS, True)
+    if with_fault:
         plan.faults = [FaultPlan("full", 8 * SECOND, 10 * SECOND, targets=[*FIRST_CELL_ENGINES])]
     return plan
 
 
-def poisoned(seed: int, cells: bool = True, poison: bool = True) -> ScenarioPlan:
+def poisoned(seed: int, with_cells: bool = True, with_fault: bool = True) -> ScenarioPlan:
     """Return a scenario in which some requests crash every engine that decodes them.
 
-    For 15 s, one request in thirty of one of the four tenants does so; without `poison`, none does. Without
-    `cells` the fleet has no cells.
+    For 15 s, one request in thirty of one of the four tenants does so; without `with_fault`, none does.
+    Without `with_cells` the fleet has no cells.
     """
-    plan = _fleet("poisoned", seed, 24 * SECOND, REQUESTS_PER_SECOND, CELLS, cells)
-    if poison:
+    plan = _plan_without_faults("poisoned", seed, 24 * SECOND, REQUESTS_PER_SECOND, CELLS, with_cells)
+    if with_fault:
         plan.faults = [FaultPlan("poison", 4 * SECOND, 15 * SECOND, magnitude=0.033, subject_index=0)]
     return plan
 
 
-def bad_release(seed: int, cells: bool = True, released: bool = True) -> ScenarioPlan:
+def bad_release(seed: int, with_cells: bool = True, with_fault: bool = True) -> ScenarioPlan:
     """Return a scenario in which the engines of one cell are upgraded to a faulty software release.
 
-    The release fails half of its requests and runs at a third of the usual speed. Without `released` no
-    engine is upgraded; without `cells` the fleet has no cells.
+    The release fails half of its requests and runs at a third of the usual speed. Without `with_fault` no
+    engine is upgraded; without `with_cells` the fleet has no cells.
     """
-    plan = _fleet("bad-release", seed, 30 * SECOND, REQUESTS_PER_SECOND, CELLS, cells)
-    if released:
+    plan = _plan_without_faults("bad-release", seed, 30 * SECOND, REQUESTS_PER_SECOND, CELLS, with_cells)
+    if with_fault:
         plan.faults = [
             FaultPlan(
                 "bad_release",
@@ -101,16 +101,16 @@
     return plan
 
 
-def moving_night(seed: int, moves: int = 200, every: int = SECOND // 2) -> ScenarioPlan:
+def moving_night(seed: int, migrations: int = 200, interval: int = SECOND // 2) -> ScenarioPlan:
     """Return a scenario that migrates tenants between cells while they send requests.
 
-    One migration starts every `every` tenths of a millisecond, until there have been `moves`. A third of them
-    are undone half-way. During every fourth migration a process is killed: each combination of a process and
-    a step of the migration (KILLS) in turn. A tenant is migrated again only once its previous migration no
-    longer affects any of its requests.
+    The parameters are the number of migrations and the time between the starts of two of them in tenths of a
+    millisecond. A third of the migrations are undone half-way. During every fourth migration a process is
+    killed: each combination of a process and a step of the migration (KILL_VARIANTS) in turn. A tenant is
+    migrated again only once its previous migration no longer affects any of its requests.
     """
-    duration = MIGRATIONS_START_AT + moves * every + AFTER_LAST_MIGRATION
-    plan = _fleet(
+    duration = MIGRATIONS_START_AT + migrations * interval + AFTER_LAST_MIGRATION
+    plan = _plan_without_faults(
         "moving-night",
         seed,
         duration,
@@ -124,11 +124,11 @@
     plan.clients.slow_reading_share = 0.0
     for request_class in plan.request_classes:
         request_class.time_limit = min(request_class.time_limit, MIGRATION_CLASS_TIME_LIMIT)
-    for number in range(moves):
+    for number in range(migrations):
         plan.faults.append(
             FaultPlan(
                 "cell_move",
-                MIGRATIONS_START_AT + number * every,
+                MIGRATIONS_START_AT + number * interval,
                 0,
                 magnitude=MAP_SKEW,
                 targets=[number % MIGRATING_TENANTS],
@@ -147,11 +147,11 @@
     ending = "undo" if number % 3 == 2 else "done"
     if number % MIGRATIONS_PER_KILL:
         return ending
-    process, step = KILLS[number // MIGRATIONS_PER_KILL % len(KILLS)]
+    process, step = KILL_VARIANTS[number // MIGRATIONS_PER_KILL % len(KILL_VARIANTS)]
     return f"{ending} {process} {step}"
 
 
-def _fleet(
+def _plan_without_faults(
     name: str,
     seed: int,
     duration: int,
@@ -211,6 +211,7 @@
     }
 
 
+# The scenarios by their names on the command line.
 SCENARIOS: dict[str, Callable[[int], ScenarioPlan]] = {
     "bad-night": bad_night,
     "quiet": quiet,
--- a/runspool/lab/clients.py
+++ b/runspool/lab/clients.py
@@ -18,9 +18,10 @@
 MIN_TIME_LEFT = 500  # tenths of a millisecond; with less left of the time limit, a client does not retry
 CONNECT_TIMEOUT = 1.0  # seconds
 
-# Recorded outcomes of an attempt, with `left` for a client that disconnected.
-FINAL_OUTCOMES = frozenset({"succeeded", "left", "malformed"})  # no retry follows
-NOT_EXECUTED_OUTCOMES = frozenset({"dismissed", "refused", "unreachable"})  # a retry is always safe
+# Kinds of outcome (see ClientOutcome) after which a client does not retry.
+FINAL_OUTCOMES = frozenset({"succeeded", "left", "malformed"})
+# Kinds of outcome after which a client may always retry, because the request has not been executed.
+NOT_EXECUTED_OUTCOMES = frozenset({"dismissed", "refused", "unreachable"})
 
 
 class WorkloadClients:
@@ -29,13 +30,13 @@
     Attributes:
         plan: the plan of the scenario.
         load_balancer: selects a front for each attempt.
-        record: records what the clients send and receive.
+        recorder: records what the clients send and receive.
     """
 
-    def __init__(self, plan: ScenarioPlan, load_balancer: LoadBalancer, record: Recorder) -> None:
+    def __init__(self, plan: ScenarioPlan, load_balancer: LoadBalancer, recorder: Recorder) -> None:
         self.plan = plan
         self.load_balancer = load_balancer
-        self.record = record
+        self.recorder = recorder
 
     async def run(self, requests: list[PlannedRequest], start: int) -> None:
         """Send every request at its planned time and wait until all have ended.
@@ -44,7 +45,7 @@
         """
         async with anyio.create_task_group() as tasks:
             for request in requests:
-                wait = start + request.at - now()
+                wait = start + request.send_at - now()
                 if wait > 0:
                     await anyio.sleep(wait / SECOND)
                 tasks.start_soon(self._send, request)
@@ -59,7 +60,7 @@
                 time_left -= now() - first_attempt_at
             if time_left < MIN_TIME_LEFT:
                 return
-            outcome = await self.attempt(request, number, time_left)
+            outcome = await self.send_attempt(request, number, time_left)
             if outcome.kind in FINAL_OUTCOMES:
                 return
             if not _may_retry(outcome, request_class, first_attempt_at):
@@ -67,7 +68,7 @@
             pause = request.backoff + (outcome.retry_after if request.backoff else 0)
             await anyio.sleep(pause / SECOND)
 
-    async def attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
+    async def send_attempt(self, request: PlannedRequest, number: int, time_limit: int) -> ClientOutcome:
         """Make one attempt at a request: send it, read the response and record both.
 
         Args:
@@ -76,10 +77,10 @@
             time_limit: how long the client waits for the response, in tenths of a millisecond.
         """
         attempt_id = f"{request.id}.{number}"
-        front_index = self.load_balancer.pick(self.plan.zones[request.zone_index])
+        front_index = self.load_balancer.select_front(self.plan.zones[request.zone_index])
         self._record_attempt(request, attempt_id, number, front_index, time_limit)
         outcome = await self._connect_and_exchange(request, attempt_id, front_index, time_limit)
-        self.record.line(
+        self.recorder.record_event(
             "answer",
             kind=outcome.kind,
             code=outcome.code,
@@ -92,7 +93,7 @@
         self, request: PlannedRequest, attempt_id: str, number: int, front_index: int, time_limit: int
     ) -> None:
         plan = self.plan
-        self.record.line(
+        self.recorder.record_event(
             "asked",
             item=request.id,
             front=plan.fronts[front_index].name,
@@ -110,6 +111,7 @@
     async def _connect_and_exchange(
         self, request: PlannedRequest, attempt_id: str, front_index: int, time_limit: int
     ) -> ClientOutcome:
+        """Connect to a front, send the request and read the response."""
         try:
             with anyio.fail_after(CONNECT_TIMEOUT):
                 stream = await anyio.connect_tcp(*self.load_balancer.addresses[front_index])
@@ -133,8 +135,8 @@
             connection.send(h11.EndOfMessage())
         except CONNECTION_ERRORS:
             return ClientOutcome("lost", "while_sending")
-        self.record.line("sent", **{"try": attempt_id})
-        reader = ResponseReader(self.record, request, attempt_id, stream, connection)
+        self.recorder.record_event("sent", **{"try": attempt_id})
+        reader = ResponseReader(self.recorder, request, attempt_id, stream, connection)
         deadline = started_at + time_limit + LATE_ANSWER_GRACE
         if not request.disconnects_after:
             return await reader.read(deadline)
--- a/runspool/lab/engine_model.py
+++ b/runspool/lab/engine_model.py
@@ -19,13 +19,13 @@
 
 BLOCK_TOKENS = 64  # tokens per block, the unit in which the prefix cache stores and evicts
 PREFILL_CHUNK_TOKENS = 2048  # upper bound on the prompt tokens prefilled in one step
-# How much random arrivals may exceed the budget of a cold engine before it crashes, in multiples of the mean
-# work of a request.
+# How far the load may exceed the budget of a cold engine by chance before it crashes, in multiples of the
+# largest mean work of a request class.
 COLD_OVERLOAD_TOLERANCE = 3.0
 
 
 class EngineSpec(msgspec.Struct, frozen=True):
-    """The fixed properties of an engine. `name` in a field is its name in stored plans.
+    """The fixed properties of an engine. Plans are stored with the `name` that a field gives, if any.
 
     Attributes:
         name: the engine's name, unique in the plan.
@@ -44,11 +44,10 @@
         slow_start_initial_fraction: the fraction of its capacity that a cold engine has when it starts.
         slow_start_duration: the time until a cold engine has its full capacity.
         slow_start_overload_multiple: the load, as a multiple of its present capacity, above which a cold
-        engine
-            crashes.
+            engine crashes.
         slow_start_overload_window: the time over which this load is measured.
         state_ttl: the time for which the engine holds a prefill state that no engine fetches.
-        mean_work: for each request class, the mean time that a request takes at full capacity.
+        mean_work: for each request class, the mean engine time that a request takes at full capacity.
         cache_capacity_blocks: the capacity of the prefix cache in blocks.
     """
 
@@ -101,10 +100,10 @@
         request_class: the name of the request class.
         prompt_tokens: the length of the prompt.
         block_hashes: the hash of each block of the prompt, computed over the prompt up to the end of the
-        block.
+            block.
         output_tokens: the number of tokens to generate.
         decodes: whether it generates tokens; if not, it only prefills its prompt and produces a prefill
-        state.
+            state.
         fetches_state: whether it decodes from a prefill state that has to be fetched from another engine.
         phase: the present phase.
         prefill_remaining: the number of tokens that are still to be prefilled.
@@ -172,7 +171,7 @@
         overloaded: whether the engine has been overloaded during its slow start.
         slowdown: the factor by which the engine is slower than usual; 1 without faults.
         network_slowdown: the factor by which transfers out of the rack are slower than usual; 1 without
-        faults.
+            faults.
         outgoing_transfers: the number of states that other engines are fetching at present.
     """
 
@@ -343,6 +342,7 @@
         job.phase = Phase.PREFILLING
 
     def _prefill(self, job: Job, tokens: int, result: StepResult) -> None:
+        """Prefill a part of a job's tokens; after the last part, cache its blocks and let it decode."""
         job.prefill_remaining -= tokens
         if job.prefill_remaining > 0:
             return
@@ -353,6 +353,7 @@
             result.prefilled.append(job)
 
     def _decode(self, job: Job, result: StepResult) -> None:
+        """Generate one token of a job, and remove the job after its last."""
         job.generated_tokens += 1
         job.allocated_tokens += 1
         self.used_memory += 1
@@ -362,6 +363,7 @@
             self.remove(job)
 
     def _cache(self, blocks: Sequence[int]) -> None:
+        """Add blocks to the prefix cache, and evict the least recently used ones over its capacity."""
         for block in blocks:
             self.cached_blocks[block] = None
             self.cached_blocks.move_to_end(block)
--- a/runspool/lab/response_faults.py
+++ b/runspool/lab/response_faults.py
@@ -20,35 +20,37 @@
 SILENT_STREAM = "silent_stream"
 
 RESPONSE_FAULTS = (
-    RESET_BEFORE_BODY,
-    "reset_after",
-    "close_after",
-    SILENT,
-    "full_429",
-    "full_503",
-    "bad_400",
-    "missing_404",
-    FAILED_500,
-    "failed_500_after_run",
-    "garbled",
-    "garbled_status",
-    "endless",
-    "cut_answer",
-    CUT_STREAM,
-    RESET_STREAM,
-    SILENT_STREAM,
-    NO_FINISH,
-    ERROR_EVENT,
-    "head_garbled",
-    "huge_event",
+    RESET_BEFORE_BODY,  # reset of the connection before the body of the request is read
+    "reset_after",  # reset after execution, without a response
+    "close_after",  # close after execution, without a response
+    SILENT,  # no response; the connection stays open
+    "full_429",  # rejection with the status 429
+    "full_503",  # rejection with the status 503
+    "bad_400",  # rejection with the status 400
+    "missing_404",  # rejection with the status 404
+    FAILED_500,  # status 500 without execution
+    "failed_500_after_run",  # status 500 after execution
+    "garbled",  # body that is not complete JSON
+    "garbled_status",  # status that the protocol does not define (302)
+    "endless",  # event that never ends
+    "cut_answer",  # close before the end of a response with Content-Length
+    CUT_STREAM,  # close of a stream after some tokens
+    RESET_STREAM,  # reset of a stream after some tokens
+    SILENT_STREAM,  # stream without data after some tokens; the connection stays open
+    NO_FINISH,  # stream that ends without a finish reason
+    ERROR_EVENT,  # stream that ends with an error event
+    "head_garbled",  # response that is not HTTP
+    "huge_event",  # event of HUGE_EVENT_BYTES
 )
-STREAM_FAULTS = (CUT_STREAM, RESET_STREAM, SILENT_STREAM)
+STREAM_FAULTS = (CUT_STREAM, RESET_STREAM, SILENT_STREAM)  # faults that interrupt a stream
 TOKENS_BEFORE_STREAM_FAULT = 2  # tokens that are streamed before a fault of STREAM_FAULTS is injected
 
+# The faults that are rejections, with their status codes.
 REJECTION_STATUSES = {"full_429": 429, "full_503": 503, "bad_400": 400, "missing_404": 404}
+# The faults that simulate a failure after the request has been executed.
 EXECUTED_FAULTS = ("reset_after", "close_after", "failed_500_after_run")
 
-ENDLESS_PART = b"data: " + b"x" * 8192
+ENDLESS_CHUNK = b"data: " + b"x" * 8192
 HUGE_EVENT_BYTES = 1_000_000
 
 
@@ -79,7 +81,7 @@
     return "mishap"
 
 
-async def break_stream(received: ReceivedRequest, fault: str) -> None:
+async def interrupt_stream(received: ReceivedRequest, fault: str) -> None:
     """Interrupt an open stream with one of STREAM_FAULTS."""
     if fault == SILENT_STREAM:
         await received.disconnected.wait()
@@ -89,37 +91,37 @@
         await received.close()
 
 
-async def end_stream_wrongly(received: ReceivedRequest, fault: str) -> None:
+async def end_stream_abnormally(received: ReceivedRequest, fault: str) -> None:
     """End a stream without a finish reason (NO_FINISH), or with an error event instead (ERROR_EVENT)."""
     if fault == ERROR_EVENT:
         await received.send_chunk(b"data: " + error_body("engine", "broke", "the engine broke") + b"\n\n")
     await received.end_stream()
 
 
-async def _fail(received: ReceivedRequest) -> None:
+async def _respond_with_failure(received: ReceivedRequest) -> None:
     await received.respond(500, error_body("engine", FAILED_500, "failed before it ran"))
 
 
-async def _fail_after_execution(received: ReceivedRequest) -> None:
+async def _respond_with_failure_after_execution(received: ReceivedRequest) -> None:
     await received.respond(500, error_body("engine", "failed_500_after_run", "failed after it ran"))
 
 
-async def _garble_body(received: ReceivedRequest) -> None:
+async def _send_malformed_body(received: ReceivedRequest) -> None:
     await received.respond(200, b'{"choices": [')
 
 
-async def _garble_status(received: ReceivedRequest) -> None:
+async def _send_unexpected_status(received: ReceivedRequest) -> None:
     await received.stream.send(b"HTTP/1.1 302 Found\r\nContent-Length: 0\r\n\r\n")
 
 
-async def _garble_head(received: ReceivedRequest) -> None:
+async def _send_malformed_head(received: ReceivedRequest) -> None:
     await received.stream.send(b"\x00\x01\x02 nonsense\r\n\r\n")
 
 
 async def _respond_endlessly(received: ReceivedRequest) -> None:
     await received.stream.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     while True:
-        await received.stream.send(b"%x\r\n%b\r\n" % (len(ENDLESS_PART), ENDLESS_PART))
+        await received.stream.send(b"%x\r\n%b\r\n" % (len(ENDLESS_CHUNK), ENDLESS_CHUNK))
 
 
 async def _send_huge_event(received: ReceivedRequest) -> None:
@@ -128,20 +130,21 @@
     await received.end_stream()
 
 
-async def _cut_response(received: ReceivedRequest) -> None:
+async def _send_truncated_response(received: ReceivedRequest) -> None:
     await received.stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n{")
     await received.close()
 
 
+# The functions that inject faults in place of the normal response.
 _INJECTIONS: dict[str, Callable[[ReceivedRequest], Awaitable[None]]] = {
     "reset_after": ReceivedRequest.reset,
     "close_after": ReceivedRequest.close,
-    FAILED_500: _fail,
-    "failed_500_after_run": _fail_after_execution,
-    "garbled": _garble_body,
-    "garbled_status": _garble_status,
-    "head_garbled": _garble_head,
+    FAILED_500: _respond_with_failure,
+    "failed_500_after_run": _respond_with_failure_after_execution,
+    "garbled": _send_malformed_body,
+    "garbled_status": _send_unexpected_status,
+    "head_garbled": _send_malformed_head,
     "endless": _respond_endlessly,
     "huge_event": _send_huge_event,
-    "cut_answer": _cut_response,
+    "cut_answer": _send_truncated_response,
 }
--- a/runspool/lab/response_reader.py
+++ b/runspool/lab/response_reader.py
@@ -19,8 +19,8 @@
 IDLE_TIMEOUT = 20.0  # seconds without data after which a client abandons a stream
 TRAILING_DATA_TIMEOUT = 0.3  # seconds for which a client checks for data after the end of the response
 SLOW_READ_PAUSE = 0.05  # seconds between reads of a client that reads slowly
-READ_SIZE = 65_536  # bytes
-MAX_EVENT_BYTES = 1 << 20  # upper bound on one server-sent event
+READ_SIZE = 65_536  # bytes requested from the socket at a time
+MAX_EVENT_BYTES = 1 << 20  # bytes; upper bound on one server-sent event
 
 STREAM_DONE = b"[DONE]"
 HTTP_OK = 200
@@ -43,9 +43,8 @@
 
     Attributes:
         kind: the recorded word for the outcome: "succeeded", "dismissed" or "scrapped" as the front reports
-        it,
-            "refused" (rejected before admission), "malformed", "unreachable" (connecting failed), "lost" (the
-            response ended early), "none" (no response in time) or "left" (the client disconnected).
+            it, "refused" (rejected before admission), "malformed", "unreachable" (connecting failed), "lost"
+            (the response ended early), "none" (no response in time) or "left" (the client disconnected).
         code: the error code or finish reason of the response, or what failed.
         retry_after: the time after which the front allows a retry, in tenths of a millisecond.
         ended_at: when the end of the response was received, in tenths of a millisecond; 0 if it was not.
@@ -61,7 +60,7 @@
     """Reads the response to one attempt.
 
     Attributes:
-        record: records what is received.
+        recorder: records what is received.
         request: the request.
         attempt_id: the id of the attempt.
         stream: the connection to the front.
@@ -70,13 +69,13 @@
 
     def __init__(
         self,
-        record: Recorder,
+        recorder: Recorder,
         request: PlannedRequest,
         attempt_id: str,
         stream: SocketStream,
         connection: h11.Connection,
     ) -> None:
-        self.record = record
+        self.recorder = recorder
         self.request = request
         self.attempt_id = attempt_id
         self.stream = stream
@@ -101,9 +100,10 @@
             return ClientOutcome("lost", type(error).__name__)
 
     async def _read_stream(self) -> ClientOutcome:
-        streamed = _StreamedResponse(self.record, self.attempt_id)
-        # The deadline applies to the start of the stream only. From here on, only an idle timeout ends the
-        # read.
+        """Read a streamed response whose head has been read."""
+        streamed = _StreamedResponse(self.recorder, self.attempt_id)
+        # The deadline applies only to the start of the stream. From here on, the idle timeout applies
+        # instead.
         with anyio.CancelScope(shield=True) as scope:
             scope.deadline = anyio.current_time() + IDLE_TIMEOUT
             while True:
@@ -121,6 +121,7 @@
         return ClientOutcome("none", "stalled")
 
     async def _read_complete(self, head: h11.Response) -> ClientOutcome:
+        """Read a response that is not streamed, or an error response, whose head has been read."""
         body = bytearray()
         while isinstance(event := await self._next_event(), h11.Data):
             body += event.data
@@ -129,7 +130,7 @@
         ended_at = now()
         message = _parse(bytes(body))
         if head.status_code == HTTP_OK:
-            self.record.line("first", whole=True, **{"try": self.attempt_id})
+            self.recorder.record_event("first", whole=True, **{"try": self.attempt_id})
             return await self._read_trailing_data(ClientOutcome("succeeded", ended_at=ended_at))
         outcome = _outcome_of_error(head, message, ended_at)
         if outcome.kind == "malformed":
@@ -146,7 +147,7 @@
         return event
 
     async def _read_trailing_data(self, outcome: ClientOutcome) -> ClientOutcome:
-        """Record data that follows the end of the response, which the audit counts as a second response."""
+        """Record data after the end of the response, which the audit reports; return `outcome`."""
         if not await self._read_end_of_message():
             return outcome
         trailing = bytes(self.connection.trailing_data[0])
@@ -157,7 +158,7 @@
             except (anyio.EndOfStream, anyio.BrokenResourceError, OSError):
                 pass
         if trailing:
-            self.record.line("extra", bytes=len(trailing), **{"try": self.attempt_id})
+            self.recorder.record_event("extra", bytes=len(trailing), **{"try": self.attempt_id})
         return outcome
 
     async def _read_end_of_message(self) -> bool:
@@ -175,8 +176,8 @@
     Stand-in engines generate the tokens t1, t2 and so on, so a missing or repeated token is detected.
     """
 
-    def __init__(self, record: Recorder, attempt_id: str) -> None:
-        self.record = record
+    def __init__(self, recorder: Recorder, attempt_id: str) -> None:
+        self.recorder = recorder
         self.attempt_id = attempt_id
         self.splitter = EventSplitter(MAX_EVENT_BYTES)
         self.finish_reason = ""
@@ -196,7 +197,9 @@
         return None
 
     def _finish(self) -> ClientOutcome:
-        self.record.line("end", tokens=self.tokens, finish=self.finish_reason, **{"try": self.attempt_id})
+        self.recorder.record_event(
+            "end", tokens=self.tokens, finish=self.finish_reason, **{"try": self.attempt_id}
+        )
         kind = "succeeded" if self.finish_reason else "lost"
         return ClientOutcome(kind, self.finish_reason, ended_at=now())
 
@@ -206,14 +209,14 @@
                 self._check_token(token)
             if not self.has_begun:
                 self.has_begun = True
-                self.record.line("first", **{"try": self.attempt_id})
+                self.recorder.record_event("first", **{"try": self.attempt_id})
         self.finish_reason = choice.finish_reason or self.finish_reason
 
     def _check_token(self, token: str) -> None:
         """Record a token that is not the next in sequence."""
         number = self.tokens + 1
         if token != f"t{number}":
-            self.record.line("gap", said=token, wanted=number, **{"try": self.attempt_id})
+            self.recorder.record_event("gap", said=token, wanted=number, **{"try": self.attempt_id})
         self.tokens = number
 
 
--- a/runspool/lab/scenario_runner.py
+++ b/runspool/lab/scenario_runner.py
@@ -39,11 +39,11 @@
     The arguments of `__init__` are attributes too.
 
     Attributes:
-        parts: the folder for the recordings of the individual processes.
-        record: records the events of clients, endpoint list and faults.
+        recordings_folder: the folder for the recordings of the individual processes.
+        recorder: records the events of clients, endpoint list and faults.
         fleet: the processes; set when the run begins.
         tenant_migrator: migrates tenants; None for a plan without cells.
-        start: the start of the scenario, in tenths of a millisecond.
+        start_time: the start of the scenario, in tenths of a millisecond.
     """
 
     def __init__(
@@ -73,52 +73,52 @@
         self.record_events = record_events
         self.front_command = front_command or [*RUNSPOOL_COMMAND, "front"]
         self.engines_per_process = engines_per_process
-        self.parts = folder / "parts"
-        self.record = Recorder(None)
-        self.fleet: ScenarioFleet  # set by play()
+        self.recordings_folder = folder / "parts"
+        self.recorder = Recorder(None)
+        self.fleet: ScenarioFleet  # set by run()
         self.tenant_migrator: TenantMigrator | None = None
-        self.start = 0
+        self.start_time = 0
 
-    async def play(self) -> Path:
+    async def run(self) -> Path:
         """Run the whole scenario and return the path of its recording.
 
         Raises:
             ScenarioFailedError: there are not enough free ports, or a process does not start.
         """
-        self._clear_parts()
-        self.record = Recorder(self.parts / "director.jsonl")
+        self._clear_recordings()
+        self.recorder = Recorder(self.recordings_folder / "director.jsonl")
         self.fleet = self._new_fleet()
         reservation = reserve_ports(len(self.plan.engines) + len(self.plan.fronts))
         self._assign_ports(reservation)
         requests = draw_workload(self.plan)
         (self.folder / "plan.json").write_bytes(msgspec.json.encode(self.plan))
-        self.record.line("day", plan=msgspec.to_builtins(self.plan), items=len(requests))
+        self.recorder.record_event("day", plan=msgspec.to_builtins(self.plan), items=len(requests))
         try:
             await self._run_with_fleet(requests)
         finally:
             with anyio.CancelScope(shield=True):
                 await self.fleet.close()
             reservation.release()
-        self.record.close()
+        self.recorder.close()
         merged = self.folder / "wire.jsonl"
-        recording.merge_recordings(sorted(self.parts.iterdir()), merged)
+        recording.merge_recordings(sorted(self.recordings_folder.iterdir()), merged)
         return merged
 
     def _new_fleet(self) -> ScenarioFleet:
         return ScenarioFleet(
             self.plan,
             self.folder,
-            self.parts,
-            self.record,
+            self.recordings_folder,
+            self.recorder,
             self.record_events,
             self.front_command,
             self.engines_per_process,
         )
 
-    def _clear_parts(self) -> None:
+    def _clear_recordings(self) -> None:
         """Create the folder for the recordings of the processes, and remove those of an earlier run."""
-        self.parts.mkdir(parents=True, exist_ok=True)
-        for part in self.parts.iterdir():
+        self.recordings_folder.mkdir(parents=True, exist_ok=True)
+        for part in self.recordings_folder.iterdir():
             part.unlink()
 
     def _assign_ports(self, reservation: PortReservation) -> None:
@@ -133,7 +133,7 @@
             await tasks.start(self.fleet.endpoint_list.run, HOST, 0)
             if self.plan.cells is not None:
                 self.tenant_migrator = TenantMigrator(
-                    self.plan, self.folder, self.record, self.fleet.restart_beside_migration
+                    self.plan, self.folder, self.recorder, self.fleet.restart_during_migration
                 )
             await self.fleet.start()
             await self.run_workload(requests)
@@ -142,9 +142,9 @@
 
     async def run_workload(self, requests: list[PlannedRequest]) -> None:
         """Send the requests and inject the faults; return when all requests have ended."""
-        self.start = now() + START_LEAD
-        self.record.line("begin", at=self.start)
-        clients = WorkloadClients(self.plan, self.fleet.load_balancer, self.record)
+        self.start_time = now() + START_LEAD
+        self.recorder.record_event("begin", at=self.start_time)
+        clients = WorkloadClients(self.plan, self.fleet.load_balancer, self.recorder)
         async with anyio.create_task_group() as tasks:
             self._start_faults(tasks)
             tasks.start_soon(self._record_lag)
@@ -152,14 +152,14 @@
                 tasks.start_soon(self._restart_crashed_engines, tasks)
             if self.progress is not None:
                 tasks.start_soon(self._report_progress, self.progress)
-            await clients.run(requests, self.start)
-            self.record.line("all_asked")
+            await clients.run(requests, self.start_time)
+            self.recorder.record_event("all_asked")
             await anyio.sleep(RELEASE_TIME)
             tasks.cancel_scope.cancel()
 
     def _start_faults(self, tasks: anyio.abc.TaskGroup) -> None:
-        injector = FaultInjector(self.plan, self.fleet, self.record, self.tenant_migrator)
-        injector.start = self.start
+        injector = FaultInjector(self.plan, self.fleet, self.recorder, self.tenant_migrator)
+        injector.start_time = self.start_time
         for fault in self.plan.faults:
             tasks.start_soon(injector.inject, fault)
 
@@ -181,9 +181,9 @@
             due = now() + LAG_INTERVAL
             await anyio.sleep(LAG_INTERVAL / SECOND)
             if now() > due + MAX_LAG:
-                self.record.line("lag", late=now() - due)
+                self.recorder.record_event("lag", late=now() - due)
 
     async def _report_progress(self, progress: Callable[[float], None]) -> None:
         while True:
-            progress((now() - self.start) / self.plan.duration)
+            progress((now() - self.start_time) / self.plan.duration)
             await anyio.sleep(PROGRESS_INTERVAL)
--- a/runspool/lab/simulator_scenarios.py
+++ b/runspool/lab/simulator_scenarios.py
@@ -20,12 +20,13 @@
 from runspool.lab.scripted_scenarios import plan_engine, source_address
 
 SimulatorScenario = dict[str, Any]  # scenario of the simulator, as decoded from JSON
-SimulatorRow = dict[str, Any]  # object in a list of such a scenario
+SimulatorObject = dict[str, Any]  # object in a list of such a scenario
 
-MICROSECONDS = 100  # microseconds in a tenth of a millisecond
+MICROSECONDS_PER_TENTH_MS = 100  # microseconds in a tenth of a millisecond
 RATE_PER_ENGINE = 5.5  # requests per second and engine at the simulator's load 1
 UNLIMITED_RATE = 1e6  # requests per second; quota that no tenant reaches
 HEAVY_WORK = 200_000  # microseconds; request classes whose mean work is longer get long prompts
+# The values in plans for those of the simulator.
 IDEMPOTENCIES = {"safe": "rerunnable", "keyed": "ticketed", "unsafe": "exclusive"}
 DEDUPLICATION_SCOPES = {"all": "all", "zone": "zone", "cell": "rack"}
 ENGINE_TYPES = ("prefill", "decode", "mixed")
@@ -77,7 +78,7 @@
     return ScenarioPlan(
         name=str(scenario.get("site", "bench")),
         seed=rng.randrange(1 << 30),
-        duration=_tenths(scenario["length"]),
+        duration=_to_tenths_of_ms(scenario["length"]),
         requests_per_second=scale * load * engine_count * RATE_PER_ENGINE,
         zones=zones,
         request_classes=request_classes,
@@ -86,28 +87,28 @@
         engines=engines,
         faults=faults,
         load_shape=[(float(second), float(multiple)) for second, multiple in scenario["traffic"]["shape"]],
-        endpoint_list_delay=_tenths(scenario["discovery"]["notice"]),
-        drain_grace=_tenths(scenario["drain_grace"]),
+        endpoint_list_delay=_to_tenths_of_ms(scenario["discovery"]["notice"]),
+        drain_grace=_to_tenths_of_ms(scenario["drain_grace"]),
         max_attempts=int(scenario["allow"]["max_attempts"]),
         slow_start_overload_multiple=float(scenario["fall_multiple"]),
-        slow_start_overload_window=_tenths(scenario["fall_for"]),
+        slow_start_overload_window=_to_tenths_of_ms(scenario["fall_for"]),
         clients=ClientsPlan(
             retries=int(clients["retries"]),
-            backoff=_tenths(clients["backoff_us"]),
+            backoff=_to_tenths_of_ms(clients["backoff_us"]),
             attempt_time_share=float(clients["try_share"]),
-            failover_delay=_tenths(scenario.get("front_notice", 2_000_000)),
+            failover_delay=_to_tenths_of_ms(scenario.get("front_notice", 2_000_000)),
             disconnecting_share=float(clients.get("impatient", 0.0)),
             slow_reading_share=0.0,
         ),
     )
 
 
-def _tenths(microseconds: str | float) -> int:
+def _to_tenths_of_ms(microseconds: str | float) -> int:
     """Convert microseconds to tenths of a millisecond."""
-    return int(microseconds) // MICROSECONDS
+    return int(microseconds) // MICROSECONDS_PER_TENTH_MS
 
 
-def _request_classes(rows: list[SimulatorRow]) -> list[RequestClassPlan]:
+def _request_classes(rows: list[SimulatorObject]) -> list[RequestClassPlan]:
     """Convert the request classes, with shares that add up to 1."""
     request_classes = [_request_class(row) for row in rows]
     total = sum(request_class.share for request_class in request_classes)
@@ -116,7 +117,7 @@
     return request_classes
 
 
-def _request_class(row: SimulatorRow) -> RequestClassPlan:
+def _request_class(row: SimulatorObject) -> RequestClassPlan:
     idempotency = IDEMPOTENCIES[row["effect"]]
     scope = DEDUPLICATION_SCOPES[row["group"]]
     heavy = float(row["work"]) > HEAVY_WORK
@@ -125,9 +126,9 @@
         share=float(row["share"]),
         idempotency=idempotency,  # type: ignore[arg-type]
         priority_weight=float(row["worth"]),
-        first_token_objective=_tenths(row["aim"]),
+        first_token_objective=_to_tenths_of_ms(row["aim"]),
         first_token_objective_per_1000_tokens=400,
-        time_limit=_tenths(row["deadline"]),
+        time_limit=_to_tenths_of_ms(row["deadline"]),
         time_per_output_token=700,
         new_prompt_tokens=1500 if heavy else 250,
         output_tokens=60,
@@ -136,7 +137,7 @@
         prefix_tokens=1500,
         late_value=float(row["late_worth"]),
         deduplication_scope=scope,  # type: ignore[arg-type]
-        deduplication_window=_tenths(row["window"]),
+        deduplication_window=_to_tenths_of_ms(row["window"]),
     )
 
 
@@ -152,13 +153,13 @@
     return [
         plan_engine(
             f"engine-{index}",
-            _engine_type(type_names[servers[picked]["kind"]]),
-            zones[servers[picked]["zone"]],
-            int(servers[picked]["cell"]),
+            _engine_type(type_names[servers[selected]["kind"]]),
+            zones[servers[selected]["zone"]],
+            int(servers[selected]["cell"]),
             request_classes,
             rng,
         )
-        for index, picked in enumerate(_pick_servers(servers, count))
+        for index, selected in enumerate(_select_servers(servers, count))
     ]
 
 
@@ -167,7 +168,7 @@
     return name if name in ENGINE_TYPES else "mixed"
 
 
-def _pick_servers(servers: list[SimulatorRow], count: int) -> list[int]:
+def _select_servers(servers: list[SimulatorObject], count: int) -> list[int]:
     """Return the indices of `count` servers that represent all servers.
 
     Each type and each zone keeps about its share, and each type has at least one server.
@@ -175,10 +176,10 @@
     order = sorted(
         range(len(servers)), key=lambda index: (servers[index]["kind"], servers[index]["zone"], index)
     )
-    picked = [order[index * len(order) // count] for index in range(count)]
-    for kind in {row["kind"] for row in servers} - {servers[index]["kind"] for index in picked}:
-        picked[-1 - kind % count] = next(index for index in order if servers[index]["kind"] == kind)
-    return picked
+    selected = [order[index * len(order) // count] for index in range(count)]
+    for kind in {row["kind"] for row in servers} - {servers[index]["kind"] for index in selected}:
+        selected[-1 - kind % count] = next(index for index in order if servers[index]["kind"] == kind)
+    return selected
 
 
 def _tenants(scenario: SimulatorScenario) -> list[TenantPlan]:
@@ -196,7 +197,7 @@
     for row in scenario["troubles"]:
         targets = _scale_indices(row["on"], server_count, engine_count)
         steps = [
-            (_tenths(step["at"]), _scale_indices(step["stop"], balancer_count, front_count))
+            (_to_tenths_of_ms(step["at"]), _scale_indices(step["stop"], balancer_count, front_count))
             for step in row.get("steps", [])
         ]
         magnitude = float(row["size"])
@@ -205,8 +206,8 @@
         faults.append(
             FaultPlan(
                 kind=row["kind"],
-                starts_at=_tenths(row["at"]),
-                duration=_tenths(row["len"]),
+                starts_at=_to_tenths_of_ms(row["at"]),
+                duration=_to_tenths_of_ms(row["len"]),
                 magnitude=magnitude,
                 secondary_magnitude=float(row["extra"]),
                 targets=targets,
--- a/runspool/lab/tenant_migrator.py
+++ b/runspool/lab/tenant_migrator.py
@@ -26,8 +26,8 @@
 # the updates of the first and the last front, so that every front knows of a move before it starts.
 ANNOUNCEMENT_LEAD = 0.4
 START_MARGIN = 0.1  # seconds after the scheduled start at which the move has started on every front
-UNDO_DELAY = 1.0  # seconds from START_MARGIN to the undo of a move
-FINISH_MARGIN_MS = 300  # milliseconds added to the time for which requests stay bound to the former cell
+UNDO_DELAY = 1.0  # seconds from the end of START_MARGIN to the undo of a move
+FINISH_MARGIN_MS = 300  # milliseconds to wait after `max_binding_time` before a move is completed
 
 # A process is killed during every fourth move; successive kills select the fronts or engines in turn.
 MOVES_PER_KILL = 4
@@ -39,27 +39,27 @@
 class _MoveMode:
     """How a move proceeds, as parsed from the mode of a fault.
 
-    A mode consists of "undo" or "done" and, if a process is killed, the values of `victim` and `kill_step`,
-    all separated by spaces.
+    A mode consists of "undo" or "done" and, if a process is killed, the values of `killed_process` and
+    `kill_step`, all separated by spaces.
 
     Attributes:
         is_undone: whether the move is undone half-way instead of completed.
-        victim: the process that is killed: "front", "source" or "target" (an engine in the source or target
-            cell); empty if none is.
+        killed_process: the process that is killed: "front", or "source" or "target" for an engine in that
+            cell of the move; empty if none is.
         kill_step: when it is killed: "ahead" (before the move starts), "settling" (after its start) or "over"
             (after it was completed or undone).
     """
 
     is_undone: bool
-    victim: str
+    killed_process: str
     kill_step: str
 
 
 def _parse_mode(mode: str) -> _MoveMode:
     """Parse the mode of a fault of the kind `cell_move`."""
     ending, _, kill = mode.partition(" ")
-    victim, _, kill_step = kill.partition(" ")
-    return _MoveMode(ending == "undo", victim, kill_step)
+    killed_process, _, kill_step = kill.partition(" ")
+    return _MoveMode(ending == "undo", killed_process, kill_step)
 
 
 class TenantMigrator:
@@ -68,23 +68,26 @@
     Attributes:
         plan: the plan of the scenario.
         folder: the folder with the fronts' cell map files.
-        record: records every new version of the cell map.
-        kill: kills a process and starts it again; takes "front" or "engine", and the index in the plan.
+        recorder: records every new version of the cell map.
+        kill_process: kills a process and starts it again; takes "front" or "engine", and the index in the
+            plan.
         cell_map: the newest cell map.
         written_versions: the version of the map in each front's file.
     """
 
-    def __init__(self, plan: ScenarioPlan, folder: Path, record: Recorder, kill: KillProcess) -> None:
+    def __init__(
+        self, plan: ScenarioPlan, folder: Path, recorder: Recorder, kill_process: KillProcess
+    ) -> None:
         self.plan = plan
         self.folder = folder
-        self.record = record
-        self.kill = kill
+        self.recorder = recorder
+        self.kill_process = kill_process
         self.cell_map = CellMap.model_validate(plan.cells)
         self.written_versions = [0] * len(plan.fronts)
         for front_index in range(len(plan.fronts)):
             self._write(front_index, self.cell_map)
 
-    def longest_binding(self) -> int:
+    def max_binding_time(self) -> int:
         """Return how long requests may stay bound to a tenant's former cell, in tenths of a millisecond.
 
         A client may send a request with an idempotency key again until the deduplication window ends. If not
@@ -92,25 +95,25 @@
         """
         return max(
             (
-                row.deduplication_window + self.plan.max_time_limit
-                for row in self.plan.request_classes
-                if row.idempotency == "ticketed" and row.deduplication_scope != "all"
+                request_class.deduplication_window + self.plan.max_time_limit
+                for request_class in self.plan.request_classes
+                if request_class.idempotency == "ticketed" and request_class.deduplication_scope != "all"
             ),
             default=0,
         )
 
-    async def play(self, fault: FaultPlan) -> None:
+    async def migrate(self, fault: FaultPlan) -> None:
         """Carry out the move that a fault of the kind `cell_move` describes.
 
         Publish a map with the move, wait until the move has started, then complete or undo it. The magnitude
         is the time between the updates of one front and the next, in tenths of a millisecond.
         """
-        script = _parse_mode(fault.mode)
+        mode = _parse_mode(fault.mode)
         move = self._next_move(fault)
 
         async def kill_at(step: str) -> None:
-            if step == script.kill_step:
-                await self._kill_victim(script.victim, fault.subject_index, move)
+            if step == mode.kill_step:
+                await self._kill_selected_process(mode.killed_process, fault.subject_index, move)
 
         async with anyio.create_task_group() as tasks:
             planned = tenant_migration.plan_move(self.cell_map, move, [])
@@ -118,14 +121,16 @@
             tasks.start_soon(kill_at, "ahead")
             await anyio.sleep(ANNOUNCEMENT_LEAD + START_MARGIN)
             tasks.start_soon(kill_at, "settling")
-            if script.is_undone:
+            if mode.is_undone:
                 await anyio.sleep(UNDO_DELAY)
                 undone = tenant_migration.undo_move(self.cell_map, move.id, unix_ms())
                 self._publish(tasks, undone, fault.magnitude, "undone", move.id)
             else:
-                await anyio.sleep((self.longest_binding() / TENTHS_PER_MS + FINISH_MARGIN_MS) / MS_PER_SECOND)
+                await anyio.sleep(
+                    (self.max_binding_time() / TENTHS_PER_MS + FINISH_MARGIN_MS) / MS_PER_SECOND
+                )
                 finished = tenant_migration.finish_move(
-                    self.cell_map, move.id, unix_ms(), self.longest_binding()
+                    self.cell_map, move.id, unix_ms(), self.max_binding_time()
                 )
                 self._publish(tasks, finished, fault.magnitude, "done", move.id)
             tasks.start_soon(kill_at, "over")
@@ -144,17 +149,17 @@
             starts_unix_ms=unix_ms() + int(ANNOUNCEMENT_LEAD * MS_PER_SECOND),
         )
 
-    async def _kill_victim(self, victim: str, move_number: int, move: Move) -> None:
+    async def _kill_selected_process(self, killed_process: str, move_number: int, move: Move) -> None:
         """Kill and restart a front, or an engine in the source or target cell of a move."""
         kill_number = move_number // MOVES_PER_KILL
-        if victim == "front":
-            await self.kill("front", kill_number % len(self.plan.fronts))
+        if killed_process == "front":
+            await self.kill_process("front", kill_number % len(self.plan.fronts))
             return
-        cell = move.source if victim == "source" else move.target
+        cell = move.source if killed_process == "source" else move.target
         engines = [
             index for index, engine in enumerate(self.plan.engines) if engine.spec.name.startswith(f"{cell}-")
         ]
-        await self.kill("engine", engines[kill_number % len(engines)])
+        await self.kill_process("engine", engines[kill_number % len(engines)])
 
     def _publish(
         self, tasks: anyio.abc.TaskGroup, cell_map: CellMap, skew: float, change: str, move_id: str
@@ -164,7 +169,7 @@
         Each front's file is written `skew` tenths of a millisecond after that of the previous front.
         """
         self.cell_map = cell_map
-        self.record.line("map", version=cell_map.version, change=change, move=move_id)
+        self.recorder.record_event("map", version=cell_map.version, change=change, move=move_id)
         for front_index in range(len(self.plan.fronts)):
             tasks.start_soon(self._write_later, front_index, cell_map, front_index * skew / SECOND)
 
--- a/runspool/lab/workload.py
+++ b/runspool/lab/workload.py
@@ -64,7 +64,7 @@
 
     Attributes:
         id: the id of the request, unique in the scenario.
-        at: when it is sent, counted from the start of the scenario.
+        send_at: when it is sent, counted from the start of the scenario.
         zone_index: the index of the client's zone in the plan.
         request_class_index: the index of its request class in the plan.
         tenant_index: the index of its tenant in the plan.
@@ -79,15 +79,14 @@
         first_token_objective: the time within which the first token has to arrive for the full value.
         retries: the maximum number of retries.
         backoff: the time that the client waits before a retry. With 0, the client retries at once, ignores
-        the
-            wait that the front asks for, and gives each attempt the whole time limit.
+            the wait that the front asks for, and gives each attempt the whole time limit.
         disconnects_after: the time after which the client disconnects; 0 if it does not.
         reads_slowly: whether the client reads the stream slowly.
         poison: whether the request crashes an engine that is to decode it.
     """
 
     id: str
-    at: int
+    send_at: int
     zone_index: int
     request_class_index: int
     tenant_index: int
@@ -116,23 +115,25 @@
 def draw_workload(plan: ScenarioPlan) -> list[PlannedRequest]:
     """Return all requests of a scenario in the order in which they are sent."""
     faults = {kind: [fault for fault in plan.faults if fault.kind == kind] for kind in WORKLOAD_FAULT_KINDS}
-    requests = _draw_usual_sessions(plan, faults)
+    requests = _draw_regular_sessions(plan, faults)
     for number, burst in enumerate(faults["tenant_burst"]):
         requests += _draw_tenant_burst(plan, number, burst, faults)
-    requests.sort(key=lambda request: request.at)
+    requests.sort(key=lambda request: request.send_at)
     return requests
 
 
 def _session_rate(plan: ScenarioPlan) -> float:
     """Return the mean number of sessions that start per second."""
-    turns_per_session = sum(row.share * row.turns for row in plan.request_classes)
+    turns_per_session = sum(
+        request_class.share * request_class.turns for request_class in plan.request_classes
+    )
     return plan.requests_per_second / turns_per_session
 
 
-def _draw_usual_sessions(plan: ScenarioPlan, faults: FaultsByKind) -> list[PlannedRequest]:
+def _draw_regular_sessions(plan: ScenarioPlan, faults: FaultsByKind) -> list[PlannedRequest]:
     """Draw all requests except those that bursts of single tenants add."""
     rng = Random(plan.seed * SEED_MULTIPLIER + WORKLOAD_SEED_OFFSET)
-    sessions = _SessionDrawer(plan, rng, faults, [row.share for row in plan.tenants])
+    sessions = _SessionDrawer(plan, rng, faults, [tenant.share for tenant in plan.tenants])
     peak = plan.requests_per_second * PEAK_MULTIPLE
     mean_rate = _session_rate(plan)
     requests: list[PlannedRequest] = []
@@ -160,7 +161,7 @@
     if burst.magnitude <= 1:
         return requests
     rng = Random(plan.seed * SEED_MULTIPLIER + TENANT_BURST_SEED_OFFSET + burst_number)
-    share = plan.tenants[burst.subject_index].share / max(1e-9, sum(row.share for row in plan.tenants))
+    share = plan.tenants[burst.subject_index].share / max(1e-9, sum(tenant.share for tenant in plan.tenants))
     this_tenant_only = [float(index == burst.subject_index) for index in range(len(plan.tenants))]
     sessions = _SessionDrawer(plan, rng, faults, this_tenant_only)
     added_rate = _session_rate(plan) * share * (burst.magnitude - 1)
@@ -206,7 +207,7 @@
         self.rng = rng
         self.faults = faults
         self.tenant_weights = tenant_weights
-        self.request_class_weights = [row.share for row in plan.request_classes]
+        self.request_class_weights = [request_class.share for request_class in plan.request_classes]
 
     def draw(self, name: str, starts_at: int) -> list[PlannedRequest]:
         """Draw the requests of a session that starts at `starts_at`, one per turn."""
@@ -296,7 +297,7 @@
         time_limit = request_class.time_limit + 2 * objective_per_1000_tokens * prompt_tokens // 1000
         request = PlannedRequest(
             id=request_id,
-            at=at,
+            send_at=at,
             zone_index=session.zone_index,
             request_class_index=session.request_class_index,
             tenant_index=session.tenant_index,
@@ -321,7 +322,7 @@
         """Draw how the client deviates from the usual: disconnects, slow reads and effects of faults."""
         rng = self.rng
         clients = self.plan.clients
-        disconnect_faults = [fault for fault in self.faults["leaving"] if _is_active(fault, request.at)]
+        disconnect_faults = [fault for fault in self.faults["leaving"] if _is_active(fault, request.send_at)]
         disconnecting_share = clients.disconnecting_share + sum(
             fault.magnitude for fault in disconnect_faults
         )
@@ -340,7 +341,7 @@
         return [
             fault
             for fault in self.faults[kind]
-            if _is_active(fault, request.at) and fault.subject_index == request.tenant_index
+            if _is_active(fault, request.send_at) and fault.subject_index == request.tenant_index
         ]
 
 
--- a/tests/test_front_recordings.py
+++ b/tests/test_front_recordings.py
@@ -20,8 +20,8 @@
 async def test_a_recording_replays_to_the_same_actions(tmp_path: Path) -> None:
     recording = tmp_path / "front.tape"
     async with SmallFleet(tmp_path, FOUR_ENGINES).open(recording) as fleet:
-        fleet.engines[0].fault("row", row="failed_500", share=0.3)
-        fleet.engines[2].fault("row", row="reset_after", share=0.2)
+        fleet.engines[0].set_fault("row", row="failed_500", share=0.3)
+        fleet.engines[2].set_fault("row", row="reset_after", share=0.2)
         async with anyio.create_task_group() as tasks:
             for number in range(40):
                 tasks.start_soon(
@@ -34,17 +34,17 @@
                 )
         fleet.running.front.cell_scheduler("whole").recorder.close()
     replayed = replay(recording)
-    assert replayed.differs == ""
+    assert replayed.first_difference == ""
     assert replayed.events > 100
     assert replayed.actions > 100
     # A changed recording is found to differ.
     recording.write_bytes(recording.read_bytes().replace(b'"send",5,', b'"send",6,', 1))
-    assert "replayed action" in replay(recording).differs
+    assert "replayed action" in replay(recording).first_difference
 
 
 async def test_a_fleet_at_work_keeps_every_rule(tmp_path: Path) -> None:
     fleet = SmallFleet(tmp_path, FOUR_ENGINES)
-    fleet.record.line("day", plan=msgspec.to_builtins(fleet.plan))
+    fleet.recorder.record_event("day", plan=msgspec.to_builtins(fleet.plan))
     async with fleet.open():
         async with anyio.create_task_group() as tasks:
             for number in range(30):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -100,7 +100,7 @@
     one, two, other = (draw_workload(bad_night(seed)) for seed in (3, 3, 4))
     assert one == two != other
     assert {request.request_class_index for request in one} == {0, 1, 2}
-    assert all(before.at <= after.at for before, after in pairwise(one))
+    assert all(before.send_at <= after.send_at for before, after in pairwise(one))
 
 
 def test_a_bad_night_has_at_least_eight_faults_at_one_time_for_any_seed() -> None:
@@ -224,7 +224,7 @@
         FaultPlan("list_noise", SECOND, 4 * SECOND),
         FaultPlan("errors", 2 * SECOND, 3 * SECOND, magnitude=0.3, targets=[decode + 4]),
     ]
-    file = anyio.run(ScenarioRunner(plan, tmp_path).play)
+    file = anyio.run(ScenarioRunner(plan, tmp_path).run)
     verdict = scenario_verdict(recording.read_recording(file))
     write_report(verdict, tmp_path)
     assert verdict["kept"], verdict["rules"]
@@ -241,7 +241,7 @@
         for row in day["troubles"]
         if row["kind"] in ("ageing", "balancer_roll")
     ]  # also on top of itself
-    file = anyio.run(ScenarioRunner(plan_from_simulator_scenario(day, 2, 9, 0.5), tmp_path).play)
+    file = anyio.run(ScenarioRunner(plan_from_simulator_scenario(day, 2, 9, 0.5), tmp_path).run)
     verdict = scenario_verdict(recording.read_recording(file))
     assert verdict["kept"], verdict["rules"]
     assert {fault["kind"] for fault in verdict["troubles"]} >= {
@@ -254,7 +254,7 @@
 
 
 def test_a_tenants_flood_leaves_the_requests_of_all_others_as_they_were() -> None:
-    calm, flooded = draw_workload(flood(3, flooded=False)), draw_workload(flood(3))
+    calm, flooded = draw_workload(flood(3, with_fault=False)), draw_workload(flood(3))
     assert _of_others(flooded) == _of_others(calm)
     assert 4.5 < _count_in_flood(flooded) / _count_in_flood(calm) < 7.5
 
@@ -265,4 +265,4 @@
 
 def _count_in_flood(requests: list[PlannedRequest]) -> int:
     """The first tenant's requests from the flood's start to its end."""
-    return sum(40_000 <= request.at < 340_000 and request.tenant_index == 0 for request in requests)
+    return sum(40_000 <= request.send_at < 340_000 and request.tenant_index == 0 for request in requests)
