--- a/runspool/cli/lab.py
+++ b/runspool/cli/lab.py
@@ -17,12 +17,12 @@
 from runspool.lab import audit as auditing
 from runspool.lab import recording, report
 from runspool.lab import replay as event_replay
-from runspool.lab.cell_plans import SCENARIOS
+from runspool.lab.cell_scenarios import SCENARIOS
 from runspool.lab.engine import StandInEngine
 from runspool.lab.errors import ScenarioFailedError
 from runspool.lab.plan import EnginePlan, ScenarioPlan
 from runspool.lab.scenario_runner import ScenarioRunner
-from runspool.lab.simulator_days import UnplayableDayError, from_simulator_day
+from runspool.lab.simulator_scenarios import InvalidSimulatorScenarioError, plan_from_simulator_scenario
 
 EXIT_BROKEN = 1  # exit status if a rule was violated, a required rule was not exercised, or a replay differs
 EXIT_INVALID = 2  # exit status for an argument or a file that cannot be used
@@ -89,8 +89,8 @@
 ) -> None:
     """Play the faults of a benchmark day, at their times and sizes, with real fronts."""
     try:
-        plan = from_simulator_day(json.loads(file.read_text()), fronts, engines, scale)
-    except (OSError, ValueError, UnplayableDayError) as error:
+        plan = plan_from_simulator_scenario(json.loads(file.read_text()), fronts, engines, scale)
+    except (OSError, ValueError, InvalidSimulatorScenarioError) as error:
         _fail(f"{file}: {error}")
     _play(plan, output_folder, record_events, all_rules=False)
 
@@ -125,8 +125,8 @@
             result = event_replay.replay(file)
         except (OSError, event_replay.UnreadableEventsError) as error:
             _fail(str(error))
-        typer.echo(result.differs or _describe_match(file, result))
-        differs = differs or bool(result.differs)
+        typer.echo(result.first_difference or _describe_match(file, result))
+        differs = differs or bool(result.first_difference)
     raise typer.Exit(EXIT_BROKEN if differs else 0)
 
 
@@ -183,7 +183,7 @@
     settings = json.loads(line)
     stand_in = engines[settings.pop("at")]
     name = settings.pop("fault")
-    stand_in.fault(name, **settings)
+    stand_in.set_fault(name, **settings)
 
 
 def _play(plan: ScenarioPlan, folder: Path, record_events: bool, all_rules: bool) -> NoReturn:
@@ -210,7 +210,7 @@
 
         runner = ScenarioRunner(plan, folder, record_events, show_progress)
         try:
-            return anyio.run(runner.play)
+            return anyio.run(runner.run)
         except ScenarioFailedError as error:
             _fail(str(error), EXIT_NOT_PLAYED)
         except BaseExceptionGroup as group:
--- a/runspool/lab/engine.py
+++ b/runspool/lab/engine.py
@@ -1,4 +1,8 @@
-"""A stand-in engine: the model of one engine behind the published two-stage completions."""
+"""A stand-in engine: serves completions over HTTP, with timing from a model instead of a language model.
+
+It speaks the published protocol for separate prefill and decode, in which a decode engine fetches the prefill
+state from the prefill engine.
+"""
 
 from __future__ import annotations
 
@@ -12,10 +16,10 @@
 from anyio.abc import SocketAttribute, SocketListener, SocketStream, TaskGroup, TaskStatus
 
 from runspool.engines.failure_classification import STATE_GONE
+from runspool.lab.active_faults import ActiveFaults, FaultSetting
 from runspool.lab.engine_events import EngineEvents
+from runspool.lab.engine_model import AdmissionResult, EngineModel, EngineSpec, Job, Phase, Step
 from runspool.lab.http_server import PeerClosedError, ReceivedRequest, serve_connections, serve_requests
-from runspool.lab.injected_faults import FaultSetting, InjectedFaults
-from runspool.lab.model import AdmissionResult, EngineModel, EngineSpec, Job, Phase, Step
 from runspool.lab.plan import SECOND
 from runspool.lab.recording import Recorder
 from runspool.lab.response_faults import (
@@ -25,9 +29,9 @@
     SILENT,
     STREAM_FAULTS,
     TOKENS_BEFORE_STREAM_FAULT,
-    break_stream,
-    end_stream_wrongly,
+    end_stream_abnormally,
     inject_response_fault,
+    interrupt_stream,
 )
 from runspool.lab.standin_messages import (
     CompletionCall,
@@ -48,14 +52,15 @@
 
 @dataclass(slots=True, eq=False)
 class ActiveRequest:
-    """A completion in work.
+    """A completion request that the engine has accepted and not finished.
 
     Attributes:
         job: its job in the engine's model.
-        call: the request.
-        progress: set at each token, at the prefill's end, when its state is lost or its client is gone.
+        call: the received request.
+        progress: set at each generated token, at the end of the prefill, when fetching the prefill state has
+            failed, and when the connection is lost.
         executed: whether its first token has been generated.
-        state_lost: whether its state could not be fetched.
+        state_lost: whether the prefill state could not be fetched.
     """
 
     job: Job
@@ -66,28 +71,28 @@
 
 
 class StandInEngine:
-    """One engine on a port of its own; what it sees is recorded.
+    """Serves one engine on its own port and records what it receives and does.
 
     Attributes:
-        spec: what the engine is.
-        model: its queue, jobs, memory and cache.
-        faults: what is injected.
-        active_requests: the completions in work, by the identity of their jobs.
-        token_text: the text of each token, before its number.
-        port: 0 until it serves.
-        tasks: what it runs, while it does.
+        spec: the engine's name, role, location and speed.
+        model: the engine's queue, jobs, memory and prefix cache.
+        faults: the faults that are injected into the engine.
+        active_requests: the accepted completion requests, by the `id()` of their jobs.
+        token_prefix: the text that each generated token starts with; the token's number follows.
+        port: the port that it listens on; 0 until it does.
+        tasks: the task group of the running engine; None before the start.
     """
 
     def __init__(self, spec: EngineSpec, recorder: Recorder, cold: bool, seed: int) -> None:
         self.spec = spec
         self.model = EngineModel(spec, now(), cold, seed)
-        self.faults = InjectedFaults(self.model)
+        self.faults = ActiveFaults(self.model)
         self.active_requests: dict[int, ActiveRequest] = {}
-        self.token_text = "t"
+        self.token_prefix = "t"
         self.port = 0
         self._events = EngineEvents(spec, recorder)
         self._draw = Random(seed + 1).random
-        self._states = HeldStates(self.model, self.faults, self._events, self._wake)
+        self._states = HeldStates(self.model, self.faults, self._events, self._resume_steps)
         self._work_available = anyio.Event()
         self._open_connections = 0
         self._host = "127.0.0.1"
@@ -96,7 +101,7 @@
     async def run(
         self, host: str, port: int, *, task_status: TaskStatus[int] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; report the port as started."""
+        """Serve until cancelled; report the port to `task_status` once the engine listens."""
         self._host = host
         async with anyio.create_task_group() as tasks:
             self.tasks = tasks
@@ -111,17 +116,22 @@
                 await serve_connections(listener, self._serve_connection, tasks)
 
     def crash(self) -> None:
-        """End the process, as an engine does that is overloaded while cold, or poisoned."""
+        """End the process at once, to simulate a crash by an overload during slow start or by a request."""
         os._exit(CRASH_EXIT_CODE)
 
-    def fault(self, name: str, **settings: FaultSetting) -> None:
-        """Switch a fault on or off; raise ValueError for one that is not known."""
-        self._events.fault_switched(name, settings)
-        self.faults.switch(name, settings)
+    def set_fault(self, name: str, **settings: FaultSetting) -> None:
+        """Record and apply a command that switches a fault on or off.
+
+        Raises:
+            ValueError: there is no fault of this name.
+        """
+        self._events.fault_set(name, settings)
+        self.faults.apply(name, settings)
 
-    # Steps.
+    # Running the model.
 
     async def _run_steps(self, tasks: TaskGroup) -> None:
+        """Run the steps of the model in real time, until cancelled."""
         while True:
             await self.faults.wait_until_resumed()
             for job in self.model.start_waiting():
@@ -136,6 +146,7 @@
             self._finish_step(step)
 
     def _finish_step(self, step: Step) -> None:
+        """Apply the step's result and notify the requests that it concerns."""
         result = self.model.finish_step(step)
         for job in [*result.prefilled, *result.decoded]:
             request = self.active_requests.get(id(job))
@@ -146,11 +157,12 @@
                 self._events.executed(request.call)
             request.progress.set()
 
-    def _wake(self) -> None:
-        """Let the steps go on, as there is work to do or memory for it."""
+    def _resume_steps(self) -> None:
+        """Resume the steps, because a job was added or memory was freed."""
         self._work_available.set()
 
     async def _fetch(self, request: ActiveRequest) -> None:
+        """Fetch a request's prefill state, so that its job can decode; mark the request if that fails."""
         params = request.call.body.kv_transfer_params
         assert params is not None
         if await fetch_state(self.spec, params, request.call.received.disconnected):
@@ -158,11 +170,12 @@
         else:
             request.state_lost = True
             request.progress.set()
-        self._wake()
+        self._resume_steps()
 
-    # Requests.
+    # Serving requests.
 
     async def _serve_connection(self, stream: SocketStream) -> None:
+        """Serve the requests of a connection, or close it at once if too many are open."""
         if self._open_connections >= self.faults.max_connections:
             await anyio.aclose_forcefully(stream)
             return
@@ -173,6 +186,7 @@
             self._open_connections -= 1
 
     async def _handle(self, received: ReceivedRequest) -> None:
+        """Serve a request according to its path."""
         if received.target == COMPLETIONS_PATH:
             await self._complete(received)
         elif received.target == RELEASE_PATH:
@@ -184,6 +198,7 @@
             await received.respond(404, error_body("not_found", "path", "no such path"))
 
     async def _complete(self, received: ReceivedRequest) -> None:
+        """Serve a completion request and record its arrival and its end."""
         arrived_at = now()
         request_class = received.headers.get("runspool-tariff", "")
         fault = self.faults.draw_response_fault(request_class, self._draw)
@@ -206,7 +221,7 @@
             self._events.ended(call, ending)
 
     async def _serve(self, call: CompletionCall) -> str:
-        """Serve a completion, or inject its fault; return how it ended, in the recording's words."""
+        """Serve a completion request, or inject its fault; return how it ended, as recorded in `ended`."""
         ending = await inject_response_fault(call.received, call.fault, partial(self._events.executed, call))
         if ending:
             return ending
@@ -219,16 +234,16 @@
             decodes=not call.is_prefill,
             fetches_state=call.fetches_state,
         )
-        if await self.faults.throttle.rejects(call.request_class, call.tenant):
+        if await self.faults.rate_limiter.rejects(call.request_class, call.tenant):
             await call.received.respond(503, error_body("overloaded", "throttled", "over its rate"))
             return "full"
         if not call.is_prefill and not call.fetches_state and self.spec.role == "writer":
             await call.received.respond(409, error_body("no_state", STATE_GONE, "a writer does not read"))
             return "stateless"
-        return await self._work(ActiveRequest(job, call))
+        return await self._process(ActiveRequest(job, call))
 
-    async def _work(self, request: ActiveRequest) -> str:
-        """Take a request through the model; return how it ended."""
+    async def _process(self, request: ActiveRequest) -> str:
+        """Submit a request to the model and respond with its result; return how it ended."""
         job, received = request.job, request.call.received
         admission = self.model.submit(now(), job)
         if admission is AdmissionResult.OVERLOADED_COLD:
@@ -239,10 +254,10 @@
             await received.respond(503, rejection, self._load_report())
             return "full"
         self.active_requests[id(job)] = request
-        self._wake()
+        self._resume_steps()
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._watch, request)
+                tasks.start_soon(self._notify_on_disconnect, request)
                 if request.call.fault == SILENT:
                     await received.disconnected.wait()
                 ending = await (self._decode(request) if job.decodes else self._prefill(request))
@@ -255,19 +270,22 @@
         finally:
             self.active_requests.pop(id(job), None)
             self.model.remove(job)
-            self._wake()
+            self._resume_steps()
 
-    async def _watch(self, request: ActiveRequest) -> None:
-        await request.call.received.watch()
+    async def _notify_on_disconnect(self, request: ActiveRequest) -> None:
+        """Notify a request when its connection is lost."""
+        await request.call.received.wait_for_disconnect()
         request.progress.set()
 
     async def _wait_for_progress(self, request: ActiveRequest) -> None:
+        """Wait for progress of a request; raise PeerClosedError if its connection is lost."""
         await request.progress.wait()
         request.progress = anyio.Event()
         if request.call.received.disconnected.is_set():
             raise PeerClosedError
 
     async def _prefill(self, request: ActiveRequest) -> str:
+        """Wait for the prefill, hold its state and respond; return how the request ended."""
         job, received = request.job, request.call.received
         while job.prefill_remaining > 0 or job.phase in (Phase.WAITING, Phase.FETCHING):
             await self._wait_for_progress(request)
@@ -283,6 +301,7 @@
         return "read"
 
     async def _decode(self, request: ActiveRequest) -> str:
+        """Stream the generated tokens; return how the request ended."""
         job, received, fault = request.job, request.call.received, request.call.fault
         length = min(job.output_tokens, request.call.body.max_tokens)
         tokens_sent = 0
@@ -297,22 +316,24 @@
                 if tokens_sent == 0:
                     await received.open_stream(self._load_report())
                 if tokens_sent >= TOKENS_BEFORE_STREAM_FAULT and fault in STREAM_FAULTS:
-                    await break_stream(received, fault)
+                    await interrupt_stream(received, fault)
                     return "broken"
                 tokens_sent += 1
-                await received.send_chunk(token_event(job, f"{self.token_text}{tokens_sent} "))
+                await received.send_chunk(token_event(job, f"{self.token_prefix}{tokens_sent} "))
             if job.generated_tokens >= length:
                 return await self._end_stream(request)
 
     async def _end_stream(self, request: ActiveRequest) -> str:
+        """End the stream, or inject a fault into its end; return how the request ended."""
         received, fault = request.call.received, request.call.fault
         if fault in (NO_FINISH, ERROR_EVENT):
-            await end_stream_wrongly(received, fault)
+            await end_stream_abnormally(received, fault)
             return "broken"
         await received.send_chunk(final_events(request.job, request.call.body.max_tokens))
         await received.end_stream()
         return "done"
 
     def _load_report(self) -> dict[str, str]:
+        """Return the response header that reports the engine's load."""
         metrics = msgspec.json.encode({"named_metrics": self.model.load_report()}).decode()
         return {LOAD_REPORT_HEADER: f"{LOAD_REPORT_FORMAT} {metrics}"}
--- a/runspool/lab/scripted_scenarios.py
+++ b/runspool/lab/scripted_scenarios.py
@@ -1,6 +1,7 @@
-"""The scripted scenarios `bad-night` and `quiet`, and the request classes and engines that all scenarios use.
+"""The scenarios `bad-night` and `quiet`, and the request classes and engines that all scenarios use.
 
-Everything is drawn from the scenario's seed; the order of the draws is part of a scenario.
+All random values are drawn from the scenario's seed. Changing the order of the draws changes the scenario
+that a seed stands for.
 """
 
 from __future__ import annotations
@@ -8,7 +9,7 @@
 from random import Random
 from typing import Literal, NamedTuple
 
-from runspool.lab.model import EngineSpec
+from runspool.lab.engine_model import EngineSpec
 from runspool.lab.plan import (
     SECOND,
     ClientsPlan,
@@ -20,21 +21,26 @@
     TenantPlan,
 )
 
-STEP_TIME = 120
-STEP_TIME_PER_STREAM = 1.5
-SLOWEST, FASTEST = 0.9, 1.1  # bounds of an engine's own speed, as a multiple of its type's
+STEP_TIME = 120  # tenths of a millisecond; duration of a step that decodes, without the part per stream
+STEP_TIME_PER_STREAM = 1.5  # tenths of a millisecond that each stream adds to a step
+# Bounds of the random factors that multiply the prefill rate and the step time of each engine.
+MIN_FACTOR, MAX_FACTOR = 0.9, 1.1
 MIN_SLOTS = 2
-MIXED_PREFILL_DIVISOR = 4  # a mixed engine prefills beside its streams: a prefill costs it a quarter
+# Divides the time of a prefill in the mean work of a mixed engine, which prefills in the steps in which it
+# also decodes.
+MIXED_PREFILL_DIVISOR = 4
 
+# The scenarios bad-night and quiet. Times are in tenths of a millisecond.
 BAD_NIGHT_DURATION = 50 * SECOND
 BAD_NIGHT_ZONES = ("waw-1", "waw-2", "lodz-1")
 BAD_NIGHT_ZONE_ENGINES = ("prefill", "prefill", "decode", "mixed")
 BAD_NIGHT_FRONTS = 3
-BAD_NIGHT_RATE = 40
-FIRST_FAULT = 12 * SECOND  # by then streams run on every engine
-FAULT_FREE_END = 10 * SECOND
-LONGEST_OVERLAP = 6 * SECOND  # of the time for faults, what is left after the start of the overlap
-OVERLAP_SECONDS = 5  # the faults that are to overlap start within these
+BAD_NIGHT_RATE = 40  # requests per second
+FIRST_FAULT_AT = 12 * SECOND  # earliest start of a fault; by then every engine is processing streams
+FAULT_FREE_END = 10 * SECOND  # time at the end of the scenario in which no fault starts
+# Minimum time from the start of the interval of overlapping faults to FAULT_FREE_END.
+MIN_TIME_AFTER_OVERLAP_START = 6 * SECOND
+OVERLAP_SECONDS = 5  # seconds; length of the interval in which all overlapping faults start
 
 QUIET_DURATION = 20 * SECOND
 
@@ -47,6 +53,7 @@
     prefill_rate: float
 
 
+# The prefill rates are in tokens per tenth of a millisecond, the memory in tokens.
 _ENGINE_TYPES = {
     "prefill": _EngineType("reader", 8, 40, 220_000, 1.9),
     "decode": _EngineType("writer", 64, 32, 160_000, 0.7),
@@ -55,12 +62,12 @@
 
 
 def source_address(front: int) -> str:
-    """Return the loopback address that the front of this index calls from."""
+    """Return the loopback address from which the front with this index connects."""
     return f"127.0.0.{11 + front}"
 
 
 def default_request_classes() -> list[RequestClassPlan]:
-    """Return the three request classes of the scripted scenarios, one for each idempotency."""
+    """Return the three request classes of the laboratory's scenarios, one for each value of `idempotency`."""
     return [
         RequestClassPlan(
             name="staff-ask",
@@ -123,13 +130,13 @@
     rng: Random,
     capacity_multiple: float = 1.0,
 ) -> EnginePlan:
-    """Draw an engine of a type (prefill, decode, mixed) with a speed of its own.
+    """Return an engine of a type ("prefill", "decode" or "mixed") whose prefill rate and step time are drawn.
 
-    `capacity_multiple` scales its slots and its prefill rate.
+    `capacity_multiple` multiplies its slots and its prefill rate.
     """
     usual = _ENGINE_TYPES[engine_type]
-    prefill_rate = usual.prefill_rate * rng.uniform(SLOWEST, FASTEST) * capacity_multiple
-    step_time = STEP_TIME * rng.uniform(SLOWEST, FASTEST)
+    prefill_rate = usual.prefill_rate * rng.uniform(MIN_FACTOR, MAX_FACTOR) * capacity_multiple
+    step_time = STEP_TIME * rng.uniform(MIN_FACTOR, MAX_FACTOR)
     slots = max(MIN_SLOTS, usual.slots * capacity_multiple)
     full_step_time = step_time + STEP_TIME_PER_STREAM * slots
     mean_work = {}
@@ -167,7 +174,10 @@
 
 
 def bad_night(seed: int, duration: int = BAD_NIGHT_DURATION) -> ScenarioPlan:
-    """Return a night on which at least eight kinds of fault overlap, killed fronts and engines among them."""
+    """Return a scenario with many faults, of which at least eight kinds are active at the same time.
+
+    The faults include kills of fronts and engines.
+    """
     rng = Random(seed)
     request_classes = default_request_classes()
     engines = [
@@ -199,7 +209,7 @@
 
 
 def quiet(seed: int, duration: int = QUIET_DURATION) -> ScenarioPlan:
-    """Return the bad night's fleet and workload without any fault."""
+    """Return a scenario with the fleet and the workload of `bad_night` and no faults."""
     plan = bad_night(seed)
     plan.name = "quiet"
     plan.duration = duration
@@ -208,42 +218,50 @@
 
 
 def _bad_night_faults(engines: list[EnginePlan], duration: int, rng: Random) -> list[FaultPlan]:
-    prefills = _shuffled(engines, "prefill", rng)
-    decodes = _shuffled(engines, "decode", rng)
-    mixed = _shuffled(engines, "mixed", rng)
-    span = duration - FIRST_FAULT - FAULT_FREE_END
-    overlap_starts_at = FIRST_FAULT + int(rng.random() * (span - LONGEST_OVERLAP))
+    """Draw the faults of `bad_night`, and return them in the order in which they start."""
+    prefills = _shuffled_indices(engines, "prefill", rng)
+    decodes = _shuffled_indices(engines, "decode", rng)
+    mixed = _shuffled_indices(engines, "mixed", rng)
+    span = duration - FIRST_FAULT_AT - FAULT_FREE_END
+    overlap_starts_at = FIRST_FAULT_AT + int(rng.random() * (span - MIN_TIME_AFTER_OVERLAP_START))
 
-    def any_time() -> int:
-        return FIRST_FAULT + int(rng.random() * span)
+    def draw_start() -> int:
+        """Draw a start within the whole time for faults."""
+        return FIRST_FAULT_AT + int(rng.random() * span)
 
-    def overlapping() -> int:
-        """Within the seconds after which all that last eight seconds are active together."""
+    def draw_overlapping_start() -> int:
+        """Draw a start within OVERLAP_SECONDS, so that faults of 8 s or more are all active at their end."""
         return overlap_starts_at + int(rng.random() * OVERLAP_SECONDS * SECOND)
 
-    # The arguments are drawn in the order in which they stand here.
+    # The values are drawn in the order in which the arguments are evaluated, so this order must not change.
     faults = [
-        FaultPlan("crash", any_time(), 8 * SECOND, targets=[decodes[0]]),
-        FaultPlan("front_kill", any_time(), 2 * SECOND, targets=[rng.randrange(3)]),
-        FaultPlan("front_kill", overlapping(), 3 * SECOND, targets=[rng.randrange(3)]),
-        FaultPlan("hang", any_time(), 4 * SECOND, targets=[prefills[0]]),
-        FaultPlan("pause", any_time(), SECOND, targets=[mixed[0]]),
-        FaultPlan("slow", overlapping(), 10 * SECOND, magnitude=rng.uniform(2, 5), targets=[prefills[1]]),
-        FaultPlan("drain", any_time(), 5 * SECOND, targets=[mixed[1]]),
-        FaultPlan("drain", any_time(), 5 * SECOND, targets=[prefills[2]]),
-        FaultPlan("restart", any_time(), SECOND, targets=[prefills[3]]),
-        FaultPlan("errors", overlapping(), 8 * SECOND, magnitude=0.2, targets=[decodes[1], mixed[2]]),
-        FaultPlan("resets", overlapping(), 8 * SECOND, magnitude=0.1, targets=[decodes[2], prefills[1]]),
-        FaultPlan("list_noise", overlapping(), 10 * SECOND),
-        FaultPlan("discovery_stale", any_time(), 8 * SECOND, magnitude=3 * SECOND),
-        FaultPlan("origin_slow", overlapping(), 8 * SECOND, magnitude=rng.uniform(2, 6)),
-        FaultPlan("flush", any_time(), 0, magnitude=0.8),
-        FaultPlan("burst", any_time(), 4 * SECOND, magnitude=1.5),
-        FaultPlan("heavy_tail", any_time(), 8 * SECOND, magnitude=10, secondary_magnitude=0.03),
-        FaultPlan("hot_key", overlapping(), 8 * SECOND, magnitude=0.15),
+        FaultPlan("crash", draw_start(), 8 * SECOND, targets=[decodes[0]]),
+        FaultPlan("front_kill", draw_start(), 2 * SECOND, targets=[rng.randrange(3)]),
+        FaultPlan("front_kill", draw_overlapping_start(), 3 * SECOND, targets=[rng.randrange(3)]),
+        FaultPlan("hang", draw_start(), 4 * SECOND, targets=[prefills[0]]),
+        FaultPlan("pause", draw_start(), SECOND, targets=[mixed[0]]),
+        FaultPlan(
+            "slow", draw_overlapping_start(), 10 * SECOND, magnitude=rng.uniform(2, 5), targets=[prefills[1]]
+        ),
+        FaultPlan("drain", draw_start(), 5 * SECOND, targets=[mixed[1]]),
+        FaultPlan("drain", draw_start(), 5 * SECOND, targets=[prefills[2]]),
+        FaultPlan("restart", draw_start(), SECOND, targets=[prefills[3]]),
+        FaultPlan(
+            "errors", draw_overlapping_start(), 8 * SECOND, magnitude=0.2, targets=[decodes[1], mixed[2]]
+        ),
+        FaultPlan(
+            "resets", draw_overlapping_start(), 8 * SECOND, magnitude=0.1, targets=[decodes[2], prefills[1]]
+        ),
+        FaultPlan("list_noise", draw_overlapping_start(), 10 * SECOND),
+        FaultPlan("discovery_stale", draw_start(), 8 * SECOND, magnitude=3 * SECOND),
+        FaultPlan("origin_slow", draw_overlapping_start(), 8 * SECOND, magnitude=rng.uniform(2, 6)),
+        FaultPlan("flush", draw_start(), 0, magnitude=0.8),
+        FaultPlan("burst", draw_start(), 4 * SECOND, magnitude=1.5),
+        FaultPlan("heavy_tail", draw_start(), 8 * SECOND, magnitude=10, secondary_magnitude=0.03),
+        FaultPlan("hot_key", draw_overlapping_start(), 8 * SECOND, magnitude=0.15),
         FaultPlan(
             "retry_abuse",
-            overlapping(),
+            draw_overlapping_start(),
             8 * SECOND,
             magnitude=4,
             secondary_magnitude=0.4,
@@ -251,7 +269,7 @@
         ),
         FaultPlan(
             "throttle",
-            overlapping(),
+            draw_overlapping_start(),
             8 * SECOND,
             magnitude=0.2,
             secondary_magnitude=0.2,
@@ -259,15 +277,15 @@
             mode="tenant",
             subject_index=rng.randrange(3),
         ),
-        FaultPlan("class_fail", any_time(), 8 * SECOND, magnitude=1.0, targets=[mixed[2]], mode="silence"),
-        FaultPlan("leaving", any_time(), 8 * SECOND, magnitude=0.1),
+        FaultPlan("class_fail", draw_start(), 8 * SECOND, magnitude=1.0, targets=[mixed[2]], mode="silence"),
+        FaultPlan("leaving", draw_start(), 8 * SECOND, magnitude=0.1),
     ]
     faults.sort(key=lambda fault: fault.starts_at)
     return faults
 
 
-def _shuffled(engines: list[EnginePlan], engine_type: str, rng: Random) -> list[int]:
-    """Return the indices of a type's engines in an order that is drawn."""
+def _shuffled_indices(engines: list[EnginePlan], engine_type: str, rng: Random) -> list[int]:
+    """Return the indices of the engines of a type in random order."""
     indices = [index for index, engine in enumerate(engines) if engine.engine_type == engine_type]
     rng.shuffle(indices)
     return indices
--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -1,6 +1,8 @@
 """Plans when calls are made to the discovery agent, and decides which responses are applied. Does no I/O.
 
-The discovery agent is the platform's service that provides the endpoint list. It is called over HTTP.
+The discovery agent is the platform's service that provides the endpoint list. It is called over HTTP. A call
+requests either the whole list or the changes after a version. A call for changes is a watch: the agent delays
+its response until the list changes, or until a wait given in the request has passed.
 
 Waiting for responses is independent of making further calls. A call stays open as long as its connection
 lives, however slow the agent is, and its response is accepted whenever it arrives: an agent that queues the
@@ -37,18 +39,18 @@
 # A response that is incomplete for this time after its first byte counts as stalled even if bytes still come.
 MAX_RECEIVE_DURATION = 30_000
 MAX_OPEN_CALLS = 6  # maximum number of calls that are open at the same time
-MAX_COUNTED_GIVEN_UP = 1_000  # maximum number of given-up calls that are remembered
-# An agent may refuse a second connection. The only open call is then given up in favour of a new one once it
-# has been open for at least this time beyond its wait.
-MIN_ONLY_CALL_AGE = 20_000
+MAX_REMEMBERED_GIVEN_UP = 1_000  # maximum number of given-up calls that are remembered
+# An agent may refuse a second connection. The open call is then given up in favour of a new one once it has
+# been open for the replacement age beyond its wait. This is the lower bound of the replacement age.
+MIN_REPLACEMENT_AGE = 20_000
 
 
 class DiscoveryState(Enum):
     """The state of a node's watch on the endpoint list; the values are written to logs and metrics."""
 
-    WATCHING = "watching"  # a watch is open and not overdue
+    WATCHING = "watching"  # a watch is open and not overdue, or is to be opened after a response
     SUSPECT = "suspect"  # the watch is overdue; the whole list is requested concurrently
-    SEARCHING = "searching"  # no watch is open; the whole list is requested
+    SEARCHING = "searching"  # no watch is open or to be opened; the whole list is requested
 
 
 @dataclass(frozen=True, slots=True)
@@ -105,11 +107,11 @@
         self._needs_watch = False  # a response has been received, and no watch is open
         self._version = 0  # the version after which the next watch requests changes
         self._applied_at: int | None = None  # when the latest response was applied; None at a new address
-        self.given_up_numbers: deque[int] = deque(maxlen=MAX_COUNTED_GIVEN_UP)
+        self.given_up_numbers: deque[int] = deque(maxlen=MAX_REMEMBERED_GIVEN_UP)
         self._last_made_at: int | None = None
         self._last_watch_at: int | None = None
         self._backoff = SearchBackoff(self.random)
-        self._only_call_age = MIN_ONLY_CALL_AGE
+        self._replacement_age = MIN_REPLACEMENT_AGE
 
     def change_address(self, address: Address) -> list[DiscoveryCall]:
         """Direct all further calls to the agent at another address.
@@ -163,14 +165,15 @@
             return now if self._last_watch_at is None else self._last_watch_at + MIN_WATCH_INTERVAL
         if self._last_made_at is None:
             return now
-        search_at = self._last_made_at + self._backoff.interval
-        return search_at if self._watch is None else max(search_at, self._overdue_at(self._watch))
+        list_call_at = self._last_made_at + self._backoff.interval
+        return list_call_at if self._watch is None else max(list_call_at, self._overdue_at(self._watch))
 
     def make_call(self, now: int) -> PlannedCall:
         """Create the call that is due at `now` and record it as made.
 
-        The call is a watch if a response has been received and no watch is open, a backup watch if one is
-        due, and otherwise a call for the whole list.
+        The call is a watch if a response has been received and no watch is open. It is a backup watch, on
+        another connection in case the first watch after an interruption is lost, if one is due. Otherwise it
+        is a call for the whole list.
         """
         backup_watch_at = self._backup_watch.due_at()
         self.calls_made += 1
@@ -213,7 +216,8 @@
         superseded = [
             other
             for other in self.open_calls
-            if other.number < call.number and not (is_backup_watch and self._is_watch_after(other, version))
+            if other.number < call.number
+            and not (is_backup_watch and self._is_watch_from_version(other, version))
         ]
         for other in superseded:
             self._remove(other)
@@ -221,10 +225,11 @@
             self._backup_watch.start(now)
         self._backup_watch.record_response(call, now)
         self.given_up_numbers = deque(
-            (number for number in self.given_up_numbers if number > call.number), maxlen=MAX_COUNTED_GIVEN_UP
+            (number for number in self.given_up_numbers if number > call.number),
+            maxlen=MAX_REMEMBERED_GIVEN_UP,
         )
         self._latency_estimator.measure(call, now)
-        self._only_call_age = max(MIN_ONLY_CALL_AGE, 2 * self.agent_latency)
+        self._replacement_age = max(MIN_REPLACEMENT_AGE, 2 * self.agent_latency)
         is_newer = self._applied_at is None or call.made_at >= self._applied_at
         is_usable = is_newer or version > self._version
         if is_usable:
@@ -249,20 +254,20 @@
         is_refused = call.number == self.calls_made and call.first_byte_at is None
         if not is_refused or not self.open_calls or self.state(now) is DiscoveryState.WATCHING:
             return None
-        given_up = self._least_useful(now) or self._expired_only_call(now)
+        given_up = self._least_useful(now) or self._oldest_call_to_replace(now)
         if given_up is not None:
             self._give_up(given_up)
         return given_up
 
-    def _expired_only_call(self, now: int) -> DiscoveryCall | None:
-        """Return the oldest open call if it has reached the age limit, and double the limit; else None."""
+    def _oldest_call_to_replace(self, now: int) -> DiscoveryCall | None:
+        """Return the oldest open call if it has reached the replacement age, and double it; else None."""
         oldest = self.open_calls[0]
-        if now - oldest.made_at - oldest.wait < self._only_call_age:
+        if now - oldest.made_at - oldest.wait < self._replacement_age:
             return None
-        self._only_call_age *= 2
+        self._replacement_age *= 2
         return oldest
 
-    def _is_watch_after(self, call: DiscoveryCall, version: int) -> bool:
+    def _is_watch_from_version(self, call: DiscoveryCall, version: int) -> bool:
         """Return whether a call is the open watch and requests the changes after `version`."""
         return call is self._watch and call.after_version == version
 
@@ -293,9 +298,9 @@
     def _least_useful(self, now: int) -> DiscoveryCall | None:
         """Return the open call to give up; None if no call may be given up.
 
-        It is chosen so that the ages of the remaining calls keep growing by about the same factor. The oldest
-        call is never chosen, because a slow agent responds to it first, and neither is the watch. A call
-        whose response is being received is chosen only if this is so for all candidates.
+        It is chosen so that each of the remaining calls is older than the next one by about the same factor.
+        The oldest call is never chosen, because a slow agent responds to it first, and neither is the watch.
+        A call whose response is being received is chosen only if this is so for all candidates.
         """
         made_at = [*(call.made_at for call in self.open_calls), now]
 
--- a/runspool/scheduling/prefill_selection.py
+++ b/runspool/scheduling/prefill_selection.py
@@ -11,7 +11,7 @@
 from runspool.scheduling.fleet_statistics import (
     PACKING_THRESHOLD,
     has_active_streams,
-    lacks_stream_evidence,
+    has_few_own_streams,
     load,
     may_have_streams,
 )
@@ -51,17 +51,19 @@
         front: The front's state.
         request: The request to prefill.
         failed_engine_ids: Ids of engines to avoid while others are available.
-        first_execution_engine: The engine of the first attempt that may have been executed, if any.
-        queue_limit: A duration. If the wait on the best engine is over twice this, engines that have streams
-            are considered too.
+        first_execution_engine: The engine of the first attempt that may have been executed, if any. A repeat
+            has to reach an engine in its deduplication scope.
+        queue_limit: Queue up to which `admission` accepts an engine, in tenths of a millisecond. An engine
+            that has streams may be selected only if the wait on the best other engine exceeds twice this.
     """
     mixed, class_state = candidate_engines(front, request, Role.MIXED), front.class_state(request)
     # Without an engine that can decode, the prefill's state would be computed only to be released.
-    can_decode = mixed or front.ready_engines(Role.DECODE)
-    engines = candidate_engines(front, request, Role.PREFILL) if can_decode else []
-    # A prefill interrupts the engine's streams, which this front may not know of. It is therefore allowed
-    # only if responses have time to spare.
-    if _responses_have_spare_time(front, request) or not lacks_stream_evidence(front):
+    decode_engines = mixed or front.ready_engines(Role.DECODE)
+    engines = candidate_engines(front, request, Role.PREFILL) if decode_engines else []
+    # A prefill interrupts the streams of its engine. A front that has few streams of its own cannot tell
+    # which engines have streams of other fronts. Such a front selects mixed engines only if responses have
+    # time to spare.
+    if _responses_have_spare_time(front, request) or not has_few_own_streams(front):
         engines += [e for e in mixed if not has_active_streams(front, e)]
     best = _soonest(
         front, request, eligible_engines(front, request, engines, failed_engine_ids, first_execution_engine)
@@ -69,14 +71,14 @@
     if best and predicted_queue_time(front, best) + predicted_queueing_delay(front, best) <= 2 * queue_limit:
         return best
     # A prefill interrupts the engine's streams, so only one that is short compared with a response may spill.
-    time_per_token = class_state.settings.time_per_output_token
+    allowed_time_per_token = class_state.settings.time_per_output_token
     engines += [
         e
         for e in mixed
         if may_have_streams(front, e)
         and load(front, e, request) < PACKING_THRESHOLD
         and tokens_to_prefill(front, e, request) / prefill_rate(front, e)
-        < MAX_SPILL_FRACTION * class_state.mean_output_tokens * time_per_token
+        < MAX_SPILL_FRACTION * class_state.mean_output_tokens * allowed_time_per_token
     ]
     if not engines:
         engines = mixed
@@ -89,12 +91,12 @@
 
 def _responses_have_spare_time(front: FrontState, request: Request) -> bool:
     """Return whether responses from mixed engines take well under the time allowed for their tokens."""
-    allowed = SPARE_RESPONSE_TIME_FRACTION * front.mixed_response_time_allowed
-    return request.expected_output_tokens > 0 and front.mixed_response_time <= allowed
+    allowed = SPARE_RESPONSE_TIME_FRACTION * front.mixed_allowed_time_sum
+    return request.expected_output_tokens > 0 and front.mixed_response_time_sum <= allowed
 
 
 def _soonest(front: FrontState, request: Request, engines: list[Engine]) -> Engine | None:
-    """Return the engine with the soonest first token.
+    """Return the engine with the soonest first token; the reserved engine is preferred among equals.
 
     The request's own prefill time counts more than the queue, since it delays all later prefills.
     """
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -30,10 +30,10 @@
     enqueue_if_behind,
     leave_queue,
     next_selection_time,
-    retry_time,
+    queue_until_next_selection,
 )
 from runspool.scheduling.attempt_accounting import (
-    record_attempt_end,
+    record_attempt_outcome,
     record_attempt_start,
     record_stream_end,
     remove_request,
@@ -45,12 +45,12 @@
 from runspool.scheduling.prefill_selection import select_prefill
 from runspool.scheduling.request_progress import RequestProgress
 from runspool.scheduling.retry_policy import (
+    apply_attempt_outcome,
     attempt_timeout,
     final_response,
     may_attempt,
-    record_attempt_outcome,
-    reservation_may_expire_during_connect,
-    take_retry_token,
+    must_release_before_connect,
+    spend_retry_budget,
 )
 from runspool.scheduling.stream_migration import migrate_before_shutdown, stream_to_migrate
 from runspool.scheduling.time_units import SECOND
@@ -80,14 +80,14 @@
     def _serve(self, progress: RequestProgress) -> Generator[Action, Any, None]:
         """Take a request through prefill, decode and repeats to its final response."""
         while may_attempt(self, progress):
-            if reservation_may_expire_during_connect(self, progress):
+            if must_release_before_connect(self, progress):
                 yield ReleaseState()
                 progress.prefill_engine = None
                 # Without this pause a prefill that is sent at once could arrive before the release.
-                yield Sleep(retry_time(self, progress.deadline))
+                yield Sleep(next_selection_time(self, progress.deadline))
                 continue
             if enqueue_if_behind(self, progress):
-                yield Sleep(retry_time(self, progress.queued_until))
+                yield Sleep(next_selection_time(self, progress.queued_until))
                 continue
             engine = self.select_engine(progress)
             if engine is None:
@@ -95,7 +95,7 @@
                     break
                 continue
             leave_queue(self, progress)
-            if not take_retry_token(self, progress):
+            if not spend_retry_budget(self, progress):
                 break
             if (yield from self._attempt(progress, engine)):
                 return
@@ -108,7 +108,7 @@
         """Sleep until an engine is to be selected again; return False if the request is given up instead."""
         if progress.is_given_up:
             return False
-        wake_at = next_selection_time(self, progress)
+        wake_at = queue_until_next_selection(self, progress)
         if wake_at is None:
             return False
         if progress.reservation_expires_before(wake_at):
@@ -143,12 +143,12 @@
         timeout = attempt_timeout(self, progress, engine)
         record_attempt_start(self, request, engine, prefill_engine)
         outcome: AttemptOutcome = yield StartAttempt(engine.id, timeout)
-        record_attempt_end(self, request, outcome, prefill_engine)
+        record_attempt_outcome(self, request, outcome, prefill_engine)
         if outcome.status is AttemptStatus.STREAM_STARTED:
             completion: AttemptOutcome = yield AwaitCompletion()
             record_stream_end(self, request, completion, 0 if prefill_engine else outcome.duration)
             return True
-        if record_attempt_outcome(self, progress, engine, outcome, sent_at):
+        if apply_attempt_outcome(self, progress, engine, outcome, sent_at):
             yield ReleaseState()
             progress.prefill_engine = None
         return False
