--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -1,4 +1,4 @@
-"""Which requests start at once, which wait at the front, and which are rejected."""
+"""Admission decisions: a request starts at once, waits at the front, or is rejected."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.fake_scheduler_host import DECODE, PREFILL, FakeSchedulerHost, routing_settings
 
 
-def test_final_response_comes_before_the_client_times_out() -> None:
+def test_request_is_rejected_before_its_client_times_out() -> None:
     host = FakeSchedulerHost([PREFILL, DECODE])
     request = host.submit(time_budget=SECOND)
     host.now += SECOND
@@ -52,7 +52,7 @@
     assert host.actions_of(host.submit(500, session=8)) == ["reject"]
 
 
-def test_stale_load_report_does_not_keep_a_prefill_engine_looking_full() -> None:
+def test_stale_load_report_does_not_mark_a_prefill_engine_as_full() -> None:
     host = FakeSchedulerHost([PREFILL, DECODE])
     request = host.submit()
     host.end_attempt(
@@ -65,7 +65,7 @@
     assert host.actions_of(waiting) == ["start_attempt"]
 
 
-def test_hopeless_requests_get_one_final_response() -> None:
+def test_requests_that_cannot_be_served_get_one_final_response() -> None:
     assert FakeSchedulerHost([]).actions_of(1) == []
     host = FakeSchedulerHost([PREFILL, DECODE])
     assert host.actions_of(host.submit(request_class=None)) == ["fail_indeterminate"]
@@ -77,23 +77,23 @@
     assert host_without_engines.actions_of(request) == ["reject"]
 
 
-def test_in_congestion_a_client_retry_waits_less_than_a_first_try_and_gets_retry_after() -> None:
+def test_under_congestion_a_client_retry_is_rejected_with_retry_after_where_a_first_try_starts() -> None:
     host = FakeSchedulerHost([PREFILL, DECODE], routing_settings(front_count=200))
     congestion = host.driver.scheduler.role_queueing_delays[Role.PREFILL]
     congestion.duration, congestion.updated_at = 4_000.0, host.now
     assert host.actions_of(host.submit(500)) == ["start_attempt"]
     assert host.actions_of(host.submit(500, session=1, is_client_retry=True)) == ["reject"]
-    assert host.retry_after == SECOND  # the longest that the settings allow
+    assert host.retry_after == SECOND  # the maximum that the settings allow
 
 
-def test_long_prefill_queue_costs_few_more_engine_selections_than_one_waiting_request() -> None:
+def test_thirty_waiting_requests_cost_less_than_six_times_the_engine_selections_of_one() -> None:
     def selections(waiting_requests: int) -> int:
-        """How often an engine is selected in a second while requests wait."""
+        """Return how many engine selections one second takes while this many requests wait."""
         host = FakeSchedulerHost([PREFILL, DECODE], routing_settings(max_attempts=5))
         scheduler = host.driver.scheduler
         select_engine = scheduler.select_engine
         count = 0
-        # So long a prompt that others wait at the front while its prefill is in progress.
+        # This prompt is so long that other requests wait at the front while its prefill is in progress.
         host.submit(prompt_tokens=20_000, time_budget=60 * SECOND)
 
         def count_selection(*arguments: Any) -> Any:
--- a/tests/test_auditor_rejects_forged_recordings.py
+++ b/tests/test_auditor_rejects_forged_recordings.py
@@ -1,4 +1,8 @@
-"""The auditor finds out fronts that break a rule; amid the same faults the sound front breaks none."""
+"""The auditor against recordings of real fronts, with and without a defect.
+
+A front with a defect has to violate the rule of its case. The unmodified front has to violate no rule under
+the same faults.
+"""
 
 from __future__ import annotations
 
@@ -29,12 +33,12 @@
 from runspool.service.response_relay import ResponseRelay
 from runspool.transport.tcp import ConnectionClosedError
 from runspool.wire import completions as wire
-from runspool.wire.endpoint_list import EndpointEntry as Line
+from runspool.wire.endpoint_list import EndpointEntry
 from tests.small_fleet import SmallFleet
 
 pytestmark = pytest.mark.anyio
-LOST, TWICE, DRAINS, COLD, PINNED = RULES
-ASK, BOOK, MARK = range(3)
+REQUEST_LOST, EXECUTED_TWICE, SENT_AFTER_DRAIN, COLD_OVERLOADED, STATE_KEPT = RULES
+ASK, BOOK, MARK = range(3)  # request classes: idempotent, at most once, deduplicated by key
 InstallDefect = Callable[[pytest.MonkeyPatch], None]
 InjectFault = Callable[[SmallFleet], Coroutine[Any, Any, None]]
 
@@ -42,6 +46,7 @@
 def requests(
     count: int, request_class: int = ASK, gap: int = 50, limit: int = 20_000, out: int = 6
 ) -> list[PlannedRequest]:
+    """Return requests `gap` tenths of a millisecond apart, each with `limit` tenths to be served in."""
     return [
         PlannedRequest(
             f"i{at}",
@@ -69,22 +74,22 @@
     return
 
 
-# Faults around the front.
+# Faults of the engines and of the endpoint list.
 
 
-async def resets(fleet: SmallFleet) -> None:
-    for one in fleet.engines:
-        if one.spec.role == "writer":
-            one.set_fault("row", row="reset_after", share=0.7)
+async def reset_by_decode_engines(fleet: SmallFleet) -> None:
+    for engine in fleet.engines:
+        if engine.spec.role == "writer":
+            engine.set_fault("row", row="reset_after", share=0.7)
 
 
-async def full_writers(fleet: SmallFleet) -> None:
-    for one in fleet.engines:
-        if one.spec.role == "writer":
-            one.set_fault("row", row="full_503", share=1.0)
+async def overloaded_decode_engines(fleet: SmallFleet) -> None:
+    for engine in fleet.engines:
+        if engine.spec.role == "writer":
+            engine.set_fault("row", row="full_503", share=1.0)
 
 
-async def drained(fleet: SmallFleet) -> None:
+async def drain_first_engine(fleet: SmallFleet) -> None:
     await fleet.until("ran", 5)
     fleet.tell(0, "draining")
     with anyio.fail_after(10):
@@ -99,131 +104,151 @@
 # Defects of a front.
 
 
-def forgets_that_it_may_have_run(patch: pytest.MonkeyPatch) -> None:
-    for mishap in (
+def treat_executed_attempts_as_not_sent(patch: pytest.MonkeyPatch) -> None:
+    for cause in (
         FailureCause.CLOSED_BEFORE_RESPONSE,
         FailureCause.CLOSED_DURING_RESPONSE,
         FailureCause.SERVER_ERROR,
     ):
-        patch.setitem(STATUS_BY_CAUSE, mishap, AttemptStatus.CONNECT_FAILED)
+        patch.setitem(STATUS_BY_CAUSE, cause, AttemptStatus.CONNECT_FAILED)
 
 
-def sends_each_shot_twice(patch: pytest.MonkeyPatch) -> None:
-    sound = Front.start_attempt
+def send_each_attempt_twice(patch: pytest.MonkeyPatch) -> None:
+    original = Front.start_attempt
 
-    def send(front: Front, query: int, engine: int, cap: int) -> None:
-        taken = front.requests[query]
-        second = taken.headers | {"X-Request-Id": f"{taken.id}.again"}
-        if taken.attempt_count:
+    def start_attempt(front: Front, request: int, engine: int, cap: int) -> None:
+        pending = front.requests[request]
+        second_headers = pending.headers | {"X-Request-Id": f"{pending.id}.again"}
+        if pending.attempt_count:
             front._spawn(
-                _listenless,
+                _decode_and_discard,
                 front,
-                taken.completion.body,
-                second,
+                pending.completion.body,
+                second_headers,
                 front.endpoints[engine].address,
-                taken.state,
+                pending.state,
             )
-        sound(front, query, engine, cap)
+        original(front, request, engine, cap)
 
-    patch.setattr(Front, "start_attempt", send)
+    patch.setattr(Front, "start_attempt", start_attempt)
 
 
-async def _listenless(
+async def _decode_and_discard(
     front: Front, body: Any, headers: dict[str, str], address: tuple[str, int], state: Any
 ) -> None:
-    class Deaf:
+    class DiscardingListener:
         async def stream_started(self) -> None:
             return
 
         async def data_received(self, text: str) -> None:
             return
 
-    await front.engine_client.decode(address, body, state, headers, 20_000, UNRESTRICTED, 1000, Deaf())
+    await front.engine_client.decode(
+        address, body, state, headers, 20_000, UNRESTRICTED, 1000, DiscardingListener()
+    )
 
 
-def gives_no_answer(patch: pytest.MonkeyPatch) -> None:
-    async def answer(one: CompletionsHandler, *said: Any) -> None:
-        raise ConnectionClosedError("swallowed")
+def send_no_final_response(patch: pytest.MonkeyPatch) -> None:
+    async def send_nothing(handler: CompletionsHandler, *arguments: Any) -> None:
+        raise ConnectionClosedError("response dropped by the defect")
 
-    patch.setattr(CompletionsHandler, "_send_final_response", answer)
+    patch.setattr(CompletionsHandler, "_send_final_response", send_nothing)
 
 
-def answers_late(patch: pytest.MonkeyPatch) -> None:
-    sound = CompletionsHandler._send_final_response
+def send_late_final_responses(patch: pytest.MonkeyPatch) -> None:
+    original = CompletionsHandler._send_final_response
 
-    async def answer(one: CompletionsHandler, taken: Any, reply: Any, final: Any) -> None:
-        await anyio.sleep(max(0, taken.deadline + 10_000 - now()) / 10_000)
-        await sound(one, taken, reply, final)
+    async def send_late(handler: CompletionsHandler, pending: Any, response: Any, final: Any) -> None:
+        await anyio.sleep(max(0, pending.deadline + 10_000 - now()) / 10_000)
+        await original(handler, pending, response, final)
 
-    patch.setattr(CompletionsHandler, "_send_final_response", answer)
+    patch.setattr(CompletionsHandler, "_send_final_response", send_late)
 
 
-def speaks_after_the_end(patch: pytest.MonkeyPatch) -> None:
-    sound = _EventStreamResponse.finish
+def send_bytes_after_the_response(patch: pytest.MonkeyPatch) -> None:
+    original = _EventStreamResponse.finish
 
-    async def finish(one: _EventStreamResponse, final: Any) -> None:
-        await sound(one, final)
-        one.handler.tcp.write(wire.DONE_EVENT)
+    async def finish(response: _EventStreamResponse, final: Any) -> None:
+        await original(response, final)
+        response.handler.tcp.write(wire.DONE_EVENT)
 
     patch.setattr(_EventStreamResponse, "finish", finish)
 
 
-def loses_a_token(patch: pytest.MonkeyPatch) -> None:
-    sound = ResponseRelay.data_received
+def drop_a_token(patch: pytest.MonkeyPatch) -> None:
+    original = ResponseRelay.data_received
 
-    async def data_received(one: ResponseRelay[Any], text: str) -> None:
+    async def data_received(relay: ResponseRelay[Any], text: str) -> None:
         if "t3" not in text:
-            await sound(one, text)
+            await original(relay, text)
 
     patch.setattr(ResponseRelay, "data_received", data_received)
 
 
-def does_not_hear_of_drains(patch: pytest.MonkeyPatch) -> None:
-    sound = EndpointRegistry.to_record
+def ignore_drains(patch: pytest.MonkeyPatch) -> None:
+    original = EndpointRegistry.to_record
 
-    def listed(registry: EndpointRegistry, entry: Line) -> EngineRecord | None:
-        return sound(registry, msgspec.structs.replace(entry, state="on"))
+    def to_record(registry: EndpointRegistry, entry: EndpointEntry) -> EngineRecord | None:
+        return original(registry, msgspec.structs.replace(entry, state="on"))
 
-    patch.setattr(EndpointRegistry, "to_record", listed)
+    patch.setattr(EndpointRegistry, "to_record", to_record)
 
 
-def lets_no_state_go(patch: pytest.MonkeyPatch) -> None:
-    def release(front: Front, query: int) -> None:
-        front.requests[query].state = None
+def release_no_state(patch: pytest.MonkeyPatch) -> None:
+    def release(front: Front, request: int) -> None:
+        front.requests[request].state = None
 
     patch.setattr(Front, "release_state", release)
 
 
-def takes_cold_for_warm(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(engine_eligibility, "admits_during_slow_start", lambda *said: True)
+def ignore_slow_start(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(engine_eligibility, "admits_during_slow_start", lambda *arguments: True)
 
 
-KINDS = ["prefill", "prefill", "decode", "decode"]
+ENGINE_TYPES = ["prefill", "prefill", "decode", "decode"]
 CASES: dict[str, tuple[InstallDefect, str, InjectFault, list[PlannedRequest], dict[str, Any]]] = {
-    "exclusive twice": (forgets_that_it_may_have_run, TWICE, resets, requests(8, BOOK), {}),
-    "ticket outside its group": (forgets_that_it_may_have_run, TWICE, resets, requests(12, MARK), {}),
-    "two shots at once": (sends_each_shot_twice, TWICE, no_fault, requests(6, out=60), {}),
-    "no answer": (gives_no_answer, LOST, no_fault, requests(4, limit=8_000), {}),
-    "late answer": (answers_late, LOST, full_writers, requests(4, limit=6_000), {}),
-    "speaks after the end": (speaks_after_the_end, LOST, no_fault, requests(4), {}),
-    "loses a token": (loses_a_token, LOST, no_fault, requests(4), {}),
+    "exclusive twice": (
+        treat_executed_attempts_as_not_sent,
+        EXECUTED_TWICE,
+        reset_by_decode_engines,
+        requests(8, BOOK),
+        {},
+    ),
+    "ticket outside its group": (
+        treat_executed_attempts_as_not_sent,
+        EXECUTED_TWICE,
+        reset_by_decode_engines,
+        requests(12, MARK),
+        {},
+    ),
+    "two shots at once": (send_each_attempt_twice, EXECUTED_TWICE, no_fault, requests(6, out=60), {}),
+    "no answer": (send_no_final_response, REQUEST_LOST, no_fault, requests(4, limit=8_000), {}),
+    "late answer": (
+        send_late_final_responses,
+        REQUEST_LOST,
+        overloaded_decode_engines,
+        requests(4, limit=6_000),
+        {},
+    ),
+    "speaks after the end": (send_bytes_after_the_response, REQUEST_LOST, no_fault, requests(4), {}),
+    "loses a token": (drop_a_token, REQUEST_LOST, no_fault, requests(4), {}),
     "sends after a drain": (
-        does_not_hear_of_drains,
-        DRAINS,
-        drained,
+        ignore_drains,
+        SENT_AFTER_DRAIN,
+        drain_first_engine,
         requests(50, gap=300),
         {"drain_grace": 500},
     ),
     "keeps states": (
-        lets_no_state_go,
-        PINNED,
-        full_writers,
+        release_no_state,
+        STATE_KEPT,
+        overloaded_decode_engines,
         requests(6, limit=30_000),
         {"state_release_timeout": 4_000, "held_on": 1.5},
     ),
     "floods a cold engine": (
-        takes_cold_for_warm,
-        COLD,
+        ignore_slow_start,
+        COLD_OVERLOADED,
         no_fault,
         requests(60, gap=100),
         {"cold": 0, "slow_start_overload_multiple": 0.3},
@@ -231,23 +256,30 @@
 }
 
 
-@pytest.mark.parametrize("doctored", [False, True], ids=["sound", "doctored"])
+@pytest.mark.parametrize("defective", [False, True], ids=["sound", "doctored"])
 @pytest.mark.parametrize("case", CASES)
-async def test_a_doctored_front_is_found_out(
-    case: str, doctored: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+async def test_only_a_defective_front_violates_the_rule_of_its_case(
+    case: str, defective: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     install_defect, rule, inject_fault, planned, settings = CASES[case]
-    if doctored:
+    if defective:
         install_defect(monkeypatch)
-    monkeypatch.setattr(StandInEngine, "crash", lambda engine: None)  # one that falls goes on, noted
-    # All runs in one process here: what a busy machine delays is no breach, and the doctored overdo it.
+    monkeypatch.setattr(StandInEngine, "crash", lambda engine: None)  # a crash is only recorded
+    # Clients, front and engines share one process, so that a busy machine delays them, which is no violation.
+    # The late responses of a defective front exceed the tolerance.
     tolerance = AuditTolerance(late_answer=4_000, observation_delay=4_000)
-    fleet = SmallFleet(tmp_path, KINDS)
-    for at, one in enumerate(fleet.plan.engines):
-        multiple = settings.get("slow_start_overload_multiple", one.spec.slow_start_overload_multiple)
-        one.spec = replace(one.spec, zone="ab"[at % 2], slow_start_overload_multiple=multiple)
-        fleet.engines[at] = StandInEngine(one.spec, fleet.recorder, at == settings.get("cold"), at)
-        fleet.started[at] = int(time() * 1000) if at == settings.get("cold") else 0
+    fleet = SmallFleet(tmp_path, ENGINE_TYPES)
+    for index, planned_engine in enumerate(fleet.plan.engines):
+        multiple = settings.get(
+            "slow_start_overload_multiple", planned_engine.spec.slow_start_overload_multiple
+        )
+        planned_engine.spec = replace(
+            planned_engine.spec, zone="ab"[index % 2], slow_start_overload_multiple=multiple
+        )
+        fleet.engines[index] = StandInEngine(
+            planned_engine.spec, fleet.recorder, index == settings.get("cold"), index
+        )
+        fleet.started[index] = int(time() * 1000) if index == settings.get("cold") else 0
     for name in settings.keys() - {"cold", "held_on"}:
         setattr(fleet.plan, name, settings[name])
     fleet.recorder.record_event("day", plan=msgspec.to_builtins(fleet.plan))
@@ -259,9 +291,11 @@
             await clients.run(planned, now())
             while fleet.running.front.requests:
                 await anyio.sleep(0.01)
-        await anyio.sleep(settings.get("held_on", 0))  # a state is pinned by being there for so long
+        await anyio.sleep(settings.get("held_on", 0))  # a state counts as kept only after so long
         fleet.recorder.record_event("over")
-    found = audit(list(recording.read_recording(fleet.file)), tolerance)
-    broken = {name: judged.broken for name, judged in found.items() if judged.broken}
-    assert found[rule].cases
-    assert (broken.get(rule, 0) > 0) if doctored else not broken, [one.examples for one in found.values()]
+    results = audit(list(recording.read_recording(fleet.file)), tolerance)
+    violations = {name: result.broken for name, result in results.items() if result.broken}
+    assert results[rule].cases
+    assert (violations.get(rule, 0) > 0) if defective else not violations, [
+        result.examples for result in results.values()
+    ]
--- a/tests/test_cell_admission.py
+++ b/tests/test_cell_admission.py
@@ -1,4 +1,4 @@
-"""What a front admits to which cell: budgets, overflow to the reserve, panic, poisonous requests."""
+"""Admission to cells: request budgets, overflow to the reserve cell, panic mode, poisonous requests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.cell_maps import cell_map_with
 
 
-def test_flooded_cell_takes_no_other_cells_guarantee() -> None:
+def test_overloaded_cell_does_not_use_up_the_guaranteed_budget_of_others() -> None:
     budget = Budget(100, {"a": 1, "b": 1, "c": 2})
     while budget.check("a") is BudgetDecision.ADMITTED:
         budget.acquire("a")
@@ -37,11 +37,11 @@
 
 
 def overflow_policy(**fields: Any) -> OverflowPolicy:
-    """The policy of two cells with a reserve; `fields` of the map's overflow section."""
+    """Return the policy of two cells with a reserve cell; `fields` are set in the map's overflow section."""
     return OverflowPolicy(cell_map_with("a", "b", "r", reserve="r", overflow=Overflow(**fields)))
 
 
-def test_rejecting_cell_overflows_by_steps_and_stops_below_a_lower_threshold() -> None:
+def test_overflow_of_a_rejecting_cell_grows_by_steps_and_stops_below_a_lower_threshold() -> None:
     policy, now = overflow_policy(), 0
     at_reserve = []
     for number in range(800):
@@ -50,7 +50,7 @@
         policy.record_outcome(now, "a", not at_reserve[-1], at_reserve[-1])
     assert not any(at_reserve[:4])
     assert 0.4 < sum(at_reserve[-100:]) / 100 <= 0.5
-    assert policy.state("a").overflow_share == 0.5  # never more than its share
+    assert policy.state("a").overflow_share == 0.5  # the maximum share
     assert policy.state("b").overflow_share == 0.0
     for _ in range(1200):
         now += 100
@@ -82,18 +82,18 @@
     assert not policy.use_reserve(3_000, "b", 0.0)
 
 
-def test_cell_panics_when_most_of_its_engines_are_gone() -> None:
+def test_cell_is_in_panic_mode_when_most_of_its_engines_are_gone() -> None:
     cell_map = cell_map_with("a")
     assert not is_panicking(cell_map, 4, 4)
     assert not is_panicking(cell_map, 2, 4)
     assert is_panicking(cell_map, 1, 4)
-    assert not is_panicking(cell_map, 0, 0)  # nothing was ever placed there
+    assert not is_panicking(cell_map, 0, 0)  # a cell without any engines is not in panic mode
 
 
-def test_request_that_brings_down_two_engines_is_poisonous() -> None:
+def test_request_that_crashes_two_engines_is_poisonous() -> None:
     detector = PoisonDetector(2)
     assert not detector.record_loss(0, "q", 1)
-    assert not detector.record_loss(1, "q", 1)  # the same engine twice is the engine's own fault
+    assert not detector.record_loss(1, "q", 1)  # losses of the same engine count once
     assert detector.record_loss(2, "q", 2)
     assert detector.is_poisonous(3, "q")
     assert not detector.is_poisonous(3, "other")
@@ -107,7 +107,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Budgets and overflow against a plain model: whatever comes in what order, no bound is passed."""
+    """Compare budgets and overflow with a simple model: no order of events exceeds a limit."""
 
     @initialize()
     def start(self) -> None:
--- a/tests/test_cell_commands.py
+++ b/tests/test_cell_commands.py
@@ -1,4 +1,4 @@
-"""The operators' commands for cells on real files: planned, made, undone, finished, interrupted."""
+"""The command line for cells on real files: moves are planned, made, undone, finished and interrupted."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def front_config(tmp_path: Path) -> Path:
-    """A front's configuration file, with a saved list of engines beside it."""
+    """Return a front's configuration file, with a saved endpoint list in the same directory."""
     config_file = tmp_path / "front.jsonnet"
     config_file.write_text(f"""
         local r = import 'runspool.libsonnet';
@@ -38,7 +38,7 @@
 
 
 def run_command(*arguments: object, code: int = 0) -> str:
-    """Run a command on cells; returns its output."""
+    """Run a cells command, check its exit code and return its output."""
     result = CliRunner().invoke(app, ["cells", *map(str, arguments)])
     assert result.exit_code == code, result.output
     return result.output
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("interrupted", ["file", "after the log"])
-def test_an_interrupted_change_is_finished_or_never_made(interrupted: str, front_config: Path) -> None:
+def test_an_interrupted_change_is_completed_by_recovery(interrupted: str, front_config: Path) -> None:
     file = front_config.with_name("cells.map")
     cell_store.record_change(file, "adopt", CELL_MAP, 1)
     changed_map = tenant_migration.plan_move(CELL_MAP, map_with_move().moves[0], [])
@@ -104,15 +104,15 @@
     else:
         map_before = file.read_bytes()
         cell_store.record_change(file, "move", changed_map, 2)
-        file.write_bytes(map_before)  # killed between log and file
+        file.write_bytes(map_before)  # as if killed after the write of the log and before that of the map
         assert cell_store.recover_map(file) == changed_map == cell_store.load_map(file)
-    # A log whose last line is damaged tells of the changes before it.
+    # A log whose last line is damaged still yields the changes before it.
     log = cell_store.change_log_path(file)
     log.write_bytes(log.read_bytes()[:-9])
     assert [change.version for change in cell_store.read_change_log(file)] == [1]
 
 
-def test_two_operators_cannot_change_one_map_at_once(front_config: Path) -> None:
+def test_two_concurrent_commands_cannot_change_the_same_map(front_config: Path) -> None:
     file = front_config.with_name("cells.map")
     cell_store.record_change(file, "adopt", CELL_MAP, 1)
     with cell_store.lock_map(file):
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Connections of clients: many, silent, ahead of their responses, beyond the cap of descriptors."""
+"""Client connections to a node: many at once, silent, pipelining, and beyond the descriptor limit."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
-PAIR = {"r": "prefill", "w": "decode"}
+PREFILL_AND_DECODE = {"r": "prefill", "w": "decode"}
 
 
-async def test_a_request_id_in_use_is_rejected_and_the_first_request_goes_on(tmp_path: Path) -> None:
+async def test_a_request_id_in_use_is_rejected_and_the_first_request_continues(tmp_path: Path) -> None:
     proceed = asyncio.Event()
 
     async def responds_later(request: ReceivedRequest) -> None:
         await proceed.wait()
         await request.send(COMPLETE_STREAM)
 
-    async with Platform(tmp_path, PAIR).open() as platform:
+    async with Platform(tmp_path, PREFILL_AND_DECODE).open() as platform:
         platform.engines["w"].scripts = [responds_later]
         first = await platform.client()
         first.send(post("q1"))
@@ -35,8 +35,8 @@
         assert len(platform.attempts("q1")) == 2
 
 
-async def test_hundreds_of_silent_clients_keep_nobody_out_and_are_closed(tmp_path: Path) -> None:
-    async with Platform(tmp_path, PAIR).open() as platform:
+async def test_hundreds_of_silent_clients_block_no_other_client_and_are_closed(tmp_path: Path) -> None:
+    async with Platform(tmp_path, PREFILL_AND_DECODE).open() as platform:
         silent_clients = [await platform.client() for _ in range(400)]
         partial = await platform.client()
         partial.send(post("h1")[:-10])
@@ -47,9 +47,9 @@
         assert (await platform.ask(post("q2"))).complete
 
 
-async def test_a_client_that_sends_much_ahead_and_stays_is_answered(tmp_path: Path) -> None:
+async def test_a_client_that_sends_excess_data_before_its_response_still_gets_it(tmp_path: Path) -> None:
     proceed = asyncio.Event()
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     async with platform.inside() as running:
         platform.engines["r"].scripts = [responds(PREFILL_RESPONSE, proceed)]
         client = await platform.client()
@@ -64,9 +64,9 @@
         assert response.complete and response.headers["connection"] == "close"
 
 
-async def test_descriptors_stay_under_their_cap_and_every_request_is_answered(tmp_path: Path) -> None:
+async def test_open_descriptors_stay_within_the_limit_and_every_request_is_answered(tmp_path: Path) -> None:
     proceed = asyncio.Event()
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     platform.sockets = 64
     async with platform.open():
         platform.engines["w"].scripts = [streams_until(proceed)] * 100
@@ -82,6 +82,6 @@
         assert {response.status for _, response in responses} == {200, 503}
         for client, response in responses:
             if response.status == 200:
-                await client.read_body(response)  # only then is there room again
+                await client.read_body(response)  # frees descriptors for the last request
         assert most_open <= 64
         assert (await platform.ask(post("last"))).status == 200
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,6 +1,6 @@
-"""Clients that disconnect: nothing is sent on for them, and nothing of theirs stays reserved.
+"""Clients that disconnect from a node: no further attempt is made for them, and everything is released.
 
-The order of events is forced by the node's peers (docs/design/rare.md).
+The scripted engines, agent and clients force the order of events (docs/design/rare.md).
 """
 
 from __future__ import annotations
@@ -19,15 +19,17 @@
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
-PAIR = {"r": "prefill", "w": "decode"}
+PREFILL_AND_DECODE = {"r": "prefill", "w": "decode"}
 
 
 async def assert_released(platform: Platform, node: NodeExecutor, name: str, attempts: int) -> None:
-    """Check that all of a request is released after its client has disconnected, and no attempt follows."""
+    """Check that everything the request held is released and that no attempt follows."""
     await until(lambda: not node.requests and not node.releases_in_progress)
     platform.tell(**dict.fromkeys(platform.states, "active"))
     await until_listed(node, "on")
-    assert (await platform.ask(post(f"after-{name}"))).complete  # whatever waited would have gone with it
+    assert (
+        await platform.ask(post(f"after-{name}"))
+    ).complete  # a request still queued would have been sent as well
     assert len(platform.attempts(name)) == attempts
     pool = node.engine_client.pool
     idle_count = sum(map(len, pool.idle.values()))
@@ -38,13 +40,13 @@
 async def test_a_client_that_disconnects_during_prefill_has_its_state_released(
     bytes_ahead: int, tmp_path: Path
 ) -> None:
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     async with platform.inside() as running:
         platform.engines["r"].scripts = [never_responds]
         client = await platform.client()
         client.send(post("q1"))
         await platform.until(lambda: len(platform.attempts("q1")) == 1)
-        # More than the node and its kernel buffer: the end of the connection would never come through.
+        # With more bytes than the node and the kernel buffer, the node would not see the end of the connection.
         client.send(b"x" * bytes_ahead)
         if bytes_ahead:
             await asyncio.wait_for(client.writer.drain(), WAIT)
@@ -53,8 +55,8 @@
         await assert_released(platform, running.executor, "q1", 1)
 
 
-async def test_a_request_whose_client_disconnects_in_the_queue_is_not_sent_on(tmp_path: Path) -> None:
-    platform = Platform(tmp_path, PAIR)
+async def test_a_queued_request_whose_client_disconnects_is_never_sent(tmp_path: Path) -> None:
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     async with platform.inside() as running:
         platform.tell(r="leaving")
         await until_listed(running.executor, "draining", "r")
@@ -68,7 +70,7 @@
 async def test_a_client_that_disconnects_between_prefill_and_decode_has_its_state_released(
     tmp_path: Path,
 ) -> None:
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     platform.settings = changed_settings(
         lambda settings: settings["family-info"].update({"release-within-us": 60_000_000})
     )
@@ -87,7 +89,7 @@
         await assert_released(platform, running.executor, "q1", 1)
 
 
-async def test_a_request_whose_client_disconnects_while_connecting_is_not_sent_on(
+async def test_a_request_whose_client_disconnects_while_the_node_connects_to_its_engine_is_not_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     connecting, proceed = asyncio.Event(), asyncio.Event()
@@ -98,7 +100,7 @@
             await proceed.wait()
         return await connect(address, source)
 
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     async with platform.inside() as running:
         monkeypatch.setattr("runspool.engines.connection_pool.connect", delayed_connect)
         client = await platform.client()
@@ -115,7 +117,7 @@
     [("asyncio", {"use_uvloop": uvloop}) for uvloop in (False, True)],
     ids=["asyncio", "uvloop"],
 )
-async def test_a_request_whose_client_disconnects_as_its_connection_opens_leaves_no_connection(
+async def test_a_client_that_disconnects_as_the_engine_connection_opens_leaves_no_connection_behind(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def connect_and_disconnect_client(address: tuple[str, int], source: str | None) -> TcpConnection:
@@ -125,7 +127,7 @@
                 running.executor.client_disconnected(pending)
         return connection
 
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     async with platform.inside() as running:
         monkeypatch.setattr("runspool.engines.connection_pool.connect", connect_and_disconnect_client)
         client = await platform.client()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration from templates: what a template may contain, and how its faults are reported."""
+"""Configuration from Jsonnet templates: permitted contents, and how errors are reported."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def example_config() -> dict[str, Any]:
-    """Return the configuration of the example, as a template gives it."""
+    """Return the example configuration as the evaluated template yields it."""
     return load_config(EXAMPLE).model_dump()
 
 
@@ -34,7 +34,7 @@
     assert not settings.streams_can_resume
 
 
-def test_all_faults_are_reported_at_once_with_path_value_and_what_is_allowed() -> None:
+def test_all_errors_are_reported_at_once_with_path_value_and_permitted_values() -> None:
     config = example_config()
     config["house"]["tariffs"]["staff-ask"]["due_ms"] = -1
     config["house"]["tariffs"]["payout-close"]["effect"] = "sometimes"
@@ -44,8 +44,8 @@
     del config["front"]["list"]["quiet_ms"]
     with pytest.raises(InvalidConfigError) as error:
         parse_config(config)
-    faults = {fault.path: fault for fault in error.value.errors}
-    assert set(faults) == {
+    errors = {field_error.path: field_error for field_error in error.value.errors}
+    assert set(errors) == {
         "house.tariffs.staff-ask.due_ms",
         "house.tariffs.payout-close.effect",
         "house.kinds",
@@ -53,9 +53,9 @@
         "front.bounds.querries",
         "front.list.quiet_ms",
     }
-    assert faults["front.bounds.querries"].message == "no such field"
-    assert faults["house.tariffs.staff-ask.due_ms"].value == "-1"
-    assert "'ticketed'" in faults["house.tariffs.payout-close.effect"].message
+    assert errors["front.bounds.querries"].message == "no such field"
+    assert errors["house.tariffs.staff-ask.due_ms"].value == "-1"
+    assert "'ticketed'" in errors["house.tariffs.payout-close.effect"].message
 
 
 @pytest.mark.parametrize(
@@ -66,14 +66,16 @@
         ({"default_tariff": "none"}, "front.default_tariff"),
     ],
 )
-def test_a_front_must_fit_the_shared_settings(change: dict[str, Any], path: str) -> None:
+def test_front_settings_that_contradict_the_shared_settings_are_rejected(
+    change: dict[str, Any], path: str
+) -> None:
     config = example_config()
     config["front"] |= change
     with pytest.raises(InvalidConfigError, match=path):
         parse_config(config)
 
 
-def test_a_template_that_does_not_evaluate_names_file_and_line(tmp_path: Path) -> None:
+def test_error_in_a_template_names_file_and_line(tmp_path: Path) -> None:
     broken = tmp_path / "broken.jsonnet"
     broken.write_text("local a = 1;\n{ house: a + nothing }\n")
     with pytest.raises(InvalidConfigError, match=r"broken\.jsonnet:2"):
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -1,4 +1,4 @@
-"""Idle engine connections that are used again, closed, reset or answered twice."""
+"""Reuse of idle engine connections, among them connections that are closed, reset or answered twice."""
 
 from __future__ import annotations
 
@@ -15,15 +15,17 @@
 from tests.node_platform.settings import SETTINGS
 
 pytestmark = pytest.mark.anyio
-PAIR = {"r": "prefill", "w": "decode"}
+PREFILL_AND_DECODE = {"r": "prefill", "w": "decode"}
 
 
-async def test_an_idle_connection_closed_by_its_engine_leaves_no_uncertainty(tmp_path: Path) -> None:
+async def test_an_idle_connection_closed_by_its_engine_leaves_no_attempt_with_unknown_outcome(
+    tmp_path: Path,
+) -> None:
     async def serves_and_closes(request: ReceivedRequest) -> None:
         await request.send(COMPLETE_STREAM)
         request.reset()
 
-    async with Platform(tmp_path, PAIR).open() as platform:
+    async with Platform(tmp_path, PREFILL_AND_DECODE).open() as platform:
         platform.engines["w"].scripts = [serves_and_closes] * 10
         for index in range(10):
             response = await platform.ask(post(f"q{index}", "book"))
@@ -31,11 +33,11 @@
             assert len(platform.attempts(f"q{index}", "decode")) == 1
 
 
-async def test_an_idle_connection_reset_by_the_next_request_leaves_no_uncertainty(
+async def test_an_idle_connection_reset_on_the_next_request_leaves_no_attempt_with_unknown_outcome(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def slow_connect(address: tuple[str, int], source: str | None) -> TcpConnection:
-        await asyncio.sleep(0.5)  # a round trip so long that the reset is always seen in it
+        await asyncio.sleep(0.5)  # long enough for the reset to be seen before the new connection is open
         return await connect(address, source)
 
     async def responds_then_resets(request: ReceivedRequest) -> None:
@@ -45,13 +47,13 @@
 
     monkeypatch.setattr("runspool.engines.connection_pool.connect", slow_connect)
     monkeypatch.setattr("runspool.engines.http_exchange.MAX_OBSERVATION_TIME", 100_000)
-    platform = Platform(tmp_path, PAIR)
-    # Deadlines are long: that connecting takes long is not what this tests.
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
+    # Deadlines and the connect timeout are long, so that the slow connect does not fail the request.
     classes = [row | {"aim-us": 5_000_000} for row in SETTINGS["classes"]]
     limits = SETTINGS["limits"] | {"dial-timeout-us": 5_000_000}
     platform.settings = SETTINGS | {"limits": limits, "classes": classes}
     async with platform.inside() as running:
-        # This tests the idle connection, however soon it is used.
+        # Without a quiet time, the idle connection is used however recently it served a request.
         running.executor.engine_client.pool.quiet_time = 0
         platform.engines["w"].scripts = [responds_then_resets]
         assert (await platform.ask(post("q1"))).complete
@@ -59,28 +61,30 @@
         assert len(platform.attempts("q2", "decode")) == 1
 
 
-async def test_a_late_second_response_is_not_taken_for_that_of_the_next_request(tmp_path: Path) -> None:
+async def test_a_late_duplicate_response_is_not_matched_to_the_next_request(tmp_path: Path) -> None:
     async def responds_twice(request: ReceivedRequest) -> None:
         await request.send(PREFILL_RESPONSE)
         await read_request(request.reader)
-        await request.send(PREFILL_RESPONSE)  # the first response again: this request has not been prefilled
+        await request.send(
+            PREFILL_RESPONSE
+        )  # a duplicate of the first response: this request is not prefilled
         await request.until_closed()
 
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     async with platform.inside() as running:
-        # On a machine of any speed, the connection has just been used.
+        # With so long a quiet time, the connection counts as just used on a machine of any speed.
         running.executor.engine_client.pool.quiet_time = 600_000
         platform.engines["r"].scripts = [responds_twice]
         assert (await platform.ask(post("q1"))).complete
         assert (await platform.ask(post("q2"))).complete
-        # Had it been accepted, the state would have been fetched from an engine that never had it.
+        # Had the duplicate been accepted, the state would have been fetched from an engine that never held it.
         assert [attempt.engine for attempt in platform.attempts("q2")] == ["r", "w"]
 
 
-async def test_a_connection_just_used_is_observed_for_its_quiet_time_where_no_other_can_be_opened(
+async def test_a_recently_used_connection_is_observed_for_its_quiet_time_at_the_connection_limit(
     tmp_path: Path,
 ) -> None:
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     async with platform.inside() as running:
         pool = running.executor.engine_client.pool
         assert (await platform.ask(post("q1"))).complete
--- a/tests/test_decode_selection.py
+++ b/tests/test_decode_selection.py
@@ -1,4 +1,4 @@
-"""Where responses are generated: packing, memory, racks and zones."""
+"""Selection of decode engines: packing of streams, memory, racks and zones."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     assert len(decode_engines) == 1
 
 
-def test_slow_link_keeps_states_in_their_rack() -> None:
+def test_slow_transfers_keep_states_in_their_rack() -> None:
     host = FakeSchedulerHost([PREFILL, DECODE, DECODE])
     host.driver.scheduler.engines[2].rack = 1
     host.driver.scheduler.rack_transfer_delays[0] = DecayingEstimate(SECOND, host.now)
@@ -53,7 +53,7 @@
     assert host.engine_of(second_request) != full_engine
 
 
-def test_one_stream_of_a_hundred_fronts_does_not_fill_a_decode_engine() -> None:
+def test_one_stream_from_one_of_a_hundred_fronts_does_not_fill_a_decode_engine() -> None:
     host = FakeSchedulerHost([PREFILL, DECODE], routing_settings(front_count=100))
     for _ in range(2):
         request = host.submit(400)
@@ -62,7 +62,7 @@
         assert host.actions_of(request) == ["start_attempt", "start_attempt"]
 
 
-def test_reserved_decode_engine_of_another_rack_attracts_no_states() -> None:
+def test_reserved_decode_engine_in_another_rack_gets_no_states() -> None:
     host = FakeSchedulerHost([PREFILL, MIXED, MIXED], routing_settings(front_count=50))
     scheduler = host.driver.scheduler
     scheduler.engines[1].rack = 1
@@ -83,7 +83,7 @@
     assert host.engine_of(request) == 2
 
 
-def test_busy_front_among_hundreds_does_not_take_all_decode_engines_for_full() -> None:
+def test_busy_front_among_hundreds_does_not_consider_all_decode_engines_full() -> None:
     host = FakeSchedulerHost([PREFILL, PREFILL, *[DECODE] * 20], routing_settings(front_count=200))
     for session in range(8):
         request = host.submit(prompt_tokens=3_000, time_budget=10 * SECOND, session=session)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Tracking the endpoint list in whatever order its messages come, and snapshots that may be damaged."""
+"""The endpoint list: messages in any order, and saved snapshots that may be damaged."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(STATE_CHANGES, st.randoms(use_true_random=False))
-def test_messages_in_any_order_and_any_number_of_times_end_in_the_same_list(
+def test_reordered_and_duplicated_messages_yield_the_same_list(
     states: list[tuple[str, str]], rng: object
 ) -> None:
     messages = [
@@ -44,7 +44,7 @@
     last_versions: dict[str, int] = {}
     for message in shuffled:
         for changed in tracker.apply(1, message):
-            # Never back to an older state than the one already applied.
+            # A change never restores a state older than the one already applied.
             assert message.version >= last_versions.get(changed.engine, -1)
             last_versions[changed.engine] = message.version
     last_states = dict(states)
@@ -54,7 +54,7 @@
     assert (tracker.version, tracker.versions_ahead, tracker.gap_since) == (len(states), set(), None)
 
 
-def test_a_drain_out_of_order_is_applied_at_once() -> None:
+def test_a_drain_received_out_of_order_is_applied_at_once() -> None:
     tracker = EndpointTracker()
     tracker.apply(0, EndpointListMessage(1, "e", is_snapshot=True, engines=[entry("p", "on")]))
     assert (
@@ -63,7 +63,7 @@
     assert tracker.apply(6, EndpointListMessage(2, "e", engines=[entry("p", "on")])) == []
 
 
-def test_a_gap_that_does_not_close_needs_a_snapshot() -> None:
+def test_a_version_gap_that_stays_open_requires_a_snapshot() -> None:
     tracker = EndpointTracker()
     tracker.apply(0, EndpointListMessage(1, "e", is_snapshot=True))
     tracker.apply(10, EndpointListMessage(3, "e", engines=[entry("p", "on")]))
@@ -73,7 +73,7 @@
     assert not tracker.needs_snapshot(10 + 3 * GAP_TIMEOUT)
 
 
-def test_a_heartbeat_shows_a_missed_message() -> None:
+def test_a_heartbeat_reveals_a_missed_message() -> None:
     tracker = EndpointTracker()
     tracker.apply(0, EndpointListMessage(1, "e", is_snapshot=True))
     tracker.apply(5, EndpointListMessage(1, "e", is_heartbeat=True))
@@ -91,7 +91,7 @@
     assert tracker.apply(1, older_snapshot) == []
 
 
-def test_a_service_that_lost_its_versions_is_accepted_only_with_a_snapshot() -> None:
+def test_versions_of_a_new_epoch_are_accepted_only_with_a_snapshot() -> None:
     tracker = EndpointTracker()
     tracker.apply(0, EndpointListMessage(90, "e", is_snapshot=True, engines=[entry("p", "on")]))
     assert tracker.apply(1, EndpointListMessage(2, "f", engines=[entry("p", "draining")])) == []
@@ -113,12 +113,12 @@
         ),
     ],
 )
-def test_a_damaged_line_is_malformed(line: bytes) -> None:
+def test_a_damaged_line_raises_a_malformed_line_error(line: bytes) -> None:
     with pytest.raises(MalformedListLineError):
         decode_message(line)
 
 
-def test_a_saved_snapshot_is_complete_or_rejected(tmp_path: Path) -> None:
+def test_a_truncated_or_altered_snapshot_is_rejected(tmp_path: Path) -> None:
     file = tmp_path / "last"
     assert load_snapshot(file) is None
     save_snapshot(file, 5, [entry("p", "draining")])
--- a/tests/test_discovery_call_planner.py
+++ b/tests/test_discovery_call_planner.py
@@ -1,4 +1,4 @@
-"""The plan of calls for the endpoint list, against agents of any pace on a simulated clock."""
+"""The planner of discovery calls against simulated agents of any latency, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -21,19 +21,23 @@
 from runspool.units import TENTHS_PER_SECOND
 
 AGENT, SECOND_AGENT = ("127.0.0.1", 1), ("127.0.0.1", 2)
-MOST_CALLS_PER_SECOND = 25
-RETURN_SEEN_WITHIN = 1_000  # tenths of a millisecond, of an agent that answers what it was asked in an outage
-KNOWN_WITHIN = 6 * TENTHS_PER_SECOND  # after the agent could be reached, whatever it does
-CALLS_AT_ANY_OUTAGE = 3  # that it may owe: the watches, and one more
-STEP = 50  # tenths of a millisecond
+MAX_CALLS_PER_SECOND = 25  # in any one second
+# Upper bound, in tenths of a millisecond, of the time from the end of an outage to the first answer, where the
+# agent then answers the calls that it received during the outage.
+MAX_DETECTION_TIME = 1_000
+# The same where the agent never answers the calls that it received during the outage.
+MAX_DETECTION_TIME_IF_DROPPED = 6 * TENTHS_PER_SECOND
+CALLS_AT_ANY_OUTAGE = 3  # calls open in an outage of any length: the watches and one more
+STEP = 50  # of the simulated clock, in tenths of a millisecond
 
 
 @dataclass
 class SimulatedAgent:
-    """Answers each call `latency` after it came, or after the end of the watch's wait.
+    """An agent that answers each call `latency` after it arrives, a watch `latency` after its wait has ended.
 
-    In an outage, from `down_from` to `down_until`, it answers nothing; then at once, as the list has changed,
-    what it was asked meanwhile, or, if it `drops`, only what it is asked from then on.
+    From `down_from` to `down_until` it is in an outage and answers nothing. The list changes in the outage, so
+    that the calls open at its end are then answered at once; if the agent `drops` calls, those are never
+    answered. Times are in tenths of a millisecond.
     """
 
     latency: int
@@ -41,13 +45,13 @@
     down_until: int = 0
     drops: bool = False
     answers_at: dict[int, int] = field(default_factory=dict)
-    met: int = 0  # calls that were out in the outage
+    calls_in_outage: int = 0  # calls that were open during the outage
 
     def receive(self, call: DiscoveryCall) -> None:
-        """Settle when the call is answered."""
+        """Determine when the call is answered, if at all."""
         at = call.made_at + call.wait + self.latency
         if call.made_at < self.down_until and at > self.down_from:
-            self.met += 1
+            self.calls_in_outage += 1
             if self.drops:
                 return
             at = self.down_until + self.latency
@@ -55,7 +59,7 @@
 
 
 def simulate(agent: SimulatedAgent, duration: int) -> tuple[list[int], list[int]]:
-    """Return when calls were made and when they were answered, by a planner that follows the agent."""
+    """Run a planner against the agent; return the times of its calls and of their answers."""
     planner = DiscoveryCallPlanner(AGENT, Random(1).random)
     made: list[int] = []
     answered: list[int] = []
@@ -71,18 +75,18 @@
     return made, answered
 
 
-def most_in_a_second(times: list[int]) -> int:
+def max_in_a_second(times: list[int]) -> int:
     return max(sum(at <= other < at + TENTHS_PER_SECOND for other in times) for at in times)
 
 
 @settings(max_examples=60, deadline=None)
 @given(latency=st.integers(0, 60 * TENTHS_PER_SECOND))
-def test_agent_of_any_latency_is_heard_and_not_flooded(latency: int) -> None:
-    # A call that is given up before its answer comes is never answered, however often it is repeated.
+def test_agent_of_any_latency_is_followed_without_too_many_calls(latency: int) -> None:
+    # A planner that abandons calls sooner than the agent answers them would never receive an answer.
     made, answered = simulate(SimulatedAgent(latency), 3 * latency + 10 * TENTHS_PER_SECOND)
     assert answered
     assert answered[0] <= latency + STEP
-    assert most_in_a_second(made) <= MOST_CALLS_PER_SECOND
+    assert max_in_a_second(made) <= MAX_CALLS_PER_SECOND
     gaps = [later - earlier for earlier, later in pairwise(answered)]
     assert all(gap <= latency + 2 * TENTHS_PER_SECOND for gap in gaps)
 
@@ -91,38 +95,41 @@
 @given(
     drops=st.booleans(),
     down_from=st.integers(0, 3 * TENTHS_PER_SECOND),
-    lasts=st.integers(0, 60 * TENTHS_PER_SECOND),
+    length=st.integers(0, 60 * TENTHS_PER_SECOND),
 )
-def test_return_from_an_outage_of_any_length_is_seen(drops: bool, down_from: int, lasts: int) -> None:
-    agent = SimulatedAgent(0, down_from, down_from + lasts, drops)
+def test_end_of_an_outage_of_any_length_is_detected(drops: bool, down_from: int, length: int) -> None:
+    agent = SimulatedAgent(0, down_from, down_from + length, drops)
     made, answered = simulate(agent, agent.down_until + 6 * TENTHS_PER_SECOND)
     first = min(at for at in answered if at >= agent.down_until)
     if not drops:
-        assert first <= agent.down_until + RETURN_SEEN_WITHIN + STEP
+        assert first <= agent.down_until + MAX_DETECTION_TIME + STEP
         return
-    # A watch that an outage of less than a second has met is found out after its wait.
-    noticed = max(agent.down_until, down_from + 15_000)
-    assert first <= noticed + max(TENTHS_PER_SECOND, lasts // 10 + STEP) + STEP
-    assert first <= noticed + KNOWN_WITHIN
-    assert most_in_a_second(made) <= MOST_CALLS_PER_SECOND
+    # The loss of a watch in an outage of less than a second is detected only after the wait of the watch.
+    suspected_at = max(agent.down_until, down_from + 15_000)
+    assert first <= suspected_at + max(TENTHS_PER_SECOND, length // 10 + STEP) + STEP
+    assert first <= suspected_at + MAX_DETECTION_TIME_IF_DROPPED
+    assert max_in_a_second(made) <= MAX_CALLS_PER_SECOND
 
 
 @settings(max_examples=60, deadline=None)
 @given(
     drops=st.booleans(),
     down_from=st.integers(0, 3 * TENTHS_PER_SECOND),
-    lasts=st.integers(0, 600 * TENTHS_PER_SECOND),
+    length=st.integers(0, 600 * TENTHS_PER_SECOND),
 )
-def test_calls_made_in_an_outage_of_any_length_are_bounded(drops: bool, down_from: int, lasts: int) -> None:
-    # Ten calls a second were made as long as an outage lasted; after it the agent had to work them off.
-    agent = SimulatedAgent(0, down_from, down_from + lasts, drops)
+def test_calls_made_in_an_outage_of_any_length_are_bounded(drops: bool, down_from: int, length: int) -> None:
+    # The planner once made ten calls a second throughout an outage, which the agent had to process after it.
+    agent = SimulatedAgent(0, down_from, down_from + length, drops)
     simulate(agent, agent.down_until)
-    seconds = lasts / TENTHS_PER_SECOND
-    assert agent.met <= CALLS_AT_ANY_OUTAGE + min(seconds, 10) + max(0, min(seconds, 40) - 10) + seconds / 3.5
+    seconds = length / TENTHS_PER_SECOND
+    assert (
+        agent.calls_in_outage
+        <= CALLS_AT_ANY_OUTAGE + min(seconds, 10) + max(0, min(seconds, 40) - 10) + seconds / 3.5
+    )
 
 
 def answer_watch(planner: DiscoveryCallPlanner, made_at: int, took: int) -> int:
-    """Has a watch made and answered, its answer `took` after its wait; returns when that was."""
+    """Make a watch that is answered `took` after its wait; return the time of the answer."""
     watch = planner.make_call(made_at).call
     answered_at = made_at + watch.wait + took
     planner.record_response(watch, 1, answered_at)
@@ -132,16 +139,14 @@
 @pytest.mark.parametrize(
     ("took", "overdue_margin"),
     [
-        ((0, 50_000), MIN_OVERDUE_MARGIN),  # the second one was held through an outage
+        ((0, 50_000), MIN_OVERDUE_MARGIN),  # the second watch was delayed by an outage
         ((50_000, 0), MIN_OVERDUE_MARGIN),
         ((8_000, 8_000), 12_000),
         ((8_000, 16_000, 8_000), 12_000),
     ],
 )
-def test_an_outage_is_not_taken_for_the_slowness_of_the_agent(
-    took: tuple[int, ...], overdue_margin: int
-) -> None:
-    # One call that an outage had met doubled the overdue margin of the watches after it.
+def test_an_outage_does_not_raise_the_overdue_margin(took: tuple[int, ...], overdue_margin: int) -> None:
+    # One call delayed by an outage once doubled the overdue margin of the watches after it.
     planner = DiscoveryCallPlanner(AGENT, Random(1).random)
     now = 0
     for each in took:
@@ -152,8 +157,8 @@
     assert planner.state(overdue_at) is DiscoveryState.SUSPECT
 
 
-def test_a_backup_watch_that_is_given_up_in_an_outage_is_not_made_again() -> None:
-    # It was made again in the same moment, so that the agent had one more call to work off.
+def test_a_backup_watch_abandoned_in_an_outage_is_not_made_again() -> None:
+    # It was once made again immediately, which left the agent one more call to process.
     planner = DiscoveryCallPlanner(AGENT, Random(1).random)
     planner.record_response(planner.make_call(0).call, 1, 0)
     made: list[DiscoveryCall] = []
@@ -164,14 +169,17 @@
 
 
 class OutOfOrderAnswers(RuleBasedStateMachine):
-    """Answers in any order, each with the list as it was when its call was made; versions begin anew."""
+    """Answers in any order never undo a newer list with an older one.
+
+    Each answer holds the list as it was when its call was made; versions may restart at 1.
+    """
 
     def __init__(self) -> None:
         super().__init__()
         self.planner = DiscoveryCallPlanner(AGENT, Random(1).random)
         self.now = 0
         self.version = 100
-        self.contents: dict[int, tuple[int, int]] = {}  # version and when it was settled, by call
+        self.contents: dict[int, tuple[int, int]] = {}  # version and time of the list, by call number
         self.applied_at = -1
         self.made: list[int] = []
 
@@ -179,10 +187,10 @@
     def time_passes(self, by: int) -> None:
         self.now += by
 
-    @rule(anew=st.booleans())
-    def list_changes(self, anew: bool) -> None:
+    @rule(restarts=st.booleans())
+    def list_changes(self, restarts: bool) -> None:
         self.now += 1
-        self.version = 1 if anew and self.version > 50 else self.version + 1
+        self.version = 1 if restarts and self.version > 50 else self.version + 1
 
     @precondition(lambda self: self.planner.next_call_at(self.now) <= self.now)
     @rule()
@@ -195,16 +203,17 @@
     @rule(data=st.data())
     def answer(self, data: st.DataObject) -> None:
         call = data.draw(st.sampled_from(self.planner.open_calls))
-        version, settled_at = self.contents[call.number]
+        version, listed_at = self.contents[call.number]
         if call.after_version is not None and version < call.after_version:
-            self.planner.record_failure(call, self.now)  # changes that begin before what was asked for
+            # The versions have restarted, and the answer holds changes older than the version asked for.
+            self.planner.record_failure(call, self.now)
             return
         if (
             self.planner.record_response(call, version, self.now).is_usable
             and call.address == self.planner.address
         ):
-            assert settled_at >= self.applied_at, "an older list has undone a newer one"
-            self.applied_at = settled_at
+            assert listed_at >= self.applied_at, "an older list replaced a newer one"
+            self.applied_at = listed_at
 
     @precondition(lambda self: self.planner.open_calls)
     @rule(data=st.data())
