--- a/tests/node_platform/__init__.py
+++ b/tests/node_platform/__init__.py
@@ -1,1 +1,1 @@
-"""What a node meets on sockets, played by tests: scripted engines, a discovery agent and raw clients."""
+"""The peers of a node on sockets, for tests: scripted engines, a scripted discovery agent and raw clients."""
--- a/tests/node_platform/agent.py
+++ b/tests/node_platform/agent.py
@@ -1,4 +1,4 @@
-"""A scripted discovery agent: the endpoint list as nodes fetch and watch it."""
+"""A scripted discovery agent, which serves the endpoint list that nodes fetch and watch."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 
 class ScriptedAgent(ObservedPeers):
-    """Engines, the list of them, and the agent that serves the list."""
+    """Scripted engines, their endpoint list, and the agent that serves the list."""
 
     def __init__(self, kinds: dict[str, str]) -> None:
         super().__init__()
         self.engines = {name: ScriptedEngine(self, name, kind) for name, kind in kinds.items()}
         self.states = dict.fromkeys(kinds, "active")
-        self.starts = dict.fromkeys(kinds, 0)  # Unix time in milliseconds; 0 is long ago
+        self.starts = dict.fromkeys(kinds, 0)  # Unix time in milliseconds; 0 is in the distant past
         self.version = 1
-        self.lists: list[str] = []  # targets of the requests for the list
-        self.list_scripts: list[bytes | None] = []  # the agent's next responses; None for silence
-        self.list_gate = asyncio.Event()  # while clear, the agent receives requests and sends nothing
+        self.lists: list[str] = []  # targets of the received requests for the list
+        self.list_scripts: list[bytes | None] = []  # the next responses of the agent; None sends none
+        self.list_gate = asyncio.Event()  # while clear, the agent reads requests and sends nothing
         self.list_gate.set()
         self.pace = AgentPace()
 
     def listed(self, snapshot: bool = True) -> bytes:
-        """Return the endpoint list as it is now."""
+        """Return the current endpoint list as JSON."""
         return json.dumps(
             {
                 "index": self.version,
@@ -60,18 +60,18 @@
         self.changed()
 
     def tell_started_anew(self, engine: str, kind: str = "") -> None:
-        """Announce that an engine has been started again just now, of another kind if one is given."""
+        """List an engine as restarted now, with another kind if one is given."""
         self.starts[engine] = max(int(time.time() * 1000), self.starts[engine] + 1)
         self.tell_kind(engine, kind or self.engines[engine].kind)
 
     def tell_kind(self, engine: str, kind: str) -> None:
-        """Announce an engine's kind."""
+        """List an engine with this kind."""
         self.engines[engine].kind = kind
         self.tell(**{engine: "active"})
 
     @asynccontextmanager
     async def agent(self) -> AsyncIterator[int]:
-        """Run the agent; yields its port."""
+        """Run the agent; yield its port."""
         agent = await asyncio.start_server(self._serve_agent, HOST, 0)
         try:
             yield int(agent.sockets[0].getsockname()[1])
@@ -80,7 +80,7 @@
             for task in list(self.tasks):
                 task.cancel()
             await asyncio.gather(*self.tasks, return_exceptions=True)
-            await asyncio.sleep(0)  # aborted transports are closed by the loop's next round
+            await asyncio.sleep(0)  # the event loop closes aborted transports in its next iteration
 
     async def _serve_agent(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         async with self.serving(writer):
@@ -99,7 +99,7 @@
         return body if body is None or body.startswith(b"HTTP/") else http_response(200, body)
 
     async def _next_body(self, request: ReceivedRequest) -> bytes | None:
-        """Return the scripted body if there is one, else the list; a watch waits for its next version."""
+        """Return the next scripted body if there is one, else the list; a watch waits for a new version."""
         body: bytes | None = self.listed()
         if self.list_scripts:
             return self.list_scripts.pop(0)
--- a/tests/node_platform/agent_pace.py
+++ b/tests/node_platform/agent_pace.py
@@ -1,4 +1,4 @@
-"""The pace at which an agent of the endpoint list answers, and its outages."""
+"""Response times, connection limits and outages of a scripted discovery agent."""
 
 from __future__ import annotations
 
@@ -12,17 +12,21 @@
 
 @dataclass
 class AgentPace:
-    """How an agent answers.
+    """The timing and the faults of an agent's answers.
 
     Attributes:
-        delay: seconds from when the contents of an answer are settled to its first byte.
-        cost: seconds that each call takes, one call at a time, abandoned ones too.
-        pieces: in how many pieces an answer comes.
+        delay: seconds from the moment at which the body of an answer is fixed to its first byte.
+        cost: processing time of each call in seconds; calls are processed one at a time, abandoned ones too.
+        pieces: number of pieces in which an answer is sent.
         piece_interval: seconds between two pieces.
-        most_connections: connections past this number are reset; 0 sets no limit.
-        drops: calls that meet an outage are never answered, rather than at its end.
-        skips_abandoned: at the end of an outage no work is done for calls whose connection has gone.
-        turn: held by the call that is being worked at; agents that are one process share it.
+        most_connections: connections beyond this number are reset; 0 sets no limit.
+        drops: whether calls that are open during an outage are never answered, instead of at its end.
+        skips_abandoned: whether calls whose connection closed during an outage are not processed after it.
+        turn: lock held by the call that is being processed; agents that share a process share it.
+        reachable: set while no outage is in progress.
+        outages_begun: number of outages so far, including those in progress.
+        outages: number of outages in progress.
+        readers: readers of the connections being served.
     """
 
     delay: float = 0.0
@@ -35,7 +39,7 @@
     turn: asyncio.Lock = field(default_factory=asyncio.Lock)
     reachable: asyncio.Event = field(default_factory=asyncio.Event)
     outages_begun: int = 0
-    outages: int = 0  # that go on now
+    outages: int = 0
     readers: set[asyncio.StreamReader] = field(default_factory=set)
 
     def __post_init__(self) -> None:
@@ -48,19 +52,19 @@
         self.reachable.clear()
 
     def end_outage(self) -> None:
-        """Answer again, unless another outage goes on."""
+        """Answer again, unless another outage is in progress."""
         self.outages -= 1
         if not self.outages:
             self.reachable.set()
 
     @property
     def connections(self) -> int:
-        """How many connections the nodes have open."""
+        """The number of connections that nodes have open."""
         return sum(not reader.at_eof() and reader.exception() is None for reader in self.readers)
 
     @contextmanager
     def connection(self, reader: asyncio.StreamReader) -> Iterator[bool]:
-        """Count a connection; yields whether it may stay."""
+        """Count a connection while it is served; yield whether it is within the limit."""
         self.readers.add(reader)
         try:
             yield not self.most_connections or self.connections <= self.most_connections
@@ -70,7 +74,10 @@
     async def answer(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, make_body: MakeBody
     ) -> float | None:
-        """Answer one call; returns how many seconds of that were its pace, None where it gets no answer."""
+        """Answer one call; return the seconds spent on processing and sending, or None without an answer.
+
+        Time spent in outages does not count.
+        """
         outages = self.outages_begun - self.outages
         await self.reachable.wait()
         if self.skips_abandoned and reader.at_eof():
@@ -91,7 +98,7 @@
         return asyncio.get_running_loop().time() - began
 
     async def _write(self, writer: asyncio.StreamWriter, body: bytes) -> float:
-        """Send the answer; returns how many seconds that took but for outages."""
+        """Send the answer; return the seconds that this took, without outages."""
         took = self.delay
         await asyncio.sleep(self.delay)
         size = -(-len(body) // self.pieces)
--- a/tests/node_platform/client.py
+++ b/tests/node_platform/client.py
@@ -1,4 +1,4 @@
-"""A raw client of a node: requests as bytes, responses as they come, one connection at a time."""
+"""A raw client of a node, which sends requests as bytes on one connection and parses the responses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def post(name: str, kind: str = "ask", body: bytes = BODY, **fields: str | None) -> bytes:
-    """Return a request, with the given header fields in place of the usual; one of None is left out."""
+    """Return a request as bytes; `fields` replace default header fields, None leaves one out."""
     headers: dict[str, str | None] = {
         "host": "origin.svc",
         "req-id": name,
@@ -29,22 +29,22 @@
 
 @dataclass
 class Response:
-    """A response as far as it has been read."""
+    """The part of a response that has been read."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    complete: bool  # ended as its head said
+    complete: bool  # whether the body ended as its head announced
 
 
 class Client:
-    """One raw connection."""
+    """A raw client connection to a node."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
     def send(self, data: bytes) -> None:
-        """Hand bytes to the connection."""
+        """Write bytes to the connection, without waiting for them to be sent."""
         self.writer.write(data)
 
     async def read_head(self) -> Response:
@@ -54,13 +54,13 @@
         return Response(int(lines[0].split(" ")[1]), parse_headers(lines[1:-2]), b"", False)
 
     async def read_chunk(self) -> bytes:
-        """Read the next chunk's data; that of the last chunk is empty."""
+        """Return the data of the next chunk; it is empty for the last chunk."""
         size = int(await asyncio.wait_for(self.reader.readuntil(b"\r\n"), WAIT), 16)
         data = await asyncio.wait_for(self.reader.readexactly(size + 2), WAIT)
         return data[:-2]
 
     async def read_body(self, response: Response) -> Response:
-        """Read the body that is left to its end, or as far as it comes."""
+        """Read the rest of the body, up to its end or to the close of the connection."""
         try:
             if "transfer-encoding" in response.headers:
                 while data := await self.read_chunk():
@@ -78,7 +78,7 @@
         return await self.read_body(await self.read_head())
 
     async def read_to_close(self) -> bytes:
-        """Read everything that still comes until the node closes the connection."""
+        """Return all bytes received until the node closes the connection; none if it resets it."""
         try:
             return await asyncio.wait_for(self.reader.read(), WAIT)
         except ConnectionError:
--- a/tests/node_platform/engine.py
+++ b/tests/node_platform/engine.py
@@ -1,4 +1,4 @@
-"""A scripted engine on loopback, and the scripts that tests give it."""
+"""A scripted engine on the loopback interface, and scripts for it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def responds(data: bytes, proceed: asyncio.Event | None = None) -> Script:
-    """Return a script that sends these bytes, once `proceed` is set where it is given."""
+    """Return a script that sends these bytes, after `proceed` has been set if it is given."""
 
     async def script(request: ReceivedRequest) -> None:
         if proceed is not None:
@@ -34,7 +34,7 @@
 
 
 def streams_until(proceed: asyncio.Event) -> Script:
-    """Return a script that begins a stream at once and ends it when `proceed` is set."""
+    """Return a script that starts a stream at once and ends it when `proceed` is set."""
 
     async def script(request: ReceivedRequest) -> None:
         await request.send(STREAM_HEAD + chunked(EVENTS[0]))
@@ -55,15 +55,15 @@
 
 
 class ScriptedEngine:
-    """Responds as an engine of its kind does, unless a script is due first."""
+    """An engine that runs its scripts, one per request, and then responds as an engine of its kind."""
 
     def __init__(self, observed: ObservedPeers, name: str, kind: str) -> None:
         self.observed, self.name, self.kind = observed, name, kind
-        self.scripts: list[Script] = []  # one for each request but DELETE; after them the usual responses
+        self.scripts: list[Script] = []  # for the next requests; DELETE uses none
         self.server: asyncio.Server
         self.port = 0
-        self.proxy: FaultProxy | None = None  # where the endpoint list sends nodes, if there is one
-        self.announced_port = 0  # what the endpoint list names instead, if it is set
+        self.proxy: FaultProxy | None = None  # the endpoint list names its port, if there is one
+        self.announced_port = 0  # overrides the port in the endpoint list, unless 0
 
     @property
     def listed_port(self) -> int:
@@ -71,20 +71,20 @@
         return self.announced_port or (self.port if self.proxy is None else self.proxy.port)
 
     async def start(self) -> None:
-        """Listen, behind the proxy if there is one."""
+        """Start to listen, and start the proxy if there is one."""
         self.server = await asyncio.start_server(self._serve, HOST, self.port)
         self.port = self.server.sockets[0].getsockname()[1]
         if self.proxy is not None:
             await self.proxy.start()
 
     async def close(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         self.server.close()
         if self.proxy is not None:
             await self.proxy.close()
 
     def behind_proxy(self) -> FaultProxy:
-        """Put a proxy before the engine; to be called before start()."""
+        """Put a proxy in front of the engine; call it before start()."""
         self.proxy = FaultProxy(lambda: self.port)
         return self.proxy
 
--- a/tests/node_platform/http_messages.py
+++ b/tests/node_platform/http_messages.py
@@ -1,4 +1,4 @@
-"""Bytes of HTTP messages that engines, agents and clients of the tests send, and a reader for requests."""
+"""HTTP messages that the engines, agents and clients of tests send, and a parser of received requests."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-WAIT = 15.0  # seconds before a test that waits for something gives up
+WAIT = 15.0  # seconds after which a wait of a test fails
 
 EVENTS = [
     b'data: {"choices":[{"index":0,"delta":{"content":"oq"},"finish_reason":null}]}\n\n',
@@ -18,7 +18,7 @@
 ]
 STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
-DECLINED = b"Srv-Declined: 1"  # the header line of a response to what was not executed
+DECLINED = b"Srv-Declined: 1"  # header line of a response to an attempt that was not executed
 
 
 def chunked(data: bytes) -> bytes:
@@ -27,7 +27,7 @@
 
 
 def http_response(status: int, body: bytes = b"", *fields: bytes) -> bytes:
-    """Return a complete response with these header lines, and a length where its status has a body."""
+    """Return a complete response with these header lines, and a content length unless its status is 204."""
     length = b"" if status == 204 else b"Content-Length: %d\r\n" % len(body)
     headers = b"".join(line + b"\r\n" for line in fields)
     return b"HTTP/1.1 %d X\r\n%b%b\r\n" % (status, length, headers) + body
@@ -40,7 +40,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """A request that a peer of the node has received, and the connection that it came on."""
+    """A request that a peer of the node has received, and the connection on which it arrived."""
 
     method: str
     target: str
@@ -49,7 +49,7 @@
     engine: str = ""
     reader: asyncio.StreamReader = field(default=None, repr=False)  # type: ignore[assignment]
     writer: asyncio.StreamWriter = field(default=None, repr=False)  # type: ignore[assignment]
-    stop_listening: Callable[[], None] = field(default=lambda: None, repr=False)  # for its engine
+    stop_listening: Callable[[], None] = field(default=lambda: None, repr=False)  # of the engine
 
     async def send(self, data: bytes) -> None:
         """Send bytes of the response."""
@@ -67,7 +67,7 @@
 
 
 def parse_headers(lines: list[str]) -> dict[str, str]:
-    """Return header values by name in lower case."""
+    """Return header values by lower-case name."""
     return {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
 
 
--- a/tests/node_platform/inspection.py
+++ b/tests/node_platform/inspection.py
@@ -1,4 +1,4 @@
-"""Looks into a node that runs in this process, and changed settings for it."""
+"""Inspection of a node that runs in the process of the test, and modified settings for it."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def changed_settings(change: Callable[[dict[str, Any]], None]) -> dict[str, Any]:
-    """Return a copy of the settings with a change."""
+    """Return a copy of the settings that `change` has modified."""
     settings = copy.deepcopy(SETTINGS)
     change(settings)
     return settings
 
 
 def settings_with_deadline(milliseconds: int) -> dict[str, Any]:
-    """Return the settings with this deadline for every request class."""
+    """Return settings with this deadline for every request class."""
 
     def change(settings: dict[str, Any]) -> None:
         for row in settings["classes"]:
@@ -35,14 +35,14 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait until the node has come to a state that only a look inside can tell."""
+    """Wait until the condition, on the internal state of a node, is true; raise TimeoutError after WAIT."""
     async with asyncio.timeout(WAIT):
         while not condition():
             await asyncio.sleep(0.001)
 
 
 async def until_listed(node: NodeExecutor, state: str, *names: str) -> None:
-    """Wait until the node has taken over this state for the named engines, for all if none is named."""
+    """Wait until the node has applied this listed state to the named engines, or to all if none is named."""
     expected = EngineState(state)
     await until(
         lambda: all(node.engine_records[name].state == expected for name in names or node.engine_records)
@@ -50,10 +50,10 @@
 
 
 async def idle_connection(platform: Platform, running: NodeServer) -> tuple[Client, RequestHandler]:
-    """Return a client that has been served and keeps its connection, and the node's handler of that."""
+    """Return a client with an idle connection after a response, and the node's handler of the connection."""
     client = await platform.client()
     client.send(post("q0"))
     assert (await client.read_response()).complete
     (handler,) = running.connections.handlers
-    await until(lambda: handler.idle_since)  # a round or two after the response is out
+    await until(lambda: handler.idle_since)  # set some event-loop iterations after the response is sent
     return client, handler
--- a/tests/node_platform/observed_peers.py
+++ b/tests/node_platform/observed_peers.py
@@ -1,4 +1,4 @@
-"""What a test observes of a node's peers, and the care for their connections."""
+"""Requests that a node's peers receive, and the cleanup of their connections."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class ObservedPeers:
-    """Requests that engines have received, tasks that serve connections, and a condition to wait on."""
+    """The requests that engines have received, and the tasks that serve connections."""
 
     def __init__(self) -> None:
-        self.received: list[ReceivedRequest] = []  # by engines
+        self.received: list[ReceivedRequest] = []  # by all engines, in order of arrival
         self.change = asyncio.Condition()
         self.tasks: set[asyncio.Task[Any]] = set()
 
     @asynccontextmanager
     async def serving(self, writer: asyncio.StreamWriter) -> AsyncIterator[None]:
-        """Serve one connection; whatever ends it, nothing of it stays open."""
+        """Register the task that serves a connection; close the connection however serving ends."""
         task = asyncio.current_task()
         assert task is not None
         self.tasks.add(task)
@@ -37,7 +37,7 @@
         self.changed()
 
     def changed(self) -> None:
-        """Have the conditions that tests wait for looked at again."""
+        """Wake the tests that wait, so that they check their conditions again."""
 
         async def notify() -> None:
             async with self.change:
@@ -46,6 +46,6 @@
         self.notification = asyncio.ensure_future(notify())
 
     async def until(self, condition: Callable[[], bool]) -> None:
-        """Wait until something observed here makes the condition true."""
+        """Wait until the condition is true; it is checked after each change."""
         async with self.change:
             await asyncio.wait_for(self.change.wait_for(condition), WAIT)
--- a/tests/node_platform/platform.py
+++ b/tests/node_platform/platform.py
@@ -1,4 +1,4 @@
-"""Engines, the discovery agent and the node itself, as a process or inside this one."""
+"""The node under test with its peers; the node runs in its own process or in that of the test."""
 
 from __future__ import annotations
 
@@ -23,32 +23,35 @@
 from tests.node_platform.settings import SETTINGS
 
 HEALTH_REQUEST = b"GET /_health HTTP/1.1\r\nHost: n0\r\n\r\n"
-FAULT_WORDS = (b"Traceback", b"_failed", b"invariant_violated")  # that no node may log
+FAULT_MARKERS = (b"Traceback", b"_failed", b"invariant_violated")  # no node may log any of these
 PREFILL_KIND = "prefill"
 
 
 class Platform(ScriptedAgent):
-    """All that a node meets, and one node."""
+    """A node with its engines, its discovery agent and its clients."""
 
     def __init__(self, folder: Path, kinds: dict[str, str]) -> None:
         super().__init__(kinds)
         self.folder = folder
         self.process: asyncio.subprocess.Process
-        self.run: asyncio.Future[None]  # of a node inside this process
+        self.run: asyncio.Future[None]  # of a node in the process of the test
         self.clients: list[Client] = []
         self.port = self.agent_port = 0
         self.log = b""
-        self.killed = False  # by a test
+        self.killed = False  # whether a test has sent SIGKILL to the node
         self.settings = SETTINGS
         self.sockets = 256
-        self.redirection = ""  # of the node's standard files, as a shell words it
+        self.redirection = ""  # of the node's standard streams, in shell syntax
         self.reads_log = asyncio.Event()  # while clear, the node's standard error is not read
         self.reads_log.set()
 
-    # What engines have received.
+    # Requests that engines have received.
 
     def attempts(self, name: str, role: str = "") -> list[ReceivedRequest]:
-        """Return the attempts for a request that engines received: no release calls, of a role if given."""
+        """Return the attempts that engines received for a request, without release calls.
+
+        Where a role is given, only attempts of that role are returned.
+        """
         return [
             request
             for request in self.received
@@ -59,13 +62,13 @@
         return "prefill" if self.engines[request.engine].kind == PREFILL_KIND else "decode"
 
     def release_calls(self, name: str) -> list[ReceivedRequest]:
-        """Return the calls that release a request's state."""
+        """Return the received calls that release the state of a request."""
         return [request for request in self.received if request.target == f"/state/{name}"]
 
     # The node.
 
     def write_config(self, **changes: Any) -> Path:
-        """Write the node's configuration with these keys changed."""
+        """Write the node's configuration file with these keys changed, and return its path."""
         file = self.folder / "config.json"
         config = {
             "name": "n0",
@@ -81,14 +84,14 @@
 
     @asynccontextmanager
     async def open(self, ready: bool = True) -> AsyncIterator[Platform]:
-        """Run engines, agent and a node process that is ready, or else listens; it is ended at the end."""
-        async with self._around(), self._node(ready):
+        """Run peers and a node process; wait until it is ready, or only until it listens without `ready`."""
+        async with self.running_peers(), self._node_process(ready):
             yield self
 
     @asynccontextmanager
     async def inside(self, wait: bool = True) -> AsyncIterator[NodeServer]:
-        """Run the same with the node in this process, to look into; with `wait` once it is ready."""
-        async with self._around():
+        """Run peers, and a node in the process of the test; with `wait`, wait until it is ready."""
+        async with self.running_peers():
             config = read_node_config({"BALANCER_CONFIG": str(self.write_config(listen="127.0.0.1:1"))})
             config = replace(config, listen=("127.0.0.1", 0))
             running, ready = NodeServer(config, lambda: config, self.sockets), _Ready()
@@ -105,8 +108,8 @@
                 await asyncio.gather(task, return_exceptions=True)
 
     @asynccontextmanager
-    async def _around(self) -> AsyncIterator[None]:
-        """Run engines and agent; connections that a test left open to the node are closed at the end."""
+    async def running_peers(self) -> AsyncIterator[None]:
+        """Run engines and agent; close connections to the node that the test left open at the end."""
         async with self.agent() as self.agent_port:
             for engine in self.engines.values():
                 await engine.start()
@@ -119,16 +122,16 @@
                     client.close()
 
     @asynccontextmanager
-    async def _node(self, ready: bool) -> AsyncIterator[None]:
-        """Run the node process; it may neither fail nor log a fault."""
+    async def _node_process(self, ready: bool) -> AsyncIterator[None]:
+        """Run the node process; check that it neither fails nor logs a fault."""
         await self._start_process()
-        logging = asyncio.ensure_future(self._keep_log())
+        logging = asyncio.ensure_future(self._collect_log())
         try:
-            await (self._until_ready() if ready else self._answers())
+            await (self._until_ready() if ready else self.until_accepting_connections())
             yield
             expected = (None, -signal.SIGKILL, 0) if self.killed else (None, 0)
             assert self.process.returncode in expected, self.log.decode()
-            for fault in FAULT_WORDS:
+            for fault in FAULT_MARKERS:
                 assert fault not in self.log, self.log.decode()
         finally:
             if self.process.returncode is None:
@@ -149,9 +152,9 @@
         )
 
     async def _until_ready(self) -> None:
-        """Wait until the node answers that it is healthy and watches the endpoint list."""
+        """Wait until the node reports that it is healthy and watches the endpoint list."""
         if self.redirection:
-            await self._answers()
+            await self.until_accepting_connections()
         else:
             await self.logged("node_listening")
         client = await self.client()
@@ -160,8 +163,8 @@
         client.close()
         await self.until(lambda: any("after=" in target for target in self.lists) or bool(self.list_scripts))
 
-    async def _answers(self) -> None:
-        """Wait until the node, of which no log is seen, accepts connections."""
+    async def until_accepting_connections(self) -> None:
+        """Wait until the node accepts connections, without use of its log."""
         async with asyncio.timeout(WAIT):
             while True:
                 with suppress(OSError):
@@ -169,7 +172,7 @@
                     return
                 await asyncio.sleep(0.01)
 
-    async def _keep_log(self) -> None:
+    async def _collect_log(self) -> None:
         assert self.process.stderr is not None
         async for line in self.process.stderr:
             await self.reads_log.wait()
@@ -188,7 +191,7 @@
     # Clients of the node.
 
     async def client(self) -> Client:
-        """Open a connection to the node; it is closed with the platform."""
+        """Open a connection to the node, which is closed when the platform stops."""
         client = Client(*await asyncio.open_connection(HOST, self.port))
         self.clients.append(client)
         return client
@@ -204,7 +207,7 @@
 
 
 class _Ready(asyncio.Event):
-    """The task status that a node is started with."""
+    """A task status, as the node reports it, that can be awaited."""
 
     def started(self, value: object = None) -> None:
         self.set()
--- a/tests/node_platform/ports.py
+++ b/tests/node_platform/ports.py
@@ -1,4 +1,4 @@
-"""Ports on loopback for nodes that listen on a port chosen beforehand."""
+"""Free loopback ports for nodes whose port is chosen before they start."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from tests.fault_proxy import HOST
 
 FIRST_PORT = 12_000
-PORTS_END = 20_000  # the kernel takes ports for outgoing connections from above
-RESERVATIONS: list[socket.socket] = []
+PORTS_END = 20_000  # exclusive; the kernel's ephemeral ports lie above it
+RESERVATIONS: list[socket.socket] = []  # keep the ports reserved until the process ends
 
 
 def free_port() -> int:
-    """Return a free port, to be given to no other caller as long as this process lives.
+    """Return a free port that no other caller gets while this process lives.
 
-    It lies below those that the kernel takes for outgoing connections, so that a node that restarts finds it
-    free again. It stays reserved by a UDP socket on the same number.
+    It lies below the ephemeral ports that the kernel uses for outgoing connections, so that it is still free
+    when a node restarts. A UDP socket on the same port number keeps it reserved.
     """
     while True:
         port = Random().randrange(FIRST_PORT, PORTS_END)
--- a/tests/node_platform/settings.py
+++ b/tests/node_platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings that tests give a node: two request classes, one tenant and generous limits."""
+"""The default settings of a node under test: two request classes, one tenant and generous limits."""
 
 from __future__ import annotations
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -46,7 +46,7 @@
         client = await platform.client()
         client.send(post("q1"))
         await platform.until(lambda: len(platform.attempts("q1")) == 1)
-        # With more bytes than the node and the kernel buffer, the node would not see the end of the connection.
+        # These are more bytes than node and kernel buffer, which could hide the end of the connection.
         client.send(b"x" * bytes_ahead)
         if bytes_ahead:
             await asyncio.wait_for(client.writer.drain(), WAIT)
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -77,7 +77,7 @@
         platform.engines["r"].scripts = [responds_twice]
         assert (await platform.ask(post("q1"))).complete
         assert (await platform.ask(post("q2"))).complete
-        # Had the duplicate been accepted, the state would have been fetched from an engine that never held it.
+        # Had the duplicate been accepted, the state would be fetched from an engine that never held it.
         assert [attempt.engine for attempt in platform.attempts("q2")] == ["r", "w"]
 
 
--- a/tests/test_discovery_call_planner.py
+++ b/tests/test_discovery_call_planner.py
@@ -22,10 +22,10 @@
 
 AGENT, SECOND_AGENT = ("127.0.0.1", 1), ("127.0.0.1", 2)
 MAX_CALLS_PER_SECOND = 25  # in any one second
-# Upper bound, in tenths of a millisecond, of the time from the end of an outage to the first answer, where the
-# agent then answers the calls that it received during the outage.
+# Upper bound, in tenths of a millisecond, of the time from the end of an outage to the first answer, for an
+# agent that then answers the calls that it received during the outage.
 MAX_DETECTION_TIME = 1_000
-# The same where the agent never answers the calls that it received during the outage.
+# The same bound for an agent that never answers the calls that it received during the outage.
 MAX_DETECTION_TIME_IF_DROPPED = 6 * TENTHS_PER_SECOND
 CALLS_AT_ANY_OUTAGE = 3  # calls open in an outage of any length: the watches and one more
 STEP = 50  # of the simulated clock, in tenths of a millisecond
@@ -35,9 +35,9 @@
 class SimulatedAgent:
     """An agent that answers each call `latency` after it arrives, a watch `latency` after its wait has ended.
 
-    From `down_from` to `down_until` it is in an outage and answers nothing. The list changes in the outage, so
-    that the calls open at its end are then answered at once; if the agent `drops` calls, those are never
-    answered. Times are in tenths of a millisecond.
+    From `down_from` to `down_until` it is in an outage and answers nothing. As the list changes during the
+    outage, calls that are open at its end are then answered at once, or never if the agent `drops` them.
+    Times are in tenths of a millisecond.
     """
 
     latency: int
--- a/tests/test_endpoint_updates.py
+++ b/tests/test_endpoint_updates.py
@@ -1,4 +1,4 @@
-"""What the scheduler makes of the endpoint list: engines that restart, change their role, come and go."""
+"""Endpoint updates in the scheduler: engines that restart, change their role, are added and are removed."""
 
 from __future__ import annotations
 
@@ -12,20 +12,20 @@
 from tests.fake_scheduler_host import DECODE, PREFILL, FakeSchedulerHost
 
 
-def test_stale_record_does_not_make_a_busy_engine_look_idle() -> None:
+def test_stale_record_does_not_clear_the_load_of_a_busy_engine() -> None:
     host = FakeSchedulerHost([PREFILL, DECODE])
     host.update_engine(0, started_at=500)
     request = host.submit()
     host.update_engine(0, started_at=400)
     assert list(host.driver.scheduler.engines[0].prefills) == [request]
     host.advance(10)
-    host.update_engine(0, started_at=host.now)  # a new process has nothing to prefill
+    host.update_engine(0, started_at=host.now)  # a new process has no prefills
     assert not host.driver.scheduler.engines[0].prefills
 
 
 @pytest.mark.parametrize("stage", ["prefill", "waiting", "streaming"])
 @pytest.mark.parametrize("sent_before_start", [True, False])
-def test_what_was_sent_to_an_engine_since_it_started_is_counted_there_until_it_ends(
+def test_restarted_engine_keeps_only_the_load_sent_since_its_start(
     sent_before_start: bool, stage: str
 ) -> None:
     host = FakeSchedulerHost([PREFILL, DECODE])
@@ -40,7 +40,7 @@
     counted = (before.prefill_tokens, before.stream_tokens)
     host.advance(SECOND)
     start = host.now if sent_before_start else host.now - 2 * SECOND
-    host.update_engine(number, started_at=start)  # the list tells it late
+    host.update_engine(number, started_at=start)  # the list announces the restart late
     now = scheduler.engines[number]
     assert (now.prefill_tokens, now.stream_tokens) == ((0, 0) if sent_before_start else counted)
     host.end_attempt(request, AttemptStatus.CANCELLED, finished=True)
@@ -48,14 +48,14 @@
     assert not (scheduler.active_engines or scheduler.open_attempts)
 
 
-def test_engine_listed_again_with_another_role_is_selected_for_that() -> None:
+def test_engine_listed_again_with_another_role_is_selected_for_that_role() -> None:
     host = FakeSchedulerHost([PREFILL, PREFILL, DECODE])
     record = EngineRecord(1, DECODE, 0, 0, 0, EngineState.READY)
     host.driver.update_endpoints(host.now, EndpointUpdate(False, [record]))
     assert {host.engine_of(host.submit(100)) for _ in range(4)} == {0}
 
 
-def test_removed_engines_are_forgotten() -> None:
+def test_number_of_removed_engines_kept_is_bounded() -> None:
     host = FakeSchedulerHost([PREFILL, DECODE])
     scheduler = host.driver.scheduler
     for number in range(100, 1_100):
--- a/tests/test_endpoint_watch_faults.py
+++ b/tests/test_endpoint_watch_faults.py
@@ -1,6 +1,6 @@
-"""Faults of the agent and of its endpoint list: a node serves on its last list and asks again.
+"""Faults of the discovery agent and its endpoint list: a node keeps its last list and fetches a new one.
 
-The order of events is forced by the agent (docs/design/rare.md).
+The scripted agent forces the order of events (docs/design/rare.md).
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
-PAIR = {"r": "prefill", "w": "decode"}
+PREFILL_AND_DECODE = {"r": "prefill", "w": "decode"}
 TWO_DECODE_ENGINES = {"r": "prefill", "w": "decode", "v": "decode"}
 
 
@@ -38,10 +38,10 @@
         b'{"index":9,"snapshot":true,"endpoints":[{"name":"r"}]}',
     ],
 )
-async def test_a_faulty_list_leaves_the_last_one_and_is_fetched_again(
+async def test_a_faulty_list_leaves_the_last_one_in_use_and_is_fetched_again(
     fault: bytes | None, tmp_path: Path
 ) -> None:
-    async with Platform(tmp_path, PAIR).open() as platform:
+    async with Platform(tmp_path, PREFILL_AND_DECODE).open() as platform:
         fetched = len(platform.lists)
         platform.list_scripts = [fault]
         platform.tell()  # ends the watch: the next response is the fault
@@ -49,7 +49,7 @@
         assert (await platform.ask(post("q1"))).complete
 
 
-async def test_a_list_whose_versions_start_anew_is_accepted(tmp_path: Path) -> None:
+async def test_a_list_whose_versions_restart_is_accepted(tmp_path: Path) -> None:
     async with Platform(tmp_path, TWO_DECODE_ENGINES).open() as platform:
         platform.version = 700
         platform.changed()
@@ -72,12 +72,12 @@
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def test_a_start_fetches_the_list_before_it_accepts_anything(tmp_path: Path) -> None:
-    platform = Platform(tmp_path, PAIR | {"s": "prefill"})
-    platform.states["s"] = "leaving"  # as the agent lists it from the start
+async def test_a_starting_node_fetches_the_list_before_it_accepts_connections(tmp_path: Path) -> None:
+    platform = Platform(tmp_path, PREFILL_AND_DECODE | {"s": "prefill"})
+    platform.states["s"] = "leaving"  # in the agent's list from the start
     platform.list_gate.clear()
     async with platform.inside(wait=False) as running:
-        # The list of an earlier run of the node, in which the other prefill engine was draining.
+        # The node restores the list of an earlier run, in which the other prefill engine was draining.
         last_entries = [
             replace(entry, state={"r": "draining"}.get(entry.engine, "on"))
             for entry in running.config.last_known_endpoints.engines
@@ -86,7 +86,7 @@
         await platform.until(lambda: bool(platform.lists))
         client = await platform.client()
         client.send(post("q1"))
-        for _ in range(100):  # time enough to be accepted and sent on, were it accepted
+        for _ in range(100):  # long enough for a wrongly accepted request to reach an engine
             await asyncio.sleep(0.001)
         assert not running.connections.handlers and not platform.attempts("q1")
         platform.list_gate.set()
@@ -94,25 +94,25 @@
         assert [attempt.engine for attempt in platform.attempts("q1")] == ["r", "w"]
 
 
-async def test_a_start_with_a_silent_agent_serves_on_the_last_list(
+async def test_a_node_that_starts_while_its_agent_is_silent_serves_on_the_last_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(node_server, "FIRST_LIST_WAIT_SECONDS", 0.05)
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     platform.list_gate.clear()
     async with platform.inside():
         assert (await platform.ask(post("q1"))).complete
 
 
-async def test_a_reset_watch_is_opened_anew_without_a_pause(
+async def test_a_reset_watch_is_reopened_without_a_pause(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(search_backoff, "MIN_INTERVAL", ms_to_tenths(600_000))
     monkeypatch.setattr(search_backoff, "MAX_INTERVAL", ms_to_tenths(600_000))
-    platform = Platform(tmp_path, PAIR | {"s": "prefill"})
+    platform = Platform(tmp_path, PREFILL_AND_DECODE | {"s": "prefill"})
     async with platform.inside() as running:
         await platform.until(lambda: any("after=" in target for target in platform.lists))
-        # It has stood for as long as two calls lie apart.
+        # The watch has been open for as long as the minimum interval between two calls.
         running.discovery.planner._last_made_at = now() - ms_to_tenths(600_000)
         await reset_connections(platform)
         platform.tell(s="leaving")  # changed while no watch is open
@@ -120,10 +120,10 @@
         assert running.executor.engine_records["s"].state == EngineState.DRAINING
 
 
-async def test_an_agent_that_never_answers_requests_made_in_an_outage_is_asked_anew(
+async def test_calls_that_an_agent_lost_in_an_outage_are_made_again(
     tmp_path: Path,
 ) -> None:
-    platform = Platform(tmp_path, PAIR | {"s": "prefill"})
+    platform = Platform(tmp_path, PREFILL_AND_DECODE | {"s": "prefill"})
     async with platform.inside() as running:
         await platform.until(lambda: any("after=" in target for target in platform.lists))
         await reset_connections(platform)
@@ -134,11 +134,11 @@
         await until(lambda: list(running.discovery.pool.open_counts.values()) == [1])
 
 
-async def test_silence_of_the_agent_is_noticed_within_what_the_platform_allows() -> None:
-    noticed_after_ms = (WATCH_WAIT + MIN_OVERDUE_MARGIN) / TENTHS_PER_MS
-    assert noticed_after_ms < 2_000  # an outage lasts some seconds
-    assert MIN_INTERVAL / TENTHS_PER_MS <= 1_000  # where the agent has dropped what it was asked in one
-    assert noticed_after_ms + MAX_INTERVAL / TENTHS_PER_MS < 6_000  # after any silence
+async def test_silence_of_the_agent_is_detected_within_the_time_the_platform_allows() -> None:
+    detected_after_ms = (WATCH_WAIT + MIN_OVERDUE_MARGIN) / TENTHS_PER_MS
+    assert detected_after_ms < 2_000  # outages last for several seconds
+    assert MIN_INTERVAL / TENTHS_PER_MS <= 1_000  # for an agent that dropped the calls of an outage
+    assert detected_after_ms + MAX_INTERVAL / TENTHS_PER_MS < 6_000  # after any silence
 
 
 @pytest.mark.parametrize(
@@ -149,8 +149,10 @@
         b'{"index":7,"snapshot":false,"endpoints":[]}',
     ],
 )
-async def test_a_list_nested_too_deep_or_partial_ends_nothing(fault: bytes, tmp_path: Path) -> None:
-    platform = Platform(tmp_path, PAIR)
+async def test_a_list_nested_too_deep_or_without_a_snapshot_does_not_stop_the_node(
+    fault: bytes, tmp_path: Path
+) -> None:
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     platform.list_scripts = [fault]
     async with platform.inside():
         await platform.until(lambda: any("after=" in target for target in platform.lists))
--- a/tests/test_engine_accounting.py
+++ b/tests/test_engine_accounting.py
@@ -1,4 +1,4 @@
-"""A node's account of its engines against what crossed the sockets, by attempt and at each moment."""
+"""A node's accounting of attempts and load, compared with what its engines observed on their sockets."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
-KINDS = {"r": "prefill", "s": "prefill", "w": "decode", "v": "decode", "m": "mixed"}
+ENGINE_KINDS = {"r": "prefill", "s": "prefill", "w": "decode", "v": "decode", "m": "mixed"}
 STATUS_BY_OUTCOME = {
     "stream": "SUCCEEDED",
     "prefill": "PREFILL_COMPLETE",
@@ -48,22 +48,23 @@
     "state missing": http_response(410, b"", DECLINED),
     "error": http_response(500),
 }
-# Outcomes that are drawn, and what takes their place at an engine of the other role.
+# Outcomes are drawn from DRAWN_OUTCOMES. The maps give what replaces an outcome at engines of each role.
 DRAWN_OUTCOMES = ["success", "declined", "state missing", "error", "reset", "interrupted"]
 OUTCOME_WEIGHTS = [12, 2, 1, 2, 1, 1]
 PREFILL_OUTCOMES = {"success": "prefill", "interrupted": "reset", "state missing": "declined"}
 DECODE_OUTCOMES = {"success": "stream"}
-BATCH = 60  # requests at a time
-ENOUGH_PREFILLS = 21  # completed ones, for the comparison to say something
-# On a slow machine prefill engines that failed by chance stay ejected for most of a batch, and mixed engines
-# prefill in place; then more requests are made, so that the comparison always rests on as many prefills.
+BATCH = 60  # requests made concurrently
+MIN_COMPLETED_PREFILLS = 21  # for a meaningful comparison
+# Upper bound of the number of requests. On a slow machine, prefill engines that failed by chance stay ejected
+# for most of a batch while mixed engines prefill in place. More batches are then made, so that the comparison
+# always covers enough prefills.
 MAX_REQUESTS = 600
-MORE_THAN_ALL_ATTEMPTS = 1_000
+MORE_THAN_ALL_ATTEMPTS = 1_000  # scripts per engine, so that none runs out
 MALFORMED_REMAINDER = b"zz\r\n"
 
 
 class ObservedAttempt(NamedTuple):
-    """An attempt as its engine saw it."""
+    """An attempt as its engine observed it; `seconds` is its duration there."""
 
     request: str
     engine: str
@@ -73,14 +74,14 @@
 
 @dataclass
 class RandomEngines:
-    """Engines that respond, fail and disconnect at random, and record what they did."""
+    """Engines that respond, fail or disconnect at random, and record the outcome of each attempt."""
 
     platform: Platform
     random: Random
     observed: list[ObservedAttempt] = field(default_factory=list)
 
     async def respond(self, request: ReceivedRequest) -> None:
-        """Respond to one attempt with an outcome that is drawn."""
+        """Respond to one attempt with a random outcome."""
         began = asyncio.get_running_loop().time()
         outcome = self._draw_outcome(request.engine)
         await asyncio.sleep(self.random.random() * 0.05)
@@ -100,12 +101,14 @@
         return (PREFILL_OUTCOMES if is_prefill else DECODE_OUTCOMES).get(drawn, drawn)
 
     def completed_prefills(self) -> int:
-        """How many prefills the engines have completed."""
+        """Return how many prefills the engines have completed."""
         return sum(attempt.outcome == "prefill" for attempt in self.observed)
 
 
-async def test_each_attempt_ends_as_its_engine_saw_it_end_and_took_as_long(tmp_path: Path) -> None:
-    async with Platform(tmp_path, KINDS).open() as platform:
+async def test_logged_attempts_have_the_status_and_duration_that_their_engines_observed(
+    tmp_path: Path,
+) -> None:
+    async with Platform(tmp_path, ENGINE_KINDS).open() as platform:
         engines = RandomEngines(platform, Random(4))
         for engine in platform.engines.values():
             engine.scripts = [engines.respond] * MORE_THAN_ALL_ATTEMPTS
@@ -122,16 +125,16 @@
             for attempt in observed
             if attempt.request == request
         ]
-    assert Counter(line["status"] for line in logged)["PREFILL_COMPLETE"] >= ENOUGH_PREFILLS
-    # The time an attempt took, as the scheduler learns it, is never shorter than it was at the engine.
+    assert Counter(line["status"] for line in logged)["PREFILL_COMPLETE"] >= MIN_COMPLETED_PREFILLS
+    # The duration that the scheduler records for an attempt is never shorter than the time at the engine.
     for line in logged:
         assert line["duration"] / 10_000 >= min(_seconds_at_engine(line, observed)) - 0.002
 
 
 async def _make_requests(platform: Platform, engines: RandomEngines) -> None:
-    """Make batches of requests until there are enough prefills to compare."""
+    """Make batches of requests until enough prefills have completed."""
     made = 0
-    while made < BATCH or (made < MAX_REQUESTS and engines.completed_prefills() < ENOUGH_PREFILLS):
+    while made < BATCH or (made < MAX_REQUESTS and engines.completed_prefills() < MIN_COMPLETED_PREFILLS):
         await asyncio.gather(*(_make_request(platform, f"q{made + index}", index) for index in range(BATCH)))
         made += BATCH
 
@@ -142,7 +145,7 @@
 
 
 def _seconds_at_engine(line: dict[str, Any], observed: list[ObservedAttempt]) -> list[float]:
-    """How long the attempts took at the engine that a line of the log may tell of."""
+    """Return the durations of the observed attempts that a log line may describe."""
     logged = line["request"], line["engine"], line["status"]
     return [
         attempt.seconds
@@ -151,12 +154,12 @@
     ]
 
 
-async def test_the_accounts_hold_just_what_is_open_at_each_engine(tmp_path: Path) -> None:
-    """Prefills and streams that the scheduler counts at an engine are those open there.
+async def test_the_scheduler_counts_exactly_the_open_attempts_of_each_engine(tmp_path: Path) -> None:
+    """The prefills and streams that the scheduler counts at an engine are those that are open there.
 
-    That holds as they come, in the middle and after the end, whatever ended them.
+    This holds after they start, while some have ended, and after all have ended, for each way of ending.
     """
-    platform = Platform(tmp_path, KINDS)
+    platform = Platform(tmp_path, ENGINE_KINDS)
     open_at: Counter[str] = Counter()
     stream_ends: asyncio.Queue[Script] = asyncio.Queue()
 
@@ -171,31 +174,31 @@
         await end(request)
 
     def open_streams() -> int:
-        return sum(open_at[name] for name, kind in KINDS.items() if kind != "prefill")
+        return sum(open_at[name] for name, kind in ENGINE_KINDS.items() if kind != "prefill")
 
     for engine in platform.engines.values():
         engine.scripts = [count_while_open] * MORE_THAN_ALL_ATTEMPTS
     async with platform.inside() as running:
 
-        def accounts_agree() -> bool:
-            return _accounts(running) == {name: open_at[name] for name in KINDS}
+        def counts_agree() -> bool:
+            return _open_attempt_counts(running) == {name: open_at[name] for name in ENGINE_KINDS}
 
         requests = [asyncio.ensure_future(platform.ask(post(f"q{index}"))) for index in range(12)]
         await platform.until(lambda: sum(open_at.values()) == 12 and open_streams() == 12)
-        await _until(accounts_agree)
+        await _until(counts_agree)
         complete, malformed = responds(STREAM_REMAINDER), responds(MALFORMED_REMAINDER)
         for end in (complete, resets_connection, complete, malformed, complete, resets_connection):
             stream_ends.put_nowait(end)
         await platform.until(lambda: sum(open_at.values()) == 6)
-        await _until(accounts_agree)
+        await _until(counts_agree)
         for _ in range(6):
             stream_ends.put_nowait(complete)
         await asyncio.gather(*requests)
-        await _until(accounts_agree)
+        await _until(counts_agree)
 
 
-def _accounts(running: NodeServer) -> dict[str, int]:
-    """What the scheduler counts as open at each engine."""
+def _open_attempt_counts(running: NodeServer) -> dict[str, int]:
+    """Return the number of open attempts that the scheduler counts at each engine."""
     engines = running.executor.scheduler.driver.scheduler.engines
     return {
         endpoint.name: len(
--- a/tests/test_engine_health.py
+++ b/tests/test_engine_health.py
@@ -1,4 +1,4 @@
-"""Which engines get fewer attempts: draining, in slow start, failing, hanging."""
+"""Engines that get fewer attempts: draining, in slow start, ejected, hanging or overloaded."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     assert [attempt.engine for attempt in host.attempts[-6:]].count(0) <= 2
 
 
-def test_engine_that_fails_fast_attracts_no_traffic() -> None:
+def test_engine_that_fails_fast_gets_no_traffic() -> None:
     host = FakeSchedulerHost([PREFILL, PREFILL, DECODE])
     request = host.submit(1_000)
     failing_engine = host.engine_of(request)
@@ -79,7 +79,7 @@
     assert attempts_at_cold_engine > 0
 
 
-def test_overloaded_prefill_engine_is_not_taken_for_the_one_with_the_shortest_queue() -> None:
+def test_overloaded_prefill_engine_is_not_selected_as_the_one_with_the_shortest_queue() -> None:
     host = FakeSchedulerHost([PREFILL, PREFILL, DECODE])
     request = host.submit(time_budget=10 * SECOND)
     overloaded_engine = host.engine_of(request)
--- a/tests/test_engine_index.py
+++ b/tests/test_engine_index.py
@@ -1,4 +1,4 @@
-"""Which engines a request considers in a large fleet, and what that costs."""
+"""Sampling of candidate engines in a large fleet, and its cost per request."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from runspool.scheduling.types import AttemptStatus, EndpointUpdate, EngineState, Role
 from tests.fake_scheduler_host import DECODE, PREFILL, FakeSchedulerHost, routing_settings
 
-LARGE = 3_200
+LARGE_FLEET = 3_200  # engines
 ENGINES_PER_RACK = 12
 ZONE_COUNT = 3
 FRONT_COUNT = 200
-TIME_BETWEEN_REQUESTS = 37
-MEASUREMENTS = 3
+TIME_BETWEEN_REQUESTS = 37  # tenths of a millisecond
+MEASUREMENTS = 3  # of the CPU time, of which the smallest counts
 
 
 def new_engines(count: int, role: Role = Role.PREFILL) -> list[Engine]:
-    """Engines with random stable hashes, the same each time."""
+    """Return engines with pseudorandom stable hashes, the same on each call."""
     random = Random(1)
     return [
         Engine(index, random.getrandbits(32), role, index % ZONE_COUNT, index // ENGINES_PER_RACK, 90_000, 0)
@@ -29,13 +29,13 @@
     ]
 
 
-def test_small_fleet_is_sampled_whole_in_the_lists_order() -> None:
+def test_sample_of_a_small_fleet_is_all_of_it_in_list_order() -> None:
     engines = new_engines(SAMPLE_SIZE)
     index = EngineIndex(engines, 7)
     assert all(index.sample(Role.PREFILL, turn) == engines for turn in range(20))
 
 
-def test_samples_of_a_large_fleet_take_every_engine_about_as_often() -> None:
+def test_samples_of_a_large_fleet_contain_every_engine_about_equally_often() -> None:
     index = EngineIndex(new_engines(1_200), 7)
     times_sampled = [0] * 1_200
     for turn in range(1_000):
@@ -59,7 +59,7 @@
         for within in range(200)
         for engine in indexes[0].ring_successors(Role.PREFILL, 9, 900, within)
     }
-    assert len(popular_candidates) > 800  # a popular prefix has its engines over all of its span
+    assert len(popular_candidates) > 800  # a popular prefix is spread over its whole span of the ring
 
 
 def test_engines_that_are_not_ready_are_not_sampled() -> None:
@@ -72,7 +72,10 @@
 
 
 def host_with_fleet(count: int, cold_share: float = 0.0) -> FakeSchedulerHost:
-    """A host with engines of all types over racks and zones, some in slow start; the same each time."""
+    """Return a host with engines of all types in racks and zones, `cold_share` of them in slow start.
+
+    The fleet is the same on each call.
+    """
     settings = routing_settings()
     settings.front_count = FRONT_COUNT
     random = Random(1)
@@ -92,14 +95,14 @@
 
 
 def submit_next(host: FakeSchedulerHost, session: int) -> int:
-    """Submit a session's request a little later than the last; five prefixes are in use."""
+    """Advance the clock and submit a request of the session, which has one of five prefixes."""
     host.now += TIME_BETWEEN_REQUESTS
     prefix = session % 5
     return host.submit(session=session, prefix=prefix, prefix_tokens=800, prefix_hash=prefix * 7919)
 
 
 def cpu_seconds_per_request(host: FakeSchedulerHost, request_count: int) -> float:
-    """The least of some measurements: what else the machine does only adds to it."""
+    """Return the smallest of several measurements, as other load on the machine only increases them."""
     costs = []
     for measurement in range(MEASUREMENTS):
         started_at = time.process_time()
@@ -112,21 +115,23 @@
 
 
 @pytest.mark.parametrize("cold_share", [0.0, 0.6])
-def test_request_costs_little_more_in_a_fleet_sixteen_times_as_large(cold_share: float) -> None:
-    usual = cpu_seconds_per_request(host_with_fleet(LARGE // 16), 30)
-    large = cpu_seconds_per_request(host_with_fleet(LARGE, cold_share), 30)
-    assert large < 6 * usual  # 3.0 and 2.3 times as measured; 16 and 500 times before
+def test_request_costs_less_than_six_times_as_much_in_a_fleet_sixteen_times_as_large(
+    cold_share: float,
+) -> None:
+    usual = cpu_seconds_per_request(host_with_fleet(LARGE_FLEET // 16), 30)
+    large = cpu_seconds_per_request(host_with_fleet(LARGE_FLEET, cold_share), 30)
+    assert large < 6 * usual  # 3.0 and 2.3 times when measured; 16 and 500 times in an earlier version
 
 
-def test_whole_list_of_thousands_is_taken_in_milliseconds() -> None:
-    host = host_with_fleet(LARGE)
+def test_list_of_thousands_of_engines_is_applied_in_milliseconds() -> None:
+    host = host_with_fleet(LARGE_FLEET)
     started_at = time.process_time()
     update_all(host)
-    assert time.process_time() - started_at < 0.04  # 1.4 ms; 76 before
+    assert time.process_time() - started_at < 0.04  # 1.4 ms when measured; 76 ms in an earlier version
 
 
-def test_large_fleet_serves_with_prefill_and_decode_engines_spread() -> None:
-    host = host_with_fleet(LARGE)
+def test_requests_of_a_large_fleet_are_spread_over_many_engines() -> None:
+    host = host_with_fleet(LARGE_FLEET)
     used: set[int] = set()
     for session in range(300):
         request = submit_next(host, session)
@@ -138,8 +143,8 @@
     assert len(used) > 150
 
 
-def test_in_a_large_fleet_with_two_ready_engines_those_are_found() -> None:
-    host = host_with_fleet(LARGE)
+def test_the_two_ready_engines_of_a_large_fleet_are_found() -> None:
+    host = host_with_fleet(LARGE_FLEET)
     first_prefill = next(record for record in host.engine_records if record.engine_type == PREFILL)
     first_other = next(record for record in host.engine_records if record.engine_type != PREFILL)
     for record in host.engine_records:
--- a/tests/test_engine_placement.py
+++ b/tests/test_engine_placement.py
@@ -1,4 +1,4 @@
-"""Which engines belong to which cells, which cell is a tenant's home, and which maps are refused."""
+"""Placement of engines in cells, home cells of tenants, and cell maps that are rejected."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def new_engines(count: int) -> list[EngineDescriptor]:
-    """Engines in racks of one of each role and two of prefill, the racks in three zones."""
+    """Return engines in racks of two prefill, one decode and one mixed engine, the racks in three zones."""
     return [
         EngineDescriptor(
             f"engine-{index}",
@@ -35,7 +35,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(8, 48), st.integers(2, 4), st.randoms(use_true_random=False))
-def test_each_engine_is_in_one_cell_whatever_the_order_of_the_list(
+def test_each_engine_is_in_exactly_one_cell_in_any_order_of_the_list(
     engine_count: int, cell_count: int, random: Any
 ) -> None:
     cell_map = cell_map_with(*(f"cell-{index}" for index in range(cell_count)))
@@ -49,7 +49,7 @@
     )
 
 
-def test_every_cell_can_prefill_and_decode_or_its_shortage_is_reported() -> None:
+def test_every_cell_can_prefill_and_decode_or_reports_a_shortage() -> None:
     cell_map = cell_map_with("a", "b", "c", "d")
     engines = new_engines(16)
     roles_by_name = {engine.name: engine.role for engine in engines}
@@ -78,7 +78,7 @@
     assert max(moved_counts) <= 8
 
 
-def test_cells_have_engines_by_their_weights_from_all_zones() -> None:
+def test_cells_get_engines_by_weight_from_all_zones() -> None:
     cell_map = CellMap(version=1, cells={"big": Cell(weight=3), "small": Cell()})
     placement = place_engines(cell_map, new_engines(64))
     assert len(placement.cells["big"]) == 48
@@ -86,7 +86,7 @@
     assert {zones[name] for name in placement.cells["small"]} == {"zone-0", "zone-1", "zone-2"}
 
 
-def test_shards_overlap_little_and_fixed_cells_go_by_name() -> None:
+def test_shards_overlap_little_and_fixed_cells_take_engines_by_name_pattern() -> None:
     cell_map = CellMap(version=1, way="shuffle", shards=Shards(count=20, readers=3, writers=2, mixed=1))
     cells = place_engines(cell_map, new_engines(64)).cells
     assert all(len(names) == 6 for names in cells.values())
@@ -101,11 +101,11 @@
     assert place_engines(fixed, new_engines(16)).cells["y"] == {"engine-2"}
 
 
-def test_tenant_has_one_home_cell_and_a_spread_tenant_one_for_each_session() -> None:
+def test_tenant_has_one_home_cell_and_a_spread_tenant_one_per_session() -> None:
     cell_map = cell_map_with("a", "b", "c", "r", tenants={"t": "b", "wide": "*"}, reserve="r")
     assert home_cell(cell_map, "t", "s1") == home_cell(cell_map, "t", "s2") == "b"
     homes_of_spread_tenant = {home_cell(cell_map, "wide", f"s{number}") for number in range(60)}
-    assert homes_of_spread_tenant == {"a", "b", "c"}  # the reserve is nobody's home
+    assert homes_of_spread_tenant == {"a", "b", "c"}  # the reserve is never a home cell
     assert home_cell(cell_map, "unnamed", "s1") == home_cell(cell_map, "unnamed", "s2") != "r"
     assert home_cell(CellMap(version=0), "t", None) == "whole"
 
@@ -128,6 +128,6 @@
         ({"unknown": 1}, "unknown"),
     ],
 )
-def test_map_that_contradicts_itself_is_refused(contradiction: dict[str, Any], reason: str) -> None:
+def test_contradictory_map_is_rejected(contradiction: dict[str, Any], reason: str) -> None:
     with pytest.raises(ValidationError, match=reason):
         CellMap.model_validate({"version": 1, "cells": {"a": {}, "b": {}}, **contradiction})
--- a/tests/test_engine_responses.py
+++ b/tests/test_engine_responses.py
@@ -1,4 +1,4 @@
-"""Parsing of engines' responses: bytes cut anywhere, bytes past the end, load reports and error codes."""
+"""Parsing of engine responses: arbitrary chunk boundaries, excess bytes, load reports and error codes."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from runspool.wire import completions
 from runspool.wire import engine_messages as messages
 
-MAX_BYTES = 65536
+MAX_BYTES = 65536  # of a response body or an event
 
 
 @given(st.lists(st.text(max_size=20), max_size=6), st.lists(st.integers(1, 40), min_size=1, max_size=30))
-def test_events_come_out_whole_however_the_bytes_were_cut(texts: list[str], cuts: list[int]) -> None:
+def test_events_are_parsed_whole_at_any_chunk_boundaries(texts: list[str], cuts: list[int]) -> None:
     chunks = completions.CompletionEventEncoder("q", "m", 0)
     body = b"".join(chunks.text(text) for text in texts) + b"0\r\n\r\n"
     raw = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: y\r\n\r\n" + body
@@ -38,12 +38,12 @@
 
 
 @given(st.binary(max_size=200))
-def test_no_bytes_make_a_load_report_or_an_error_code_raise(raw: bytes) -> None:
+def test_parsing_of_load_reports_and_error_codes_raises_for_no_bytes(raw: bytes) -> None:
     messages.parse_load_report("JSON " + raw.decode("latin-1"))
     assert isinstance(messages.parse_error_code(raw), str)
 
 
-def test_load_report_in_the_published_form_is_parsed() -> None:
+def test_load_report_in_its_documented_format_is_parsed() -> None:
     header = msgspec.json.encode(
         {"named_metrics": {"kv_cache_usage_perc": 0.25, "prompt_tokens_waiting": 800}}
     )
--- a/tests/test_engine_streams.py
+++ b/tests/test_engine_streams.py
@@ -1,4 +1,4 @@
-"""Streams of engines, well formed and malformed, as a node passes them on."""
+"""Well-formed and malformed engine streams, as a node forwards them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
-PAIR = {"r": "prefill", "w": "decode"}
+PREFILL_AND_DECODE = {"r": "prefill", "w": "decode"}
 TWO_DECODE_ENGINES = {"r": "prefill", "w": "decode", "v": "decode"}
 
 
@@ -35,12 +35,12 @@
 
 
 @pytest.mark.parametrize("fault", MALFORMED_STREAMS)
-async def test_a_stream_malformed_before_its_first_event_is_an_attempt_that_may_have_executed(
+async def test_a_stream_malformed_before_its_first_event_counts_as_possibly_executed(
     fault: str, tmp_path: Path
 ) -> None:
     async def sends_malformed_stream(request: ReceivedRequest) -> None:
         await request.send(MALFORMED_STREAMS[fault])
-        await request.until_closed()  # its connection is of no further use
+        await request.until_closed()  # the node closes the connection
 
     async with Platform(tmp_path, TWO_DECODE_ENGINES).open() as platform:
         for engine in "wv":
@@ -53,7 +53,7 @@
         assert len(platform.attempts("q2", "decode")) == 1
 
 
-MALFORMED_LATER = {
+MALFORMED_REMAINDERS = {
     "bad size": b"zz\r\n",
     "does not fit": b"5\r\n" + EVENTS[1] + b"\r\n",
     "no json": chunked(b"data: {oops\n\n"),
@@ -63,23 +63,25 @@
 }
 
 
-@pytest.mark.parametrize("fault", MALFORMED_LATER)
-async def test_a_stream_malformed_later_ends_without_its_last_chunk(fault: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("fault", MALFORMED_REMAINDERS)
+async def test_a_stream_malformed_after_its_first_event_ends_without_its_last_chunk(
+    fault: str, tmp_path: Path
+) -> None:
     async def sends_malformed_remainder(request: ReceivedRequest) -> None:
         await request.send(STREAM_HEAD + chunked(EVENTS[0]))
         await begun.wait()
-        await request.send(MALFORMED_LATER[fault])
+        await request.send(MALFORMED_REMAINDERS[fault])
         await request.until_closed()
 
     begun = asyncio.Event()
-    async with Platform(tmp_path, PAIR).open() as platform:
+    async with Platform(tmp_path, PREFILL_AND_DECODE).open() as platform:
         platform.engines["w"].scripts = [sends_malformed_remainder]
         client = await platform.client()
         client.send(post("q1"))
         response = await client.read_head()
         assert await client.read_chunk() == EVENTS[0]
         begun.set()
-        # After "half" the engine is silent, and the response is ended within 5 s.
+        # After the fault "half" the engine sends nothing more, and the node ends the response within 5 s.
         response = await client.read_body(response)
         assert not response.complete and len(platform.attempts("q1", "decode")) == 1
 
@@ -95,7 +97,7 @@
 
 @pytest.mark.parametrize("extra", STREAMS_WITH_EXTRA_BYTES)
 @pytest.mark.parametrize("pieces", ["complete", "bytes"])
-async def test_a_well_formed_stream_with_extra_bytes_is_passed_on(
+async def test_a_well_formed_stream_with_extra_bytes_is_forwarded(
     extra: str, pieces: str, tmp_path: Path
 ) -> None:
     data = STREAMS_WITH_EXTRA_BYTES[extra]
@@ -108,15 +110,15 @@
                 await request.send(data[index : index + 1])
                 await asyncio.sleep(0)
 
-    async with Platform(tmp_path, PAIR).open() as platform:
+    async with Platform(tmp_path, PREFILL_AND_DECODE).open() as platform:
         platform.engines["w"].scripts = [sends_extra_bytes]
-        for name in ("q1", "q2"):  # the connection with extra bytes affects no other request
+        for name in ("q1", "q2"):  # the connection with the extra bytes serves no other request
             response = await platform.ask(post(name))
             assert (response.status, response.complete, response.body) == (200, True, b"".join(EVENTS))
 
 
 @pytest.mark.parametrize("line_end", [b"\n\n", b"\r\n\r\n", b"\r\r"])
-async def test_events_pass_one_by_one_whatever_ends_their_lines(line_end: bytes, tmp_path: Path) -> None:
+async def test_events_are_forwarded_one_by_one_with_any_line_ending(line_end: bytes, tmp_path: Path) -> None:
     events = [event.replace(b"\n\n", line_end) for event in EVENTS]
     passed = [asyncio.Event() for _ in events]
 
@@ -124,10 +126,12 @@
         await request.send(STREAM_HEAD)
         for event, seen in zip(events, passed, strict=True):
             await request.send(chunked(event))
-            await asyncio.wait_for(seen.wait(), WAIT)  # the next only once its client has this one
+            await asyncio.wait_for(
+                seen.wait(), WAIT
+            )  # send the next event only after the client has received this one
         await request.send(b"0\r\n\r\n")
 
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     async with platform.inside():
         platform.engines["w"].scripts = [sends_one_by_one]
         client = await platform.client()
@@ -139,24 +143,24 @@
         assert (await client.read_body(response)).complete
 
 
-MALFORMED_AFTER_EVENT = {
+REMAINDERS_MALFORMED_AFTER_AN_EVENT = {
     "no json": chunked(EVENTS[1] + b"data: {oops\n\n"),
     "deep": chunked(EVENTS[1] + b'data: {"choices":' + b"[" * 20_000 + b"\n\n"),
     "bad size": chunked(EVENTS[1]) + b"zz\r\n",
 }
 
 
-@pytest.mark.parametrize("fault", MALFORMED_AFTER_EVENT)
-async def test_well_formed_events_ahead_of_a_malformed_one_are_passed_on(fault: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("fault", REMAINDERS_MALFORMED_AFTER_AN_EVENT)
+async def test_well_formed_events_before_a_malformed_one_are_forwarded(fault: str, tmp_path: Path) -> None:
     seen = asyncio.Event()
 
     async def sends_malformed_remainder(request: ReceivedRequest) -> None:
         await request.send(STREAM_HEAD + chunked(EVENTS[0]))
         await asyncio.wait_for(seen.wait(), WAIT)
-        await request.send(MALFORMED_AFTER_EVENT[fault])
+        await request.send(REMAINDERS_MALFORMED_AFTER_AN_EVENT[fault])
         await request.until_closed()
 
-    platform = Platform(tmp_path, PAIR)
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     async with platform.inside():
         platform.engines["w"].scripts = [sends_malformed_remainder]
         client = await platform.client()
--- a/tests/test_exchange_timer.py
+++ b/tests/test_exchange_timer.py
@@ -1,4 +1,4 @@
-"""The time limit of an exchange, as what it waited for comes in the moment in which it ends."""
+"""The time limit of an exchange that ends at the moment at which the awaited data arrives."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_a_limit_that_has_ended_the_exchange_is_not_removed() -> None:
-    """A stream begun then would be cut at its first wait, though its client has been promised it."""
+async def test_a_limit_that_has_expired_is_not_removed() -> None:
+    """A stream that starts then would be cancelled at its first await, after its client received its head."""
     has_begun = False
     with pytest.raises(ExchangeAbortedError) as aborted, ExchangeTimer(10_000) as timer:
         timer.timeout_cause = FailureCause.TIMED_OUT_BEFORE_RESPONSE
--- a/tests/test_failure_classification.py
+++ b/tests/test_failure_classification.py
@@ -1,4 +1,4 @@
-"""Every failure cause that the classification tells apart, forced on a socket."""
+"""Every failure cause that the classification distinguishes, produced on a real socket."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from runspool.service.clock import now
 from tests.small_fleet import engine_spec
 
-ONE_SECOND = 10_000
+ONE_SECOND = 10_000  # tenths of a millisecond
 CLIENT_CONFIG = EngineClientConfig(
     connect_ms=300,
     idle_ms=15000,
@@ -41,7 +41,7 @@
 
 
 class RecordingListener:
-    """Takes a stream and keeps what it was given."""
+    """A stream listener that records what it receives."""
 
     def __init__(self) -> None:
         self.started = 0
@@ -60,7 +60,7 @@
     limit: int = 2 * ONE_SECOND,
     state: PrefillState = REQUEST_STATE,
 ) -> AttemptResult:
-    """Make one decode attempt, of a request that any engine can serve."""
+    """Make one decode attempt for a request that any engine can serve."""
     return await client.decode(
         address, state, None, {"X-Request-Id": "q.1"}, limit, UNRESTRICTED, 50, RecordingListener()
     )
@@ -73,7 +73,7 @@
     prepare: Callable[[CompletionsEngineClient, Address], Awaitable[None]] | None = None,
     prefill: bool = False,
 ) -> AttemptResult:
-    """Make one attempt at a peer that treats each connection as `serve` does."""
+    """Make one attempt at an engine whose connections `serve` handles."""
     client = CompletionsEngineClient(CLIENT_CONFIG, now, 500)
     async with anyio.create_task_group() as tasks:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
@@ -95,7 +95,7 @@
 
 
 CAUSES_BY_FAULT = {
-    # The cause depends on whether the reset comes before the last byte is out.
+    # The cause depends on whether the reset arrives before the last byte of the request is sent.
     "reset_before_body": (FailureCause.CLOSED_WHILE_SENDING, FailureCause.CLOSED_BEFORE_RESPONSE),
     "reset_after": (FailureCause.CLOSED_BEFORE_RESPONSE,),
     "close_after": (FailureCause.CLOSED_BEFORE_RESPONSE,),
@@ -120,13 +120,13 @@
 }
 
 
-def test_every_fault_of_the_stand_in_engine_has_its_cause() -> None:
+def test_every_fault_of_the_stand_in_engine_has_an_expected_cause() -> None:
     assert set(CAUSES_BY_FAULT) == set(RESPONSE_FAULTS)
 
 
 @pytest.mark.parametrize("fault", RESPONSE_FAULTS)
 @pytest.mark.anyio
-async def test_a_fault_of_the_stand_in_engine_has_its_cause_and_status(fault: str) -> None:
+async def test_a_fault_of_the_stand_in_engine_yields_its_cause_and_status(fault: str) -> None:
     engine = StandInEngine(engine_spec("mixed"), Recorder(None), False, 1)
     client = CompletionsEngineClient(CLIENT_CONFIG, now, 500)
     async with anyio.create_task_group() as tasks:
@@ -137,7 +137,7 @@
             result = await decode(client, ("127.0.0.1", port), ONE_SECOND // 2)
         assert result.failure_cause in CAUSES_BY_FAULT[fault], result
         assert result.status is STATUS_BY_CAUSE[result.failure_cause]
-        # That connection is not used again; the engine is, once the fault is over.
+        # The faulty connection is not reused; the engine is, once the fault has ended.
         engine.set_fault("row", row=fault, share=0.0)
         with anyio.fail_after(20):
             assert (await decode(client, ("127.0.0.1", port))).status is AttemptStatus.SUCCEEDED
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_refused_connection_did_not_execute() -> None:
+async def test_a_refused_connection_counts_as_not_executed() -> None:
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))  # bound, not listening
         result = await decode(
@@ -159,12 +159,12 @@
 
 
 @pytest.mark.anyio
-async def test_a_connection_not_made_in_time_did_not_execute() -> None:
+async def test_a_connect_timeout_counts_as_not_executed() -> None:
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
         fillers = [socket.socket() for _ in range(4)]
-        for filler in fillers:  # nobody accepts: the listener's queue is full
+        for filler in fillers:  # fill the listener's queue, as nobody accepts
             filler.setblocking(False)
             filler.connect_ex(listener.getsockname())
         result = await decode(CompletionsEngineClient(CLIENT_CONFIG, now, 500), listener.getsockname())
@@ -225,7 +225,7 @@
 
     async def prepare(client: CompletionsEngineClient, address: Address) -> None:
         assert (await decode(client, address)).status is AttemptStatus.OVERLOADED
-        while not client.pool.idle[address][0].has_unsolicited_data():  # the engine's close has come
+        while not client.pool.idle[address][0].has_unsolicited_data():  # until the engine's close arrives
             await anyio.sleep(0.001)
 
     result = await attempt_at(answer_once, prepare=prepare)
@@ -233,13 +233,13 @@
 
 
 @pytest.mark.anyio
-async def test_a_close_that_crosses_the_request_before_its_last_byte_did_not_execute() -> None:
+async def test_a_close_before_the_last_byte_of_the_request_counts_as_not_executed() -> None:
     async def close(stream: anyio.abc.SocketStream) -> None:
         await stream.aclose()
 
     async def prepare(client: CompletionsEngineClient, address: Address) -> None:
         connection = await client.pool.acquire(address)
-        while not connection.has_unsolicited_data():  # closed by its engine after the pool had checked it
+        while not connection.has_unsolicited_data():  # closed by its engine after the pool checked it
             await anyio.sleep(0.001)
 
         async def acquire_closed(*_: object) -> object:
@@ -253,11 +253,11 @@
 
 
 @pytest.mark.anyio
-async def test_an_engine_that_does_not_receive_the_request_did_not_execute_it() -> None:
+async def test_a_request_that_its_engine_does_not_receive_counts_as_not_executed() -> None:
     big = REQUEST_STATE | {"prompt": msgspec.Raw(b'"' + b"x" * 30_000_000 + b'"')}
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
-        listener.listen(8)  # connections are made by the kernel, and nobody receives from them
+        listener.listen(8)  # the kernel accepts connections, and nobody reads from them
         result = await decode(
             CompletionsEngineClient(CLIENT_CONFIG, now, 500), listener.getsockname(), ONE_SECOND // 2, big
         )
@@ -286,7 +286,7 @@
     ],
 )
 @pytest.mark.anyio
-async def test_each_response_status_has_its_cause(raw: bytes, cause: FailureCause) -> None:
+async def test_each_response_status_yields_its_cause(raw: bytes, cause: FailureCause) -> None:
     async def answer(stream: anyio.abc.SocketStream) -> None:
         async with stream:
             await stream.receive()
--- a/tests/test_fleet_soak.py
+++ b/tests/test_fleet_soak.py
@@ -1,6 +1,6 @@
-"""A trial of a whole fleet with a fixed seed, and for each rule a node that violates it.
+"""A trial of a whole fleet with a fixed seed, and for each rule a fleet whose nodes violate it.
 
-By hand: `python -m tests.fleet.sweep --first 1 --count 10`.
+To run trials with other seeds: `python -m tests.fleet.sweep --first 1 --count 10`.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from tests.fleet.plan import Backlog, Plan
 from tests.fleet.trial import play
 
-SEED = 3  # three outages in series, 119 nodes that also send requests
-SABOTAGE = ("told", "debt", "calls")
-SMALL_FLEET = 6
-OUTAGE = (0.5, 4.0)
+SEED = 3  # draws three consecutive outages and 119 nodes that also send requests
+VIOLATED_RULES = ("told", "debt", "calls")
+SMALL_FLEET = 6  # nodes
+OUTAGE = (0.5, 4.0)  # start and end, in seconds
 
 
-def play_sabotaged(sabotage: str) -> Verdict:
-    """Plays one outage, a lost watch and a change 1 s after the return, with nodes that break a rule."""
+def run_violating_trial(violated_rule: str) -> Verdict:
+    """Run a trial of nodes that break a rule: one outage, a lost watch, and a change 1 s after the outage."""
     plan = Plan(
         nodes=SMALL_FLEET,
         backlog=Backlog.PRESENT,
@@ -32,22 +32,24 @@
         lost_watches=1,
         duration=OUTAGE[1] + 3.0,
     )
-    return judge(asyncio.run(play(plan, sabotage)))
+    return judge(asyncio.run(play(plan, violated_rule)))
 
 
 @pytest.fixture(scope="module")
-def sabotaged() -> Iterator[dict[str, Future[Verdict]]]:
-    """The trials of nodes that break a rule, at once."""
-    with ThreadPoolExecutor(len(SABOTAGE)) as pool:
-        yield {rule: pool.submit(play_sabotaged, rule) for rule in SABOTAGE}
+def violating_trials() -> Iterator[dict[str, Future[Verdict]]]:
+    """Return the trials of nodes that break a rule, which run in parallel."""
+    with ThreadPoolExecutor(len(VIOLATED_RULES)) as pool:
+        yield {rule: pool.submit(run_violating_trial, rule) for rule in VIOLATED_RULES}
 
 
-@pytest.mark.parametrize("rule", SABOTAGE)
-def test_a_fleet_that_breaks_a_rule_is_noticed(rule: str, sabotaged: dict[str, Future[Verdict]]) -> None:
-    assert sabotaged[rule].result().broken.get(rule, 0) > 0
+@pytest.mark.parametrize("rule", VIOLATED_RULES)
+def test_a_fleet_that_violates_a_rule_is_detected(
+    rule: str, violating_trials: dict[str, Future[Verdict]]
+) -> None:
+    assert violating_trials[rule].result().broken.get(rule, 0) > 0
 
 
-def test_a_fleet_keeps_the_rules_over_outages_in_series() -> None:
+def test_a_fleet_violates_no_rule_over_consecutive_outages() -> None:
     outcome = asyncio.run(play(draw_plan(SEED)))
     assert not harness_fault(outcome)
     verdict = judge(outcome)
--- a/tests/test_front_attempts.py
+++ b/tests/test_front_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of a real front: what may have executed, what is tried again, what ends in an error."""
+"""Attempts of a real front: which are retried after a failure, and which end in an error."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from tests.small_fleet import SmallFleet
 
 pytestmark = pytest.mark.anyio
-PAIR = ["prefill", "decode"]
+PREFILL_AND_DECODE = ["prefill", "decode"]
 TWO_DECODE_ENGINES = ["prefill", "decode", "decode"]
 
 
-async def test_an_at_most_once_request_that_may_have_executed_fails_and_is_not_repeated(
+async def test_an_at_most_once_request_that_may_have_executed_fails_without_a_retry(
     tmp_path: Path,
 ) -> None:
     async with SmallFleet(tmp_path, TWO_DECODE_ENGINES).open() as fleet:
@@ -24,22 +24,22 @@
             engine.set_fault("row", row="reset_after", share=1.0)
         response = await fleet.ask("book")
         assert (response.status, response.error["type"]) == (424, "scrapped")
-        # Client libraries repeat 408, 409, 429 and 5xx by themselves; this error must be none of them.
+        # Client libraries retry 408, 409, 429 and 5xx automatically, so this error must have another status.
         assert response.headers["x-should-retry"] == "false"
         assert len(fleet.seen("arrived", stage="write")) == 1
 
 
-async def test_an_at_most_once_request_that_did_not_execute_is_tried_again(tmp_path: Path) -> None:
+async def test_an_at_most_once_request_that_did_not_execute_is_retried(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, TWO_DECODE_ENGINES).open() as fleet:
         for engine in fleet.engines[1:]:
             engine.set_fault("row", row="full_503", share=0.6)
         response = await fleet.ask("book")
-        assert response.status in (200, 503)  # served in the end or rejected, never failed
+        assert response.status in (200, 503)  # served after retries or rejected, never failed
         assert len(fleet.seen("ran")) <= 1
 
 
 async def test_a_stream_interrupted_in_the_middle_ends_in_one_error_event(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         fleet.engines[1].set_fault("row", row="reset_stream", share=1.0)
         response = await fleet.ask(out=50)
         assert response.status == 200
@@ -80,10 +80,10 @@
         assert {event["engine"] for event in fleet.seen("arrived", stage="write")} == {f"e{3 - chosen[0]}"}
 
 
-async def test_the_check_for_poisonous_requests_holds_up_no_client_that_disconnects(
+async def test_a_client_can_disconnect_during_the_check_for_a_poisonous_request(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         front, checking = fleet.running.front, anyio.Event()
 
         async def never_answers(address: tuple[str, int]) -> bool:
@@ -106,8 +106,8 @@
         assert not front.counts["poisonous"]
 
 
-async def test_an_error_in_the_scheduler_fails_one_request_alone(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+async def test_an_error_in_the_scheduler_fails_only_one_request(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         scheduler = fleet.running.front.first_driver.scheduler
         original = scheduler.select_engine
         scheduler.select_engine = lambda *_: 1 // 0  # type: ignore[method-assign, assignment]
@@ -121,7 +121,7 @@
 async def test_an_error_while_a_response_streams_cancels_its_attempt(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         front = fleet.running.front
         monkeypatch.setattr("runspool.scheduling.attempt_accounting.update_estimate", lambda *_: 1 // 0)
         response = await fleet.ask(out=200)
@@ -130,11 +130,11 @@
         else:
             assert response.error["type"] == "scrapped"
 
-        def work_is_left() -> bool:
+        def is_work_left() -> bool:
             engines_work = any(engine.active_requests for engine in fleet.engines)
             return bool(front.requests or leaked_state(front) or engines_work)
 
         with anyio.fail_after(10):
-            while work_is_left():
+            while is_work_left():
                 await anyio.sleep(0.01)
         assert front.counts["accepted"] == front.counts["indeterminate"] == 1
--- a/tests/test_front_cells.py
+++ b/tests/test_front_cells.py
@@ -1,4 +1,4 @@
-"""Cells in a real front on sockets: tenants served apart, moved, overflowing, poisonous requests stopped."""
+"""Cells in a real front on sockets: isolation and moves of tenants, overflow and poisonous requests."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.anyio
-async def test_each_tenant_is_served_in_its_cell_alone(tmp_path: Path) -> None:
+async def test_each_tenant_is_served_only_in_its_cell(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, ENGINE_TYPES, CELL_MAP).open() as fleet:
         for number in range(6):
             for tenant, engines in (("one", {"e0", "e1"}), ("two", {"e2", "e3"})):
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.anyio
-async def test_an_overloaded_cell_rejects_its_own_requests(tmp_path: Path) -> None:
+async def test_an_overloaded_cell_rejects_only_its_own_requests(tmp_path: Path) -> None:
     cell_map = CELL_MAP.model_copy(update={"reserve": None, "tenants": {"one": "a", "two": "b"}})
     async with (
         SmallFleet(tmp_path, ENGINE_TYPES, cell_map, queries=20).open() as fleet,
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_move_sends_new_requests_to_the_new_cell_and_leaves_the_old_ones(tmp_path: Path) -> None:
+async def test_a_move_sends_new_requests_to_the_new_cell_and_open_requests_stay(tmp_path: Path) -> None:
     async with (
         SmallFleet(tmp_path, ENGINE_TYPES, CELL_MAP).open() as fleet,
         anyio.create_task_group() as tasks,
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_later_attempt_with_a_deduplication_key_goes_where_it_was_seen_or_nowhere(
+async def test_a_keyed_client_retry_goes_to_the_cell_that_saw_its_key_or_is_rejected(
     tmp_path: Path,
 ) -> None:
     async with SmallFleet(tmp_path, ENGINE_TYPES, CELL_MAP).open() as fleet:
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_restarted_front_knows_since_when_its_tenants_moved(tmp_path: Path) -> None:
+async def test_a_restarted_front_restores_the_time_at_which_its_map_was_adopted(tmp_path: Path) -> None:
     fleet = SmallFleet(tmp_path, ENGINE_TYPES, CELL_MAP)
     async with fleet.open():
         await adopt(fleet, map_with_move())
@@ -123,7 +123,7 @@
     restarted = FrontServer(fleet.running.config)
     assert restarted.front.cell_router.cell_map == map_with_move()
     assert restarted.front.cell_router.migrations.adopted_unix_ms == adopted_at
-    # A damaged record of it counts as a map adopted just now, so that no key is trusted too early.
+    # If the record of that time is damaged, the map counts as adopted now: no key is trusted too early.
     (tmp_path / "front-0.list.cells").write_bytes(b"torn")
     restored = FrontServer(fleet.running.config)
     assert restored.front.cell_router.cell_map == map_with_move()
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_removed_cell_ends_its_open_requests(tmp_path: Path) -> None:
+async def test_a_removed_cell_finishes_its_open_requests(tmp_path: Path) -> None:
     async with (
         SmallFleet(tmp_path, ENGINE_TYPES, CELL_MAP).open() as fleet,
         anyio.create_task_group() as tasks,
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_cell_that_rejects_everything_overflows_into_the_reserve_and_recovers(tmp_path: Path) -> None:
+async def test_a_cell_that_rejects_everything_overflows_to_the_reserve_and_recovers(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, ENGINE_TYPES, CELL_MAP).open() as fleet:
         fleet.engines[0].set_fault("row", row="full_503", share=1.0)
         overflow = fleet.running.front.cell_router.overflow_policy.state("a")
@@ -201,7 +201,7 @@
     async with SmallFleet(tmp_path, ["prefill", *["decode"] * 4], cell_map).open() as fleet:
         response = await fleet.ask(poison=True, runspool_tenant="one", runspool_mark="bad")
         assert (response.status, response.error["code"]) == (424, "poisonous")
-        assert len(fleet.seen("fell")) == 2  # of four
+        assert len(fleet.seen("fell")) == 2  # of four decode engines
         repeated = await fleet.ask(poison=True, runspool_tenant="one", runspool_mark="bad2")
         assert (repeated.status, repeated.error["code"]) == (424, "poisonous")
         assert engines_reached(fleet, "bad2") == set()
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.anyio
-async def test_a_reset_by_a_running_engine_is_not_counted_against_the_request(tmp_path: Path) -> None:
+async def test_a_reset_by_a_running_engine_does_not_count_as_a_crash_by_the_request(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, ["prefill", "decode", "decode"]).open() as fleet:
         for engine in fleet.engines[1:]:
             engine.set_fault("row", row="reset_after", share=0.7)
--- a/tests/test_front_disconnects.py
+++ b/tests/test_front_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect, and the shutdown of a real front."""
+"""Disconnects of clients from a real front, and its shutdown."""
 
 from __future__ import annotations
 
@@ -17,14 +17,16 @@
 from tests.small_fleet import SmallFleet
 
 pytestmark = pytest.mark.anyio
-PAIR = ["prefill", "decode"]
+PREFILL_AND_DECODE = ["prefill", "decode"]
 REQUEST_HEAD = (
     b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nRunspool-Tariff: ask\r\nRunspool-Limit-Ms: 5000\r\n"
 )
 
 
-async def test_a_client_that_disconnects_ends_its_attempt_and_its_state(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+async def test_a_client_that_disconnects_has_its_attempt_cancelled_and_its_state_released(
+    tmp_path: Path,
+) -> None:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         fleet.engines[1].set_fault("hang", on=True)
         raw = msgspec.json.encode({"prompt": "abcd" * 40, "stream": True, "standin": {"try": "t", "out": 5}})
         async with await anyio.connect_tcp("127.0.0.1", fleet.port) as stream:
@@ -38,8 +40,8 @@
 
 
 async def test_a_client_that_does_not_read_its_response_counts_as_disconnected(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR, answer_write_ms=300).open() as fleet:
-        # Tokens of a size that fills every buffer on the way soon.
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE, answer_write_ms=300).open() as fleet:
+        # Large tokens soon fill all buffers between engine and client.
         fleet.engines[1].token_prefix = "t" * 60_000
         raw = msgspec.json.encode(
             {"prompt": "abcd" * 40, "max_tokens": 900, "stream": True, "standin": {"try": "t", "out": 800}}
@@ -50,17 +52,17 @@
         assert fleet.running.front.counts["client_disconnected"] == 1
 
 
-async def test_what_an_engine_sends_after_the_final_response_is_dropped(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+async def test_engine_data_after_the_final_response_is_dropped(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         front = fleet.running.front
-        passed: list[str] = []
+        forwarded: list[str] = []
 
         class RecordingListener:
             async def stream_started(self) -> None:
-                passed.append("begun")
+                forwarded.append("begun")
 
             async def data_received(self, text: str) -> None:
-                passed.append(text)
+                forwarded.append(text)
 
         request = parse_completion_request({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
         pending = PendingCompletion(
@@ -78,11 +80,11 @@
         assert pending.finish(FinalResponse(ResponseKind.INDETERMINATE))
         await relay.stream_started()
         await relay.data_received("after")
-        assert passed == ["before"]
+        assert forwarded == ["before"]
 
 
 async def test_a_late_disconnect_in_a_closed_cell_creates_no_scheduler(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         front = fleet.running.front
         request = parse_completion_request({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
         admission = replace(front._admit(request), cell="closed")
@@ -94,8 +96,8 @@
         assert front.cell_schedulers.keys() == {"whole"}
 
 
-async def test_a_shutdown_accepts_nothing_new_and_ends_its_requests(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+async def test_a_front_that_shuts_down_rejects_connections_and_finishes_its_requests(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         responses = []
 
         async def make_request() -> None:
@@ -110,8 +112,8 @@
             await fleet.ask()
 
 
-async def test_a_shutdown_that_cannot_wait_fails_what_is_left(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR, drain_ms=200).open() as fleet:
+async def test_requests_left_at_the_end_of_the_drain_time_fail(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE, drain_ms=200).open() as fleet:
         fleet.engines[1].set_fault("hang", on=True)
         responses = []
 
--- a/tests/test_front_endpoint_list.py
+++ b/tests/test_front_endpoint_list.py
@@ -1,4 +1,4 @@
-"""A real front and its endpoint list: restored, changed, bounded, saved."""
+"""The endpoint list of a real front: how it is restored, updated, bounded and saved."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from tests.small_fleet import SmallFleet
 
 pytestmark = pytest.mark.anyio
-PAIR = ["prefill", "decode"]
+PREFILL_AND_DECODE = ["prefill", "decode"]
 TWO_DECODE_ENGINES = ["prefill", "decode", "decode"]
 
 
 async def test_a_front_restores_its_last_list_and_ignores_a_damaged_one(tmp_path: Path) -> None:
-    fleet = SmallFleet(tmp_path, PAIR)
+    fleet = SmallFleet(tmp_path, PREFILL_AND_DECODE)
     save_snapshot(
         tmp_path / "front-0.list", 7, [EndpointEntry("e9", "127.0.0.1:9", "prefill", "a", 0, "draining")]
     )
     async with fleet.open() as opened:
         assert opened.running.front.endpoints[0].name == "e9"
-        # The service's snapshot does not name it: it is removed, and the new list is saved soon.
+        # The service's snapshot does not list this engine, so it is removed and the new list is saved.
         while b"e9" in (tmp_path / "front-0.list").read_bytes():
             await anyio.sleep(0.01)
     (tmp_path / "front-0.list").write_bytes(b"00000000\n{}")
-    async with SmallFleet(tmp_path, PAIR).open() as opened:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as opened:
         assert (await opened.ask()).status == 200
 
 
-async def test_an_engine_that_returns_with_another_type_is_used_as_that(tmp_path: Path) -> None:
+async def test_an_engine_listed_with_another_type_gets_attempts_of_that_type(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, TWO_DECODE_ENGINES).open() as fleet:
         front = fleet.running.front
         fleet.plan.engines[1].engine_type = "prefill"
@@ -49,7 +49,7 @@
                 tasks.start_soon(fleet.ask)
         assert {event["stage"] for event in fleet.seen("arrived", engine="e1")} <= {"read"}
         assert len(fleet.seen("ran", engine="e2")) == 8
-        # A type that this front does not know: nothing is known of what it can do, or whether it drains.
+        # The front does not know this type, so the engine must not be ready, whatever its listed state.
         fleet.plan.engines[1].engine_type = "novel"
         fleet.tell(1, "draining")
         with anyio.fail_after(10):
@@ -58,12 +58,12 @@
         assert (await fleet.ask()).status == 200
 
 
-async def test_an_engine_is_cold_for_a_front_whose_wall_clock_was_set_back(
+async def test_slow_start_is_applied_after_the_wall_clock_of_a_front_is_set_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with SmallFleet(tmp_path, TWO_DECODE_ENGINES).open() as fleet:
         front = fleet.running.front
-        hour = 3_600_000
+        hour_ms = 3_600_000
         fleet.started[1] = unix_ms() - 30_000
         fleet.tell(1, "on")
         scheduler = front.first_driver.scheduler
@@ -72,10 +72,10 @@
                 await anyio.sleep(0.005)
         known = scheduler.engines[1].started_at
         monkeypatch.setattr(
-            "runspool.service.executor_base.wall_clock_offset_ms", lambda: wall_clock_offset_ms() - hour
+            "runspool.service.executor_base.wall_clock_offset_ms", lambda: wall_clock_offset_ms() - hour_ms
         )
         fleet.tell(1, "draining")
-        fleet.started[2] = unix_ms() - hour
+        fleet.started[2] = unix_ms() - hour_ms
         fleet.tell(2, "on")
         with anyio.fail_after(10):
             while not scheduler.engines[2].started_at:
@@ -84,8 +84,8 @@
         assert scheduler.engines[1].started_at == known
 
 
-async def test_what_is_kept_of_removed_engines_is_bounded(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+async def test_data_kept_of_removed_engines_is_bounded(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         front = fleet.running.front
         for number in range(MAX_GONE_ENGINES + 200):
             for state in ("on", "gone"):
@@ -100,14 +100,14 @@
         assert (await fleet.ask()).status == 200
 
 
-async def test_the_thread_that_saves_the_list_has_its_own_copy(
+async def test_the_thread_that_saves_the_list_gets_its_own_copy(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     saved: list[list[EndpointEntry]] = []
     monkeypatch.setattr(
         "runspool.service.front_server.save_snapshot", lambda path, version, engines: saved.append(engines)
     )
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         with anyio.fail_after(10):
             while not saved or len(saved[-1]) < 2:
                 await anyio.sleep(0.005)
--- a/tests/test_front_recordings.py
+++ b/tests/test_front_recordings.py
@@ -1,4 +1,4 @@
-"""Recordings of a real front at work: they replay to the same actions, and the audit finds no violation."""
+"""Recordings of a real front under load: they replay to the same actions and pass the audit."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
     assert replayed.first_difference == ""
     assert replayed.events > 100
     assert replayed.actions > 100
-    # A changed recording is found to differ.
+    # A difference is reported for an altered recording.
     recording.write_bytes(recording.read_bytes().replace(b'"send",5,', b'"send",6,', 1))
     assert "replayed action" in replay(recording).first_difference
 
 
-async def test_a_fleet_at_work_keeps_every_rule(tmp_path: Path) -> None:
+async def test_a_fleet_under_load_violates_no_rule(tmp_path: Path) -> None:
     fleet = SmallFleet(tmp_path, FOUR_ENGINES)
     fleet.recorder.record_event("day", plan=msgspec.to_builtins(fleet.plan))
     async with fleet.open():
--- a/tests/test_front_requests.py
+++ b/tests/test_front_requests.py
@@ -1,4 +1,4 @@
-"""Requests to a real front on sockets: served, rejected, pipelined, cut short."""
+"""Requests to a real front on sockets: served, rejected, pipelined or incomplete."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from tests.small_fleet import SmallFleet, receive_response
 
 pytestmark = pytest.mark.anyio
-PAIR = ["prefill", "decode"]
+PREFILL_AND_DECODE = ["prefill", "decode"]
 REQUEST_HEAD = (
     b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nRunspool-Tariff: ask\r\nRunspool-Limit-Ms: 5000\r\n"
 )
 
 
-async def test_a_response_is_streamed_or_sent_complete(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+async def test_a_response_is_streamed_or_sent_whole(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         streamed = await fleet.ask(out=7)
         assert (streamed.status, streamed.text.split()) == (200, [f"t{at}" for at in range(1, 8)])
         assert streamed.body.endswith(b"data: [DONE]\n\n")
@@ -27,12 +27,12 @@
         completion = msgspec.json.decode(complete.body)
         assert completion["choices"][0]["text"] == streamed.text
         assert completion["usage"]["prompt_tokens"] == 50
-        # Prefilled at one engine, fetched by the other, nothing left behind.
+        # Each state is held by the prefill engine and fetched by the decode engine, so that none is left.
         assert len(fleet.seen("held")) == len(fleet.seen("taken", by="e1")) == 2
 
 
 async def test_invalid_requests_are_rejected_before_admission(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR, query_bytes=2000).open() as fleet:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE, query_bytes=2000).open() as fleet:
         rejected = [
             (await fleet.ask("none"), 400, "runspool-tariff"),
             (await fleet.ask(body=b"{"), 400, "body"),
@@ -47,7 +47,7 @@
             (await fleet.ask(runspool_session="s" * 300), 400, "runspool-session"),
             (await fleet.ask(tokens=900), 413, "query_bytes"),
             (await fleet.say(b"NONSENSE\r\n\r\n"), 400, "malformed"),
-            (await fleet.say(b"GET /healthz HTTP/1.1\r\n\r\n"), 400, "malformed"),  # no host
+            (await fleet.say(b"GET /healthz HTTP/1.1\r\n\r\n"), 400, "malformed"),  # without a host header
             (
                 await fleet.say(
                     b"GET /healthz HTTP/1.1\r\nHost: x\r\nRunspool-Tariff: a\r\nRunspool-Tariff: b\r\n\r\n"
@@ -89,16 +89,16 @@
         assert not fleet.seen("arrived")
 
 
-async def test_a_partial_body_and_a_slow_head_are_rejected(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR, body_ms=100, head_ms=100).open() as fleet:
+async def test_an_incomplete_body_and_an_incomplete_head_are_rejected(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE, body_ms=100, head_ms=100).open() as fleet:
         partial = await fleet.say(REQUEST_HEAD + b"Content-Length: 500\r\n\r\n{")
         assert (partial.status, partial.error["code"]) == (408, "body_time")
-        slow = await fleet.say(REQUEST_HEAD)
-        assert (slow.status, slow.error["code"]) == (408, "head_time")
+        incomplete_head = await fleet.say(REQUEST_HEAD)
+        assert (incomplete_head.status, incomplete_head.error["code"]) == (408, "head_time")
 
 
 async def test_pipelined_requests_are_answered_in_order(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         request = b"GET %b HTTP/1.1\r\nHost: x\r\n%b\r\n"
         async with await anyio.connect_tcp("127.0.0.1", fleet.port) as stream:
             await stream.send(
@@ -114,8 +114,8 @@
         assert [int(part[:3]) for part in bytes(received).split(b"HTTP/1.1 ")[1:]] == [200, 404, 200]
 
 
-async def test_a_client_that_stops_sending_too_early_gets_an_error(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+async def test_a_client_that_ends_its_request_early_gets_an_error(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         for raw in (
             b"POST /v1/completions HT",
             b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n{",
@@ -129,7 +129,7 @@
 
 
 async def test_without_any_engine_a_request_is_rejected_in_time(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         fleet.tell(0, "gone")
         fleet.tell(1, "gone")
         while any(engine.ready for engine in fleet.running.front.first_driver.scheduler.engines.values()):
@@ -139,8 +139,8 @@
         assert response.headers["x-should-retry"] == "true"
 
 
-async def test_a_response_that_cannot_be_complete_in_time_fails_in_time(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR).open() as fleet:
+async def test_a_response_that_misses_its_deadline_fails_at_the_deadline(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE).open() as fleet:
         started = anyio.current_time()
         response = await fleet.ask(out=400, stream=False, runspool_limit_ms="700")
         assert (response.status, response.error["code"]) == (424, "out_of_time")
@@ -148,8 +148,8 @@
         await fleet.until("ended", how="left")
 
 
-async def test_beyond_its_limits_a_front_rejects_cleanly(tmp_path: Path) -> None:
-    async with SmallFleet(tmp_path, PAIR, queries=1, connections=3).open() as fleet:
+async def test_a_front_beyond_its_limits_rejects_requests_and_connections(tmp_path: Path) -> None:
+    async with SmallFleet(tmp_path, PREFILL_AND_DECODE, queries=1, connections=3).open() as fleet:
         fleet.engines[0].set_fault("hang", on=True)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(fleet.ask)
--- a/tests/test_http_request_parser.py
+++ b/tests/test_http_request_parser.py
@@ -1,4 +1,4 @@
-"""Parsing of clients' requests: pipelined, malformed, cut anywhere."""
+"""Parsing of client requests: pipelined, malformed, and split at arbitrary positions."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         parser = HttpRequestParser(1000, 10)
         parser.feed(valid + valid + malformed + valid)
         assert [request.complete for request in parser.ready] == [True, True]
-        parser.raise_pending_error()  # nothing yet: two are to be served first
+        parser.raise_pending_error()  # raises nothing while valid requests are still to be served
         parser.ready.clear()
         with pytest.raises(InvalidHttpRequestError) as error:
             parser.raise_pending_error()
@@ -27,7 +27,7 @@
 
 
 @given(st.lists(st.integers(1, 40), max_size=30))
-def test_requests_come_out_whole_however_the_bytes_were_cut(cuts: list[int]) -> None:
+def test_requests_are_parsed_whole_at_any_chunk_boundaries(cuts: list[int]) -> None:
     raw = (
         b"POST /v1/completions?x=1 HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\n"
         b"Content-Length: 4\r\n\r\nabcd"
--- a/tests/test_idle_watchdog.py
+++ b/tests/test_idle_watchdog.py
@@ -1,11 +1,11 @@
-"""The watchdog that times out whatever has waited too long for bytes."""
+"""The watchdog that times out exchanges that have waited too long for bytes."""
 
 from __future__ import annotations
 
 from runspool.engines.idle_watchdog import IdleWatchdog
 
 
-def test_watchdog_calls_once_for_what_has_waited_too_long_and_for_nothing_else() -> None:
+def test_watchdog_calls_back_once_for_only_what_has_waited_too_long() -> None:
     now, timed_out = 1_000, []
     watchdog = IdleWatchdog(lambda: now)
     late, idle, quick, removed = (
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: its engine model, its plans, and small scenarios with real processes."""
+"""The laboratory: its engine model, its workloads and plans, and small scenarios with real processes."""
 
 from __future__ import annotations
 
@@ -26,11 +26,12 @@
 def make_job(
     prompt_tokens: int = 200, output_tokens: int = 5, decodes: bool = True, blocks: list[int] | None = None
 ) -> Job:
+    """Return a job of the class "ask" with these prompt blocks."""
     return Job("r", "ask", prompt_tokens, blocks or [], output_tokens, decodes)
 
 
 def run(model: EngineModel, now: int = 0, max_steps: int = 1000) -> int:
-    """Run an engine until nothing is left to do; return the time then."""
+    """Run an engine until it has no work left; return the time at which that is."""
     for _ in range(max_steps):
         model.start_waiting()
         step = model.next_step(now)
@@ -38,7 +39,7 @@
             return now
         now += step.duration
         model.finish_step(step)
-    raise AssertionError("it does not end")
+    raise AssertionError(f"the engine still has work after {max_steps} steps")
 
 
 def test_a_cold_engine_is_slow_and_crashes_when_overloaded() -> None:
@@ -69,7 +70,7 @@
     assert later.cached_tokens == 0
 
 
-def test_memory_is_freed_whichever_way_a_job_ends() -> None:
+def test_memory_is_freed_however_a_job_ends() -> None:
     model = EngineModel(engine_spec("mixed"), 0, False, 1)
     prefilled, removed, decoded, waiting = make_job(decodes=False), make_job(), make_job(), make_job()
     for job in (prefilled, removed, decoded, waiting):
@@ -86,7 +87,7 @@
     assert decoded.phase is Phase.FINISHED
 
 
-def test_when_memory_runs_out_the_newest_stream_is_preempted_and_still_ends() -> None:
+def test_a_stream_preempted_for_lack_of_memory_still_finishes() -> None:
     model = EngineModel(engine_spec("mixed"), 0, False, 1)
     jobs = [make_job(model.spec.memory // 2 - 20, output_tokens=100) for _ in range(2)]
     for job in jobs:
@@ -103,7 +104,7 @@
     assert all(before.send_at <= after.send_at for before, after in pairwise(one))
 
 
-def test_a_bad_night_has_at_least_eight_faults_at_one_time_for_any_seed() -> None:
+def test_the_bad_night_scenario_has_at_least_eight_concurrent_faults_for_any_seed() -> None:
     for seed in range(30):
         plan = bad_night(seed)
         assert {fault.kind for fault in plan.faults} <= {*SIMULATOR_FAULT_KINDS, *LABORATORY_FAULT_KINDS}
@@ -117,8 +118,8 @@
         assert most >= 8, seed
 
 
-def simulator_day(*kinds: str) -> dict[str, Any]:
-    """A day in the form that the simulator prints; times in microseconds."""
+def simulator_scenario(*kinds: str) -> dict[str, Any]:
+    """Return a scenario with faults of these kinds, as the simulator prints it; times are in microseconds."""
     rows = [
         {
             "name": "ask",
@@ -180,8 +181,8 @@
     }
 
 
-def test_every_kind_that_the_simulator_draws_is_playable_and_another_is_named() -> None:
-    plan = plan_from_simulator_scenario(simulator_day(*SIMULATOR_FAULT_KINDS), 3, 12)
+def test_every_fault_kind_of_the_simulator_is_supported_and_an_unknown_one_is_reported() -> None:
+    plan = plan_from_simulator_scenario(simulator_scenario(*SIMULATOR_FAULT_KINDS), 3, 12)
     assert [fault.kind for fault in plan.faults] == list(SIMULATOR_FAULT_KINDS)
     assert {engine.engine_type for engine in plan.engines} == {"prefill", "decode", "mixed"}
     assert all(0 <= target < 12 for fault in plan.faults for target in fault.targets)
@@ -190,18 +191,18 @@
     for fault in plan.faults:
         assert fault.kind in by_clients | by_runner or engine_faults(plan, fault), fault.kind
     with pytest.raises(InvalidSimulatorScenarioError, match="moonshine"):
-        plan_from_simulator_scenario(simulator_day("burst", "moonshine"), 3, 12)
+        plan_from_simulator_scenario(simulator_scenario("burst", "moonshine"), 3, 12)
     with pytest.raises(InvalidSimulatorScenarioError, match="troubles"):
         plan_from_simulator_scenario({}, 3, 12)
 
 
-def test_faults_of_the_workload_change_the_workload() -> None:
-    quiet = draw_workload(plan_from_simulator_scenario(simulator_day(), 3, 12))
-    burst = draw_workload(plan_from_simulator_scenario(simulator_day("burst"), 3, 12))
-    longer = simulator_day("heavy_tail")
+def test_workload_faults_change_the_drawn_workload() -> None:
+    quiet = draw_workload(plan_from_simulator_scenario(simulator_scenario(), 3, 12))
+    burst = draw_workload(plan_from_simulator_scenario(simulator_scenario("burst"), 3, 12))
+    longer = simulator_scenario("heavy_tail")
     longer["troubles"][0] |= {"size": 20.0, "which": 0}
     heavy = draw_workload(plan_from_simulator_scenario(longer, 3, 12))
-    abuse = draw_workload(plan_from_simulator_scenario(simulator_day("retry_abuse"), 3, 12))
+    abuse = draw_workload(plan_from_simulator_scenario(simulator_scenario("retry_abuse"), 3, 12))
     assert len(burst) > len(quiet)
     assert _mean_prompt(heavy) > 1.1 * _mean_prompt(quiet)
     assert any(request.backoff == 0 for request in abuse)
@@ -212,7 +213,7 @@
     return sum(request.prompt_tokens for request in requests) / len(requests)
 
 
-def test_a_small_night_with_processes_killed_keeps_every_rule(tmp_path: Path) -> None:
+def test_a_short_scenario_with_killed_processes_violates_no_rule(tmp_path: Path) -> None:
     plan = bad_night(5, 26 * SECOND)
     plan.duration, plan.requests_per_second = 7 * SECOND, 15
     types = [engine.engine_type for engine in plan.engines]
@@ -234,14 +235,14 @@
     assert "no effect twice" in (tmp_path / "report.txt").read_text()
 
 
-def test_every_kind_of_the_simulator_at_once_through_real_fronts_keeps_every_rule(tmp_path: Path) -> None:
-    day = simulator_day(*SIMULATOR_FAULT_KINDS)
-    day["troubles"] += [
+def test_all_fault_kinds_of_the_simulator_at_once_on_real_fronts_violate_no_rule(tmp_path: Path) -> None:
+    scenario = simulator_scenario(*SIMULATOR_FAULT_KINDS)
+    scenario["troubles"] += [
         {**row, "at": row["at"] + 500_000}
-        for row in day["troubles"]
+        for row in scenario["troubles"]
         if row["kind"] in ("ageing", "balancer_roll")
-    ]  # also on top of itself
-    file = anyio.run(ScenarioRunner(plan_from_simulator_scenario(day, 2, 9, 0.5), tmp_path).run)
+    ]  # so that two faults of these kinds overlap
+    file = anyio.run(ScenarioRunner(plan_from_simulator_scenario(scenario, 2, 9, 0.5), tmp_path).run)
     verdict = scenario_verdict(recording.read_recording(file))
     assert verdict["kept"], verdict["rules"]
     assert {fault["kind"] for fault in verdict["troubles"]} >= {
@@ -253,16 +254,20 @@
     assert verdict["rules"]["no query lost"]["cases"] > 30
 
 
-def test_a_tenants_flood_leaves_the_requests_of_all_others_as_they_were() -> None:
+def test_the_flood_of_one_tenant_does_not_change_the_requests_of_others() -> None:
     calm, flooded = draw_workload(flood(3, with_fault=False)), draw_workload(flood(3))
-    assert _of_others(flooded) == _of_others(calm)
-    assert 4.5 < _count_in_flood(flooded) / _count_in_flood(calm) < 7.5
+    assert _requests_of_other_tenants(flooded) == _requests_of_other_tenants(calm)
+    assert (
+        4.5
+        < _count_first_tenants_requests_in_flood(flooded) / _count_first_tenants_requests_in_flood(calm)
+        < 7.5
+    )
 
 
-def _of_others(requests: list[PlannedRequest]) -> list[PlannedRequest]:
+def _requests_of_other_tenants(requests: list[PlannedRequest]) -> list[PlannedRequest]:
     return [request for request in requests if request.tenant_index != 0]
 
 
-def _count_in_flood(requests: list[PlannedRequest]) -> int:
-    """The first tenant's requests from the flood's start to its end."""
+def _count_first_tenants_requests_in_flood(requests: list[PlannedRequest]) -> int:
+    """Return the number of requests of the first tenant from the start of the flood to its end."""
     return sum(40_000 <= request.send_at < 340_000 and request.tenant_index == 0 for request in requests)
--- a/tests/test_list_after_outage.py
+++ b/tests/test_list_after_outage.py
@@ -1,6 +1,6 @@
-"""What nodes owe their agents after an outage of the endpoint list, and when they know of changes then.
+"""Discovery calls left open by an outage of the endpoint list, and how soon nodes learn of changes after it.
 
-The agents of all nodes are one process, as the platform's are in a trial of a whole fleet on one machine.
+The agents of all nodes share one process, as in a trial of a whole fleet on one machine.
 """
 
 from __future__ import annotations
@@ -15,17 +15,18 @@
 from tests.fleet.plan import Backlog, Plan
 from tests.fleet.trial import play
 
-FLEET = 230
-SMALL_FLEET = 4
-TRIALS_AT_ONCE = 4
-OUTAGE = (0.5, 6.5)
+LARGE_FLEET = 230  # nodes
+SMALL_FLEET = 4  # nodes
+MAX_CONCURRENT_TRIALS = 4
+OUTAGE = (0.5, 6.5)  # start and end, in seconds
+# Seconds from the end of the outage to the change of the list.
 CHANGES_AFTER_LOST_WATCH = (0.1, 0.5, 0.9, 1.3, 1.6)
 
 Trials = dict[Backlog | float, Future[Verdict]]
 
 
-def play_outage(nodes: int, backlog: Backlog, *after_return: float, lost_watches: int = 0) -> Verdict:
-    """Plays an outage and changes so many seconds after the return."""
+def run_outage_trial(nodes: int, backlog: Backlog, *after_return: float, lost_watches: int = 0) -> Verdict:
+    """Run a trial of one outage, with a change of the list at each of these times in seconds after it."""
     changes = tuple(OUTAGE[1] + after for after in after_return)
     plan = Plan(
         nodes=nodes,
@@ -40,32 +41,32 @@
 
 @pytest.fixture(scope="module")
 def trials() -> Iterator[Trials]:
-    """All trials of small fleets, by what their agents owe or by when the list changes."""
-    with ThreadPoolExecutor(TRIALS_AT_ONCE) as pool:
-        played: Trials = {
-            backlog: pool.submit(play_outage, SMALL_FLEET, backlog, 0.1, 1.6) for backlog in Backlog
+    """Yield the trials of small fleets, by the backlog of their agents or by the time of the change."""
+    with ThreadPoolExecutor(MAX_CONCURRENT_TRIALS) as pool:
+        running_trials: Trials = {
+            backlog: pool.submit(run_outage_trial, SMALL_FLEET, backlog, 0.1, 1.6) for backlog in Backlog
         }
-        played |= {
-            after: pool.submit(play_outage, SMALL_FLEET, Backlog.PRESENT, after, lost_watches=1)
+        running_trials |= {
+            after: pool.submit(run_outage_trial, SMALL_FLEET, Backlog.PRESENT, after, lost_watches=1)
             for after in CHANGES_AFTER_LOST_WATCH
         }
-        yield played
+        yield running_trials
 
 
-def test_calls_given_up_in_an_outage_do_not_delay_changes_after_it() -> None:
-    # The agents answered what the whole fleet had asked and given up in the outage ahead of its new watches.
-    verdict = play_outage(FLEET, Backlog.ALL, 0.1, 1.6)
+def test_calls_abandoned_in_an_outage_do_not_delay_changes_after_it() -> None:
+    # The agents once answered all calls that the fleet had abandoned in the outage before its new watches.
+    verdict = run_outage_trial(LARGE_FLEET, Backlog.ALL, 0.1, 1.6)
     assert not verdict.broken, verdict
 
 
 @pytest.mark.parametrize("after_return", CHANGES_AFTER_LOST_WATCH)
 def test_a_lost_watch_after_an_outage_does_not_delay_a_change(after_return: float, trials: Trials) -> None:
-    # A node asked nothing beside its first watch for 1.4 s, whatever had become of that.
+    # A node once made no call beside its first watch for 1.4 s, even if that watch was lost.
     assert not trials[after_return].result().told
 
 
 @pytest.mark.parametrize("backlog", Backlog)
-def test_calls_owed_after_an_outage_are_bounded(backlog: Backlog, trials: Trials) -> None:
-    # A node asked ten times a second as long as the outage lasted, on a connection of its own each time.
+def test_calls_left_to_answer_after_an_outage_are_bounded(backlog: Backlog, trials: Trials) -> None:
+    # A node once made ten calls a second throughout an outage, each on a new connection.
     verdict = trials[backlog].result()
     assert not verdict.broken, verdict
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""A node's log may be lost, but it never blocks or ends the node."""
+"""Logging may lose lines, but never blocks or stops a node."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
-PAIR = {"r": "prefill", "w": "decode"}
+PREFILL_AND_DECODE = {"r": "prefill", "w": "decode"}
 LINE = b'{"event":"x","text":"' + b"y" * 900 + b'"}\n'
 
 
-def test_a_pipe_that_nobody_reads_takes_what_it_holds_and_dropped_lines_are_counted() -> None:
+def test_lines_that_do_not_fit_into_a_full_pipe_are_dropped_and_counted() -> None:
     read_end, write_end = os.pipe()
     fcntl.fcntl(write_end, fcntl.F_SETPIPE_SZ, 4_096)
     sink = NonBlockingLogFile(write_end)
@@ -54,7 +54,7 @@
     assert sink.dropped == 1
 
 
-def test_a_bounded_log_reports_how_many_lines_it_left_out(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_rate_limited_log_reports_how_many_lines_it_left_out(capsys: pytest.CaptureFixture[str]) -> None:
     time = 0.0
     log = RateLimitedLog(lambda: time)
     for number in range(int(MAX_BURST_LINES) + 30):
@@ -66,9 +66,9 @@
     assert "left_out_before=30" in output
 
 
-async def test_a_node_whose_log_nobody_reads_goes_on_serving(tmp_path: Path) -> None:
-    """At debug level it writes more than a pipe holds."""
-    async with Platform(tmp_path, PAIR).open() as platform:
+async def test_a_node_whose_log_is_not_read_continues_to_serve(tmp_path: Path) -> None:
+    """At debug level, the node writes more log lines than a pipe holds."""
+    async with Platform(tmp_path, PREFILL_AND_DECODE).open() as platform:
         platform.reads_log.clear()
         for number in range(400):
             assert (await platform.ask(post(f"q{number}", body=b'{"prompt":"%b"}' % (b"x" * 50)))).complete
@@ -76,8 +76,8 @@
 
 
 @pytest.mark.parametrize("redirection", ["2>&-", "2>/dev/full", ">&- 2>&- <&-"])
-async def test_a_node_without_a_standard_error_serves(redirection: str, tmp_path: Path) -> None:
-    platform = Platform(tmp_path, PAIR)
+async def test_a_node_without_a_usable_standard_error_serves(redirection: str, tmp_path: Path) -> None:
+    platform = Platform(tmp_path, PREFILL_AND_DECODE)
     platform.redirection = redirection
     async with platform.open():
         for number in range(5):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -92,7 +92,7 @@
 async def test_start_waits_for_a_port_that_is_still_in_use(tmp_path: Path) -> None:
     """By the process before it, or by an outgoing connection of another."""
     platform = Platform(tmp_path, ENGINES)
-    async with platform._around():
+    async with platform.running_peers():
         with socket.socket() as listener:
             listener.bind((HOST, 0))
             listener.listen()
@@ -100,7 +100,7 @@
             process = await start_node(platform)
             await asyncio.sleep(1.0)
             assert process.returncode is None
-        await platform._answers()
+        await platform.until_accepting_connections()
         assert (await platform.ask(post("q1"))).complete
         process.terminate()
         assert await asyncio.wait_for(process.wait(), WAIT) == 0
@@ -108,7 +108,7 @@
 
 async def test_start_reads_a_half_written_configuration_again(tmp_path: Path) -> None:
     platform = Platform(tmp_path, ENGINES)
-    async with platform._around():
+    async with platform.running_peers():
         platform.port = free_port()
         file = platform.write_config()
         complete = file.read_bytes()
@@ -116,7 +116,7 @@
         process = await start_node(platform, write_config=False)
         await asyncio.sleep(0.8)
         file.write_bytes(complete)
-        await platform._answers()
+        await platform.until_accepting_connections()
         assert (await platform.ask(post("q1"))).complete
         process.terminate()
         assert await asyncio.wait_for(process.wait(), WAIT) == 0
