--- a/tests/cell_maps.py
+++ b/tests/cell_maps.py
@@ -6,7 +6,7 @@
 
 from runspool.cells.cell_map import Cell, CellMap, Move
 
-# CELL_MAP has three cells of two engines, one of them the reserve.
+# CELL_MAP divides these engines into three cells of two; the third cell is the reserve.
 ENGINE_TYPES = ["prefill", "decode", "prefill", "decode", "prefill", "decode"]
 CELL_MAP = CellMap.model_validate(
     {
@@ -31,5 +31,5 @@
 
 
 def cell_map_with(*cells: str, **fields: Any) -> CellMap:
-    """The first version of a map with plain cells of these names; `fields` by the map's own names."""
+    """Return version 1 of a map with default cells of these names; `fields` are further fields of CellMap."""
     return CellMap(version=1, cells={name: Cell() for name in cells}, **fields)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 
 from tests.known_red import KNOWN_RED, KnownRed, read_known_red
 
-JUDGED: Counter[str] = Counter()  # rule: cases judged in histories, said at the end of a run
+JUDGED: Counter[str] = Counter()  # cases that the auditor judged in histories, by rule
 LISTED: list[KnownRed] = read_known_red(KNOWN_RED)
 
 
@@ -16,14 +16,17 @@
 
 
 def pytest_collection_modifyitems(session: pytest.Session, items: list[pytest.Item]) -> None:
-    """Passes over just the tests listed as known red; one that passes all the same is a failure."""
+    """Mark exactly the tests listed as known red as expected failures.
+
+    A listed test that passes counts as a failure, and a listed name that no test has is a usage error.
+    """
     by_name: dict[str, list[pytest.Item]] = {}
     for item in items:
         by_name.setdefault(item.nodeid.partition("[")[0], []).append(item)
     whole_suite = session.config.args_source is not pytest.Config.ArgsSource.ARGS
     for red in LISTED:
         if whole_suite and red.test not in by_name:
-            raise pytest.UsageError(f"{KNOWN_RED.name}: {red.test} is no test")
+            raise pytest.UsageError(f"{KNOWN_RED.name}: {red.test} is not the name of a test")
         for item in by_name.get(red.test, []):
             reason = f"known red: {red.seen} ({red.issue})"
             item.add_marker(pytest.mark.xfail(strict=True, reason=reason))
--- a/tests/congestion_simulation.py
+++ b/tests/congestion_simulation.py
@@ -1,7 +1,8 @@
-"""A discrete-event simulation of prefill congestion: many fronts' real decisions, simple engines.
+"""A discrete-event simulation of prefill congestion, with the real schedulers of many fronts.
 
-Prefill engines work first come, first served, at a fixed rate, and go on with prompts that a front has given
-up. Decode engines start each stream at once. Nothing else of a fleet is simulated.
+Prefill engines process prompts first come, first served, at a fixed rate, including prompts whose attempt
+the front has given up. Decode engines start each stream after a fixed delay. No other part of a fleet is
+simulated.
 """
 
 from __future__ import annotations
@@ -26,17 +27,18 @@
 )
 from tests.fake_scheduler_host import DECODE, PREFILL, routing_settings
 
+# Times are in tenths of a millisecond unless a name says otherwise.
 START = SECOND
-WINDOW = 5 * SECOND
-DRAIN_WINDOWS = 4  # simulated after the last new session
+WINDOW = 5 * SECOND  # new sessions arrive at one rate during a window
+DRAIN_WINDOWS = 4  # windows that are simulated after the last new session
 
 FIRST_TOKEN_OBJECTIVE = 15_000
 TIME_LIMIT = 60_000
 MAX_OUTPUT_TOKENS, EXPECTED_OUTPUT_TOKENS = 400, 100
 
-PREFILL_RATE = 1.5  # tokens a tenth of a millisecond
-CACHE_TOKENS = 150_000  # of each prefill engine
-FIRST_TOKEN_DELAY = 200  # at a decode engine
+PREFILL_RATE = 1.5  # tokens per tenth of a millisecond
+CACHE_TOKENS = 150_000  # the capacity of each prefill engine's prefix cache
+FIRST_TOKEN_DELAY = 200  # from the start of a decode attempt to its first token
 STREAM_DURATION = SECOND
 
 ZONE_COUNT = 3
@@ -44,21 +46,23 @@
 CROSS_ZONE_PRICE = 0.011
 UNLIMITED_RATE = 1e6
 
-TURNS = [1, 2, 3]  # of a session
-TURN_GAP_SECONDS = (8, 14)
-TOKENS_ADDED_BY_TURN = (300, 900)
+TURNS = [1, 2, 3]  # possible numbers of requests of a session
+TURN_GAP_SECONDS = (8, 14)  # from one request of a session to the next
+TOKENS_ADDED_BY_TURN = (300, 900)  # by which the next prompt of a session is longer
 MIN_PREFIX_TOKENS = 1_000
 
 
 class PrefillEngine:
-    """Prefills first come, first served, and caches prefixes, least recently used first out."""
+    """An engine that prefills first come, first served, and keeps a least-recently-used cache of prefixes."""
 
     def __init__(self) -> None:
         self.free_at = 0
-        self.cache: OrderedDict[tuple[str, int], int] = OrderedDict()  # tokens by kind and name of the text
+        self.cache: OrderedDict[tuple[str, int], int] = (
+            OrderedDict()
+        )  # cached tokens by kind and number of the text
 
     def prefill(self, now: int, request: Request) -> tuple[int, int]:
-        """Queue a prompt; returns when it will be prefilled, and how many of its tokens were cached."""
+        """Queue a prompt; return when its prefill will complete and how many of its tokens were cached."""
         texts = [
             ("session", request.session or 0, request.prompt_tokens),
             ("prefix", request.prefix or 0, request.prefix_tokens),
@@ -75,9 +79,9 @@
 
 
 class CongestedFront:
-    """One front: the scheduler's driver, its requests and their attempts.
+    """One front: its scheduler's driver, its requests and their attempts.
 
-    `answered` are the requests that got a first token, in time or late.
+    `answered` holds the requests that received a first token, in time or late.
     """
 
     def __init__(self, simulation: CongestionSimulation, index: int, settings: RoutingSettings) -> None:
@@ -98,7 +102,7 @@
         self.simulation.submitted[now // WINDOW] += 1
         self.driver.submit(now, request)
 
-    # What the scheduler asks for.
+    # Actions of the scheduler.
 
     def start_attempt(self, request_index: int, engine: int, timeout: int) -> None:
         """Send a request to an engine."""
@@ -113,17 +117,17 @@
         self.simulation.rejected += 1
 
     def set_timer(self, token: str, at: int) -> None:
-        """Have the driver's timer fire at its time."""
+        """Schedule the driver's timer."""
         self.simulation.schedule(at, lambda: self.driver.timer_fired(self.simulation.now, token))
 
     def fail_indeterminate(self, request_index: int) -> None:
         """Do nothing."""
 
     def release_state(self, request_index: int) -> None:
-        """Do nothing: states take no room here."""
+        """Do nothing: the simulated engines do not limit reserved states."""
 
     def migrate_stream(self, request_index: int) -> None:
-        """Do nothing: streams take no room here."""
+        """Do nothing: the simulated engines do not limit streams."""
 
     def subscribe_to_endpoints(self) -> None:
         """Do nothing: the list never changes."""
@@ -134,7 +138,7 @@
     def forget_request(self, request_index: int) -> None:
         """Do nothing: requests are kept for the statistics."""
 
-    # What the engines do.
+    # Simulated attempts.
 
     def _start_prefill(self, request_index: int, engine: int, timeout: int) -> None:
         simulation, sent_at = self.simulation, self.simulation.now
@@ -168,7 +172,7 @@
         simulation.schedule(sent_at + FIRST_TOKEN_DELAY, start_stream)
 
     def _attempt_end(self, request_index: int) -> Callable[..., None]:
-        """What ends the attempt that starts now, whenever it is called."""
+        """Return a function that ends the attempt that starts now."""
         simulation, sent_at = self.simulation, self.simulation.now
         attempt = self.attempt_counts[request_index]
 
@@ -186,7 +190,7 @@
 
 
 class CongestionSimulation:
-    """A clock, prefill engines, as many decode engines, and fronts in three zones.
+    """A simulated clock, fronts in three zones, prefill engines and the same number of decode engines.
 
     `submitted` and `answered_in_time` count requests by the window in which they were submitted.
     """
@@ -217,14 +221,14 @@
         ]
 
     def schedule(self, at: int, act: Callable[[], None]) -> None:
-        """Have something happen at a time; what is scheduled for the same time happens in order."""
+        """Schedule a call; calls for the same time run in the order in which they were scheduled."""
         self.event_count += 1
         heapq.heappush(self.events, (at, self.event_count, act))
 
     def submit_turn(
         self, session: int, prompt_tokens: int, prefix: int, prefix_tokens: int, turns: int, zone: int
     ) -> None:
-        """Submit a session's next request in a zone, and schedule the one after it while turns are left."""
+        """Submit a session's next request at a front of the zone, and schedule the following one, if any."""
         fronts = [front for front in self.fronts if front.driver.scheduler.settings.zone == zone]
         front = self.random.choice(fronts)
         front.submit(_request(session, prompt_tokens, prefix, prefix_tokens))
@@ -245,9 +249,9 @@
     def run(
         self, session_rates: Sequence[float], zone_weights: Sequence[float], prefix_count: int = 200
     ) -> list[float]:
-        """Simulate new sessions a second, window by window.
+        """Simulate sessions that arrive at the given rates, in new sessions per second for each window.
 
-        Returns for each window the part of its requests that were answered in time.
+        Return the fraction of requests answered in time, for each of these windows and the two after them.
         """
         prefix_weights = [1 / (1 + index) for index in range(prefix_count)]
         for window, rate in enumerate(session_rates):
@@ -278,7 +282,7 @@
         )
 
     def requests(self) -> list[tuple[Request, bool]]:
-        """All requests, and whether each was answered."""
+        """Return all requests, each with whether it was answered."""
         return [
             (request, request.index in front.answered) for front in self.fronts for request in front.requests
         ]
--- a/tests/fake_scheduler_host.py
+++ b/tests/fake_scheduler_host.py
@@ -1,7 +1,7 @@
-"""A fake host of the scheduler: real driver and decisions, a clock set by hand, engines scripted by the test.
+"""A fake host for the scheduler, with the real driver and decisions.
 
-The test submits requests, ends attempts and lets time pass; the host records every action that the scheduler
-asks for.
+The test sets the clock, plays the part of the engines, submits requests and ends attempts; the host records
+every action that the scheduler requests.
 """
 
 from __future__ import annotations
@@ -30,18 +30,19 @@
     Role,
 )
 
-# Engine types, as the settings below number them.
+# Indices of the engine types in `routing_settings`.
 PREFILL, DECODE, MIXED = 0, 1, 2
 
 START = 1_000 * SECOND
 SEED = 7
 ENGINE_MEMORY_TOKENS = 90_000
 MAX_OUTPUT_TOKENS = 400
+# Default durations of attempts in `FakeSchedulerHost`, in tenths of a millisecond.
 PREFILL_DURATION = 500
 FIRST_TOKEN_DURATION = 300
 STREAM_DURATION = 10_000
 
-# Spreads the engines' stable hashes over 32 bits.
+# Spread the engines' stable hashes over 32 bits.
 HASH_MULTIPLIER, HASH_MODULUS = 2654435761, 4294967291
 
 
@@ -50,7 +51,7 @@
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL,
     **overrides: object,
 ) -> RoutingSettings:
-    """Settings of one front with one request class and one tenant; `overrides` by the settings' own names."""
+    """Return settings with one front, request class and tenant; `overrides` set attributes by their names."""
     request_class = RequestClassSettings(
         SECOND, 0, 500, 1.0, 0.1, idempotency, deduplication_scope, 5 * SECOND
     )
@@ -94,7 +95,7 @@
 
 
 class StartedAttempt(NamedTuple):
-    """An attempt that the scheduler asked for; `timeout` 0 sets none but the client's deadline."""
+    """An attempt that the scheduler started; with `timeout` 0, only the client's deadline limits it."""
 
     request: int
     engine: int
@@ -102,15 +103,18 @@
 
 
 class FakeSchedulerHost:
-    """A scheduler's driver on a list of engines, one of each type named; it carries out nothing by itself."""
+    """A host that drives a scheduler with one engine for each entry of `engine_types`.
+
+    It only records the scheduler's actions; the test decides what becomes of them.
+    """
 
     def __init__(self, engine_types: list[int], settings: RoutingSettings | None = None) -> None:
         self.now = START
-        self.actions: list[tuple[str, int]] = []  # the action's name, and the request it is for
+        self.actions: list[tuple[str, int]] = []  # the action's name and the request's index
         self.attempts: list[StartedAttempt] = []
         self.timers: list[tuple[int, str]] = []
         self.driver = SchedulerDriver(settings or routing_settings(), SEED, self, self.now)
-        self.random_draw = 0.0  # what each of the scheduler's draws gives: no test depends on chance
+        self.random_draw = 0.0  # returned by each of the scheduler's random draws
         self.driver.scheduler.random = lambda: self.random_draw
         self.engine_records = [
             EngineRecord(
@@ -122,15 +126,15 @@
         self.submitted_count = 0
         self.retry_after = 0
 
-    # What the scheduler asks for.
+    # Actions of the scheduler.
 
     def start_attempt(self, request: int, engine: int, timeout: int) -> None:
-        """Record an attempt."""
+        """Record the start of an attempt."""
         self.actions.append(("start_attempt", request))
         self.attempts.append(StartedAttempt(request, engine, timeout))
 
     def reject(self, request: int, retry_after: int) -> None:
-        """Record a rejection and the time the client is told to wait."""
+        """Record a rejection and the time after which the client may retry."""
         self.actions.append(("reject", request))
         self.retry_after = retry_after
 
@@ -143,24 +147,24 @@
         self.actions.append(("release_state", request))
 
     def migrate_stream(self, request: int) -> None:
-        """Record that a stream is to go on elsewhere."""
+        """Record that a stream is to be moved to another engine."""
         self.actions.append(("migrate_stream", request))
 
     def subscribe_to_endpoints(self) -> None:
-        """Record a subscription."""
+        """Record a subscription to the endpoint list."""
         self.actions.append(("subscribe_to_endpoints", -1))
 
     def set_timer(self, token: str, at: int) -> None:
-        """Keep the timer until `advance` comes to it."""
+        """Store the timer until `advance` reaches its time."""
         heapq.heappush(self.timers, (at, token))
 
     def log_message(self, text: str) -> None:
-        """Do nothing: no test looks at these."""
+        """Do nothing: no test checks these messages."""
 
     def forget_request(self, request: int) -> None:
         """Do nothing: requests are kept for the assertions."""
 
-    # What the test makes happen.
+    # Events that the test triggers.
 
     def submit(
         self,
@@ -177,7 +181,7 @@
         is_client_retry: bool = False,
         is_continuation: bool = False,
     ) -> int:
-        """Submit a client's request; returns its index."""
+        """Submit a client's request and return its index."""
         self.submitted_count += 1
         request = Request(
             self.submitted_count,
@@ -208,18 +212,21 @@
         load_report: LoadReport | None = None,
         attempt: int = 0,
     ) -> None:
-        """End an attempt, the last one where none is named; `finished`: the client has its final response."""
+        """End an attempt of a request; `attempt` 0 means the last one.
+
+        `finished` says that the client has received its final response.
+        """
         outcome = AttemptOutcome(status, duration, cached_tokens, load_report)
         self.driver.attempt_ended(
             self.now, request, attempt or self.attempt_count(request), outcome, finished
         )
 
     def start_stream(self, request: int, *, duration: int = FIRST_TOKEN_DURATION, attempt: int = 0) -> None:
-        """Bring an attempt's first token, the last attempt's where none is named."""
+        """Report the first token of an attempt; `attempt` 0 means the last one."""
         self.driver.stream_started(self.now, request, attempt or self.attempt_count(request), duration)
 
     def complete(self, request: int) -> None:
-        """End the attempt in progress and the one that follows it as healthy engines would."""
+        """Complete the request: end its prefill, if one is in progress, then start and end its decode."""
         if self.engine_records[self.engine_of(request)].engine_type == PREFILL:
             self.end_attempt(request, AttemptStatus.PREFILL_COMPLETE)
         self.start_stream(request)
@@ -228,7 +235,7 @@
     def update_engine(
         self, engine: int, state: EngineState = EngineState.READY, *, started_at: int = 0
     ) -> None:
-        """Notify the scheduler of an engine's state and start."""
+        """Notify the scheduler of an engine's state and start time."""
         listed = self.engine_records[engine]
         update = EngineRecord(
             engine,
@@ -242,23 +249,23 @@
         self.driver.update_endpoints(self.now, EndpointUpdate(False, [update]))
 
     def advance(self, duration: int) -> None:
-        """Let time pass, firing each timer at its time."""
+        """Advance the clock and fire each timer that is due at its time."""
         end = self.now + duration
         while self.timers and self.timers[0][0] <= end:
             self.now, token = heapq.heappop(self.timers)
             self.driver.timer_fired(self.now, token)
         self.now = end
 
-    # What the test looks at.
+    # Results that the test checks.
 
     def attempt_count(self, request: int) -> int:
-        """How many attempts the request has had."""
+        """Return how many attempts of the request were started."""
         return sum(attempt.request == request for attempt in self.attempts)
 
     def engine_of(self, request: int) -> int:
-        """The engine of the request's last attempt."""
+        """Return the engine of the request's last attempt."""
         return [attempt.engine for attempt in self.attempts if attempt.request == request][-1]
 
     def actions_of(self, request: int) -> list[str]:
-        """The names of the actions for the request, in order."""
+        """Return the names of the actions for the request, in order."""
         return [action for action, action_request in self.actions if action_request == request]
--- a/tests/fault_proxy.py
+++ b/tests/fault_proxy.py
@@ -1,7 +1,8 @@
-"""A proxy on loopback that stands before an engine and does what networks do: silence, delay, pieces, resets.
+"""A proxy on loopback in front of an engine that injects network faults.
 
-The proxy's own kernel goes on to acknowledge what is sent to it, as that of a hung process does: a sender
-sees no error and no sign that its bytes have gone nowhere.
+It can hold back, delay and split the bytes of a connection, and reset connections. The kernel still
+acknowledges bytes that the proxy holds back, as it does for a hung process, so that the sender sees no error
+and cannot tell that its bytes did not arrive.
 """
 
 from __future__ import annotations
@@ -20,43 +21,43 @@
 
 @dataclass
 class Direction:
-    """What happens to bytes on their way; silence holds them until it ends."""
+    """The faults that apply to the bytes of one direction; while the gate is closed, they are held back."""
 
     gate: asyncio.Event = field(default_factory=asyncio.Event)
-    delay: float = 0.0  # seconds that each piece is held back
-    piece: int = PIECE  # bytes passed on at a time
-    silences: int = 0  # faults that keep it silent, where several overlap
-    silent_after: int | None = None  # bytes of a connection after which nothing more is passed on
+    delay: float = 0.0  # seconds by which each piece is delayed
+    piece: int = PIECE  # the most bytes forwarded at a time
+    silences: int = 0  # how many overlapping faults keep the direction silent
+    silent_after: int | None = None  # bytes of a connection after which nothing is forwarded
 
     def __post_init__(self) -> None:
         self.gate.set()
 
 
 class NotifyingReader(asyncio.StreamReader):
-    """Reports at once what comes, and when the peer has ended or been lost, read or not."""
+    """A reader that reports received data and the end of the connection at once, before they are read."""
 
-    number = 0  # of the connection
+    number = 0  # the connection's number
     on_data: Callable[[bytes], None] = staticmethod(lambda data: None)
     on_end: Callable[[], None] = staticmethod(lambda: None)
 
     def feed_data(self, data: Any) -> None:
-        """Report bytes as they come: reading them may be held back."""
+        """Report bytes as they are received; they may be read later."""
         self.on_data(data)
         super().feed_data(data)
 
     def feed_eof(self) -> None:
-        """Report the end after it has been taken in."""
+        """Handle the end of the stream, then report it."""
         super().feed_eof()
         self.on_end()
 
     def set_exception(self, exc: Exception) -> None:
-        """Report the loss after it has been taken in."""
+        """Handle the loss of the connection, then report it."""
         super().set_exception(exc)
         self.on_end()
 
 
 class FaultProxy:
-    """Passes connections on to a port of this machine; a subclass may observe what crosses it."""
+    """A proxy that forwards connections to a local port; a subclass may observe their traffic."""
 
     def __init__(self, target: Callable[[], int]) -> None:
         self.target = target
@@ -66,19 +67,19 @@
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task[None]] = set()
 
-    # What a subclass may observe, by the connection's number.
+    # Hooks for subclasses; `number` identifies the connection.
 
     def on_request_bytes(self, number: int, data: bytes) -> None:
-        """Bytes have come from the node; they may be held back."""
+        """Handle bytes received from the node, which may not have been forwarded yet."""
 
     def on_response_bytes(self, number: int, data: bytes) -> None:
-        """Bytes of a response have been handed to the node's connection."""
+        """Handle bytes of a response that were written to the node's connection."""
 
     def on_end(self, number: int) -> None:
-        """The node has closed or reset the connection, or has been lost."""
+        """Handle the end of the node's connection, whether it was closed, reset or lost."""
 
     async def start(self) -> None:
-        """Listen, on the same port as before if it has been closed."""
+        """Listen; after `close`, listen on the same port as before."""
         loop = asyncio.get_running_loop()
 
         def protocol() -> asyncio.StreamReaderProtocol:
@@ -91,12 +92,12 @@
         self.port = int(self.server.sockets[0].getsockname()[1])
 
     def silence(self) -> None:
-        """Pass nothing either way from now on, on open connections and new ones."""
+        """Hold back all bytes in both directions, on open and on new connections."""
         self.to_engine.gate.clear()
         self.from_engine.gate.clear()
 
     def heal(self) -> None:
-        """Pass on what was held back and what comes."""
+        """Forward the bytes that were held back, and all later ones."""
         self.to_engine.gate.set()
         self.from_engine.gate.set()
 
@@ -106,7 +107,7 @@
             writer.transport.abort()
 
     async def close(self) -> None:
-        """Accept no more connections and reset those that are open."""
+        """Stop accepting connections and reset the open ones."""
         self.server.close()
         self.reset()
         for task in list(self.tasks):
@@ -142,7 +143,7 @@
         engine_reader: asyncio.StreamReader,
         engine_writer: asyncio.StreamWriter,
     ) -> None:
-        """Forward until one side ends; what the other still sends is dropped."""
+        """Forward until one side ends; discard what the other side still sends."""
 
         def response_bytes_passed(data: bytes) -> None:
             self.on_response_bytes(number, data)
@@ -182,4 +183,4 @@
 
 
 def _ignore(data: bytes) -> None:
-    """Observe nothing."""
+    """Do nothing with the forwarded bytes."""
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: the tests that may fail for now, one a line as `test | command | seen | issue`."""
+"""The parser of KNOWN-RED.txt, which lists tests known to fail, each as `test | command | seen | issue`."""
 
 from __future__ import annotations
 
@@ -6,18 +6,22 @@
 from pathlib import Path
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST = 3
+MAX_ENTRIES = 3
 
 
 class InvalidKnownRedError(ValueError):
-    """A line of the list that cannot be used; the message names it."""
+    """The list has too many entries or a malformed line, which the message quotes."""
 
 
 @dataclass(frozen=True, slots=True)
 class KnownRed:
-    """A test function by its path and name, with all its parameters.
+    """An entry of the list.
 
-    It has the command, with its seed, that shows the failure, what was seen, and the issue that works on it.
+    Attributes:
+        test: the path and name of a test function; the entry covers all its parameters.
+        command: the command, with its seed, that reproduces the failure.
+        seen: what was observed.
+        issue: the issue that tracks the failure.
     """
 
     test: str
@@ -27,17 +31,22 @@
 
 
 def read_known_red(file: Path) -> list[KnownRed]:
-    """The listed tests; none where there is no file. Raises BadKnownRed."""
+    """Return the listed tests, or an empty list where the file does not exist.
+
+    Raise InvalidKnownRedError where an entry is malformed or there are too many.
+    """
     if not file.exists():
         return []
     lines = [line for line in file.read_text().splitlines() if line.strip() and not line.startswith("#")]
-    if len(lines) > MOST:
-        raise InvalidKnownRedError(f"{file.name}: {len(lines)} lines, {MOST} are allowed")
-    return [_read(file, line) for line in lines]
+    if len(lines) > MAX_ENTRIES:
+        raise InvalidKnownRedError(f"{file.name} has {len(lines)} entries, the limit is {MAX_ENTRIES}")
+    return [_parse_line(file, line) for line in lines]
 
 
-def _read(file: Path, line: str) -> KnownRed:
+def _parse_line(file: Path, line: str) -> KnownRed:
     parts = [part.strip() for part in line.split("|")]
     if len(parts) != 4 or not all(parts) or "::" not in parts[0]:
-        raise InvalidKnownRedError(f"{file.name}: {line!r} is no `test | command | seen | issue`")
+        raise InvalidKnownRedError(
+            f"{file.name}: {line!r} is not of the form `test | command | seen | issue`"
+        )
     return KnownRed(*parts)
--- a/tests/migration_model.py
+++ b/tests/migration_model.py
@@ -1,8 +1,8 @@
-"""A model of two fronts and one request while a tenant moves, explored in every interleaving.
+"""A model of two fronts and one request during the move of a tenant, explored in every interleaving.
 
 The fronts adopt published maps in any order and may be killed; an operator plans, undoes and finishes moves;
-the client retries. Requests do not meet in a move: each is placed by map, clock and its own ticket, so one
-stands for any number.
+the client retries. One request is enough: requests do not interact in a move, as the cell of each depends
+only on the map, the clock and its own ticket.
 """
 
 from __future__ import annotations
@@ -17,27 +17,29 @@
 from runspool.cells.tenant_migration import CellChoice, MapChangeRefusedError, TenantMigrations
 from tests.cell_maps import cell_map_with
 
-WINDOW = 50_000  # in which repeats with a ticket are recognized; tenths of a millisecond
-TICK_MS = WINDOW // 10 // 2  # a window is two ticks
+WINDOW = 50_000  # deduplication window of requests with a ticket, in tenths of a millisecond
+TICK_MS = WINDOW // 10 // 2  # the time step of the model: half a window
 TICK = TICK_MS * 10
 TICKS_PER_WINDOW = 2
 MOVE_STARTS_MS = 2 * TICK_MS
-REQUEST_DURATION = 10 * TICK_MS  # at most; one tick, in tenths of a millisecond
-BINDING_TIME = WINDOW + REQUEST_DURATION
+REQUEST_DURATION = 10 * TICK_MS  # the longest request lasts one tick; in tenths of a millisecond
+BINDING_TIME = WINDOW + REQUEST_DURATION  # for which a ticket binds its request to a cell
 
-LAST_TICK = 4  # with 5: 588,682 and 201,272 states, none wrong, in 47 s
+# The last tick of the exploration. With 5, it visited 588,682 and 201,272 states in 47 s and found no
+# violation.
+LAST_TICK = 4
 MAX_MAPS = 3
 MAX_ATTEMPTS = 2
 MAX_KILLS = 1
 
-NOT_SENT = -1  # in place of a front's number
+NOT_SENT = -1  # stands for a front's number while no front has the request
 TICKET = "k"
 
-# How an attempt ended for the client.
+# Results of an attempt for the client.
 UNKNOWN = "unknown"
 REJECTED = "dismissed"
 
-# Idempotency, by the words of configuration.
+# Idempotency, as the configuration names it.
 AT_MOST_ONCE = "exclusive"
 KEYED = "ticketed"
 
@@ -45,7 +47,7 @@
 
 
 def move(name: str = "m", starts_unix_ms: int = MOVE_STARTS_MS) -> Move:
-    """The tenant's move from cell a to cell b."""
+    """Return the move of the tenant from cell a to cell b."""
     return Move.model_validate(
         {"id": name, "tenant": "t", "source": "a", "target": "b", "starts_unix_ms": starts_unix_ms}
     )
@@ -57,7 +59,10 @@
 
 @dataclass(frozen=True)
 class FrontState:
-    """What a front knows; `ticket` is the request's cell and until when the ticket binds it."""
+    """The state of a front.
+
+    `ticket` holds the cell to which the request's ticket is bound and the time until which it is bound.
+    """
 
     cell_map: CellMap
     adopted_unix_ms: int = 0
@@ -68,9 +73,9 @@
 class State:
     """A state of the model.
 
-    `in_progress_at` is the front that has the request now, `last_front` the one that had it last,
-    `admitted_at` the tick at which it got it. `executions` are the cells in which the request had its effect,
-    with the tick.
+    `in_progress_at` is the front at which the request is in progress, `last_front` the front of its last
+    attempt, and `admitted_at` the tick at which that front admitted it. `executions` holds each cell in which
+    the request had its effect, with the tick.
     """
 
     published: tuple[CellMap, ...]
@@ -88,12 +93,12 @@
 
     @property
     def unix_ms(self) -> int:
-        """The time on the wall clock."""
+        """The wall-clock time in Unix milliseconds."""
         return self.tick * TICK_MS
 
 
 def next_states(state: State, choose_cell: ChooseCell = TenantMigrations.choose_cell) -> list[State]:
-    """Every state one step on."""
+    """Return every state that one step can reach."""
     return (
         _clock_steps(state)
         + _operator_steps(state)
@@ -103,7 +108,7 @@
 
 
 def _clock_steps(state: State) -> list[State]:
-    """A request ends within its time limit, one tick here, and the clock cannot pass that."""
+    """Advance the clock, but not past the time limit of the request in progress, which is one tick."""
     is_request_due = state.in_progress_at >= 0 and state.tick > state.admitted_at
     if state.tick >= LAST_TICK or is_request_due:
         return []
@@ -118,7 +123,7 @@
 
 
 def _front_steps(state: State, number: int) -> list[State]:
-    """The front adopts a newer map, or is killed."""
+    """Have the front adopt a newer map, or kill it."""
     front = state.fronts[number]
     steps = [
         _with_front(state, number, replace(front, cell_map=cell_map, adopted_unix_ms=state.unix_ms))
@@ -126,8 +131,8 @@
         if cell_map.version > front.cell_map.version
     ]
     if state.kills < MAX_KILLS:
-        # Its map, and when it adopted it, are on disk; its tickets are lost, and what it had in progress is
-        # unknown to clients.
+        # The map and its adoption time survive on disk. Tickets are lost, and clients do not learn the result
+        # of an attempt that was in progress.
         killed = _with_front(state, number, replace(front, ticket=None))
         if state.in_progress_at == number:
             killed = replace(killed, in_progress_at=NOT_SENT, last_result=UNKNOWN)
@@ -157,7 +162,11 @@
 
 
 def _may_send(state: State, number: int) -> bool:
-    """A client repeats what may have executed only if it is keyed, at the same front, in the window."""
+    """Return whether the client may send the request to a front.
+
+    A client repeats a request that may have executed only if it is keyed, and only at the same front and
+    within the deduplication window.
+    """
     if state.last_result != UNKNOWN:
         return True
     is_window_over = bool(state.executions) and state.tick - state.executions[0][1] >= TICKS_PER_WINDOW
@@ -165,7 +174,7 @@
 
 
 def _sent_to(state: State, number: int, choose_cell: ChooseCell) -> list[State]:
-    """The request is sent to a front and admitted to a cell, or fails there without being sent on."""
+    """Send the request to a front, which admits it to a cell unless its earlier cell is unknown."""
     front = state.fronts[number]
     now = state.tick * TICK
     migrations = TenantMigrations(front.cell_map, front.adopted_unix_ms)
@@ -192,7 +201,7 @@
 
 
 def _changes(newest: CellMap, name: str, unix_ms: int) -> list[CellMap]:
-    """The maps that an operator may publish next."""
+    """Return the maps that an operator may publish next."""
     changes = []
     with suppress(MapChangeRefusedError):
         changes.append(tenant_migration.plan_move(newest, move(name, unix_ms + TICK_MS), []))
@@ -215,7 +224,7 @@
 
 
 def _same_object(cell_map: CellMap) -> CellMap:
-    """One object for equal maps, so that states compare fast."""
+    """Return one object for all equal maps, so that states can be compared by identity."""
     return _known_maps.setdefault(cell_map.model_dump_json(), cell_map)
 
 
@@ -224,7 +233,7 @@
 
 
 def _key(state: State) -> tuple[Any, ...]:
-    """What tells two states apart."""
+    """Return a key that is equal only for equal states."""
     fronts = tuple((id(front.cell_map), front.adopted_unix_ms, front.ticket) for front in state.fronts)
     return (
         tuple(map(id, state.published)),
@@ -244,10 +253,9 @@
 def explore(
     idempotency: str, choose_cell: ChooseCell = TenantMigrations.choose_cell
 ) -> tuple[int, list[State]]:
-    """Visit every state that can be reached.
+    """Visit every reachable state, up to the first in which the effect may have happened in two cells.
 
-    Returns how many there are, and the first in which the effect may have happened in two cells, where it
-    stops.
+    Return the number of states visited, and a list that holds this first violation or is empty.
     """
     first_map = _same_object(MAP_BEFORE_MOVE)
     maps = (first_map, _same_object(MAP_WITH_MOVE))
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients: each sends a request, reads its response, and may disconnect or retry."""
+"""Simulated clients, which send requests, read the responses, and may disconnect or retry."""
 
 from __future__ import annotations
 
@@ -20,20 +20,26 @@
 from tests.simulation.fronts import SimulatedFront
 from tests.simulation.settings import TENANTS
 
+# Durations are in tenths of a millisecond unless a name says otherwise.
 MAX_ATTEMPTS = 2
-MIN_TIME_FOR_RETRY = 3_000
+MIN_TIME_FOR_RETRY = 3_000  # left of the time limit; with less, a client does not retry
 MAX_RETRY_DELAY_SECONDS = 0.2
-SESSION_COUNT = 50
+SESSION_COUNT = 50  # sessions over which all requests are spread
 MAX_OUTPUT_TOKENS = 500
-LATE_RESPONSE_WINDOW = SECOND  # a response that comes this long after the time limit is recorded as late
+LATE_RESPONSE_WINDOW = (
+    SECOND  # a response up to this long after the time limit is still received, and recorded as late
+)
 
-PROMPT_TOKENS = (50, 900)
-STREAMING_SHARE = 0.7
-MAX_EARLY_DISCONNECT = 3_000
+PROMPT_TOKENS = (50, 900)  # range of the prompt's length
+STREAMING_SHARE = 0.7  # of requests
+MAX_EARLY_DISCONNECT = 3_000  # latest time of a disconnect soon after the request
 
 
 class RequestShape(NamedTuple):
-    """What one attempt asks for; `disconnects_after` tenths of a millisecond its client goes, 0 for never."""
+    """The properties of one attempt.
+
+    `disconnects_after` is the time after which its client disconnects, in tenths of a millisecond; 0: never.
+    """
 
     tokens: TokenCounts
     is_streaming: bool
@@ -42,7 +48,7 @@
 
 
 class ClientAttempt(NamedTuple):
-    """One attempt of a client at one front; `item` names the client's request over all its attempts."""
+    """One attempt of a client at one front; `item` names the request that all its attempts share."""
 
     name: str
     item: str
@@ -52,9 +58,9 @@
 
 
 class ResponseReader:
-    """A client's end of a response: records the first token, lost tokens, and what comes after the end.
+    """The client's side of a response, which records the first token, missing tokens and data after the end.
 
-    `time_limit` is cancelled with the first token that the client can see.
+    `time_limit` ends with the first token that the client receives.
     """
 
     def __init__(self, context: SimulationContext, client_attempt: str, is_streaming: bool) -> None:
@@ -89,7 +95,7 @@
 
 
 class SimulatedClients:
-    """All clients of a simulation."""
+    """The clients of a simulation."""
 
     def __init__(self, context: SimulationContext) -> None:
         self.context = context
@@ -97,9 +103,9 @@
     async def send_with_retries(
         self, fronts: list[SimulatedFront], item: str, request_class: RequestClassPlan
     ) -> None:
-        """Send a request, and once more where it was rejected with time left.
+        """Send a request, and retry it if it was rejected and enough time is left.
 
-        `fronts` are the processes that run now; one that restarts is replaced in the list.
+        `fronts` holds the current process of each front; a restart replaces the process in this list.
         """
         first_sent_at, time_limit = now(), request_class.time_limit
         for number in range(1, MAX_ATTEMPTS + 1):
@@ -129,7 +135,7 @@
         )
 
     async def send(self, front: SimulatedFront, attempt: ClientAttempt) -> str:
-        """Send one attempt and read its response; returns how it was answered."""
+        """Send one attempt, read its response and return how it was answered."""
         context, shape = self.context, attempt.shape
         context.token_counts[attempt.name] = shape.tokens
         self._record_request(front, attempt)
@@ -160,7 +166,7 @@
         pending: PendingCompletion,
         reader: ResponseReader,
     ) -> tuple[str, str]:
-        """Wait for the final response as long as the client does; returns the answer and its code."""
+        """Wait for the final response until the client gives up; return the answer and its error code."""
         disconnects_after = attempt.shape.disconnects_after
         patience = disconnects_after or attempt.time_limit + LATE_RESPONSE_WINDOW
         with anyio.move_on_after(patience / SECOND) as time_limit:
@@ -208,7 +214,7 @@
 
 
 def _completion_request(front: SimulatedFront, attempt: ClientAttempt) -> CompletionRequest:
-    """The attempt as the front's HTTP server would have parsed it."""
+    """Return the attempt as the front's HTTP server would have parsed it."""
     shape = attempt.shape
     headers = {
         "runspool-tariff": attempt.request_class.name,
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""The simulated fronts and engines, and the endpoint list between them."""
+"""The simulated fronts and engines, and the endpoint list that the fronts receive."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from tests.simulation.fronts import SimulatedFront
 
 EPOCH = "epoch"
-MAX_NOTIFICATION_DELAY = 4_000
-REPEATED_NOTIFICATION_SHARE = 0.2
+MAX_NOTIFICATION_DELAY = 4_000  # from a change of the list to its arrival at a front; tenths of a millisecond
+REPEATED_NOTIFICATION_SHARE = 0.2  # of the notifications that a front receives; these arrive twice
 
 
 class SimulatedCluster:
-    """Engines by the plan, the front processes that run now, and each engine's state on the endpoint list."""
+    """The engines of the plan, the current process of each front, and the state of the endpoint list."""
 
     def __init__(self, context: SimulationContext) -> None:
         self.context = context
@@ -31,7 +31,7 @@
     # Fronts.
 
     def start_fronts(self, with_list: bool) -> None:
-        """Start all fronts; `with_list`: each gets the whole endpoint list as it starts."""
+        """Start all fronts; `with_list` gives each a snapshot of the endpoint list when it starts."""
         self.fronts = [
             self._new_front(index, index, with_list) for index in range(len(self.context.plan.fronts))
         ]
@@ -39,7 +39,7 @@
             self.context.spawn(front.run)
 
     def restart_front(self, index: int, with_list: bool = True) -> None:
-        """Start a new process of a front that has been killed."""
+        """Start a new process for a front that has been killed."""
         front = self._new_front(index, len(self.context.events), with_list)
         self.fronts[index] = front
         self.context.spawn(front.run)
@@ -51,7 +51,7 @@
     # The endpoint list.
 
     def list_entry(self, index: int) -> EndpointEntry:
-        """An engine's entry, as the list has it now."""
+        """Return an engine's current entry on the list."""
         engine = self.engines[index]
         started = round(UNIX_MS_AT_ZERO + engine.started_at / TICKS_PER_MILLISECOND)
         return EndpointEntry(
@@ -65,7 +65,7 @@
         )
 
     def list_snapshot(self) -> EndpointListMessage:
-        """The whole list."""
+        """Return a snapshot of the whole list."""
         entries = [
             self.list_entry(index)
             for index, state in enumerate(self.listed_states)
@@ -76,7 +76,7 @@
     def set_listed_state(self, index: int, state: str) -> None:
         """Change an engine's state on the list and notify the fronts.
 
-        Each front is notified at its own time; some are notified twice or after a newer message.
+        Each front receives the message after its own delay; a message may arrive twice or after a newer one.
         """
         self.listed_states[index] = state
         self.list_version += 1
--- a/tests/simulation/context.py
+++ b/tests/simulation/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a simulation share: its random draws, its recording and its tasks."""
+"""The context that all parts of a simulation share: random generator, recording and task group."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class TokenCounts(NamedTuple):
-    """The length of a request's prompt and of its response."""
+    """The lengths of a request's prompt and response in tokens."""
 
     prompt: int
     output: int
 
 
 class SimulationContext:
-    """One random generator, one recording, one task group; the same seed gives the same history.
+    """The random generator, recording and task group of a simulation; the same seed gives the same history.
 
-    `tasks` is set while the simulation runs. `token_counts` is by the client's attempt. `unexpected_errors`
-    are exceptions that a front logged.
+    `tasks` is set while the simulation runs. `token_counts` maps the name of a client's attempt to its token
+    counts. `unexpected_errors` holds the exceptions that fronts logged.
     """
 
     def __init__(self, seed: int, settings: SimulationSettings, plan: ScenarioPlan | None = None) -> None:
@@ -42,7 +42,7 @@
         self.tasks: TaskGroup
 
     def record(self, what: str, **fields: Any) -> None:
-        """Record an event at the present time."""
+        """Record an event at the current simulated time."""
         self.events.append({"t": now(), "what": what, **fields})
 
     def record_for_attempt(self, what: str, client_attempt: str, **fields: Any) -> None:
@@ -50,10 +50,10 @@
         self.record(what, **fields, **{"try": client_attempt})
 
     def spawn(self, work: Callable[..., Coroutine[Any, Any, Any]], *arguments: Any) -> None:
-        """Start a task that ends with the simulation at the latest."""
+        """Start a task, which is cancelled at the end of the simulation."""
         self.tasks.start_soon(partial(work, *arguments))
 
 
 async def sleep(duration: float) -> None:
-    """Wait for tenths of a millisecond."""
+    """Sleep for a duration in tenths of a millisecond."""
     await anyio.sleep(duration / SECOND)
--- a/tests/simulation/engine_client.py
+++ b/tests/simulation/engine_client.py
@@ -1,4 +1,4 @@
-"""How a simulated front calls the simulated engines, in place of the product's client on sockets."""
+"""The client through which a simulated front calls the engines, in place of the service's HTTP client."""
 
 from __future__ import annotations
 
@@ -25,20 +25,23 @@
 
 # Durations, in tenths of a millisecond.
 CONNECT_TIMEOUT = 2_500
-CONNECT_REFUSED_AFTER = [1, 1, CONNECT_TIMEOUT]  # mostly at once, else only when the connect times out
+# A connection to an engine that is down is mostly refused at once, and otherwise times out.
+CONNECT_REFUSED_AFTER = [1, 1, CONNECT_TIMEOUT]
 ERROR_RESPONSE_DURATION = 3
 MAX_CONNECT_DURATION = 5
 TRANSFER_DURATION = (10, 200)
 FIRST_TOKEN_DURATION = (50, 300)
 
-PREFILL_DURATION_MULTIPLE = (1, 1.5)
-COMPLETED_WHEN_CLOSED_SHARE = 0.3  # prefills that had just completed when the front closed the connection
-MAX_LOST_RELEASES = 2  # in a row: an engine that no call reaches for long cannot release anything in time
-TOKENS_BEFORE_STREAM_CUT = 2
+PREFILL_DURATION_MULTIPLE = (1, 1.5)  # range of a prefill's duration as a multiple of the usual one
+# Share of the prefills that had just completed when the front closed the connection.
+COMPLETED_WHEN_CLOSED_SHARE = 0.3
+# Release calls for one state that may be lost: with more, the engine could not release the state in time.
+MAX_LOST_RELEASES = 2
+TOKENS_BEFORE_STREAM_CUT = 2  # a cut stream delivers one token more than this
 
 
 class AttemptFault(Enum):
-    """How an attempt fails at an engine that is up."""
+    """A way in which an attempt fails at an engine that is up."""
 
     OVERLOADED = auto()
     SERVER_ERROR = auto()
@@ -49,7 +52,7 @@
     STREAM_CUT = auto()
 
 
-# Shares of the failing attempts, in the order in which they are drawn.
+# The share of each fault among the failing attempts; `_draw_fault` depends on the order of the entries.
 PREFILL_FAULT_SHARES = {
     AttemptFault.OVERLOADED: 0.3,
     AttemptFault.SERVER_ERROR: 0.3,
@@ -65,7 +68,7 @@
     AttemptFault.NO_RESPONSE_AFTER_EXECUTION: 0.1,
     AttemptFault.STREAM_CUT: 0.15,
 }
-AT_ONCE = (AttemptFault.OVERLOADED, AttemptFault.SERVER_ERROR)
+IMMEDIATE_FAULTS = (AttemptFault.OVERLOADED, AttemptFault.SERVER_ERROR)
 
 PREFILL_FAULT_CAUSES = {
     AttemptFault.OVERLOADED: FailureCause.OVERLOADED,
@@ -81,7 +84,7 @@
 
 
 class ReservedState(TypedDict):
-    """What names a prefill's state: the engine that has it, and the prefill's request."""
+    """A reference to a prefill's state: the engine that reserves it and the id of the prefill's request."""
 
     engine: SimulatedEngine
     request: str
@@ -89,7 +92,7 @@
 
 @dataclass
 class EngineAttempt:
-    """An attempt at an engine; `scope` has its time limit, `result` what the front will get."""
+    """An attempt at an engine; `scope` enforces its time limit, `result` is returned to the front."""
 
     engine: SimulatedEngine
     request_id: str
@@ -98,17 +101,17 @@
     scope: anyio.CancelScope
 
     def succeed(self, status: AttemptStatus) -> None:
-        """Give the result a success."""
+        """Mark the result as successful with this status."""
         self.result.failure_cause = None
         self.result.status = status
 
 
-# Serves an attempt at its engine; returns how it ended there, in the words of recordings.
+# Serves an attempt at its engine and returns how it ended, as one of the ENDED_ constants of recorded_words.
 Serve = Callable[[EngineAttempt], Coroutine[Any, Any, str]]
 
 
 class SimulatedEngineClient:
-    """One front's calls to the engines; `source_address` is how the engines know the front."""
+    """One front's client for the engines; `source_address` is the address from which the front connects."""
 
     def __init__(
         self, context: SimulationContext, engines: list[SimulatedEngine], source_address: str
@@ -117,7 +120,7 @@
         self.engines = engines
         self.source_address = source_address
 
-    # The interface of the product's client.
+    # The interface of the service's client.
 
     async def prefill(
         self,
@@ -127,7 +130,7 @@
         time_limit: int,
         permit: SendPermit,
     ) -> AttemptResult:
-        """Have a prompt prefilled."""
+        """Prefill a prompt."""
         return await self._run_attempt(address, words.STAGE_PREFILL, headers, time_limit, self._serve_prefill)
 
     async def decode(
@@ -141,7 +144,7 @@
         max_output_tokens: int,
         listener: ResponseListener[str],
     ) -> AttemptResult:
-        """Have a response generated and streamed to the listener."""
+        """Generate a response and stream it to the listener."""
 
         async def serve(attempt: EngineAttempt) -> str:
             return await self._serve_decode(attempt, cast("ReservedState | None", state), listener)
@@ -151,7 +154,7 @@
     async def release_state(
         self, address: Address, state: PrefillState | None, request: str, time_limit: int
     ) -> FailureCause | None:
-        """Have a state removed; some calls are lost."""
+        """Release a state; some calls are lost and return a failure cause."""
         engine = self._engine_at(address)
         request_id = cast(ReservedState, state)["request"] if state is not None else request
         await anyio.lowlevel.checkpoint()
@@ -162,14 +165,14 @@
         return None
 
     async def accepts_connections(self, address: Address) -> bool:
-        """Whether the engine is up."""
+        """Return whether the engine is up."""
         await sleep(self.context.random.uniform(0, MAX_CONNECT_DURATION))
         return self._engine_at(address).is_up
 
-    # Draws.
+    # Random draws.
 
     def _draw_fault(self, shares: Mapping[AttemptFault, float]) -> AttemptFault | None:
-        """Whether and how an attempt fails, from one draw."""
+        """Return the fault of an attempt, or None, from one random draw."""
         failing_share = max(self.context.settings.failing_attempt_share, 1e-9)
         remaining = self.context.random.random() / failing_share
         for fault, share in shares.items():
@@ -187,13 +190,13 @@
     # Attempts.
 
     def _engine_at(self, address: Address) -> SimulatedEngine:
-        """The engine at an address: ports number the engines from 1."""
+        """Return the engine at an address; its port is its index plus 1."""
         return self.engines[address[1] - 1]
 
     async def _run_attempt(
         self, address: Address, stage: str, headers: Mapping[str, str], time_limit: int, serve: Serve
     ) -> AttemptResult:
-        """Run an attempt from its first byte to its end, recording both."""
+        """Run an attempt, and record its arrival and its end."""
         if time_limit <= 0:
             return AttemptResult(STATUS_BY_CAUSE[FailureCause.NO_TIME_LEFT], FailureCause.NO_TIME_LEFT)
         engine = self._engine_at(address)
@@ -235,7 +238,7 @@
     def _maybe_complete_closed_prefill(
         self, engine: SimulatedEngine, request_id: str, client_attempt: str
     ) -> None:
-        """Some prefills had just completed when they were given up: their state is reserved all the same."""
+        """Reserve the state of some prefills that the front gave up, as if they had just completed."""
         if self.context.random.random() < COMPLETED_WHEN_CLOSED_SHARE:
             engine.reserve_state(request_id, 1, client_attempt)
 
@@ -248,7 +251,7 @@
         fault = self._draw_fault(PREFILL_FAULT_SHARES)
         engine, result = attempt.engine, attempt.result
         prompt_tokens = self.context.token_counts[attempt.client_attempt].prompt
-        if fault in AT_ONCE:
+        if fault in IMMEDIATE_FAULTS:
             await engine.work(ERROR_RESPONSE_DURATION)
         else:
             usual = prompt_tokens / engine.spec.prefill_rate * engine.slowdown / engine.speed_fraction
@@ -274,7 +277,7 @@
         await engine.work(ERROR_RESPONSE_DURATION)
         if fault is AttemptFault.NO_RESPONSE:
             await anyio.sleep_forever()
-        if fault in AT_ONCE:
+        if fault in IMMEDIATE_FAULTS:
             result.failure_cause = DECODE_FAULT_CAUSES[fault]
             return words.ENDED_OVERLOADED if fault is AttemptFault.OVERLOADED else words.ENDED_FAILED
         if not await self._obtain_state(engine, state, tokens.prompt):
@@ -288,7 +291,7 @@
         if fault in (AttemptFault.SERVER_ERROR_AFTER_EXECUTION, AttemptFault.CONNECTION_CUT):
             result.failure_cause = DECODE_FAULT_CAUSES[fault]
             return words.ENDED_FAILED
-        attempt.scope.deadline = math.inf  # the limit applies until the first token
+        attempt.scope.deadline = math.inf  # the time limit applies only until the first token
         return await self._stream(attempt, tokens.output, fault is AttemptFault.STREAM_CUT, listener)
 
     async def _obtain_state(
--- a/tests/simulation/engines.py
+++ b/tests/simulation/engines.py
@@ -1,4 +1,4 @@
-"""Simulated engines: up, hanging or down; the states they reserve; how long their work takes."""
+"""Simulated engines, which may crash, hang or slow down, and the prefill states that they reserve."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from tests.simulated_clock import now
 from tests.simulation.context import SimulationContext, sleep
 
-HANG_POLL_SECONDS = 0.01
+HANG_POLL_SECONDS = 0.01  # interval at which work on a hanging engine checks whether the hang is over
 
 
 class EngineDownError(Exception):
-    """The engine went down with an attempt in progress."""
+    """The engine went down while an attempt was in progress."""
 
 
 class SimulatedEngine:
-    """One scripted engine.
+    """A simulated engine.
 
-    `slowdown` multiplies the time of its work. `started_at` is 0 where it started long ago.
-    `reserved_states` are named by their prefill's request; `lost_releases` counts, for each, the release
-    calls that did not arrive.
+    `slowdown` multiplies the duration of its work. `started_at` is 0 if it started long ago.
+    `reserved_states` holds the request ids of the prefills whose states it reserves; `lost_releases` counts
+    the release calls that did not arrive, by request id.
     """
 
     def __init__(self, context: SimulationContext, index: int) -> None:
@@ -41,24 +41,24 @@
 
     @property
     def speed_fraction(self) -> float:
-        """The part of its full speed that it has; less than 1 during slow start."""
+        """The current speed as a fraction of full speed; less than 1 during slow start."""
         if not self.started_at:
             return 1.0
         progress = min(1.0, (now() - self.started_at) / self.spec.slow_start_duration)
         return self.spec.slow_start_initial_fraction + (1 - self.spec.slow_start_initial_fraction) * progress
 
     def record(self, what: str, **fields: Any) -> None:
-        """Record an event at this engine."""
+        """Record an event of this engine."""
         self.context.record(what, engine=self.spec.name, **fields)
 
     def record_for_attempt(self, what: str, client_attempt: str, **fields: Any) -> None:
         """Record an event of a client's attempt at this engine."""
         self.record(what, **fields, **{"try": client_attempt})
 
-    # Its life.
+    # Start, crash and hang.
 
     def start(self, cold: bool) -> None:
-        """Come up: `cold` begins slow start, otherwise it has been up for long."""
+        """Start the engine: in slow start if `cold`, otherwise as if it had been up for a long time."""
         self.is_up = True
         self.started_at = now() if cold else 0
         self.went_down = anyio.Event()
@@ -77,7 +77,7 @@
         )
 
     def crash(self) -> None:
-        """Go down at once, losing all states and every attempt in progress."""
+        """Go down immediately and lose all states and all attempts in progress."""
         self.is_up = False
         self.context.record("killed", process=self.spec.name, engine=self.spec.name)
         self.reserved_states.clear()
@@ -89,10 +89,10 @@
         await sleep(duration)
         self.not_hanging.set()
 
-    # Its work.
+    # Attempts.
 
     async def work(self, duration: float) -> None:
-        """Spend time on an attempt; raises EngineDownError where the engine goes down meanwhile."""
+        """Work on an attempt for a duration; raise EngineDownError if the engine goes down meanwhile."""
         went_down = self.went_down
         with anyio.move_on_after(max(0.0, duration) / SECOND):
             await went_down.wait()
@@ -106,7 +106,7 @@
     # The states of completed prefills.
 
     def reserve_state(self, request_id: str, tokens: int, client_attempt: str) -> None:
-        """Keep a prefill's state until it is fetched, released or expires."""
+        """Reserve a prefill's state until it is fetched, released or expired."""
         self.reserved_states.add(request_id)
         self.record_for_attempt("held", client_attempt, state=request_id, tokens=tokens)
         self.context.spawn(self._expire_state, request_id)
@@ -116,7 +116,7 @@
         self.remove_state(request_id, "expired")
 
     def remove_state(self, request_id: str, how: str, **fields: Any) -> bool:
-        """Remove a state, recording how; False where there is none."""
+        """Remove a state and record how; return False if there is none."""
         if request_id not in self.reserved_states:
             return False
         self.reserved_states.discard(request_id)
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a simulated history: drains, engines that leave, crash, hang or slow down, killed fronts."""
+"""The faults of a simulated history: drained, replaced, crashed, hung and slow engines, and killed fronts."""
 
 from __future__ import annotations
 
@@ -9,15 +9,18 @@
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.context import SimulationContext, sleep
 
-LIST_REMOVES_CRASHED_SHARE = 0.5
-ABSENCE_SECONDS = 0.5  # of an engine that has left
-SLOWDOWN = (2, 6)
-DURATION_SHARE_OF_GAP = (0.3, 0.9)  # of the time between two faults
-FRONT_OUTAGE_DIVISOR = 4  # a front is down for a shorter time than an engine
+LIST_REMOVES_CRASHED_SHARE = 0.5  # of crashed engines, which the list then removes
+ABSENCE_SECONDS = 0.5  # from the removal of an engine to its restart
+SLOWDOWN = (2, 6)  # range of the factor by which a slow engine takes longer
+DURATION_SHARE_OF_GAP = (
+    0.3,
+    0.9,
+)  # range of a fault's duration, as a fraction of the time between two faults
+FRONT_OUTAGE_DIVISOR = 4  # divides a fault's duration: fronts restart faster than engines
 
 
 class FaultInjector:
-    """Injects one fault after another, kind by kind, while the history runs."""
+    """An injector of faults, which takes the kinds in turn while the history runs."""
 
     def __init__(self, context: SimulationContext, cluster: SimulatedCluster) -> None:
         self.context = context
@@ -32,7 +35,7 @@
         )
 
     async def run(self) -> None:
-        """Inject the history's faults at equal distances."""
+        """Inject the history's faults at equal intervals."""
         settings, random = self.context.settings, self.context.random
         targets = self._draw_targets()
         gap = settings.duration / (settings.fault_count + 1)
@@ -43,7 +46,7 @@
             self.context.spawn(inject, target, random.uniform(*DURATION_SHARE_OF_GAP) * gap)
 
     def _draw_targets(self) -> list[int]:
-        """The engines that have faults, in random order: all but one of each role."""
+        """Return the engines that may have faults, in random order: all but one of each role."""
         order = list(range(len(self.cluster.engines)))
         self.context.random.shuffle(order)
         spared = {self.cluster.engines[index].spec.role: index for index in order}
@@ -56,7 +59,7 @@
         self.cluster.set_listed_state(index, words.LISTED_READY)
 
     async def replace_engine(self, index: int, duration: float) -> None:
-        """Drain an engine, remove it, and start it anew."""
+        """Drain an engine, remove it from the list and restart it."""
         engine = self.cluster.engines[index]
         self.cluster.set_listed_state(index, words.LISTED_DRAINING)
         await sleep(duration)
@@ -67,7 +70,7 @@
         self.cluster.set_listed_state(index, words.LISTED_READY)
 
     async def crash_engine(self, index: int, duration: float) -> None:
-        """Crash an engine and start it anew; the list may or may not notice."""
+        """Crash an engine and restart it; the list may or may not remove it in the meantime."""
         engine = self.cluster.engines[index]
         engine.crash()
         if self.context.random.random() < LIST_REMOVES_CRASHED_SHARE:
@@ -77,18 +80,18 @@
         self.cluster.set_listed_state(index, words.LISTED_READY)
 
     async def hang_engine(self, index: int, duration: float) -> None:
-        """Have an engine make no progress for a while."""
+        """Let an engine hang for a while."""
         await self.cluster.engines[index].hang(duration)
 
     async def slow_engine(self, index: int, duration: float) -> None:
-        """Have an engine work several times slower for a while."""
+        """Slow an engine down by a random factor for a while."""
         engine = self.cluster.engines[index]
         engine.slowdown = self.context.random.uniform(*SLOWDOWN)
         await sleep(duration)
         engine.slowdown = 1.0
 
     async def restart_front(self, index: int, duration: float) -> None:
-        """Kill a front and start it anew."""
+        """Kill a front and restart it."""
         front_index = index % len(self.cluster.fronts)
         self.cluster.fronts[front_index].kill()
         await anyio.sleep(duration / (FRONT_OUTAGE_DIVISOR * SECOND))
--- a/tests/simulation/fronts.py
+++ b/tests/simulation/fronts.py
@@ -1,4 +1,4 @@
-"""Simulated processes of fronts: a real front on the simulated clock, from its start to its kill."""
+"""Simulated front processes: each runs a real front on the simulated clock until it is killed."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from tests.simulation.engine_client import SimulatedEngineClient
 from tests.simulation.engines import SimulatedEngine
 
-SEEDS_PER_SIMULATION = 100
-RUN_NUMBER = 1  # of the front's process, as the laboratory's configuration wants it
+SEEDS_PER_SIMULATION = 100  # spreads the seeds of fronts of different simulations
+RUN_NUMBER = 1  # the process's run, which the laboratory's configuration of a front needs
 
 
 class _ErrorLog:
-    """A front's log, of which only unexpected exceptions are kept."""
+    """A log for a front that keeps only unexpected exceptions."""
 
     def __init__(self, context: SimulationContext) -> None:
         self.context = context
@@ -37,9 +37,9 @@
 
 
 class _OrderedTaskGroup:
-    """A task group whose tasks are cancelled in the order in which they began.
+    """A task group that cancels its tasks in the order in which they started.
 
-    The usual one keeps them in a set, whose order differs from process to process.
+    The task group of anyio keeps its tasks in a set, whose order differs between processes.
     """
 
     def __init__(self, tasks: TaskGroup) -> None:
@@ -69,8 +69,8 @@
 class SimulatedFront:
     """One process of a front.
 
-    `seed_number` tells the front's random draws from those of other processes. `initial_list` gives the
-    endpoint list that the front gets when it starts; None leaves that to the caller.
+    `seed_number` gives each process of a front its own random draws. `initial_list` returns the endpoint list
+    that the front receives when it starts; if it is None, the caller delivers the first list.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
                 await anyio.sleep_forever()
 
     def receive(self, update: EndpointListMessage) -> None:
-        """Have the front receive a message of the endpoint list, recording it."""
+        """Deliver a message of the endpoint list to the front and record it."""
         if not self.is_up:
             return
         self.context.record(
@@ -127,7 +127,7 @@
         scope.cancel()
 
     def kill(self) -> None:
-        """End the process at once, as SIGKILL would."""
+        """End the process immediately, as SIGKILL would."""
         self.is_up = False
         self.killed.set()
         self.context.record("killed", process=self.name, front=self.name)
--- a/tests/simulation/leaks.py
+++ b/tests/simulation/leaks.py
@@ -1,4 +1,4 @@
-"""What a front still holds of requests; nothing once every request has ended."""
+"""A check for state of requests that a front still holds; once every request has ended, there is none."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def leaked_state(front: Front) -> list[str]:
-    """A line for each request, task, queue place, counter or budget that a front has not given back."""
+    """Return a line for each request, task, queue entry, counter or budget that a front still holds."""
     leaks = [f"request {index}" for index in front.requests]
     for cell_scheduler in front.cell_schedulers.values():
         leaks += _leaks_of_scheduler(cell_scheduler)
--- a/tests/simulation/recorded_words.py
+++ b/tests/simulation/recorded_words.py
@@ -1,4 +1,4 @@
-"""Words of recordings, by what they mean; the auditor knows them, so they stay as they are."""
+"""Named constants for the values in recordings; the auditor matches the values, so they must not change."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 # Stages of an attempt at an engine.
 STAGE_PREFILL = "read"
 STAGE_DECODE = "write"
-STAGE_CONNECT = "knock"  # only a connect, to an engine that is down
+STAGE_CONNECT = "knock"  # a connection attempt to an engine that is down
 
-# How an attempt ended for its engine.
+# How an attempt ended, as its engine records it.
 ENDED_CONNECT_REFUSED = "refused"
 ENDED_OVERLOADED = "full"
 ENDED_STATE_MISSING = "stateless"
@@ -20,7 +20,7 @@
 ENDED_ENGINE_DOWN = "killed"
 ENDED_FRONT_CLOSED = "left"
 
-# How a client's attempt ended.
+# How an attempt of a client ended, as the client records it.
 ANSWER_SUCCEEDED = "succeeded"
 ANSWER_REJECTED = "dismissed"
 ANSWER_INDETERMINATE = "scrapped"
--- a/tests/simulation/replay.py
+++ b/tests/simulation/replay.py
@@ -1,4 +1,4 @@
-"""A day recorded on sockets, replayed to the fronts of today on the simulated clock."""
+"""The replay of a recording made on sockets, on the simulated clock and with the current fronts."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from tests.simulation.settings import SimulationSettings
 from tests.simulation.simulation import Simulation
 
-START_SECONDS = 0.001
-LONG_STREAM_SECONDS = 10  # recorded streams are longer than those from a seed
+START_SECONDS = 0.001  # from the start of the fronts to the first recorded event
+LONG_STREAM_SECONDS = 10  # added at the end, as recorded streams are longer than those from a seed
 
 
 class RecordedSimulation(Simulation):
-    """A recording, replayed.
+    """A simulation that replays a recording.
 
-    Requests, disconnects, messages of the endpoint list, starts and ends of engines and fronts come at their
-    recorded times. How fast engines work and which attempts fail comes from the seed.
+    Requests, disconnects, messages of the endpoint list, starts and ends of engines and fronts occur at their
+    recorded times. The seed determines the speed of the engines and which attempts fail.
     """
 
     def __init__(self, seed: int, recording: list[Event]) -> None:
--- a/tests/simulation/settings.py
+++ b/tests/simulation/settings.py
@@ -1,4 +1,4 @@
-"""What a simulated history holds: how much load for how long, how much fails, and the plan made of it."""
+"""The load and the faults of a simulated history, and the plan built from them."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 ENGINE_TYPES = ["prefill", "prefill", "prefill", "decode", "decode", "decode", "mixed", "mixed"]
 ZONES = ["a", "b"]
 TENANTS = ["one", "two"]
-FIRST_FRONT_HOST = 11  # the fronts' loopback addresses begin at 127.0.0.11
+FIRST_FRONT_HOST = 11  # the last octet of the first front's loopback address, 127.0.0.11
 
-# One class of each idempotency, by the names and in the words of configuration.
+# One request class for each kind of idempotency, with the names that the configuration uses.
 REQUEST_CLASSES = [
     RequestClassPlan("ask", 0.5, "rerunnable", 1, 8_000, 0, 25_000, 1_000, 300, 12, 1.0, 0.0, 0),
     RequestClassPlan("book", 0.3, "exclusive", 2, 9_000, 0, 30_000, 1_000, 300, 12, 1.0, 0.0, 0),
@@ -43,21 +43,21 @@
 
 @dataclass
 class SimulationSettings:
-    """Load and faults of a history; durations in tenths of a millisecond, shares of 1."""
+    """The load and faults of a history; durations are in tenths of a millisecond, shares are fractions."""
 
     duration: int = 20 * SECOND
     requests_per_second: float = 40.0
     front_count: int = 3
-    failing_attempt_share: float = 0.06  # attempts that fail though their engine is up
-    disconnecting_client_share: float = 0.08  # clients that disconnect before their response
-    fault_count: int = 12  # drains, crashes, hangs, restarts, killed fronts
-    lost_release_share: float = 0.15  # calls to release a state whose connection breaks
+    failing_attempt_share: float = 0.06  # of attempts at engines that are up
+    disconnecting_client_share: float = 0.08  # of clients; these disconnect before their response
+    fault_count: int = 12  # faults of all kinds that `FaultInjector` injects
+    lost_release_share: float = 0.15  # of calls that release a state; their connection fails
     slow_start_overload_multiple: float = 1.5
     engine_types: list[str] = field(default_factory=lambda: list(ENGINE_TYPES))
 
 
 def build_plan(seed: int, settings: SimulationSettings, random: Random) -> ScenarioPlan:
-    """The laboratory's plan of a history; draws each engine's own speed."""
+    """Return the laboratory's plan of a history; the speed of each engine is drawn at random."""
     engines = [
         plan_engine(
             f"e{index}",
--- a/tests/simulation/simulation.py
+++ b/tests/simulation/simulation.py
@@ -1,4 +1,4 @@
-"""A simulated history: fronts, engines, clients and faults from one seed, and the recording of it all."""
+"""A simulated history of fronts, engines, clients and faults from one seed, with its recording."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from tests.simulation.leaks import leaked_state
 from tests.simulation.settings import REQUEST_CLASSES, SimulationSettings
 
-SETTLING_SECONDS = 20  # for whatever is still to end once no more requests come
+SETTLING_SECONDS = 20  # from the last request to the check for leaks
 
 
 class Simulation:
-    """Everything around the fronts, from one seed.
+    """A history of fronts and their environment, from one seed.
 
-    After `run`, `events` holds the recording and `leaks` what the fronts left behind, with the exceptions
-    that they logged.
+    After `run`, `events` holds the recording, and `leaks` the exceptions that fronts logged and the state
+    that they still hold.
     """
 
     def __init__(self, seed: int, settings: SimulationSettings, plan: ScenarioPlan | None = None) -> None:
@@ -38,7 +38,7 @@
 
     @property
     def leaks(self) -> list[str]:
-        """Exceptions that fronts logged, then what fronts held at the end."""
+        """The exceptions that fronts logged, followed by the state that they held at the end."""
         return self.context.unexpected_errors
 
     async def run(self) -> None:
@@ -53,7 +53,7 @@
             self.context.tasks.cancel_scope.cancel()
 
     async def _play(self) -> None:
-        """Start everything, then send requests for the history's duration."""
+        """Start engines, fronts and faults, then send requests for the history's duration."""
         for engine in self.cluster.engines:
             engine.start(cold=False)
         self.cluster.start_fronts(with_list=True)
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet in one event loop: stand-in engines, an endpoint list and a real front, on loopback."""
+"""A small fleet in one event loop on loopback: stand-in engines, an endpoint list service and a real front."""
 
 from __future__ import annotations
 
@@ -33,8 +33,12 @@
     RequestClassPlan("book", 0.5, "exclusive", 1, 20_000, 0, 60_000, 1_000, 200, 20, 1.0, 0.0, 0),
     RequestClassPlan("mark", 0.5, "ticketed", 1, 20_000, 0, 60_000, 1_000, 200, 20, 1.0, 0.0, 0, 0.1, "zone"),
 ]
-ENGINE_TYPES = {"reader": "prefill", "writer": "decode", "mixed": "mixed"}  # by role
-WAIT_LIMIT = 20.0  # seconds that an event may be waited for
+ENGINE_TYPES = {
+    "reader": "prefill",
+    "writer": "decode",
+    "mixed": "mixed",
+}  # the type of stand-in engine by role
+WAIT_LIMIT = 20.0  # the most seconds to wait for a recorded event
 
 
 def small_plan(engine_types: list[str]) -> ScenarioPlan:
@@ -65,7 +69,7 @@
 
 @dataclass
 class ReceivedResponse:
-    """A front's whole response."""
+    """A complete response of a front."""
 
     status: int
     headers: dict[str, str]
@@ -73,13 +77,13 @@
 
     @property
     def error(self) -> dict[str, Any]:
-        """The error of a response with another status than 200."""
+        """The error object in the body of a response whose status is not 200."""
         found: dict[str, Any] = msgspec.json.decode(self.body)["error"]
         return found
 
     @property
     def text(self) -> str:
-        """The text of a streamed response, up to its end."""
+        """The concatenated text of a streamed response."""
         texts = []
         for event in self.body.split(b"\n\n"):
             if event.startswith(b"data: {"):
@@ -89,7 +93,11 @@
 
 
 class SmallFleet:
-    """Engines, list and one front. `bounds` override the front's; `cells` is the map that it starts with."""
+    """Stand-in engines, an endpoint list service and one front.
+
+    `bounds` override entries of the front's `bounds` configuration. `cells` is the cell map that the front
+    loads when it starts, if any.
+    """
 
     def __init__(
         self, folder: Path, engine_types: list[str], cells: CellMap | None = None, **bounds: Any
@@ -107,7 +115,7 @@
             StandInEngine(planned.spec, self.recorder, False, index)
             for index, planned in enumerate(self.plan.engines)
         ]
-        self.started = [0] * len(self.engines)  # Unix milliseconds, 0 for long ago
+        self.started = [0] * len(self.engines)  # start times in Unix milliseconds; 0: started long ago
         self.lives: dict[int, anyio.CancelScope] = {}
         self.bounds = bounds
         self.running: FrontServer
@@ -115,7 +123,7 @@
 
     @asynccontextmanager
     async def open(self, tape: Path | None = None) -> AsyncIterator[SmallFleet]:
-        """Run all of it; what still runs at the end is cancelled."""
+        """Run the whole fleet; on exit, stop the front and cancel everything that still runs."""
         async with anyio.create_task_group() as tasks:
             await tasks.start(self.listing.run, "127.0.0.1", 0)
             for at in range(len(self.engines)):
@@ -142,7 +150,7 @@
         self.lives[at].cancel()
 
     def tell(self, at: int, state: str) -> None:
-        """Publish an engine's state in the endpoint list."""
+        """Publish an engine's state in the endpoint list without delay."""
         planned = self.plan.engines[at]
         self.listing.update(
             msgspec.convert(
@@ -170,7 +178,7 @@
         poison: bool = False,
         **headers: str,
     ) -> ReceivedResponse:
-        """Send one request on a connection of its own."""
+        """Send one completion request on a new connection and return the response."""
         raw = (
             body
             if body is not None
@@ -194,13 +202,13 @@
         return await self.say(f"POST /v1/completions HTTP/1.1\r\n{lines}\r\n".encode() + raw)
 
     async def say(self, raw: bytes) -> ReceivedResponse:
-        """Send these bytes on a connection of their own and return the response."""
+        """Send raw bytes on a new connection and return the response."""
         async with await anyio.connect_tcp("127.0.0.1", self.port) as stream:
             await stream.send(raw)
             return await receive_response(stream)
 
     def seen(self, what: str, **fields: Any) -> list[Event]:
-        """Return the recorded events of a kind that have these fields."""
+        """Return the recorded events of a kind whose fields have the given values."""
         return [
             event
             for event in recording.read_recording(self.file)
@@ -208,14 +216,14 @@
         ]
 
     async def until(self, what: str, count: Any = 1, **fields: Any) -> None:
-        """Wait until events are recorded, rather than for a time."""
+        """Wait until at least `count` matching events are recorded; raise TimeoutError after WAIT_LIMIT."""
         with anyio.fail_after(WAIT_LIMIT):
             while len(self.seen(what, **fields)) < count:
                 await anyio.sleep(0.01)
 
 
 async def receive_response(stream: anyio.abc.SocketStream) -> ReceivedResponse:
-    """Receive one response up to its end or the connection's."""
+    """Receive one response; raise an error where the connection ends before the response is complete."""
     protocol = h11.Connection(h11.CLIENT)
     protocol.send(h11.Request(method="GET", target="/", headers=[("Host", "x")]))
     protocol.send(h11.EndOfMessage())
@@ -237,4 +245,4 @@
             headers = {key.decode(): value.decode() for key, value in head.headers}
             return ReceivedResponse(head.status_code, headers, bytes(body))
         elif not isinstance(event, h11.InformationalResponse):
-            raise AssertionError(f"no answer, {event}")
+            raise AssertionError(f"expected a response, received {event}")
