--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -58,7 +58,7 @@
         return list(recording.read_recording(anyio.run(ScenarioRunner(plan, Path(folder)).run)))
 
 
-def values_by_tenant(
+def value_by_tenant(
     events: list[Event], start: float = 0, end: float = 1e9
 ) -> dict[str, tuple[float, float]]:
     """Return, by tenant, the value that was served in time and the value that was requested.
@@ -86,7 +86,7 @@
     return values
 
 
-def share_of_others(values: dict[str, tuple[float, float]], tenant: str) -> float:
+def served_share_of_others(values: dict[str, tuple[float, float]], tenant: str) -> float:
     """Return the share of the requested value that was served to all tenants except `tenant`."""
     served = sum(served for name, (served, _) in values.items() if name != tenant)
     return served / max(1e-9, sum(requested for name, (_, requested) in values.items() if name != tenant))
@@ -97,7 +97,7 @@
     return sum(rule.broken for rule in judge(read_history(events)).values())
 
 
-def interval(values: list[float]) -> tuple[float, float]:
+def confidence_interval(values: list[float]) -> tuple[float, float]:
     """Return the mean and half the width of its 95% confidence interval."""
     if len(values) < 2:
         return values[0], float("nan")
@@ -124,8 +124,8 @@
             events = play(flood(seed, cells, flooding))
             key = ("cells" if cells else "none") + ("_flood" if flooding else "_calm")
             # Only the flood period counts; the other tenants send the same requests in it in every run.
-            values = values_by_tenant(events, 4, 34)
-            row[key] = round(share_of_others(values, FAULTY_TENANT), 4)
+            values = value_by_tenant(events, 4, 34)
+            row[key] = round(served_share_of_others(values, FAULTY_TENANT), 4)
             row[key + "_own"] = round(_served_share(values, FAULTY_TENANT), 4)
             row["broken"] += count_violations(events)
             print(key, row[key], row[key + "_own"], flush=True)
@@ -133,7 +133,7 @@
         rows.append(row)
     result: dict[str, Any] = {"seeds": len(seeds), "rows": rows}
     for key in ("cells", "none"):
-        mean, half = interval([row[f"{key}_flood"] / row["cells_calm"] - 1 for row in rows])
+        mean, half = confidence_interval([row[f"{key}_flood"] / row["cells_calm"] - 1 for row in rows])
         result[key] = {"change": round(mean, 4), "half_interval": round(half, 4)}
         print(
             f"change of the value served in time to the other tenants, {key}: {mean:+.2%} by the flood, "
@@ -154,8 +154,8 @@
             for with_fault in (False, True):
                 events = play(scenario(seed, cells, with_fault))
                 key = ("cells" if cells else "none") + ("_trouble" if with_fault else "_calm")
-                values = values_by_tenant(events, 4)
-                row[key] = round(share_of_others(values, FAULTY_TENANT), 4)
+                values = value_by_tenant(events, 4)
+                row[key] = round(served_share_of_others(values, FAULTY_TENANT), 4)
                 row[key + "_own"] = round(_served_share(values, FAULTY_TENANT), 4)
                 row[key + "_fell"] = sum(event["what"] == "fell" for event in events)
                 row["broken"] += count_violations(events)
@@ -176,9 +176,11 @@
         for is_full in (False, True):
             events = play(full_cell(seed, is_full))
             key = "full" if is_full else "calm"
-            row[f"others_{key}"] = round(share_of_others(values_by_tenant(events, 8, 18), FAULTY_TENANT), 4)
+            row[f"others_{key}"] = round(
+                served_share_of_others(value_by_tenant(events, 8, 18), FAULTY_TENANT), 4
+            )
             row[f"own_2s_after_{key}"] = round(
-                _served_share(values_by_tenant(events, 20, 28), FAULTY_TENANT), 4
+                _served_share(value_by_tenant(events, 20, 28), FAULTY_TENANT), 4
             )
             row["broken"] += count_violations(events)
             if is_full:
@@ -188,7 +190,7 @@
         print(row, flush=True)
         rows.append(row)
     changes = [row["others_full"] / row["others_calm"] - 1 for row in rows]
-    mean, half = interval(changes)
+    mean, half = confidence_interval(changes)
     print(f"change of the value served in time to the other cells: {mean:+.2%}, 95% interval ±{half:.2%}")
     return {"rows": rows, "change": round(mean, 4), "half_interval": round(half, 4)}
 
@@ -225,7 +227,7 @@
     ]
 
 
-def cell_maps(engine_count: int) -> dict[str, CellMap]:
+def comparable_cell_maps(engine_count: int) -> dict[str, CellMap]:
     """Return comparable cell maps by the name of their placement; a cell or shard has about eight engines."""
     count = max(2, engine_count // 8)
     cells = {f"cell-{index}": Cell() for index in range(count)}
@@ -252,7 +254,7 @@
     rows = []
     for engine_count in (16, 64, 256):
         engines = build_fleet(engine_count)
-        for way, cell_map in cell_maps(engine_count).items():
+        for way, cell_map in comparable_cell_maps(engine_count).items():
             placed = place_engines(cell_map, engines).cells
             hurt, touched = _affected_shares(cell_map, names, engines, placed)
             loads = _engine_loads(cell_map, load, placed)
@@ -377,7 +379,7 @@
     engines = build_fleet(64)
     tenants = [f"tenant-{index}" for index in range(1000)]
     result: dict[str, Any] = {}
-    for way, cell_map in cell_maps(64).items():
+    for way, cell_map in comparable_cell_maps(64).items():
         router = CellRouter(cell_map, 10_000, 1 << 30, Random(1).random)
         router.update_engines(engines, set())
         random = Random(2)
--- a/benchmarks/front.py
+++ b/benchmarks/front.py
@@ -285,7 +285,7 @@
     return ProcessUsage(cpu_ticks / os.sysconf("SC_CLK_TCK"), int(fields[21]) * os.sysconf("SC_PAGE_SIZE"))
 
 
-def added_times(events: list[dict[str, Any]], begin: int) -> dict[str, list[int]]:
+def times_outside_engines(events: list[dict[str, Any]], begin: int) -> dict[str, list[int]]:
     """Return the time that each request spent outside engines until its first token.
 
     The times are in tenths of a millisecond, for the paths "front" and "direct". Requests that were sent
@@ -309,7 +309,7 @@
     return times
 
 
-def quantiles(times: list[int]) -> dict[str, float]:
+def percentiles(times: list[int]) -> dict[str, float]:
     """Return percentiles in milliseconds of times in tenths of a millisecond."""
     histogram = HdrHistogram(1, 10_000_000, 3)
     for duration in times:
@@ -336,7 +336,7 @@
         runner.workers, runner.direct_every = workers, direct_every
         events = list(recording.read_recording(anyio.run(runner.run)))
     begin = next(event["at"] for event in events if event["what"] == "begin")
-    times = added_times(events, begin)
+    times = times_outside_engines(events, begin)
     samples = runner.samples[int(WARM_UP) :]
     cpu_seconds = samples[-1].cpu_seconds - samples[0].cpu_seconds
     kinds = [event["kind"] for event in events if event["what"] == "answer"]
@@ -348,15 +348,15 @@
         "through_front": len(times["front"]),
         "succeeded": kinds.count("succeeded"),
         "asked": len(kinds),
-        "front_ms": quantiles(times["front"]),
-        "direct_ms": quantiles(times["direct"]) if times["direct"] else {},
+        "front_ms": percentiles(times["front"]),
+        "direct_ms": percentiles(times["direct"]) if times["direct"] else {},
         "cpu_share": round(cpu_seconds / max(1, len(samples) - 1), 3),
         "rss_mib": samples[-1].resident_mib,
         "rss_start_mib": samples[0].resident_mib,
     }
 
 
-def show(figures: dict[str, Any]) -> None:
+def print_figures(figures: dict[str, Any]) -> None:
     """Print the figures of one run as a short table."""
     print(
         f"{figures['rate']:g}/s through the front, {figures['engines']} engines, "
@@ -380,14 +380,14 @@
     await clients.run(requests, start)
 
 
-def measure_most(options: argparse.Namespace) -> list[dict[str, Any]]:
+def measure_rates(options: argparse.Namespace) -> list[dict[str, Any]]:
     """Run each rate once; one request in eight bypasses the front, so that both paths are measured."""
     runs = []
     for rate in options.rates.split(","):
         figures = measure(
             options.engines, float(rate) * 8 / 7, options.seconds, options.tokens, options.workers, 8
         )
-        show(figures)
+        print_figures(figures)
         runs.append(figures)
     return runs
 
@@ -446,9 +446,9 @@
             result = measure(
                 options.engines, 2 * options.rate, options.seconds, options.tokens, options.workers, 2
             )
-            show(result)
+            print_figures(result)
         case "most":
-            result = measure_most(options)
+            result = measure_rates(options)
         case "memory":
             result = measure_memory(options)
         case _:
