--- a/tests/fleet/agents.py
+++ b/tests/fleet/agents.py
@@ -20,7 +20,16 @@
 import msgspec
 
 from tests.fault_proxy import HOST
-from tests.fleet.plan import ENGINES, FIRST_VERSION, AgentsReport, Backlog, Call, Change, Listening, Plan
+from tests.fleet.plan import (
+    ENGINE_COUNT,
+    FIRST_VERSION,
+    AgentsReport,
+    Backlog,
+    Call,
+    Change,
+    ListeningPorts,
+    Plan,
+)
 from tests.node_platform.http_messages import http_response, read_request
 
 LISTEN_BACKLOG = 4_096
@@ -92,7 +101,7 @@
             await asyncio.sleep(max(0.0, start_at + at - time.monotonic()))
             step()
 
-    async def listen(self) -> Listening:
+    async def listen(self) -> ListeningPorts:
         """Open a listener for each node's agent and one that stands for all engines; return their ports."""
         self.reachable.set()
         ports = []
@@ -102,7 +111,7 @@
             ports.append(int(listener.getsockname()[1]))
             self._start(self._accept(node, listener))
         engines = await asyncio.start_server(self._serve_engine, HOST, 0, backlog=LISTEN_BACKLOG)
-        return Listening(ports, int(engines.sockets[0].getsockname()[1]))
+        return ListeningPorts(ports, int(engines.sockets[0].getsockname()[1]))
 
     async def _serve_engine(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(OSError, asyncio.IncompleteReadError):
@@ -235,7 +244,7 @@
         """Return the response body: the whole list, or the changes after version `after` if it is given."""
         version = self.version
         draining = {change.engine: change.version for change in self.changes if change.version <= version}
-        names = [f"engine-{index}" for index in range(ENGINES)]
+        names = [f"engine-{index}" for index in range(ENGINE_COUNT)]
         if after is not None:
             names = [name for name in names if draining.get(name, 0) > after]
         return json.dumps(
--- a/tests/fleet/light_nodes.py
+++ b/tests/fleet/light_nodes.py
@@ -27,14 +27,14 @@
 from runspool.service.clock import now
 from runspool.wire.endpoint_list import EndpointEntry
 from tests.fault_proxy import HOST
-from tests.fleet.plan import NodesReport, Sent, Told
+from tests.fleet.plan import EngineRequest, LearnedState, NodesReport
 from tests.fleet.sabotage import SABOTAGE
 
 REQUEST = b"POST /v1/chat/completions HTTP/1.1\r\nHost: engine\r\nContent-Length: 2\r\n\r\n{}"
 
 
 async def send_requests(
-    port: int, tracker: EndpointTracker, engines: int, rate: float, random: Random, sent: list[Sent]
+    port: int, tracker: EndpointTracker, engines: int, rate: float, random: Random, sent: list[EngineRequest]
 ) -> None:
     """Send requests to random engines that a node knows as active, until cancelled.
 
@@ -51,7 +51,7 @@
         active = [entry.engine for entry in tracker.listed_entries() if entry.state == "on"]
         if active:
             engine = random.choice(active)
-            sent.append(Sent(port, engine, time.monotonic()))
+            sent.append(EngineRequest(port, engine, time.monotonic()))
             with suppress(OSError, anyio.BrokenResourceError, anyio.EndOfStream):
                 async with await anyio.connect_tcp(HOST, engines) as stream:
                     await stream.send(REQUEST)
@@ -61,12 +61,12 @@
 
 async def run(ports: list[int], seed: int, engines: int, rate: float) -> NodesReport:
     """Run a light node for each agent's port until the standard input ends, and return what they recorded."""
-    told: list[Told] = []
-    sent: list[Sent] = []
+    told: list[LearnedState] = []
+    sent: list[EngineRequest] = []
 
     def changed(node: int, entries: list[EndpointEntry]) -> None:
         at = time.monotonic()
-        told.extend(Told(node, entry.engine, entry.state, at) for entry in entries)
+        told.extend(LearnedState(node, entry.engine, entry.state, at) for entry in entries)
 
     async with anyio.create_task_group() as tasks:
         for port in ports:
--- a/tests/fleet/plan.py
+++ b/tests/fleet/plan.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-ENGINES = 24  # number of engines on the endpoint list
+ENGINE_COUNT = 24  # number of engines on the endpoint list
 FIRST_VERSION = 40  # version of the endpoint list at the start of a trial
 
 
@@ -92,14 +92,14 @@
     processor_seconds: float
 
 
-class Listening(msgspec.Struct, frozen=True):
+class ListeningPorts(msgspec.Struct, frozen=True):
     """The ports of the agents, in the order of their nodes, and the port that stands for all engines."""
 
     ports: list[int]
     engines: int
 
 
-class Told(msgspec.Struct, frozen=True):
+class LearnedState(msgspec.Struct, frozen=True):
     """A record that a node learned an engine's state at the monotonic time `at`, in seconds.
 
     `node` is the port of the node's agent.
@@ -111,7 +111,7 @@
     at: float
 
 
-class Sent(msgspec.Struct, frozen=True):
+class EngineRequest(msgspec.Struct, frozen=True):
     """A record that a node began a request to an engine at the monotonic time `at`, in seconds.
 
     `node` is the port of the node's agent.
@@ -131,6 +131,6 @@
         processor_seconds: the processor time that the nodes have used.
     """
 
-    told: list[Told]
-    sent: list[Sent]
+    told: list[LearnedState]
+    sent: list[EngineRequest]
     processor_seconds: float
--- a/tests/fleet/real_nodes.py
+++ b/tests/fleet/real_nodes.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from tests.fault_proxy import HOST
-from tests.fleet.plan import NodesReport, Told
+from tests.fleet.plan import LearnedState, NodesReport
 from tests.node_platform.ports import free_port
 from tests.node_platform.settings import SETTINGS
 from tests.process_environment import PROCESS_ENVIRONMENT
@@ -77,12 +77,12 @@
         return NodesReport(told, [], after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime)
 
 
-def _read_log(port: int, log: Path, unix_at_zero: float) -> list[Told]:
+def _read_log(port: int, log: Path, unix_at_zero: float) -> list[LearnedState]:
     """Return the engine states in a node's log; `unix_at_zero` is the Unix time at monotonic time 0."""
     told = []
     for line in log.read_bytes().splitlines():
         if b'"event":"endpoint_list_changed"' in line:
             event = json.loads(line)
             at = datetime.fromisoformat(event["timestamp"]).timestamp() - unix_at_zero
-            told += [Told(port, engine, state, at) for engine, state in event["engines"].items()]
+            told += [LearnedState(port, engine, state, at) for engine, state in event["engines"].items()]
     return told
--- a/tests/fleet/judge.py
+++ b/tests/fleet/rules.py
@@ -14,7 +14,8 @@
 # Seconds that the node may need in addition to notice the end of an outage. They are granted where the agent
 # answers none of the calls that it received in the outage, or answers the latest first.
 MAX_RECOVERY_DETECTION = 1.0
-BACKLOGS_LOST = (Backlog.NONE, Backlog.DEAF, Backlog.RESET, Backlog.LAST_FIRST)
+# The backlogs for which MAX_RECOVERY_DETECTION is granted.
+LATE_BACKLOGS = (Backlog.NONE, Backlog.DEAF, Backlog.RESET, Backlog.LAST_FIRST)
 # The calls of one node that its agent may have to answer after an outage are at most the watch, one call for
 # each second of the outage, and one more at its beginning and at its end.
 CALLS_AT_ANY_OUTAGE = 3
@@ -41,28 +42,28 @@
     calls: list[str] = field(default_factory=list)
 
     @property
-    def broken(self) -> dict[str, int]:
+    def violation_counts(self) -> dict[str, int]:
         """The number of violations of each rule that was violated."""
         counts = {"told": len(self.told), "debt": len(self.debt), "calls": len(self.calls)}
         return {rule: count for rule, count in counts.items() if count}
 
 
-def judge(outcome: Outcome) -> Verdict:
+def check_rules(outcome: Outcome) -> Verdict:
     """Check all rules on a trial and return the violations."""
     verdict = Verdict()
     for change in outcome.agents.changes:
-        _judge_change(outcome, change, verdict)
-    _judge_sends(outcome, verdict)
+        _check_change(outcome, change, verdict)
+    _check_sends(outcome, verdict)
     for begin, end in outcome.agents.outages:
-        _judge_debt(outcome, begin, end, verdict)
-    _judge_calls(outcome, verdict)
+        _check_debt(outcome, begin, end, verdict)
+    _check_calls(outcome, verdict)
     return verdict
 
 
-def told_by(outcome: Outcome, change: Change) -> float:
+def delivery_deadline(outcome: Outcome, change: Change) -> float:
     """Return the time by which nodes have to know of a change, before delays of the machine are added."""
     times = [change.known_at]
-    if outcome.plan.backlog in BACKLOGS_LOST:
+    if outcome.plan.backlog in LATE_BACKLOGS:
         times += [
             end + MAX_RECOVERY_DETECTION
             for _, end in outcome.agents.outages
@@ -84,11 +85,11 @@
     )
 
 
-def _judge_sends(outcome: Outcome, verdict: Verdict) -> None:
+def _check_sends(outcome: Outcome, verdict: Verdict) -> None:
     changes = {change.engine: change for change in outcome.agents.changes}
     for sent in outcome.sent:
         change = changes.get(sent.engine)
-        if change is not None and sent.at > told_by(outcome, change) + _lag(
+        if change is not None and sent.at > delivery_deadline(outcome, change) + _lag(
             outcome, change.known_at, sent.at
         ):
             late = sent.at - change.known_at
@@ -103,8 +104,8 @@
     return sum(end - begin for begin, end in outcome.lags if end > since and begin < until)
 
 
-def _judge_change(outcome: Outcome, change: Change, verdict: Verdict) -> None:
-    due = told_by(outcome, change)
+def _check_change(outcome: Outcome, change: Change, verdict: Verdict) -> None:
+    due = delivery_deadline(outcome, change)
     for node, late in enumerate(outcome.lateness(change)):
         known_at = change.known_at + late
         if known_at > due + _lag(outcome, change.known_at, known_at):
@@ -113,7 +114,7 @@
             )
 
 
-def _judge_debt(outcome: Outcome, begin: float, end: float, verdict: Verdict) -> None:
+def _check_debt(outcome: Outcome, begin: float, end: float, verdict: Verdict) -> None:
     # Calls from before the previous outage do not count: the agent has answered or dropped them after it.
     since = max([begin - LONGEST_WAIT, *(other for _, other in outcome.agents.outages if other < begin)])
     unanswered = Counter(
@@ -144,7 +145,7 @@
     )
 
 
-def _judge_calls(outcome: Outcome, verdict: Verdict) -> None:
+def _check_calls(outcome: Outcome, verdict: Verdict) -> None:
     by_node: dict[int, list[float]] = defaultdict(list)
     for call in outcome.agents.calls:
         if not _is_read_late(outcome, call):
--- a/tests/fleet/run.py
+++ b/tests/fleet/run.py
@@ -6,8 +6,8 @@
 import asyncio
 from statistics import median
 
-from tests.fleet.judge import judge
 from tests.fleet.plan import Backlog, Plan
+from tests.fleet.rules import check_rules
 from tests.fleet.trial import Outcome, play
 
 OUTAGE_AT = 1.0  # seconds from the start of the trial to the outage
@@ -55,8 +55,8 @@
         f"nodes {outcome.nodes_processor_seconds:.1f}; an idle process was scheduled late "
         f"{len(outcome.lags)} times, by {sum(end - begin for begin, end in outcome.lags):.2f} s in total"
     )
-    verdict = judge(outcome)
-    print(f"broken: {verdict.broken}")
+    verdict = check_rules(outcome)
+    print(f"broken: {verdict.violation_counts}")
     for example in (*verdict.told[:3], *verdict.debt[:3], *verdict.calls[:3]):
         print(f"  {example}")
 
--- a/tests/fleet/sweep.py
+++ b/tests/fleet/sweep.py
@@ -11,7 +11,7 @@
 from statistics import median
 
 from tests.fleet.draw import draw_plan
-from tests.fleet.judge import harness_fault, judge
+from tests.fleet.rules import check_rules, harness_fault
 from tests.fleet.trial import play
 
 
@@ -19,10 +19,10 @@
     """Play one seed; return whether its trial was valid and without violations, and the line to print."""
     plan = draw_plan(seed, nodes)
     outcome = asyncio.run(play(plan, is_real=is_real))
-    verdict = judge(outcome)
+    verdict = check_rules(outcome)
     late = sorted(each for change in outcome.agents.changes for each in outcome.lateness(change))
     fault = harness_fault(outcome)
-    result = fault or (f"broken {verdict.broken}" if verdict.broken else "clean")
+    result = fault or (f"broken {verdict.violation_counts}" if verdict.violation_counts else "clean")
     examples = "".join(f"\n  {line}" for line in (*verdict.told[:3], *verdict.debt[:2], *verdict.calls[:2]))
     return result == "clean", (
         f"seed {seed}: {result}; {plan.nodes} nodes, backlog {plan.backlog.value}, outages {plan.outages}, "
--- a/tests/fleet/trial.py
+++ b/tests/fleet/trial.py
@@ -12,7 +12,15 @@
 
 import msgspec
 
-from tests.fleet.plan import AgentsReport, Change, Listening, NodesReport, Plan, Sent, Told
+from tests.fleet.plan import (
+    AgentsReport,
+    Change,
+    EngineRequest,
+    LearnedState,
+    ListeningPorts,
+    NodesReport,
+    Plan,
+)
 from tests.fleet.real_nodes import RealNodes
 from tests.process_environment import PROCESS_ENVIRONMENT
 
@@ -39,8 +47,8 @@
 
     plan: Plan
     agents: AgentsReport
-    told: list[Told]
-    sent: list[Sent]
+    told: list[LearnedState]
+    sent: list[EngineRequest]
     ports: list[int]
     lags: list[tuple[float, float]] = field(default_factory=list)
     nodes_processor_seconds: float = 0.0
@@ -61,7 +69,7 @@
 async def play(plan: Plan, sabotage: str = "", is_real: bool = False) -> Outcome:
     """Play one trial, with complete node processes if `is_real`, otherwise with light nodes."""
     agents = await _start("tests.fleet.agents", msgspec.json.encode(plan).decode())
-    listening: Listening = msgspec.json.decode(await _read_line(agents), type=Listening)
+    listening: ListeningPorts = msgspec.json.decode(await _read_line(agents), type=ListeningPorts)
     lags: list[tuple[float, float]] = []
     with TemporaryDirectory() as folder:
         nodes = (
--- a/tests/test_fleet_soak.py
+++ b/tests/test_fleet_soak.py
@@ -12,8 +12,8 @@
 import pytest
 
 from tests.fleet.draw import draw_plan
-from tests.fleet.judge import Verdict, harness_fault, judge
 from tests.fleet.plan import Backlog, Plan
+from tests.fleet.rules import Verdict, check_rules, harness_fault
 from tests.fleet.trial import play
 
 SEED = 3  # three outages in series, 119 nodes that also send requests
@@ -32,7 +32,7 @@
         lost_watches=1,
         duration=OUTAGE[1] + 3.0,
     )
-    return judge(asyncio.run(play(plan, sabotage)))
+    return check_rules(asyncio.run(play(plan, sabotage)))
 
 
 @pytest.fixture(scope="module")
@@ -44,11 +44,11 @@
 
 @pytest.mark.parametrize("rule", SABOTAGE)
 def test_a_fleet_that_breaks_a_rule_is_noticed(rule: str, sabotaged: dict[str, Future[Verdict]]) -> None:
-    assert sabotaged[rule].result().broken.get(rule, 0) > 0
+    assert sabotaged[rule].result().violation_counts.get(rule, 0) > 0
 
 
 def test_a_fleet_keeps_the_rules_over_outages_in_series() -> None:
     outcome = asyncio.run(play(draw_plan(SEED)))
     assert not harness_fault(outcome)
-    verdict = judge(outcome)
-    assert not verdict.broken, verdict
+    verdict = check_rules(outcome)
+    assert not verdict.violation_counts, verdict
--- a/tests/test_list_after_outage.py
+++ b/tests/test_list_after_outage.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from tests.fleet.judge import Verdict, judge
 from tests.fleet.plan import Backlog, Plan
+from tests.fleet.rules import Verdict, check_rules
 from tests.fleet.trial import play
 
 FLEET = 230
@@ -35,7 +35,7 @@
         lost_watches=lost_watches,
         duration=changes[-1] + 2.0,
     )
-    return judge(asyncio.run(play(plan)))
+    return check_rules(asyncio.run(play(plan)))
 
 
 @pytest.fixture(scope="module")
@@ -55,7 +55,7 @@
 def test_calls_given_up_in_an_outage_do_not_delay_changes_after_it() -> None:
     # The agents answered what the whole fleet had asked and given up in the outage ahead of its new watches.
     verdict = play_outage(FLEET, Backlog.ALL, 0.1, 1.6)
-    assert not verdict.broken, verdict
+    assert not verdict.violation_counts, verdict
 
 
 @pytest.mark.parametrize("after_return", CHANGES_AFTER_LOST_WATCH)
@@ -68,4 +68,4 @@
 def test_calls_owed_after_an_outage_are_bounded(backlog: Backlog, trials: Trials) -> None:
     # A node asked ten times a second as long as the outage lasted, on a connection of its own each time.
     verdict = trials[backlog].result()
-    assert not verdict.broken, verdict
+    assert not verdict.violation_counts, verdict
