--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -32,7 +32,7 @@
 from runspool.cells.engine_placement import EngineDescriptor, home_cell, place_engines
 from runspool.config import parse_config
 from runspool.lab import recording
-from runspool.lab.audit import judge, read_history
+from runspool.lab.audit import check_rules, read_history
 from runspool.lab.audit.history import ClientAttemptRecord
 from runspool.lab.cell_scenarios import bad_release, flood, full_cell, poisoned
 from runspool.lab.front_configuration import front_configuration
@@ -94,7 +94,7 @@
 
 def count_violations(events: list[Event]) -> int:
     """Return the number of violations of the auditor's rules in a recording."""
-    return sum(rule.broken for rule in judge(read_history(events)).values())
+    return sum(rule.broken for rule in check_rules(read_history(events)).values())
 
 
 def confidence_interval(values: list[float]) -> tuple[float, float]:
--- a/runspool/lab/audit/__init__.py
+++ b/runspool/lab/audit/__init__.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from runspool.lab.audit.auditor import RULES, audit, judge
+from runspool.lab.audit.auditor import RULES, audit, check_rules
 from runspool.lab.audit.history import ClientAttemptRecord, EngineAttemptRecord, History, read_history
 from runspool.lab.audit.tolerance import EXACT_TOLERANCE, SOCKET_TOLERANCE, AuditTolerance
 from runspool.lab.audit.verdict import RuleVerdict
@@ -21,6 +21,6 @@
     "History",
     "RuleVerdict",
     "audit",
-    "judge",
+    "check_rules",
     "read_history",
 ]
--- a/runspool/lab/audit/auditor.py
+++ b/runspool/lab/audit/auditor.py
@@ -7,24 +7,24 @@
 
 from collections.abc import Callable
 
-from runspool.lab.audit.cold_starts import judge_cold_starts
-from runspool.lab.audit.drains import judge_drains
+from runspool.lab.audit.cold_starts import check_cold_starts
+from runspool.lab.audit.drains import check_drains
 from runspool.lab.audit.history import KILLED, History, read_history
-from runspool.lab.audit.lost_requests import judge_lost_requests
-from runspool.lab.audit.repeated_execution import judge_repeated_execution
-from runspool.lab.audit.retained_state import judge_retained_state
+from runspool.lab.audit.lost_requests import check_lost_requests
+from runspool.lab.audit.repeated_execution import check_repeated_execution
+from runspool.lab.audit.retained_state import check_retained_state
 from runspool.lab.audit.tolerance import SOCKET_TOLERANCE, AuditTolerance
 from runspool.lab.audit.verdict import RuleVerdict
 from runspool.lab.recording import Event
 
-JUDGES: dict[str, Callable[[History], RuleVerdict]] = {
-    "no query lost": judge_lost_requests,
-    "no effect twice": judge_repeated_execution,
-    "drains kept": judge_drains,
-    "cold engines not pushed over": judge_cold_starts,
-    "nothing pinned": judge_retained_state,
+RULE_CHECKS: dict[str, Callable[[History], RuleVerdict]] = {
+    "no query lost": check_lost_requests,
+    "no effect twice": check_repeated_execution,
+    "drains kept": check_drains,
+    "cold engines not pushed over": check_cold_starts,
+    "nothing pinned": check_retained_state,
 }
-RULES = tuple(JUDGES)
+RULES = tuple(RULE_CHECKS)
 
 
 def audit(events: list[Event], tolerance: AuditTolerance = SOCKET_TOLERANCE) -> dict[str, RuleVerdict]:
@@ -33,16 +33,16 @@
     Raises:
         UnreadableRecordingError: the recording has no valid plan, or an event refers to an unknown name.
     """
-    return judge(read_history(events, tolerance))
+    return check_rules(read_history(events, tolerance))
 
 
-def judge(history: History) -> dict[str, RuleVerdict]:
+def check_rules(history: History) -> dict[str, RuleVerdict]:
     """Check all five rules on a history and return the verdicts by rule name.
 
     The history is modified: attempts without a recorded end get one.
     """
     _close_open_attempts(history)
-    return {rule: judge_rule(history) for rule, judge_rule in JUDGES.items()}
+    return {rule: check(history) for rule, check in RULE_CHECKS.items()}
 
 
 def _close_open_attempts(history: History) -> None:
--- a/runspool/lab/audit/cold_starts.py
+++ b/runspool/lab/audit/cold_starts.py
@@ -10,14 +10,14 @@
 from runspool.lab.recording import Event
 
 
-def judge_cold_starts(history: History) -> RuleVerdict:
+def check_cold_starts(history: History) -> RuleVerdict:
     """Check the rule on every cold start of an engine."""
     verdict = RuleVerdict()
     for engine, starts in history.engine_starts.items():
         for start in starts:
             if start["cold"]:
                 verdict.cases += 1
-                _ColdStart(history, engine, start).judge(verdict)
+                _ColdStart(history, engine, start).check(verdict)
     return verdict
 
 
@@ -57,7 +57,7 @@
         self.window: int = start["fall_time"]
         self.mean_work: dict[str, float] = start["work"]
 
-    def judge(self, verdict: RuleVerdict) -> None:
+    def check(self, verdict: RuleVerdict) -> None:
         """Add a violation where the fronts overloaded the engine; at most one for each start."""
         tolerated = COLD_OVERLOAD_TOLERANCE * max(self.mean_work.values(), default=0.0)
         work = self._work_by_arrival()
--- a/runspool/lab/audit/drains.py
+++ b/runspool/lab/audit/drains.py
@@ -18,17 +18,17 @@
 StateChange = tuple[int, str]
 
 
-def judge_drains(history: History) -> RuleVerdict:
+def check_drains(history: History) -> RuleVerdict:
     """Check the rule on every change from the active state to another that a front was informed of."""
     verdict = RuleVerdict()
     for front in history.plan.fronts:
         for engine, changes in _state_changes(history, front.name).items():
             verdict.cases += sum(state != ACTIVE for _, state in changes)
-            _judge_engine(verdict, history, front.name, engine, changes)
+            _check_engine(verdict, history, front.name, engine, changes)
     return verdict
 
 
-def _judge_engine(
+def _check_engine(
     verdict: RuleVerdict, history: History, front: str, engine: str, changes: list[StateChange]
 ) -> None:
     grace = history.plan.drain_grace + history.tolerance.observation_delay
--- a/runspool/lab/audit/history.py
+++ b/runspool/lab/audit/history.py
@@ -123,7 +123,7 @@
     list_updates: dict[str, list[Event]] = field(default_factory=lambda: defaultdict(list))
     last_time: int = 0
 
-    def requests(self) -> dict[str, list[ClientAttemptRecord]]:
+    def attempts_by_request(self) -> dict[str, list[ClientAttemptRecord]]:
         """Return the client attempts by the request that they belong to, in the order in which they began."""
         by_request: dict[str, list[ClientAttemptRecord]] = defaultdict(list)
         for attempt in self.client_attempts.values():
--- a/runspool/lab/audit/lost_requests.py
+++ b/runspool/lab/audit/lost_requests.py
@@ -10,7 +10,7 @@
 DISCONNECTED = "left"  # the answer kind of a client attempt that ended because the client disconnected
 
 
-def judge_lost_requests(history: History) -> RuleVerdict:
+def check_lost_requests(history: History) -> RuleVerdict:
     """Check the rule on every request that its client sent completely.
 
     Requests that a front had in progress when it was killed are exempt, unless their time limit had passed
@@ -21,12 +21,12 @@
         if attempt.sent_at is None or _was_lost_with_its_front(history, attempt):
             continue
         verdict.cases += 1
-        _judge_answer(verdict, history, name, attempt)
+        _check_answer(verdict, history, name, attempt)
         if attempt.has_trailing_data:
             verdict.add_violation(f"{name}: data arrived after the final answer")
         if attempt.has_stream_gap:
             verdict.add_violation(f"{name}: a token of its stream is missing or repeated")
-        _judge_attempts_after_answer(verdict, history, name, attempt)
+        _check_attempts_after_answer(verdict, history, name, attempt)
     return verdict
 
 
@@ -51,7 +51,7 @@
     return any(start <= killed_at <= end for killed_at in history.front_kills[attempt.asked["front"]])
 
 
-def _judge_answer(verdict: RuleVerdict, history: History, name: str, attempt: ClientAttemptRecord) -> None:
+def _check_answer(verdict: RuleVerdict, history: History, name: str, attempt: ClientAttemptRecord) -> None:
     kind = attempt.answer_kind
     if kind in UNANSWERED:
         code = attempt.answer["code"] if attempt.answer else ""
@@ -69,7 +69,7 @@
         )
 
 
-def _judge_attempts_after_answer(
+def _check_attempts_after_answer(
     verdict: RuleVerdict, history: History, name: str, attempt: ClientAttemptRecord
 ) -> None:
     """Add a violation for each engine attempt that began after the client got its answer or disconnected."""
--- a/runspool/lab/audit/repeated_execution.py
+++ b/runspool/lab/audit/repeated_execution.py
@@ -12,26 +12,26 @@
 REJECTED = frozenset({"dismissed", "refused"})  # answer kinds that state that nothing was executed
 
 
-def judge_repeated_execution(history: History) -> RuleVerdict:
+def check_repeated_execution(history: History) -> RuleVerdict:
     """Check the rule on every request that reached an engine."""
     verdict = RuleVerdict()
     request_classes = {row.name: row for row in history.plan.request_classes}
     engines = {engine.spec.name: engine for engine in history.plan.engines}
-    for request, attempts in history.requests().items():
+    for request, attempts in history.attempts_by_request().items():
         request_class = request_classes[attempts[0].asked["tariff"]]
         verdict.cases += any(attempt.engine_attempts for attempt in attempts)
         if request_class.idempotency == "exclusive":
-            _judge_at_most_once(verdict, request, attempts)
+            _check_at_most_once(verdict, request, attempts)
         elif request_class.idempotency == "ticketed":
             keyed = _KeyedRule(verdict, history, request, request_class, engines)
             for attempt in attempts:
-                keyed.judge(attempt)
+                keyed.check(attempt)
         for attempt in attempts:
-            _judge_overlap(verdict, history, request, attempt)
+            _check_overlap(verdict, history, request, attempt)
     return verdict
 
 
-def _judge_at_most_once(verdict: RuleVerdict, request: str, attempts: list[ClientAttemptRecord]) -> None:
+def _check_at_most_once(verdict: RuleVerdict, request: str, attempts: list[ClientAttemptRecord]) -> None:
     executions = sum(engine_attempt.ran for attempt in attempts for engine_attempt in attempt.engine_attempts)
     if executions > 1:
         verdict.add_violation(f"{request}: at most one execution is allowed, but it ran {executions} times")
@@ -64,21 +64,21 @@
         self.window = request_class.deduplication_window + history.tolerance.observation_delay
         self.engines = engines
 
-    def judge(self, attempt: ClientAttemptRecord) -> None:
+    def check(self, attempt: ClientAttemptRecord) -> None:
         """Check one attempt of the client."""
         decodes = attempt.decode_attempts
         first = next((decode for decode in decodes if decode.may_have_run), None)
         if first is None:
             return
         for decode in decodes[decodes.index(first) + 1 :]:
-            self._judge_repeat(first, decode)
+            self._check_repeat(first, decode)
         if self.scope != "all" and attempt.answer_kind in REJECTED:
             self.verdict.add_violation(
                 f"{self.request}: rejected as not executed, although an engine may have run it and "
                 f"deduplication does not extend to all engines"
             )
 
-    def _judge_repeat(self, first: EngineAttemptRecord, repeat: EngineAttemptRecord) -> None:
+    def _check_repeat(self, first: EngineAttemptRecord, repeat: EngineAttemptRecord) -> None:
         if not self._in_scope(first.engine, repeat.engine):
             self.verdict.add_violation(
                 f"{self.request}: sent again to {repeat.engine}, outside the deduplication scope of "
@@ -101,7 +101,7 @@
         return self.scope == "zone" or repeat_spec.rack == first_spec.rack
 
 
-def _judge_overlap(
+def _check_overlap(
     verdict: RuleVerdict, history: History, request: str, attempt: ClientAttemptRecord
 ) -> None:
     """Check that a front had the request at one engine at a time."""
--- a/runspool/lab/audit/retained_state.py
+++ b/runspool/lab/audit/retained_state.py
@@ -15,7 +15,7 @@
 DOWNTIME_DELAYS = 20
 
 
-def judge_retained_state(history: History) -> RuleVerdict:
+def check_retained_state(history: History) -> RuleVerdict:
     """Check the rule on every prefill state that an engine held for a known attempt."""
     rule = _RetainedStateRule(history)
     held: dict[str, Event] = {}
@@ -27,9 +27,9 @@
             if holding is not None:
                 # A hung engine executes a release late, so the time at which the call reached it counts.
                 released_at: int = event["told"] if "told" in event else event["t"]
-                rule.judge(holding, released_at, event["what"])
+                rule.check(holding, released_at, event["what"])
     for holding in held.values():
-        rule.judge(holding, history.last_time, NEVER_RELEASED)
+        rule.check(holding, history.last_time, NEVER_RELEASED)
     return rule.verdict
 
 
@@ -40,7 +40,7 @@
         self.history = history
         self.verdict = RuleVerdict()
 
-    def judge(self, holding: Event, released_at: int, how: str) -> None:
+    def check(self, holding: Event, released_at: int, how: str) -> None:
         """Check one state that was held from its event `held` until `released_at`.
 
         `how` names the kind of event that ended the holding and is quoted in the violation.
--- a/runspool/lab/report.py
+++ b/runspool/lab/report.py
@@ -14,7 +14,7 @@
 from hdrh.histogram import HdrHistogram
 from jinja2 import Environment, PackageLoader, StrictUndefined
 
-from runspool.lab.audit import ClientAttemptRecord, History, RuleVerdict, judge, read_history
+from runspool.lab.audit import ClientAttemptRecord, History, RuleVerdict, check_rules, read_history
 from runspool.lab.plan import SECOND, ScenarioPlan
 from runspool.lab.recording import Event
 from runspool.units import TENTHS_PER_MS
@@ -87,7 +87,7 @@
         UnreadableRecordingError: the recording cannot be audited.
     """
     history = read_history(events)
-    rules = judge(history)
+    rules = check_rules(history)
     attempts = history.client_attempts.values()
     engine_attempts = history.engine_attempts.values()
     return {
@@ -183,7 +183,7 @@
     }
     asked: dict[tuple[str, str], float] = defaultdict(float)
     earned: dict[tuple[str, str], float] = defaultdict(float)
-    for attempts in history.requests().values():
+    for attempts in history.attempts_by_request().values():
         if any(attempt.answer_kind == "left" for attempt in attempts):
             continue  # requests whose client disconnected are not counted
         first = attempts[0]
