--- a/benchmarks/cells.py
+++ b/benchmarks/cells.py
@@ -94,7 +94,7 @@
 
 def count_violations(events: list[Event]) -> int:
     """Return the number of violations of the auditor's rules in a recording."""
-    return sum(rule.broken for rule in check_rules(read_history(events)).values())
+    return sum(rule.violation_count for rule in check_rules(read_history(events)).values())
 
 
 def confidence_interval(values: list[float]) -> tuple[float, float]:
--- a/runspool/cli/lab.py
+++ b/runspool/cli/lab.py
@@ -106,10 +106,10 @@
     except recording.UnreadableRecordingError as error:
         _fail(str(error))
     for name, verdict in verdicts.items():
-        typer.echo(f"{name}: {verdict.cases} cases, {verdict.broken} broken")
+        typer.echo(f"{name}: {verdict.cases} cases, {verdict.violation_count} broken")
         for example in verdict.examples:
             typer.echo(f"  {example}")
-    is_broken = any(verdict.broken for verdict in verdicts.values())
+    is_broken = any(verdict.violation_count for verdict in verdicts.values())
     raise typer.Exit(EXIT_BROKEN if is_broken else 0)
 
 
--- a/runspool/lab/audit/verdict.py
+++ b/runspool/lab/audit/verdict.py
@@ -13,16 +13,16 @@
 
     Attributes:
         cases: the number of cases to which the rule applied; 0 means that the recording never exercised it.
-        broken: the number of violations.
+        violation_count: the number of violations.
         examples: descriptions of the first violations, at most MAX_EXAMPLES.
     """
 
     cases: int = 0
-    broken: int = 0
+    violation_count: int = 0
     examples: list[str] = field(default_factory=list)
 
     def add_violation(self, description: str) -> None:
         """Count a violation, and keep its description if fewer than MAX_EXAMPLES are kept."""
-        self.broken += 1
+        self.violation_count += 1
         if len(self.examples) < MAX_EXAMPLES:
             self.examples.append(description)
--- a/runspool/lab/report.py
+++ b/runspool/lab/report.py
@@ -93,7 +93,7 @@
     return {
         "day": history.plan.name,
         "seed": history.plan.seed,
-        "kept": all(rule.broken == 0 for rule in rules.values()),
+        "kept": all(rule.violation_count == 0 for rule in rules.values()),
         "rules": {name: _summarize_rule(rule) for name, rule in rules.items()},
         "unjudged": [name for name, rule in rules.items() if rule.cases == 0],
         "gain": _value_served(history),
@@ -156,7 +156,7 @@
 
 
 def _summarize_rule(rule: RuleVerdict) -> RuleSummary:
-    return {"cases": rule.cases, "broken": rule.broken, "examples": rule.examples}
+    return {"cases": rule.cases, "broken": rule.violation_count, "examples": rule.examples}
 
 
 def _summarize_faults(events: list[Event]) -> list[FaultSummary]:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -76,7 +76,7 @@
     @property
     def broken(self) -> list[str]:
         """The rules that were violated."""
-        return [rule for rule, judged in self.verdict.items() if judged.broken]
+        return [rule for rule, judged in self.verdict.items() if judged.violation_count]
 
 
 async def play(soak: Soak, folder: Path) -> Result:
@@ -185,7 +185,7 @@
         print(json.dumps(asdict(fault)))
     print(json.dumps(Counter(event["what"] for event in result.events)))
     for rule, judged in result.verdict.items():
-        print(f"{rule}: {judged.cases} cases, {judged.broken} broken")
+        print(f"{rule}: {judged.cases} cases, {judged.violation_count} broken")
         for example in judged.examples[:5]:
             print(f"  {example}")
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -119,15 +119,15 @@
 
 def judged(events: list[Event]) -> dict[str, int]:
     return {
-        name: rule.broken
+        name: rule.violation_count
         for name, rule in audit(sorted(events, key=lambda event: event["t"])).items()
-        if rule.broken
+        if rule.violation_count
     }
 
 
 def test_a_clean_recording_passes_with_every_rule_at_stake() -> None:
     rules = audit(sorted(clean(), key=lambda event: event["t"]))
-    assert {name: rule.broken for name, rule in rules.items()} == dict.fromkeys(RULES, 0)
+    assert {name: rule.violation_count for name, rule in rules.items()} == dict.fromkeys(RULES, 0)
     assert all(rule.cases for rule in rules.values())
 
 
--- a/tests/test_auditor_rejects_forged_recordings.py
+++ b/tests/test_auditor_rejects_forged_recordings.py
@@ -262,6 +262,6 @@
         await anyio.sleep(settings.get("held_on", 0))  # a state is pinned by being there for so long
         fleet.recorder.record_event("over")
     found = audit(list(recording.read_recording(fleet.file)), tolerance)
-    broken = {name: judged.broken for name, judged in found.items() if judged.broken}
+    broken = {name: judged.violation_count for name, judged in found.items() if judged.violation_count}
     assert found[rule].cases
     assert (broken.get(rule, 0) > 0) if doctored else not broken, [one.examples for one in found.values()]
--- a/tests/test_front_recordings.py
+++ b/tests/test_front_recordings.py
@@ -55,4 +55,4 @@
                 )
         assert len(fleet.seen("ran")) == 30
         events = [msgspec.json.decode(line) for line in fleet.file.read_bytes().splitlines()]
-        assert all(rule.broken == 0 for rule in audit(events).values())
+        assert all(rule.violation_count == 0 for rule in audit(events).values())
--- a/tests/test_simulated_histories.py
+++ b/tests/test_simulated_histories.py
@@ -50,7 +50,7 @@
     for rule, verdict in verdicts.items():
         JUDGED[rule] += verdict.cases
         assert verdict.cases, f"{rule} was never at stake"
-    return {rule: verdict.examples for rule, verdict in verdicts.items() if verdict.broken}
+    return {rule: verdict.examples for rule, verdict in verdicts.items() if verdict.violation_count}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -75,7 +75,7 @@
         msgspec.json.decode(line) for line in lzma.decompress(file.read_bytes()).splitlines()
     ]
     recorded_verdicts = audit(recording)
-    assert all(verdict.cases and not verdict.broken for verdict in recorded_verdicts.values())
+    assert all(verdict.cases and not verdict.violation_count for verdict in recorded_verdicts.values())
     simulated_clock.install(monkeypatch)
     simulation = RecordedSimulation(1, recording)
     simulated_clock.run(simulation.run())
