--- a/tests/soak/agent_judge.py
+++ b/tests/soak/agent_rules.py
@@ -159,7 +159,7 @@
     return agents
 
 
-def judge_agents(events: list[Event], drains: RuleVerdict, calls: RuleVerdict, slack: float) -> None:
+def check_agents(events: list[Event], drains: RuleVerdict, calls: RuleVerdict, slack: float) -> None:
     """Add the violations of the rules on drains and on calls to agents.
 
     Args:
@@ -185,10 +185,10 @@
                     f"the engine drains since {since:.3f}, and the node could know it by {delivered:.3f}"
                 )
     for node, agent in agents.items():
-        _judge_calls(node, agent, calls)
+        _check_calls(node, agent, calls)
 
 
-def _judge_calls(node: str, agent: _Agent, verdict: RuleVerdict) -> None:
+def _check_calls(node: str, agent: _Agent, verdict: RuleVerdict) -> None:
     verdict.cases += len(agent.calls)
     first = 0
     for last, at in enumerate(agent.calls):
@@ -197,12 +197,12 @@
         if last - first >= MAX_CALLS_PER_SECOND:
             verdict.add_violation(f"{node} made {last - first + 1} calls in the second up to {at:.3f}")
             break
-    _judge_unanswered_calls(node, agent, verdict)
+    _check_unanswered_calls(node, agent, verdict)
     if agent.most_connections > MAX_CONNECTIONS:
         verdict.add_violation(f"{node} had {agent.most_connections} connections to its agent")
 
 
-def _judge_unanswered_calls(node: str, agent: _Agent, verdict: RuleVerdict) -> None:
+def _check_unanswered_calls(node: str, agent: _Agent, verdict: RuleVerdict) -> None:
     for began, ended in agent.outages:
         if any(since < ended and until > began for since, until in agent.crowded):
             continue  # a refused call is soon repeated, and the agent does not have to answer it
--- a/tests/soak/judge.py
+++ b/tests/soak/rules.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 from runspool.lab.audit import RuleVerdict
-from tests.soak.agent_judge import DRAIN_GRACE, judge_agents
+from tests.soak.agent_rules import DRAIN_GRACE, check_agents
 
 Event = dict[str, Any]
 
@@ -44,7 +44,7 @@
 RULES = ("lost", "stopped", "twice", "drain", "held", "gone", "deadline", "foreign", "alive", "calls")
 
 
-def judge(events: list[Event], resumable: bool = True) -> dict[str, RuleVerdict]:
+def check_rules(events: list[Event], resumable: bool = True) -> dict[str, RuleVerdict]:
     """Check all rules and return the verdict by rule; `resumable` is the attribute of Conditions."""
     verdict = {rule: RuleVerdict() for rule in RULES}
     stops = _stops(events)
@@ -55,11 +55,11 @@
             by_request[event["request"]].append(event)
     for name, request_events in by_request.items():
         checker = _RequestChecker(name, request_events, stops, verdict)
-        checker.judge()
-        checker.judge_cut_stream(resumable, faults)
-    _judge_drains(events, verdict["drain"])
-    judge_agents(events, verdict["drain"], verdict["calls"], SLACK)
-    _judge_alive(events, verdict["alive"])
+        checker.check()
+        checker.check_cut_stream(resumable, faults)
+    _check_drains(events, verdict["drain"])
+    check_agents(events, verdict["drain"], verdict["calls"], SLACK)
+    _check_alive(events, verdict["alive"])
     return verdict
 
 
@@ -126,19 +126,19 @@
         )
         self.verdict[rule].add_violation(f"{self.name}: {text} [{trace}]")
 
-    def judge(self) -> None:
+    def check(self) -> None:
         """Check all rules that concern single requests, except the one on cut streams."""
-        self._judge_foreign()
+        self._check_foreign()
         if self.request is None:
             return
-        self._judge_lost(self.request)
-        self._judge_twice(self.request)
+        self._check_lost(self.request)
+        self._check_twice(self.request)
         if not self._node_was_killed(self.request):
-            self._judge_held()
-        self._judge_gone()
-        self._judge_deadlines(self.request)
+            self._check_held()
+        self._check_gone()
+        self._check_deadlines(self.request)
 
-    def _judge_foreign(self) -> None:
+    def _check_foreign(self) -> None:
         self.verdict["foreign"].cases += 1
         if self.request is None and self.all("sent"):
             self.add_violation("foreign", "passed on, although no client sent it as a well-formed request")
@@ -171,7 +171,7 @@
             for stop in self.stops
         )
 
-    def _judge_stopped(self, request: Event, answered: Event, stop: _Stop) -> None:
+    def _check_stopped(self, request: Event, answered: Event, stop: _Stop) -> None:
         """Check a request that was open while its node was being stopped.
 
         A process that gets SIGKILL without SIGTERM is exempt.
@@ -197,7 +197,7 @@
         """Return whether the node closed the connection while the request was sent, and so never read it."""
         return not self.all("sent") and (not request["new"] or after_signal > CONNECTING_UNTIL)
 
-    def judge_cut_stream(self, resumable: bool, faults: list[Event]) -> None:
+    def check_cut_stream(self, resumable: bool, faults: list[Event]) -> None:
         """Check that a node does not cut a stream whose events still arrive, unless clients can resume it."""
         request, begun, answered = self.request, self.first("begun"), self.answered
         if resumable or request is None or begun is None or answered is None or answered["how"] != "cut":
@@ -208,14 +208,14 @@
         if not by_kill and not _has_fault(faults, engine, begun["t"], answered["t"]):
             self.add_violation("lost", "the stream was cut, although the engine still sent its events")
 
-    def _judge_lost(self, request: Event) -> None:
+    def _check_lost(self, request: Event) -> None:
         if self.left is not None or self.answered is None:
             return
         self.verdict["lost"].cases += 1
         answered, begun = self.answered, self.first("begun")
         stop = self._stop_of(request)
         if stop is not None:
-            self._judge_stopped(request, answered, stop)
+            self._check_stopped(request, answered, stop)
             if answered["how"] in ("closed", "late"):
                 return
         took = (begun or answered)["t"] - request["t"]
@@ -230,7 +230,7 @@
         elif answered["status"] not in (0, 200, 500, 503):
             self.add_violation("lost", f"a well-formed request was answered with status {answered['status']}")
 
-    def _judge_twice(self, request: Event) -> None:
+    def _check_twice(self, request: Event) -> None:
         self.verdict["twice"].cases += 1
         ran = self.all("ran")
         if request["kind"] == "book" and len(ran) > 1:
@@ -250,7 +250,7 @@
         ):
             self.add_violation("twice", "sent again after its deduplication window")
 
-    def _judge_held(self) -> None:
+    def _check_held(self) -> None:
         """Check how long the request's state was held.
 
         The time counts while no attempt that has arrived at an engine is unanswered.
@@ -280,7 +280,7 @@
         if held and since is not None:
             self.add_violation("held", "its state was neither used nor released")
 
-    def _judge_gone(self) -> None:
+    def _check_gone(self) -> None:
         self.verdict["gone"].cases += 1
         for event in self.all("sent"):
             if self.left is not None and event["t"] > self.left["t"] + DISCONNECT_GRACE + SLACK:
@@ -290,7 +290,7 @@
             if self.answered is not None and event["t"] > self.answered["t"] + SLACK:
                 self.add_violation("gone", "sent after its client had been answered")
 
-    def _judge_deadlines(self, request: Event) -> None:
+    def _check_deadlines(self, request: Event) -> None:
         for event in self.all("sent"):
             self.verdict["deadline"].cases += 1
             sent_deadline = int(event["deadline"].removesuffix("u") or 0) / 1e6
@@ -301,7 +301,7 @@
                 )
 
 
-def _judge_drains(events: list[Event], verdict: RuleVerdict) -> None:
+def _check_drains(events: list[Event], verdict: RuleVerdict) -> None:
     """Check that nodes send nothing to engines that they know are draining.
 
     A node knows of a drain from the endpoint list with which it started, or from a response of its agent.
@@ -331,7 +331,7 @@
                 )
 
 
-def _judge_alive(events: list[Event], verdict: RuleVerdict) -> None:
+def _check_alive(events: list[Event], verdict: RuleVerdict) -> None:
     for event in events:
         if event["what"] in ("started", "ready"):
             verdict.cases += 1
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -22,8 +22,8 @@
 from tests.soak.edges import Edge
 from tests.soak.environment import MIXED_ENGINES, Environment, Event
 from tests.soak.faults import Fault, FaultInjector, schedule
-from tests.soak.judge import SLACK, judge
 from tests.soak.nodes import SoakNode
+from tests.soak.rules import SLACK, check_rules
 from tests.soak.sabotage_conditions import conditions_for
 
 START_GROUP_SIZE = 6  # nodes that are started at the same time
@@ -74,9 +74,9 @@
         return max((event["late"] for event in self.events if event["what"] == "lag"), default=0.0)
 
     @property
-    def broken(self) -> list[str]:
+    def violated_rules(self) -> list[str]:
         """The rules that were violated."""
-        return [rule for rule, judged in self.verdict.items() if judged.violation_count]
+        return [rule for rule, rule_verdict in self.verdict.items() if rule_verdict.violation_count]
 
 
 async def play(soak: Soak, folder: Path) -> Result:
@@ -114,7 +114,7 @@
         await asyncio.gather(*(node.close() for node in nodes))
         lag.cancel()
     events = list(environment.recording.events)
-    verdict = judge(events, environment.conditions.resumable)
+    verdict = check_rules(events, environment.conditions.resumable)
     return Result(faults, events, verdict, {node.name: node.log for node in nodes})
 
 
@@ -138,7 +138,7 @@
     return str(library)
 
 
-def play_now(soak: Soak, folder: Path) -> Result:
+def play_in_new_loop(soak: Soak, folder: Path) -> Result:
     """Run play() in a new event loop."""
     return asyncio.run(play(soak, folder))
 
@@ -162,7 +162,7 @@
     with TemporaryDirectory() as folder:
         preload = clock_library(Path(folder))
         print("wall clocks " + ("are stepped" if preload else "are not stepped: no C compiler found"))
-        result = play_now(Soak(**options, preload=preload), Path(folder))
+        result = play_in_new_loop(Soak(**options, preload=preload), Path(folder))
     if logs is not None:
         logs.mkdir(parents=True, exist_ok=True)
         for name, log in result.logs.items():
@@ -176,7 +176,7 @@
         )
         return HARNESS_FAULT
     print_result(result)
-    return 1 if result.broken else 0
+    return 1 if result.violated_rules else 0
 
 
 def print_result(result: Result) -> None:
@@ -184,9 +184,9 @@
     for fault in result.faults:
         print(json.dumps(asdict(fault)))
     print(json.dumps(Counter(event["what"] for event in result.events)))
-    for rule, judged in result.verdict.items():
-        print(f"{rule}: {judged.cases} cases, {judged.violation_count} broken")
-        for example in judged.examples[:5]:
+    for rule, rule_verdict in result.verdict.items():
+        print(f"{rule}: {rule_verdict.cases} cases, {rule_verdict.violation_count} broken")
+        for example in rule_verdict.examples[:5]:
             print(f"  {example}")
 
 
--- a/tests/soak/sweep.py
+++ b/tests/soak/sweep.py
@@ -15,7 +15,7 @@
 from shutil import rmtree
 
 from tests.soak.conditions import draw_conditions
-from tests.soak.judge import RULES
+from tests.soak.rules import RULES
 from tests.soak.verdict import read_verdict
 
 TIMEOUT_MARGIN = 120.0  # seconds that a soak's process may take in addition to the duration of its load
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -14,7 +14,7 @@
 import pytest
 
 from tests.process_environment import PROCESS_ENVIRONMENT
-from tests.soak.judge import RULES
+from tests.soak.rules import RULES
 from tests.soak.verdict import read_verdict
 
 SEEDS = (1, 5, 8)
