--- a/tests/soak/environment.py
+++ b/tests/soak/environment.py
@@ -201,7 +201,7 @@
         finally:
             if state is not None:
                 state.waiting_attempts -= 1
-        self.environment.take_state(name)
+        self.environment.drop_state(name)
         writer.write(STREAM_HEAD)
         duration = self.environment.conditions.stream_duration(name)
         events = expected_stream(name, duration)
@@ -268,9 +268,9 @@
     def lose_states(self, engine: str) -> None:
         """Drop all states of an engine whose process has ended."""
         for request in [name for name, state in self.states.items() if state.engine == engine]:
-            self.take_state(request)
+            self.drop_state(request)
 
-    def take_state(self, request: str) -> None:
+    def drop_state(self, request: str) -> None:
         """Stop holding a state, because its stream has begun or its engine has lost it."""
         if self.states.pop(request, None) is not None:
             self.record("taken", request=request)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -107,9 +107,9 @@
 
         await asyncio.gather(*map(inject, faults))
 
-    def edges(self, fault: Fault) -> list[FaultProxy]:
+    def _proxies(self, fault: Fault) -> list[FaultProxy]:
         """Return the proxies between the nodes and the engines of a fault."""
-        return [self.nodes[index].edges[engine] for index in fault.nodes for engine in fault.engines]
+        return [self.nodes[index].engine_proxies[engine] for index in fault.nodes for engine in fault.engines]
 
     async def silence(self, fault: Fault) -> None:
         """Hold back all bytes in both directions.
@@ -121,14 +121,16 @@
 
     async def silence_there(self, fault: Fault) -> None:
         """Hold back all bytes from the nodes to the engines."""
-        await self._silence_directions(fault, [edge.to_engine for edge in self.edges(fault)])
+        await self._silence_directions(fault, [proxy.to_engine for proxy in self._proxies(fault)])
 
     async def silence_back(self, fault: Fault) -> None:
         """Hold back all bytes from the engines to the nodes."""
-        await self._silence_directions(fault, [edge.from_engine for edge in self.edges(fault)])
+        await self._silence_directions(fault, [proxy.from_engine for proxy in self._proxies(fault)])
 
     def _both_directions(self, fault: Fault) -> list[Direction]:
-        return [direction for edge in self.edges(fault) for direction in (edge.to_engine, edge.from_engine)]
+        return [
+            direction for proxy in self._proxies(fault) for direction in (proxy.to_engine, proxy.from_engine)
+        ]
 
     async def _silence_directions(self, fault: Fault, directions: list[Direction]) -> None:
         for direction in directions:
@@ -151,7 +153,7 @@
 
     async def delay(self, fault: Fault) -> None:
         """Forward requests slowly and in small pieces."""
-        directions = [edge.to_engine for edge in self.edges(fault)]
+        directions = [proxy.to_engine for proxy in self._proxies(fault)]
         for direction in directions:
             direction.delay, direction.piece = 0.05, 64
         await asyncio.sleep(fault.lasts)
@@ -160,8 +162,8 @@
 
     async def reset(self, fault: Fault) -> None:
         """Reset all connections between the nodes and the engines."""
-        for edge in self.edges(fault):
-            edge.reset()
+        for proxy in self._proxies(fault):
+            proxy.reset()
 
     async def hang(self, fault: Fault) -> None:
         """Make engines hang, for all nodes."""
--- a/tests/soak/nodes.py
+++ b/tests/soak/nodes.py
@@ -59,7 +59,7 @@
         folder: the folder for its configuration file.
         sabotage: the rule that it violates; empty for none.
         preload: the path of a library to preload; empty for none.
-        edges: by engine, the proxy between the node and the engine.
+        engine_proxies: by engine, the proxy between the node and the engine.
         port: the port on which it listens for clients.
         log: what all of its processes have logged.
         up: whether it is ready and has not been signalled to end.
@@ -73,7 +73,7 @@
     folder: Path
     sabotage: str = ""
     preload: str = ""
-    edges: dict[str, FaultProxy] = field(default_factory=dict)
+    engine_proxies: dict[str, FaultProxy] = field(default_factory=dict)
     port: int = 0
     log: bytes = b""
     up: bool = False
@@ -81,12 +81,12 @@
     ended_by_test: bool = False
     is_listening: bool = False
 
-    async def prepare(self, make_edge: Callable[[str, str], FaultProxy]) -> None:
-        """Start the agent and the proxies; `make_edge` is called with the node's and an engine's name."""
+    async def prepare(self, make_proxy: Callable[[str, str], FaultProxy]) -> None:
+        """Start the agent and the proxies; `make_proxy` is called with the node's and an engine's name."""
         for engine in self.environment.engines:
-            self.edges[engine] = make_edge(self.name, engine)
-            await self.edges[engine].start()
-        self.agent = SoakAgent(self.environment, self.name, lambda engine: self.edges[engine].port)
+            self.engine_proxies[engine] = make_proxy(self.name, engine)
+            await self.engine_proxies[engine].start()
+        self.agent = SoakAgent(self.environment, self.name, lambda engine: self.engine_proxies[engine].port)
         await self.agent.start()
         self.port = free_port()
 
@@ -209,5 +209,5 @@
             self.signal(signal.SIGTERM)
             await self.wait_end()
         self.agent.server.close()
-        for edge in self.edges.values():
-            await edge.close()
+        for proxy in self.engine_proxies.values():
+            await proxy.close()
--- a/tests/soak/edges.py
+++ b/tests/soak/recording_proxy.py
@@ -27,7 +27,7 @@
     unanswered: bool = True
 
 
-class Edge(FaultProxy):
+class RecordingProxy(FaultProxy):
     """Records the requests and responses that pass through it.
 
     It relies on the node writing a request's head in one piece.
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -19,10 +19,10 @@
 from runspool.lab.audit import RuleVerdict
 from tests.soak.client_workload import DISCONNECTING_SHARE, ClientWorkload
 from tests.soak.conditions import draw_conditions
-from tests.soak.edges import Edge
 from tests.soak.environment import MIXED_ENGINES, Environment, Event
 from tests.soak.faults import Fault, FaultInjector, schedule
 from tests.soak.nodes import SoakNode
+from tests.soak.recording_proxy import RecordingProxy
 from tests.soak.rules import SLACK, check_rules
 from tests.soak.sabotage_conditions import conditions_for
 
@@ -100,7 +100,7 @@
     lag = asyncio.ensure_future(_record_lag(environment))
     try:
         for node in nodes:
-            await node.prepare(lambda node, engine: Edge(environment, node, engine))
+            await node.prepare(lambda node, engine: RecordingProxy(environment, node, engine))
         for first in range(0, len(nodes), START_GROUP_SIZE):
             await asyncio.gather(*(node.start() for node in nodes[first : first + START_GROUP_SIZE]))
         injection = asyncio.ensure_future(FaultInjector(environment, nodes).run(faults))
