--- a/runspool/lab/report.py
+++ b/runspool/lab/report.py
@@ -160,6 +160,7 @@
 
 
 def _summarize_faults(events: list[Event]) -> list[FaultSummary]:
+    """Return the faults that were injected, in the order in which they began."""
     begin = next((event["at"] for event in events if event["what"] == "begin"), 0)
     return [
         {"kind": event["kind"], "at_ms": round(event["t"] / TENTHS_PER_MS - begin / TENTHS_PER_MS)}
@@ -178,6 +179,7 @@
 
 
 def _value_served(history: History) -> ValueServed:
+    """Compute the value served in time. A request counts with the best of its attempts."""
     weights = {
         request_class.name: request_class.priority_weight for request_class in history.plan.request_classes
     }
