--- a/runspool/lab/audit/tolerance.py
+++ b/runspool/lab/audit/tolerance.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditTolerance:
-    """The delays that can be caused by the recording processes, so that the fronts are not blamed for them.
+    """The delays that the recording processes may cause, and that are therefore no violations by a front.
 
     Attributes:
         late_answer: how long after its time limit an answer may be recorded, because the client may have
--- a/tests/fleet/plan.py
+++ b/tests/fleet/plan.py
@@ -17,7 +17,7 @@
     ALL = "all"  # it answers all of them, also those whose connection the node has closed
     LAST_FIRST = "last_first"  # it answers all of them, the latest first
     PRESENT = "present"  # it answers those whose connection is still open
-    NONE = "none"  # it answers none of them, but the calls that follow
+    NONE = "none"  # it answers none of them, only calls that it receives later
     DEAF = "deaf"  # it answers none of them and never reads from their connections again
     UNREAD = "unread"  # it answers all of them; in the outage it neither accepts connections nor reads
     RESET = "reset"  # it answers none of them and resets all connections at the end of the outage
--- a/tests/soak/agents.py
+++ b/tests/soak/agents.py
@@ -11,7 +11,7 @@
 from tests.fault_proxy import HOST
 from tests.node_platform.agent_pace import AgentPace
 from tests.node_platform.http_messages import ReceivedRequest, http_response, read_request
-from tests.soak.environment import LEFT, Environment
+from tests.soak.environment import NOT_LISTED, Environment
 
 # Calls of each node that an agent may have to answer before a call, where all agents are one busy process.
 MAX_QUEUED_CALLS = 6
@@ -40,7 +40,7 @@
         """Return the present list as JSON, or only the entries that have changed after revision `after`."""
         status = self.environment.status
         if after is None:
-            names = [name for name in status if status[name] != LEFT]
+            names = [name for name in status if status[name] != NOT_LISTED]
         else:
             names = [name for name in status if self.environment.changed_in[name] > after]
         return json.dumps(
--- a/tests/soak/client_workload.py
+++ b/tests/soak/client_workload.py
@@ -11,7 +11,8 @@
 from tests.soak.environment import Environment, expected_stream
 from tests.soak.nodes import SoakNode
 
-CLASSES = ("ask", "ask", "book", "pay")  # the request classes, from which one is drawn for each request
+# The request class of each request is drawn from these; half of the requests are of class "ask".
+REQUEST_CLASSES = ("ask", "ask", "book", "pay")
 DISCONNECTING_SHARE = 0.07  # share of the clients that disconnect before they are answered
 MALFORMED_SHARE = 0.04  # share of the requests that are malformed
 REUSED_CONNECTION_SHARE = 0.6  # share of the requests that are sent on an idle connection, if there is one
@@ -118,7 +119,7 @@
         return Client(*await asyncio.open_connection(HOST, node.port)), True
 
     async def _send_well_formed(self, node: SoakNode, name: str, disconnects: bool) -> None:
-        kind = self.random.choice(CLASSES)
+        kind = self.random.choice(REQUEST_CLASSES)
         deadline = self.random.choice(DEADLINE_SHARES) * self.environment.conditions.longest_deadline
         body = b'{"prompt":"%b"}' % name.encode()
         client, new = await self._connection(node)
--- a/tests/soak/environment.py
+++ b/tests/soak/environment.py
@@ -29,9 +29,9 @@
 from tests.soak.conditions import Conditions
 
 Event = dict[str, Any]
-KINDS = ("prefill", "decode", "mixed")
+ENGINE_KINDS = ("prefill", "decode", "mixed")
 EVENT_INTERVAL = 0.1  # seconds between two events of a long stream
-LEFT = "left"  # the status of an engine that is not on the endpoint list
+NOT_LISTED = "left"  # the status of an engine that is not on the endpoint list
 PREFILL_ENGINES, DECODE_ENGINES, MIXED_ENGINES = 8, 7, 3  # the number of engines of each kind in a soak
 
 
@@ -231,7 +231,7 @@
         self.record = self.recording.record
         self.states: dict[str, State] = {}
         self.engines: dict[str, SoakEngine] = {}
-        for kind, count in zip(KINDS, (PREFILL_ENGINES, DECODE_ENGINES, mixed_engines), strict=True):
+        for kind, count in zip(ENGINE_KINDS, (PREFILL_ENGINES, DECODE_ENGINES, mixed_engines), strict=True):
             for index in range(count):
                 name = f"{kind}-{index}"
                 self.engines[name] = SoakEngine(self, name, kind)
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -11,7 +11,7 @@
 from tests.fault_proxy import Direction, FaultProxy
 from tests.node_platform.agent_pace import AgentPace
 from tests.soak.agents import SoakAgent
-from tests.soak.environment import LEFT, Environment
+from tests.soak.environment import NOT_LISTED, Environment
 from tests.soak.nodes import SoakNode
 
 QUIET_END = 2.0  # seconds at the end of a soak in which no fault begins
@@ -50,7 +50,7 @@
     amount: float = 0.0
 
 
-def schedule(
+def draw_faults(
     seed: int, seconds: float, environment: Environment, nodes: int, mean_interval: float = 0.5
 ) -> list[Fault]:
     """Draw the faults of a soak of `seconds`; `mean_interval` is the mean time in seconds between two."""
@@ -70,7 +70,7 @@
         return Fault(round(begin, 2), kind, lasts, affected_engines, affected_nodes, amount)
 
     while at < seconds - QUIET_END:
-        kind = random.choice(list(KINDS))
+        kind = random.choice(list(FAULT_METHODS))
         faults.append(draw(at, kind))
         if kind in STOPS:
             kill_after = environment.conditions.kill_after
@@ -103,7 +103,7 @@
             self.environment.record(
                 "fault", kind=fault.kind, lasts=fault.lasts, engines=fault.engines, nodes=fault.nodes
             )
-            await KINDS[fault.kind](self, fault)
+            await FAULT_METHODS[fault.kind](self, fault)
 
         await asyncio.gather(*map(inject, faults))
 
@@ -333,7 +333,7 @@
     async def left_and_back(self, fault: Fault) -> None:
         """Remove engines from the endpoint list, restart them, and list them again when the fault ends."""
         for engine in fault.engines:
-            await self.environment.set_status(engine, LEFT)
+            await self.environment.set_status(engine, NOT_LISTED)
         await self._restart_engines(fault)
 
     async def _restart_engines(self, fault: Fault) -> None:
@@ -373,7 +373,8 @@
         await asyncio.sleep(0)
 
 
-KINDS: dict[str, Callable[[FaultInjector, Fault], Awaitable[None]]] = {
+# The methods of all kinds of faults, by the name of the kind. The draws of a seed depend on their order.
+FAULT_METHODS: dict[str, Callable[[FaultInjector, Fault], Awaitable[None]]] = {
     inject.__name__: inject
     for inject in (
         FaultInjector.silence,
--- a/tests/soak/rules.py
+++ b/tests/soak/rules.py
@@ -31,12 +31,13 @@
 SLACK = 0.15
 RELEASE_TIMEOUT = 0.6  # seconds until unused state is released, including the platform's socket tolerance
 DISCONNECT_GRACE = 0.1  # seconds for which a node may still send after its client has disconnected
-LATE_RESPONSE = 0.5  # seconds after the deadline in which a response is too late to count, but no violation
+LATE_RESPONSE = 0.5  # seconds after the deadline within which a late response is worthless but no violation
 DEADLINE_SLACK = 0.15  # seconds by which a deadline that is sent to an engine may exceed the remaining time
 DEDUPLICATION_WINDOW = 2.0  # seconds in which a request of class "pay" may be repeated (see soak_settings)
 MAX_START = 10.0  # seconds from the start of a node's process until it is ready
 
-# Seconds after SIGTERM. Requests that are sent later may not be open any more when the node is killed.
+# Latest time at which a request may be sent and still be open when the node is killed, in seconds after
+# SIGTERM.
 LAST_OPEN_AT_KILL = 0.7
 CONNECTING_UNTIL = 0.4  # seconds after SIGTERM for which clients open new connections
 STREAM_SILENCE = 5.0  # seconds without data after which a client treats its stream as broken
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -20,7 +20,7 @@
 from tests.soak.client_workload import DISCONNECTING_SHARE, ClientWorkload
 from tests.soak.conditions import draw_conditions
 from tests.soak.environment import MIXED_ENGINES, Environment, Event
-from tests.soak.faults import Fault, FaultInjector, schedule
+from tests.soak.faults import Fault, FaultInjector, draw_faults
 from tests.soak.nodes import SoakNode
 from tests.soak.recording_proxy import RecordingProxy
 from tests.soak.rules import SLACK, check_rules
@@ -95,7 +95,7 @@
         faults = conditions.faults
         disconnecting_share = conditions.disconnecting_share
     else:
-        faults = schedule(soak.seed, soak.seconds, environment, soak.nodes, soak.each)
+        faults = draw_faults(soak.seed, soak.seconds, environment, soak.nodes, soak.each)
         disconnecting_share = DISCONNECTING_SHARE
     lag = asyncio.ensure_future(_record_lag(environment))
     try:
