--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet in one event loop on loopback: stand-in engines, an endpoint list service and a real front."""
+"""A small fleet in one event loop on loopback: stand-in engines, an endpoint list and a real front."""
 
 from __future__ import annotations
 
