--- a/tests/test_malformed_requests.py
+++ b/tests/test_malformed_requests.py
@@ -1,4 +1,4 @@
-"""Malformed requests, and JSON nested too deep: they end at most themselves and hide no other request."""
+"""Malformed requests and deeply nested JSON fail without affecting or smuggling other requests."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 }
 
 
-async def test_malformed_requests_get_an_error_and_nothing_of_them_is_passed_on(tmp_path: Path) -> None:
+async def test_malformed_requests_get_an_error_and_are_not_forwarded(tmp_path: Path) -> None:
     async with Platform(tmp_path, PAIR).open() as platform:
         for fault, data in MALFORMED_REQUESTS.items():
             hidden = post("hidden") if b"chunked" in data else b""
@@ -65,7 +65,9 @@
 
 
 @pytest.mark.parametrize("order", ["length first", "coding first"])
-async def test_two_lengths_hide_no_second_request_however_they_are_split(order: str, tmp_path: Path) -> None:
+async def test_conflicting_lengths_smuggle_no_second_request_wherever_the_bytes_are_split(
+    order: str, tmp_path: Path
+) -> None:
     fields = ["content-length: 5", "transfer-encoding: chunked"]
     lines = "\r\n".join(fields if order == "length first" else fields[::-1])
     data = (
@@ -85,7 +87,7 @@
 
 
 @pytest.mark.parametrize("where", ["body", "event", "prefill"])
-async def test_deeply_nested_json_ends_at_most_its_request(where: str, tmp_path: Path) -> None:
+async def test_deeply_nested_json_fails_at_most_its_own_request(where: str, tmp_path: Path) -> None:
     deep = b'{"a":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -1,4 +1,4 @@
-"""What a node does after each outcome of an attempt: the real program against scripted engines."""
+"""What a node does after each outcome of an attempt, tested with the real program and scripted engines."""
 
 from __future__ import annotations
 
@@ -28,7 +28,9 @@
 TWO_DECODE_ENGINES = {"r": "prefill", "w": "decode", "v": "decode"}
 
 
-async def test_a_request_is_prefilled_then_decoded_and_its_events_pass_unchanged(tmp_path: Path) -> None:
+async def test_a_request_is_prefilled_then_decoded_and_its_events_are_forwarded_unchanged(
+    tmp_path: Path,
+) -> None:
     async with Platform(tmp_path, PAIR).open() as platform:
         response = await platform.ask(post("q1"))
         assert (response.status, response.complete, response.body) == (200, True, b"".join(EVENTS))
@@ -99,7 +101,9 @@
         response = await platform.ask(post("q1", "book"))
         assert response.status == 503
         assert float(response.headers["retry-after"]) <= 2.0
-        await platform.until(lambda: len(platform.release_calls("q1")) >= 1)  # the state that nobody fetched
+        await platform.until(
+            lambda: len(platform.release_calls("q1")) >= 1
+        )  # of the state that no engine fetched
 
 
 def drains(platform: Platform) -> None:
@@ -116,10 +120,10 @@
 
 
 @pytest.mark.parametrize("change", [drains, prefills_only, has_another_address])
-async def test_a_change_learned_while_connecting_bars_the_attempt(
+async def test_a_list_change_received_while_connecting_prevents_the_attempt(
     change: Callable[[Platform], None], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A send to a draining engine counts from its first byte.
+    # An attempt at a draining engine is a fault as soon as its first byte is sent.
     sent: list[bytes] = []
     connecting, proceed = asyncio.Event(), asyncio.Event()
 
--- a/tests/test_node_configuration.py
+++ b/tests/test_node_configuration.py
@@ -1,4 +1,4 @@
-"""A node's configuration and settings: faults are named, reloads change only what they can use."""
+"""A node's configuration and settings: errors name the key, and a malformed file changes nothing."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
 
 
 def setting_paths(value: Any, prefix: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
-    """Return the path of each value in the settings, objects and lists among them."""
+    """Return the path of each value in the settings, including objects and lists."""
     children: Iterable[tuple[Any, Any]] = ()
     if isinstance(value, dict):
         children = value.items()
@@ -101,7 +101,7 @@
 
 
 def with_setting(settings: Any, path: tuple[Any, ...], value: Any) -> Any:
-    """Return the settings with another value at a path, or with none."""
+    """Return a copy of the settings in which the value at a path is replaced, or removed if it is ABSENT."""
     settings = copy.deepcopy(settings)
     parent = settings
     for key in path[:-1]:
--- a/tests/test_node_internal_errors.py
+++ b/tests/test_node_internal_errors.py
@@ -1,4 +1,4 @@
-"""Errors of the program itself end at most the request that they happen in."""
+"""An internal error of the node fails at most the request in which it happens."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 PAIR = {"r": "prefill", "w": "decode"}
 
 
-async def test_an_error_in_a_background_task_ends_nothing(tmp_path: Path) -> None:
+async def test_an_error_in_a_background_task_fails_no_request(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
         errors = []
@@ -42,7 +42,7 @@
         assert not platform.run.done()
 
 
-async def test_an_error_after_an_attempt_ends_its_request_alone(tmp_path: Path) -> None:
+async def test_an_error_after_an_attempt_fails_only_its_request(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
         node = running.executor
@@ -59,7 +59,7 @@
         assert not node.requests and not platform.run.done()
 
 
-async def test_an_error_while_a_response_is_sent_is_answered_itself(
+async def test_an_error_while_a_response_is_sent_is_answered_with_status_500(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def fails(*arguments: Any) -> None:
--- a/tests/test_node_shutdown_races.py
+++ b/tests/test_node_shutdown_races.py
@@ -1,6 +1,6 @@
-"""Shutdown of a node: requests, connections and streams in every order around the signal.
+"""Shutdown of a node while requests, connections and streams begin and end around the signal.
 
-The node is real and on loopback; the order of events is forced by its peers (docs/design/rare.md).
+The tests run a real node on loopback; its peers force the order of events (docs/design/rare.md).
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
         for client, name in ((idle_client, "q2"), (await platform.client(), "q3")):
             client.send(post(name))
             assert (await client.read_response()).complete
-            client.send(post(f"{name}-again"))  # its connection stays open: there may be no other node
+            client.send(post(f"{name}-again"))  # its connection stays open, as there may be no other node
             assert (await client.read_response()).complete
         health = await platform.client()
         health.send(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -71,7 +71,7 @@
 async def test_a_shutdown_with_short_deadlines_serves_late_requests(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # So long that a slow machine cannot be late for it; where only deadlines count it is no time at all.
+    # Long enough for a slow machine; a shutdown that considers only the short deadlines would not wait.
     monkeypatch.setattr(graceful_shutdown, "MIN_ACCEPT_DURATION", 10 * 10_000, raising=False)
     platform = Platform(tmp_path, PAIR)
     platform.settings = settings_with_deadline(600)
@@ -79,7 +79,7 @@
         idle_client, _ = await idle_connection(platform, running)
         running.stop()
         await asyncio.sleep(0)
-        # Before the kill there is time enough for it.
+        # Enough time is left before the kill to serve these requests.
         for client in (idle_client, await platform.client()):
             client.send(post(f"s{id(client)}", req_deadline="600m"))
             assert (await client.read_response()).complete
@@ -90,48 +90,48 @@
 async def test_a_shutdown_accepts_late_requests_only_where_streams_can_resume(
     resumable: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What comes 0.7 s after SIGTERM and still streams at the kill is lost unless it can resume elsewhere."""
+    """A stream that starts 0.7 s after SIGTERM and is open at the kill is lost unless it can be resumed."""
     monkeypatch.setattr(graceful_shutdown, "MIN_ACCEPT_DURATION", 0)
-    # As if there were a minute until the last request.
+    # If late requests are accepted at all, accept them until long after the end of this test.
     monkeypatch.setattr(graceful_shutdown, "LAST_REQUEST_MARGIN", -60 * 10_000)
     platform = Platform(tmp_path, PAIR)
     platform.settings = changed_settings(lambda settings: settings["family-info"].update(resume=resumable))
     async with platform.inside() as running:
         running.stop()
         await until(lambda: running.executor.shutdown_deadline)
-        for _ in range(20):  # rounds of the loop, in which nothing but the shutdown has anything to do
+        for _ in range(20):  # iterations of the event loop, in which only the shutdown has work to do
             await asyncio.sleep(0)
         assert running.executor.closing is not resumable
 
 
-async def test_a_request_received_as_its_connection_is_to_make_room_is_served(tmp_path: Path) -> None:
+async def test_a_request_received_as_its_idle_connection_is_to_be_closed_is_served(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
         client, handler = await idle_connection(platform, running)
         data_received = handler.tcp.data_received
-        made_room: list[bool] = []
+        closed: list[bool] = []
 
-        def receive_and_make_room(data: bytes) -> None:
-            data_received(data)  # the connection's task is woken, and has not run
-            made_room.append(running.connections.close_waiting_connection())
+        def receive_and_close(data: bytes) -> None:
+            data_received(data)  # the connection's task is scheduled but has not run yet
+            closed.append(running.connections.close_waiting_connection())
 
-        handler.tcp.data_received = receive_and_make_room  # type: ignore[method-assign]
+        handler.tcp.data_received = receive_and_close  # type: ignore[method-assign]
         client.send(post("q1"))
         assert (await client.read_response()).complete
-        assert made_room == [False]
+        assert closed == [False]
 
 
-async def test_a_request_that_only_the_kernel_has_keeps_its_connection_open(tmp_path: Path) -> None:
+async def test_an_unread_request_in_the_socket_buffer_keeps_its_connection_open(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
         client, _ = await idle_connection(platform, running)
-        client.send(post("q1"))  # to the kernel, at once
-        # No round of the loop since: the node has not read it.
+        client.send(post("q1"))  # reaches the kernel immediately
+        # The event loop has not run since, so the node has not read the request.
         assert not running.connections.close_waiting_connection()
         assert (await client.read_response()).complete
 
 
-async def test_half_a_head_keeps_its_connection_through_a_shutdown_but_makes_room_for_clients(
+async def test_a_partial_head_keeps_its_connection_in_a_shutdown_but_not_at_the_connection_limit(
     tmp_path: Path,
 ) -> None:
     platform = Platform(tmp_path, PAIR)
@@ -142,7 +142,7 @@
         assert not handler.close_if_waiting()
         client.send(post("q1")[50:])
         assert (await client.read_response()).complete
-        await until(lambda: handler.idle_since)  # a round or two after its response is out
+        await until(lambda: handler.idle_since)  # an iteration or two of the event loop after its response
         client.send(post("q2")[:50])
         await until(lambda: handler.parser.ready)
         assert running.connections.close_waiting_connection()
@@ -167,7 +167,7 @@
         await asyncio.wait_for(platform.run, WAIT)
 
 
-async def test_a_shutdown_grants_a_new_connection_a_moment_and_a_served_one_none(
+async def test_a_shutdown_waits_for_the_first_request_of_a_connection_but_not_for_a_further_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(graceful_shutdown, "MIN_ACCEPT_DURATION", 0)
@@ -179,7 +179,7 @@
         new = await platform.client()
         await until(lambda: len(running.connections.handlers) == 2)
         running.stop()
-        assert await served.read_to_close() == b""  # by then the new one has been passed over as well
+        assert await served.read_to_close() == b""  # by then the shutdown has considered the new one as well
         new.send(post("q1"))
         response = await new.read_response()
         assert (response.status, response.headers["connection"]) == (503, "close")
@@ -187,10 +187,10 @@
 
 
 @pytest.mark.parametrize("sends_after", [0.0, 0.3])
-async def test_a_node_that_stops_before_its_first_list_answers_what_its_listener_takes(
+async def test_a_node_stopped_before_its_first_list_answers_the_connections_of_its_listener(
     sends_after: float, tmp_path: Path
 ) -> None:
-    # The node ended before its accept loop had run, and its backlog was reset unanswered.
+    # The node ended before its accept loop had run, and the kernel reset the connections in its backlog.
     platform = Platform(tmp_path, PAIR)
     platform.pace.begin_outage()
     async with platform.open(ready=False):
--- a/tests/test_node_state_release.py
+++ b/tests/test_node_state_release.py
@@ -1,4 +1,4 @@
-"""Prefill state that no decode engine will fetch is released, whichever engines can be reached."""
+"""A prefill state that no decode engine will fetch is released, even if some engines are unreachable."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 async def fails_and_stops_listening(request: ReceivedRequest) -> None:
-    """Lose the prefill and accept no more connections at its engine."""
+    """Reset the prefill's connection, and accept no more connections at its engine."""
     request.stop_listening()
     request.reset()
 
@@ -57,7 +57,7 @@
         await platform.until(lambda: any(call.engine == "w" for call in platform.release_calls("q1")))
 
 
-async def test_a_release_does_not_wait_for_one_unreachable_engine_after_the_other(tmp_path: Path) -> None:
+async def test_a_release_does_not_try_unreachable_engines_one_after_the_other(tmp_path: Path) -> None:
     names = {"r": "prefill"} | {f"w{index}": "decode" for index in range(9)}
     async with Platform(tmp_path, names).inside() as running:
         node = running.executor
@@ -73,7 +73,7 @@
             released.set()
             return None
 
-        # All have been connected to, that one last: it is the likeliest to be there still.
+        # The node has connected to all of them, most recently to w7, which is thus the likeliest to respond.
         idle_connections = {
             endpoint.address: [SimpleNamespace(idle_since=9 - abs(int(endpoint.name[1:]) - 7))]
             for endpoint in node.endpoints.values()
@@ -92,7 +92,7 @@
 
 
 async def test_a_state_is_released_at_the_first_engine_that_can_be_reached(tmp_path: Path) -> None:
-    """All but the last of twelve are unreachable, and none has been connected to before."""
+    """All engines but the last are unreachable, and the node has not connected to any of them before."""
     names = {"r": "prefill"} | {f"w{index}": "decode" for index in range(12)}
     platform = Platform(tmp_path, names)
     async with platform.inside() as running:
@@ -118,9 +118,10 @@
 
 
 async def test_a_release_call_goes_on_until_the_next_prefill_has_been_answered(tmp_path: Path) -> None:
-    """Not only until its last byte is sent, which does not show that it has arrived.
+    """The call must not end with the last byte sent, which does not prove that the prefill has arrived.
 
-    After the response the call would release the new state too: what it was for is owed from then on.
+    After the response to the prefill, the call would release the new state too. It is therefore withdrawn,
+    and the node keeps the engine of the earlier prefill, so that its state is released later.
     """
     platform = Platform(tmp_path, PAIR)
     async with platform.inside() as running:
@@ -167,23 +168,23 @@
         assert pending.possible_prefill_endpoint is endpoint and pending.prefill_endpoint is endpoint
 
 
-async def test_decode_engines_that_cannot_be_connected_to_do_not_pin_a_state(
+async def test_a_state_is_released_in_time_when_no_decode_engine_can_be_connected_to(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def delayed_connect(address: tuple[str, int], source: str | None) -> TcpConnection:
         if any(engine.port == address[1] for name, engine in platform.engines.items() if name != "r"):
-            await asyncio.sleep(WAIT)  # its packets go nowhere
+            await asyncio.sleep(WAIT)  # as if its packets were dropped
         return await connect(address, source)
 
     platform = Platform(tmp_path, {"r": "prefill"} | {f"w{index}": "decode" for index in range(6)})
     monkeypatch.setattr("runspool.engines.connection_pool.connect", delayed_connect)
-    # No further prefill before the state has been released.
+    # Long enough that no further prefill starts before the state is released.
     monkeypatch.setattr("runspool.scheduling.admission.SELECTION_INTERVAL", 20_000)
     async with platform.inside() as running:
         client = await platform.client()
         client.send(post("q1"))
         await platform.until(lambda: len(platform.release_calls("q1")) == 1)
-        # 300 ms are granted for the state, and each connection is waited for 250 ms.
+        # The state must be released within 300 ms, and each connection times out after 250 ms.
         assert 1 <= running.executor.counts["attempt_connect_failed"] <= 2
 
 
@@ -207,8 +208,8 @@
         assert waits[0] <= left / TENTHS_PER_SECOND
 
 
-async def test_a_release_is_confirmed_by_engines_that_answer_later_than_a_round_waits(tmp_path: Path) -> None:
-    # Each call was given up before its answer came, and made again for ever.
+async def test_a_release_is_confirmed_by_engines_that_answer_after_its_timeout(tmp_path: Path) -> None:
+    # Each call was given up before its answer arrived, and repeated forever.
     async with Platform(tmp_path, PAIR).inside() as running:
         node = running.executor
         releaser = node.state_releaser
@@ -229,7 +230,7 @@
         assert calls < 100
 
 
-async def test_a_release_reaches_engines_that_come_up_later_than_an_attempt_connects(
+async def test_a_release_reaches_engines_that_take_longer_to_connect_than_an_attempt_allows(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def late_connect(address: tuple[str, int], source: str | None) -> TcpConnection:
@@ -252,7 +253,10 @@
 
 
 async def count_release_calls(releases: int, seconds: float, wait: bool, failure: FailureCause) -> int:
-    """Releases states at 18 engines that all fail, at once or after the time of a call; returns the calls."""
+    """Release states while all 18 engines fail, and return the number of calls.
+
+    Each call fails after its time limit with `wait`, and otherwise immediately.
+    """
     calls = 0
 
     class FailingEngines:
@@ -273,8 +277,8 @@
     return calls
 
 
-async def test_calls_owed_to_engines_that_all_hang_are_bounded() -> None:
-    # Each release asked every engine and went on in rounds: 43 calls a second and node, as long as it lasted.
+async def test_release_calls_to_engines_that_all_hang_are_bounded() -> None:
+    # Each release called every engine, round after round: a node made 43 calls per second in such an outage.
     calls = await count_release_calls(20, 3.0, True, FailureCause.TIMED_OUT_BEFORE_RESPONSE)
     assert calls <= 20 + BURST_SIZE + int(3.0 / REFILL_INTERVAL) + 1 + MAX_LONG_CALLS
 
@@ -287,6 +291,9 @@
         FailureCause.CLOSED_BEFORE_RESPONSE,
     ],
 )
-async def test_a_release_asks_every_engine_where_calls_leave_nothing_to_read(failure: FailureCause) -> None:
-    # A node at its limit of connections would have used up the calls that it may leave unanswered.
+async def test_a_release_calls_every_engine_where_failed_calls_leave_no_response_to_read(
+    failure: FailureCause,
+) -> None:
+    # With any of these causes, no response can still arrive. If such calls counted against the limit of
+    # unanswered calls, a node at its connection limit would have used it up.
     assert await count_release_calls(20, 0.5, False, failure) >= 20 * 18
--- a/tests/test_node_stop_before_kill.py
+++ b/tests/test_node_stop_before_kill.py
@@ -1,16 +1,16 @@
-"""A stopping node has nothing open that it owes when its kill may come.
-
-Nodes under fault injection were told to stop while engines were restarted. Requests that they took 0.9 to
-2.2 s after SIGTERM began to stream from engines that had just come back. One to two seconds later the list
-said that these engines had been started anew. From then on the node moved other streams in time and logged it
-(`"reason":"moved"`), but not these: SIGKILL came 3.75 s after SIGTERM and found ten of them open, with no
-`request_ended` for any. All ten ran at engines that the change named, and none of 13 that were moved did.
-
-The streams that a shutdown moves were looked up in the records of the engines where they ran. A change that
-says an engine was started anew, or has another role, put a new and empty record in the place of the old one,
-so the shutdown saw no stream there. Behind the decisions, the request terminator passed over all streams
-that had begun. On the failed code a stream ended 2.2 s after SIGTERM where the list did not change, with
-events or silent, and was open at 3.7 s where the list named its engine with a later start.
+"""A stopping node ends or moves all requests that it has accepted before it may be killed.
+
+The shutdown found the streams to move in the records of their engines. When the endpoint list reported that
+an engine had restarted or changed its role, a new and empty record replaced the old one, so the shutdown no
+longer saw the engine's streams. The request terminator, the last resort after the scheduler's decisions,
+skipped all streams that had started.
+
+Under fault injection, nodes accepted requests 0.9 to 2.2 s after SIGTERM and streamed the responses from
+engines that had just restarted; the list reported the restarts one to two seconds later. At SIGKILL, 3.75 s
+after SIGTERM, ten streams were open and had no `request_ended`, all at engines that the change named. None
+of the 13 streams that were moved (`"reason":"moved"`) ran at such an engine. With the faulty code, a stream,
+whether it sent events or was silent, ended 2.2 s after SIGTERM if the list did not change, and was still open
+after 3.7 s if the list named its engine with a later start.
 """
 
 from __future__ import annotations
@@ -40,13 +40,13 @@
 
 pytestmark = pytest.mark.anyio
 ENGINES = {"r": "prefill", "w": "decode"}
-KILL_DELAY = 0.7  # seconds from the longest deadline, counted as 3 s at most, to the earliest SIGKILL
-ACCEPTED_LATE = 0.9  # seconds after SIGTERM, when the node still accepts requests
-EVENT_INTERVAL = 0.1
+KILL_DELAY = 0.7  # seconds from the longest deadline, limited to 3 s, to the earliest SIGKILL
+LATE_REQUEST_AFTER = 0.9  # seconds after SIGTERM at which the node still accepts requests
+EVENT_INTERVAL = 0.1  # seconds between two events of an endless stream
 
 
 async def streams_without_end(request: ReceivedRequest) -> None:
-    """Send an event now and then until the node closes the connection."""
+    """Send events until the node closes the connection."""
     await request.send(STREAM_HEAD)
     with suppress(OSError):
         while True:
@@ -55,115 +55,118 @@
 
 
 def platform_with(tmp_path: Path, deadline_ms: int) -> Platform:
-    """Return a platform whose kill comes `deadline_ms`, or 3 s, and KILL_DELAY after SIGTERM."""
+    """Return a platform whose longest request deadline is `deadline_ms`."""
     platform = Platform(tmp_path, ENGINES)
     platform.settings = settings_with_deadline(deadline_ms)
     return platform
 
 
-class Kill:
-    """SIGTERM now, and SIGKILL as early as the platform sends it."""
+class ScheduledKill:
+    """Sends SIGTERM when it is created, and SIGKILL at the earliest time allowed to the platform.
+
+    This is KILL_DELAY after the longest deadline, which is limited to 3 s.
+    """
 
     def __init__(self, platform: Platform, deadline_ms: int) -> None:
-        self.came = False
+        self.is_sent = False
         platform.signal(signal.SIGTERM)
         delay = min(3.0, deadline_ms / 1000) + KILL_DELAY
         asyncio.get_running_loop().call_later(delay, self._send, platform)
 
     def _send(self, platform: Platform) -> None:
-        self.came = True
+        self.is_sent = True
         if platform.process.returncode is None:
             platform.signal(signal.SIGKILL)
 
-    async def preceded_by(self, end: Awaitable[object]) -> bool:
-        """Return whether the node came to this end by itself."""
+    async def awaits_first(self, end: Awaitable[object]) -> bool:
+        """Wait for an end; return whether it came before SIGKILL was sent."""
         await end
-        return not self.came
+        return not self.is_sent
 
 
 async def running_stream(platform: Platform) -> Coroutine[Any, Any, object]:
-    """Begin a stream; returns the wait for its end."""
+    """Start an endless stream and return an awaitable for its end."""
     platform.engines["w"].scripts = [streams_without_end]
     client = await platform.client()
     client.send(post("q1"))
     return client.read_body(await client.read_head())
 
 
-async def taken_in(platform: Platform) -> None:
-    """Wait until the node has the list as it is now, and watches for the next one."""
+async def wait_until_list_is_adopted(platform: Platform) -> None:
+    """Wait until the node has adopted the current list, as shown by its watch for the next version."""
     await platform.until(lambda: any(f"after={platform.version}&" in target for target in platform.lists))
 
 
-async def test_a_stream_taken_after_sigterm_is_moved_though_its_engine_is_then_listed_as_started_anew(
+async def test_a_stream_accepted_after_sigterm_is_moved_after_its_engine_is_listed_as_restarted(
     tmp_path: Path,
 ) -> None:
     async with platform_with(tmp_path, 6_000).open() as platform:
         idle = await platform.client()
         idle.send(post("q0"))
         assert (await idle.read_response()).complete
-        kill = Kill(platform, 6_000)
-        await asyncio.sleep(ACCEPTED_LATE)
+        kill = ScheduledKill(platform, 6_000)
+        await asyncio.sleep(LATE_REQUEST_AFTER)
         platform.engines["w"].scripts = [streams_without_end]
         idle.send(post("q1"))
         head = await idle.read_head()
         platform.tell_started_anew("w")
-        assert await kill.preceded_by(idle.read_body(head))
+        assert await kill.awaits_first(idle.read_body(head))
         await platform.process.wait()
         assert b'"decision":"moved"' in platform.log
         assert b'"event":"engine_replaced"' in platform.log
 
 
-async def started_anew(platform: Platform) -> Awaitable[object]:
+async def engine_restarted(platform: Platform) -> Awaitable[object]:
     end = await running_stream(platform)
     platform.tell_started_anew("w")
-    await taken_in(platform)
+    await wait_until_list_is_adopted(platform)
     return end
 
 
-async def started_anew_twice(platform: Platform) -> Awaitable[object]:
-    end = await started_anew(platform)
+async def engine_restarted_twice(platform: Platform) -> Awaitable[object]:
+    end = await engine_restarted(platform)
     platform.tell_started_anew("w")
-    await taken_in(platform)
+    await wait_until_list_is_adopted(platform)
     return end
 
 
-async def another_kind(platform: Platform) -> Awaitable[object]:
+async def engine_type_changed(platform: Platform) -> Awaitable[object]:
     end = await running_stream(platform)
     platform.tell_kind("w", "mixed")
-    await taken_in(platform)
+    await wait_until_list_is_adopted(platform)
     return end
 
 
-async def another_kind_and_back(platform: Platform) -> Awaitable[object]:
-    end = await another_kind(platform)
+async def engine_type_changed_and_back(platform: Platform) -> Awaitable[object]:
+    end = await engine_type_changed(platform)
     platform.tell_kind("w", "decode")
-    await taken_in(platform)
+    await wait_until_list_is_adopted(platform)
     return end
 
 
-async def prefills_only(platform: Platform) -> Awaitable[object]:
+async def engine_becomes_prefill(platform: Platform) -> Awaitable[object]:
     end = await running_stream(platform)
     platform.tell_kind("w", "prefill")
-    await taken_in(platform)
+    await wait_until_list_is_adopted(platform)
     return end
 
 
-async def left_and_back(platform: Platform) -> Awaitable[object]:
+async def engine_left_and_back(platform: Platform) -> Awaitable[object]:
     end = await running_stream(platform)
     platform.tell(w="left")
-    await taken_in(platform)
+    await wait_until_list_is_adopted(platform)
     platform.tell_started_anew("w")
-    await taken_in(platform)
+    await wait_until_list_is_adopted(platform)
     return end
 
 
-async def half_a_head(platform: Platform) -> Awaitable[object]:
+async def partial_head(platform: Platform) -> Awaitable[object]:
     client = await platform.client()
     client.send(post("q1")[:50])
     return client.read_to_close()
 
 
-async def half_a_body(platform: Platform) -> Awaitable[object]:
+async def partial_body(platform: Platform) -> Awaitable[object]:
     client = await platform.client()
     client.send(post("q1")[:-10])
     return client.read_to_close()
@@ -176,22 +179,22 @@
 
 
 STREAMS = [
-    started_anew,
-    started_anew_twice,
-    another_kind,
-    another_kind_and_back,
-    prefills_only,
-    left_and_back,
+    engine_restarted,
+    engine_restarted_twice,
+    engine_type_changed,
+    engine_type_changed_and_back,
+    engine_becomes_prefill,
+    engine_left_and_back,
 ]
-OWED = [
+OPEN_WORK = [
     *[pytest.param(begin, 1_500, id=begin.__name__) for begin in STREAMS],
-    *[pytest.param(begin, 1_000, id=begin.__name__) for begin in (half_a_head, half_a_body)],
+    *[pytest.param(begin, 1_000, id=begin.__name__) for begin in (partial_head, partial_body)],
     pytest.param(request_before_the_first_list, 300, id="request_before_the_first_list"),
 ]
 
 
-@pytest.mark.parametrize(("begin", "deadline_ms"), OWED)
-async def test_what_a_stopping_node_has_taken_ends_before_the_kill(
+@pytest.mark.parametrize(("begin", "deadline_ms"), OPEN_WORK)
+async def test_everything_a_stopping_node_has_accepted_ends_before_the_kill(
     begin: Callable[[Platform], Awaitable[Awaitable[object]]], deadline_ms: int, tmp_path: Path
 ) -> None:
     platform = platform_with(tmp_path, deadline_ms)
@@ -200,26 +203,28 @@
         platform.list_gate.clear()
     async with platform.open(ready=is_listed):
         end = await begin(platform)
-        assert await Kill(platform, deadline_ms).preceded_by(end)
+        assert await ScheduledKill(platform, deadline_ms).awaits_first(end)
 
 
 def decide_nothing(front: object, deadline: int) -> Generator[Action, Any, None]:
-    """Move no stream."""
+    """Replace the scheduler's shutdown decisions by ones that move no stream."""
     yield Sleep(1 << 60)
 
 
 def fail(front: object, deadline: int) -> Generator[Action, Any, None]:
-    """Fail at once."""
+    """Replace the scheduler's shutdown decisions by ones that fail immediately."""
     raise LookupError("a fault in a decision")
     yield
 
 
 @pytest.mark.parametrize("decisions", [decide_nothing, fail])
-async def test_a_stream_that_decisions_leave_open_is_ended_before_the_kill(
+async def test_a_stream_that_the_scheduler_leaves_open_is_ended_before_the_kill(
     decisions: Callable[..., Any], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(scheduler, "migrate_before_shutdown", decisions)
-    monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_ALLOWANCE", 1_000)  # the kill comes at 0.8 s
+    monkeypatch.setattr(
+        graceful_shutdown, "MAX_DEADLINE_ALLOWANCE", 1_000
+    )  # the kill comes 0.8 s after SIGTERM
     platform = platform_with(tmp_path, 6_000)
     async with platform.inside() as running:
         end = asyncio.ensure_future(await running_stream(platform))
@@ -228,7 +233,7 @@
         assert end.done()
 
 
-async def test_a_stream_that_cannot_be_resumed_runs_to_its_end_past_the_last_resort(
+async def test_a_stream_that_cannot_be_resumed_may_finish_after_the_shutdown_deadline(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_ALLOWANCE", 1_000)
@@ -263,7 +268,9 @@
         try:
             await until(lambda: catches_sigterm(process.pid))
             process.terminate()
-            async with asyncio.timeout(2.5):  # the port is waited for 20 s, the configuration 3 s
+            async with asyncio.timeout(
+                2.5
+            ):  # without SIGTERM, the node would wait 20 s for the port and 3 s for the file
                 assert await process.wait() == 0
         finally:
             if process.returncode is None:
@@ -278,7 +285,7 @@
     return bool(int(caught.split()[1], 16) & 1 << (signal.SIGTERM - 1))
 
 
-async def test_a_request_read_behind_the_last_response_of_a_connection_is_answered(tmp_path: Path) -> None:
+async def test_a_pipelined_request_read_after_accepting_has_ended_is_answered(tmp_path: Path) -> None:
     platform, proceed = platform_with(tmp_path, 6_000), asyncio.Event()
     async with platform.inside() as running:
         platform.engines["w"].scripts = [streams_until(proceed)]
@@ -305,10 +312,10 @@
 async def test_a_release_is_repeated_before_the_process_ends(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The first call may find the attempt still waiting at its engine, and leave the state to it."""
+    """The first call may find the attempt still waiting at its engine, which then keeps the state for it."""
     monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_ALLOWANCE", 1_000)
     platform = platform_with(tmp_path, 6_000)
-    platform.settings["family-info"]["release-within-us"] = 5_000_000  # none is due by itself
+    platform.settings["family-info"]["release-within-us"] = 5_000_000  # no release is due before the shutdown
     platform.engines["w"].scripts = [never_responds]
     async with platform.inside() as running:
         client = await platform.client()
--- a/tests/test_prefill_congestion.py
+++ b/tests/test_prefill_congestion.py
@@ -1,4 +1,4 @@
-"""A burst fills the prefill engines; what many fronts do about it must not keep them full when it is over."""
+"""Prefill congestion ends with the burst that causes it: the reactions of many fronts must not prolong it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 ZONE_WEIGHTS = (0.5, 0.25, 0.25)
 
-# New sessions a second in each five seconds.
+# New sessions per second in each window of five seconds.
 QUIET = (60,) * 6
 BURST = (85, 85, 119, 85, 60, 42)
 
@@ -26,12 +26,12 @@
 
 
 def answered_share(requests: list[tuple[Request, bool]]) -> float:
-    """The part of requests that were answered."""
+    """Return the fraction of requests that were answered."""
     return sum(answered for _, answered in requests) / len(requests)
 
 
 def never_answered_shares(requests: list[tuple[Request, bool]]) -> tuple[float, float]:
-    """The part of sessions of which no turn was answered, and what it would be were turns independent."""
+    """Return the fraction of sessions without any answered turn, and its value if turns were independent."""
     sessions: defaultdict[int, list[bool]] = defaultdict(list)
     for request, answered in requests:
         sessions[request.session or 0].append(answered)
@@ -44,7 +44,7 @@
 
 @cache
 def simulated_requests(session_rates: tuple[int, ...], seed: int) -> list[tuple[Request, bool]]:
-    """The requests of thirty fronts, the shortest prompts first."""
+    """Return the requests of thirty fronts in order of prompt length, each with whether it was answered."""
     simulation = CongestionSimulation(front_count=30, prefill_engine_count=12, seed=seed)
     simulation.run(session_rates, ZONE_WEIGHTS)
     return sorted(simulation.requests(), key=lambda request_and_answer: request_and_answer[0].prompt_tokens)
@@ -65,6 +65,6 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_without_congestion_hardly_any_session_is_never_answered(seed: int) -> None:
+def test_without_congestion_few_sessions_have_no_answered_turn(seed: int) -> None:
     never_answered, if_independent = never_answered_shares(simulated_requests(QUIET, seed))
     assert never_answered <= if_independent + 0.12, (never_answered, if_independent)
--- a/tests/test_prefill_selection.py
+++ b/tests/test_prefill_selection.py
@@ -1,4 +1,4 @@
-"""Where prompts are prefilled: queues, cached prefixes, mixed engines, racks."""
+"""Selection of the prefill engine by queue, cached prefix, engine type and rack."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     assert host.engine_of(host.submit(4_200, session=3)) == engine
 
 
-def test_streaming_mixed_engine_prefills_when_the_prefill_engines_are_behind() -> None:
+def test_mixed_engine_with_streams_prefills_when_the_prefill_engines_are_behind() -> None:
     host = FakeSchedulerHost([PREFILL, MIXED, DECODE])
     first = host.submit(3_000)
     mixed_engine = host.driver.scheduler.engines[1]
@@ -38,12 +38,12 @@
     assert host.engine_of(host.submit(900)) == 1
 
 
-def test_mixed_engine_prefills_beside_unseen_streams_only_while_responses_are_fast() -> None:
+def test_mixed_engine_with_streams_of_other_fronts_prefills_only_while_responses_are_fast() -> None:
     host = FakeSchedulerHost([PREFILL, MIXED], routing_settings(front_count=50))
     prefill_engine = host.driver.scheduler.engines[0]
 
     def complete_at_mixed_engine(duration: int) -> None:
-        """Have 50 tokens, for which the request class allows 25,000, generated at the mixed engine."""
+        """Complete a response of 50 tokens at the mixed engine; the request class allows 2.5 s for it."""
         prefill_engine.prefill_tokens = 0
         request = host.submit(200)
         host.end_attempt(request, AttemptStatus.PREFILL_COMPLETE)
@@ -52,12 +52,12 @@
         prefill_engine.prefill_tokens = 500
 
     prefill_engine.prefill_tokens = 500
-    # With no expected length nothing tells how fast responses are.
+    # Without an expected output length, the front cannot estimate how fast responses are.
     assert host.engine_of(host.submit(200, expected_output_tokens=0)) == 0
     request = host.submit(200)
     assert host.engine_of(request) == 1
     host.start_stream(request)
-    assert host.engine_of(host.submit(200)) == 0  # beside its own stream
+    assert host.engine_of(host.submit(200)) == 0  # while the front's own stream runs there
     host.end_attempt(request, AttemptStatus.SUCCEEDED, finished=True, duration=5_000)
     assert host.engine_of(host.submit(200)) == 1
     for _ in range(12):
@@ -74,12 +74,12 @@
     assert len(engines) == 1
 
 
-def test_prefix_has_as_many_affinity_candidates_seen_before_or_not() -> None:
+def test_prefix_has_as_many_affinity_candidates_at_its_first_request_as_later() -> None:
     def new_host() -> FakeSchedulerHost:
         return FakeSchedulerHost([PREFILL] * 40 + [DECODE], routing_settings(front_count=200))
 
     def candidate_counts(prefix_tokens: int) -> list[int]:
-        """For a front's first request with the prefix, and for the first two of another front."""
+        """Return the counts for one front's first request with the prefix and another front's first two."""
         other_host = new_host()
         counts = []
         for host in (new_host(), other_host, other_host):
@@ -89,7 +89,7 @@
         return counts
 
     assert all(2 <= count <= 5 for count in candidate_counts(1_000)), candidate_counts(1_000)
-    # A prefix whose prefill takes much of the first-token objective has one until it is known to be popular.
+    # If its prefill takes much of the first-token objective, a prefix has one candidate until it is popular.
     assert candidate_counts(2_500)[0] == 1
     assert all(1 <= count <= 3 for count in candidate_counts(2_500)), candidate_counts(2_500)
 
--- a/tests/test_queueing_delay.py
+++ b/tests/test_queueing_delay.py
@@ -1,4 +1,4 @@
-"""What a front learns of queueing delays from its own prefills."""
+"""Estimates of queueing delays that a front derives from its own prefills."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.fake_scheduler_host import DECODE, PREFILL, FakeSchedulerHost, routing_settings
 
 
-def test_hanging_engine_does_not_make_its_peers_look_slow() -> None:
+def test_hanging_engine_does_not_raise_the_predicted_delay_of_its_peers() -> None:
     host = FakeSchedulerHost([PREFILL, PREFILL, DECODE], routing_settings(front_count=50))
     request = host.submit(500)
     host.end_attempt(request, AttemptStatus.TIMED_OUT, duration=30_000)
@@ -18,7 +18,7 @@
     assert predicted_queueing_delay(scheduler, peer) < 2_000
 
 
-def test_one_timed_prefill_tells_the_delay_of_an_engine_not_used_for_long() -> None:
+def test_one_timed_out_prefill_sets_the_predicted_delay_of_a_rarely_used_engine() -> None:
     host = FakeSchedulerHost([PREFILL, PREFILL, DECODE], routing_settings(front_count=200))
     request = host.submit(500)
     host.end_attempt(request, AttemptStatus.TIMED_OUT, duration=20_000)
@@ -26,7 +26,7 @@
     assert predicted_queueing_delay(host.driver.scheduler, slow_engine) > 15_000
 
 
-def test_front_that_seldom_uses_each_engine_knows_congestion_after_three_prefills() -> None:
+def test_front_that_rarely_uses_each_engine_detects_congestion_after_three_prefills() -> None:
     host = FakeSchedulerHost([PREFILL] * 9 + [DECODE], routing_settings(front_count=200))
     for _ in range(3):
         host.advance(2 * SECOND)
@@ -37,7 +37,7 @@
     assert host.driver.scheduler.role_queueing_delays[Role.PREFILL].duration > 3_500
 
 
-def test_engine_in_slow_start_has_no_delay_but_that_of_its_own_prefills() -> None:
+def test_predicted_delay_of_an_engine_in_slow_start_depends_only_on_its_own_prefills() -> None:
     host = FakeSchedulerHost([PREFILL, PREFILL, PREFILL, DECODE], routing_settings(front_count=100))
     scheduler = host.driver.scheduler
     usual_delay = scheduler.role_queueing_delays[Role.PREFILL]
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request's lifecycle under all events in all orders, against a model that knows what really happened."""
+"""A request's lifecycle under random sequences of events, checked against a model of what really happened."""
 
 from __future__ import annotations
 
@@ -73,11 +73,11 @@
 
 
 class LifecycleMachine(RuleBasedStateMachine):
-    """The caller does only what the lifecycle permits; the model knows what the engines hold at worst.
+    """A caller that does only what the lifecycle permits, and a model of what the engines may hold at worst.
 
-    `executed_at` are the engines at which an attempt with an effect may have been executed.
-    `reserved_since` is when a state was last reserved, at worst; None where none can be.
-    `release_calls` are those in progress, by what `release_started` returned.
+    `executed_at` lists the engines at which an attempt with an effect may have been executed.
+    `reserved_since` is the latest time at which a state may have been reserved, or None if no state can be.
+    `release_calls` holds the return value of `release_started` for each release call in progress.
     """
 
     @initialize(
@@ -97,7 +97,7 @@
     def time_passes(self, duration: int) -> None:
         due = self.lifecycle.release_due_at()
         if due is not None and self.lifecycle.release_is_due(max(due, self.now)):
-            duration = min(duration, max(0, due - self.now))  # the caller has set a timer
+            duration = min(duration, max(0, due - self.now))  # the caller's timer fires no later than this
         self.now += duration
         self.timer_fires()
 
@@ -145,7 +145,7 @@
             self.lifecycle.mark_answered()
 
     def _update_reservation(self, status: AttemptStatus, is_prefill: bool, reached_engine: bool) -> None:
-        """What the engines may hold after an attempt has ended."""
+        """Update what the engines may hold after an attempt has ended."""
         if status is AttemptStatus.PREFILL_COMPLETE:
             self.reserved_since = self.now
         elif is_prefill and status in MAY_HAVE_COMPLETED_A_PREFILL:
@@ -168,7 +168,7 @@
     @precondition(lambda self: not self.lifecycle.answered)
     @rule(skip=st.integers(0, 9))
     def request_is_rejected(self, skip: int) -> None:
-        """Seldom, as it ends the request: long lives are to be seen."""
+        """Run in one case of ten: it ends the request, and long lifecycles are to be tested."""
         if not skip and self.lifecycle.deny_rejection() is None:
             self.lifecycle.mark_answered()
             policy = self.lifecycle.policy
@@ -180,7 +180,7 @@
 
     @rule(skip=st.integers(0, 9))
     def client_disconnects(self, skip: int) -> None:
-        """Seldom, as it ends the request."""
+        """Run in one case of ten, as it ends the request."""
         if skip:
             return
         self.lifecycle.mark_client_disconnected()
@@ -197,7 +197,7 @@
 
     @invariant()
     def no_reserved_state_is_forgotten(self) -> None:
-        """Its release is due in time or in progress, or an attempt that reached its engine waits for it."""
+        """The release is due in time or in progress, or an attempt that reached its engine uses the state."""
         if self.reserved_since is None:
             return
         attempt = self.lifecycle.last_attempt
@@ -277,7 +277,7 @@
         ("answered", False, True, None),
     ],
 )
-def test_what_may_stay_open_as_the_process_may_be_killed(
+def test_only_certain_requests_may_stay_open_when_the_process_may_be_killed(
     stage: str, can_resume: bool, process_ends: bool, denial: DenialReason | None
 ) -> None:
     lifecycle = RequestLifecycle(AttemptPolicy(stream_can_resume=can_resume))
--- a/tests/test_retry_rules.py
+++ b/tests/test_retry_rules.py
@@ -1,4 +1,4 @@
-"""After which attempts a request is sent again, and when an attempt is given up."""
+"""Rules for retries: after which outcomes a request is retried, and when an attempt times out."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 def test_attempt_timeout_grows_with_the_expected_queueing_delay() -> None:
-    """Timeouts that did not would add to the load that caused them."""
+    """A timeout shorter than the queueing delay would cause retries that add to the congestion."""
     host = FakeSchedulerHost([PREFILL, DECODE])
     host.complete(host.submit(1_000))
     host.submit(3_000)
@@ -69,10 +69,10 @@
     assert host.attempts[0].timeout >= SECOND - 200
 
 
-def test_prefills_that_time_out_are_retried_only_as_far_as_others_complete() -> None:
+def test_retries_of_timed_out_prefills_are_limited_by_completed_prefills() -> None:
     host = FakeSchedulerHost([PREFILL] * 4 + [DECODE])
     timed_out_after = SECOND // 10
-    for _ in range(2):  # what a front may retry before any of its prefills has completed
+    for _ in range(2):  # the retry budget of a front before any of its prefills has completed
         request = host.submit(time_budget=10 * SECOND)
         assert host.attempts[-1].timeout > 0
         host.end_attempt(request, AttemptStatus.TIMED_OUT, duration=timed_out_after)
@@ -80,7 +80,7 @@
         host.driver.client_disconnected(host.now, request)
         host.end_attempt(request, AttemptStatus.CANCELLED)
     request = host.submit(time_budget=10 * SECOND)
-    assert host.attempts[-1].timeout == 0  # no retry may follow, so it is not given up before the deadline
+    assert host.attempts[-1].timeout == 0  # no retry is allowed, so the attempt may run until the deadline
     host.end_attempt(request, AttemptStatus.TIMED_OUT, duration=timed_out_after)
     assert (host.attempt_count(request), host.actions_of(request)[-1]) == (1, "reject")
     for _ in range(4):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""A node in a large fleet: long endpoint lists, ports still in use, system calls that fail."""
+"""A node with a long endpoint list, a port still in use, a half-written file or failing system calls."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from tests.node_platform.ports import free_port
 
 pytestmark = pytest.mark.anyio
-ENGINES = {"r": "prefill", "w": "decode"}  # engine types by the engines' names
-DRAINING_ENGINES = 3_200
-AFTER = "after="  # in a request for changes of the list since a version
+ENGINES = {"r": "prefill", "w": "decode"}  # type by engine name
+DRAINING_ENGINES = 3_200  # number of further engines on the list
+AFTER = "after="  # query parameter of a call that asks for the changes since a version of the list
 
 
 class LargePlatform(Platform):
-    """Two engines that serve among thousands that drain, and an agent behind a proxy that may be slow."""
+    """A platform that lists thousands of draining engines, with its agent behind a proxy that can slow it."""
 
     def __init__(self, folder: Path) -> None:
         super().__init__(folder, ENGINES)
@@ -66,7 +66,7 @@
 
 
 async def test_list_of_thousands_arrives_from_a_slow_agent(tmp_path: Path) -> None:
-    """It takes longer than the timeout of a single read, and than a silent agent is given."""
+    """The transfer takes longer than the timeout of a single read and the timeout for a silent agent."""
     platform = LargePlatform(tmp_path)
     assert len(platform.listed()) > 400_000
     platform.proxy.from_engine.piece, platform.proxy.from_engine.delay = 16_384, 0.03
@@ -74,12 +74,12 @@
         platform.tell(r="leaving")
         await platform.logged("endpoint_list_changed")
         snapshots = [target for target in platform.lists if AFTER not in target]
-        assert len(snapshots) <= 6  # not one every tenth of a second, each making the others slower
+        assert len(snapshots) <= 6  # more concurrent calls would slow each other down
         platform.tell(r="active")
         assert (await platform.ask(post("q1"))).complete
 
 
-async def test_list_is_requested_again_from_an_agent_that_stops_in_the_middle(tmp_path: Path) -> None:
+async def test_list_is_requested_again_from_an_agent_that_falls_silent_in_the_middle(tmp_path: Path) -> None:
     platform = LargePlatform(tmp_path)
     platform.proxy.from_engine.silent_after = 200_000
     async with platform.inside(wait=False) as server:
@@ -90,7 +90,7 @@
 
 
 async def test_start_waits_for_a_port_that_is_still_in_use(tmp_path: Path) -> None:
-    """By the process before it, or by an outgoing connection of another."""
+    """The previous process, or an outgoing connection of another process, may still use the port."""
     platform = Platform(tmp_path, ENGINES)
     async with platform._around():
         with socket.socket() as listener:
@@ -150,14 +150,14 @@
 
 
 def error_of(fault: str) -> Exception:
-    """The exception by an errno's name, or a RuntimeError."""
+    """Return an OSError with the errno of this name, or a RuntimeError."""
     if fault == "RuntimeError":
-        return RuntimeError("of the event loop")
+        return RuntimeError("error in the event loop")
     return OSError(getattr(errno, fault), fault)
 
 
 @pytest.mark.parametrize("fault", [*map(errno.errorcode.__getitem__, ACCEPT_ERRORS), "RuntimeError"])
-async def test_failing_accept_ends_nothing_and_delays_nobody(
+async def test_failing_accept_neither_ends_the_node_nor_delays_requests(
     fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     platform = Platform(tmp_path, ENGINES)
@@ -222,11 +222,11 @@
     connect = tcp.connect
     async with platform.inside():
         monkeypatch.setattr("runspool.engines.connection_pool.connect", fail_once)
-        answer = await platform.ask(post("q1", "book"))  # an effect that must not happen twice
+        answer = await platform.ask(post("q1", "book"))  # a request that must not execute twice
         assert failed and answer.complete and answer.status == 200
 
 
-async def test_background_task_that_fails_again_and_again_is_restarted_slowly(
+async def test_background_task_that_keeps_failing_is_restarted_with_a_delay(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     platform = Platform(tmp_path, ENGINES)
--- a/tests/test_scheduler_driver.py
+++ b/tests/test_scheduler_driver.py
@@ -1,6 +1,6 @@
-"""The scheduler's driver under notifications in any order: repeated, late, of requests that have ended.
+"""The scheduler's driver with notifications in any order: repeated, late, or for requests that have ended.
 
-After each step the scheduler's accounting must equal a recount, and at the end nothing may be left in it.
+After each step the scheduler's accounting must equal a recount, and at the end it must be empty.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 )
 from tests.fake_scheduler_host import DECODE, MIXED, PREFILL, FakeSchedulerHost, routing_settings
 
-# What random notifications are drawn from; the frequent ones several times.
+# Values from which random notifications are drawn; the frequent ones are listed several times.
 PREFILL_STATUSES = [AttemptStatus.PREFILL_COMPLETE] * 6 + [
     AttemptStatus.OVERLOADED,
     AttemptStatus.SERVER_ERROR,
@@ -57,7 +57,7 @@
 
 
 def leaked_accounts(host: FakeSchedulerHost) -> list[tuple[int, str, object]]:
-    """Whatever the driver and the scheduler still hold of any request."""
+    """Return what the driver and the scheduler still hold for requests: engine or -1, name and value."""
     scheduler = host.driver.scheduler
     leaks: list[tuple[int, str, object]] = [(-1, "prefill queue", place) for place in scheduler.prefill_queue]
     leaks += [(-1, "task", index) for index in host.driver.tasks if index != BACKGROUND_TASK]
@@ -70,7 +70,7 @@
 
 @dataclass
 class AttemptInProgress:
-    """An attempt that the host has started and not yet ended."""
+    """An attempt that the host has started but not yet ended."""
 
     number: int
     engine: int
@@ -78,7 +78,7 @@
 
 
 class Recount:
-    """The attempts in progress, counted from the attempts asked for and the notifications sent alone."""
+    """The attempts in progress, derived only from the attempts started and the notifications sent."""
 
     def __init__(self, host: FakeSchedulerHost) -> None:
         self.host = host
@@ -87,7 +87,7 @@
         self.in_progress: dict[int, AttemptInProgress] = {}  # by request
 
     def add_new_attempts(self) -> None:
-        """Add the attempts asked for since the last call."""
+        """Add the attempts that the scheduler has started since the last call."""
         for attempt in self.host.attempts[self.counted :]:
             self.attempt_counts[attempt.request] += 1
             number = self.attempt_counts[attempt.request]
@@ -121,7 +121,7 @@
 
 
 class RandomNotifications:
-    """Sends a driver random requests and notifications, many repeated, late, or of ended requests."""
+    """Sends random requests and notifications to a driver, many repeated, late or for ended requests."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
@@ -133,7 +133,7 @@
         self.ended: list[tuple[int, int, AttemptStatus]] = []  # request, attempt, status
 
     def run(self) -> FakeSchedulerHost:
-        """Check the accounting after each step; then end everything and let time pass."""
+        """Run all steps and check the accounting after each; then end all attempts and advance the clock."""
         for step in range(RANDOM_STEPS):
             self._step(step)
             self.recount.add_new_attempts()
@@ -154,7 +154,7 @@
                 random.randrange(100, 6_000), random.choice([SECOND, 4 * SECOND]), random.randrange(20)
             )
         elif kind < 0.35:
-            # Now and then for so long that what was learned of congestion fades.
+            # Some of these durations are long enough that estimates of congestion decay.
             host.advance(random.randrange(1, 800) * random.choice([1, 1, 1, 20]))
         elif kind < 0.40 and host.driver.tasks.keys() - {BACKGROUND_TASK}:
             request = random.choice(sorted(host.driver.tasks.keys() - {BACKGROUND_TASK}))
@@ -169,7 +169,7 @@
             self._progress_an_attempt()
 
     def _progress_an_attempt(self) -> None:
-        """Start the stream of an attempt in progress, notifying twice, or end the attempt."""
+        """Start the stream of an attempt in progress, with a repeated notification, or end the attempt."""
         request = self.random.choice(sorted(self.recount.in_progress))
         attempt = self.recount.in_progress[request]
         is_prefill = self.host.engine_records[attempt.engine].engine_type == PREFILL
@@ -250,8 +250,8 @@
     assert host.actions_of(request) == ["start_attempt"]
 
 
-def test_statuses_of_the_wrong_role_leave_nothing_behind() -> None:
-    """A prefill engine that says it has succeeded, a decode engine that answers as a prefill engine would."""
+def test_statuses_of_the_wrong_role_leave_nothing_in_the_accounting() -> None:
+    """A prefill engine reports SUCCEEDED, and a decode engine reports PREFILL_COMPLETE."""
     host = FakeSchedulerHost([PREFILL, DECODE])
     succeeded = host.submit()
     host.driver.attempt_ended(host.now, succeeded, 1, AttemptOutcome(AttemptStatus.SUCCEEDED, 10), True)
@@ -268,7 +268,7 @@
 
 
 def raise_in(owner: object, name: str, notify: Callable[[], None]) -> None:
-    """Send a notification while a function of the scheduler raises."""
+    """Send a notification while a function of the scheduler raises an exception."""
 
     def fail(*arguments: object) -> None:
         raise ZeroDivisionError
--- a/tests/test_simulated_histories.py
+++ b/tests/test_simulated_histories.py
@@ -1,4 +1,4 @@
-"""Simulated histories of real fronts keep every rule of the auditor; each rule's violation is found."""
+"""Simulated histories of real fronts keep all rules of the auditor, which detects a violation of each."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def simulate(seed: int, settings: SimulationSettings, monkeypatch: pytest.MonkeyPatch) -> Simulation:
-    """Run a history on the simulated clock."""
+    """Run a history on the simulated clock and return it."""
     simulated_clock.install(monkeypatch)
     simulation = Simulation(seed, settings)
     simulated_clock.run(simulation.run())
@@ -45,11 +45,11 @@
 
 
 def violations(simulation: Simulation) -> dict[str, list[str]]:
-    """Examples by the rules that a history breaks; every rule must have been at stake."""
+    """Return examples of violations by broken rule; assert that the history has cases for every rule."""
     verdicts = audit(simulation.events, EXACT_TOLERANCE)
     for rule, verdict in verdicts.items():
         JUDGED[rule] += verdict.cases
-        assert verdict.cases, f"{rule} was never at stake"
+        assert verdict.cases, f"{rule} had no cases"
     return {rule: verdict.examples for rule, verdict in verdicts.items() if verdict.violation_count}
 
 
@@ -70,7 +70,7 @@
 def test_recorded_day_keeps_every_rule_and_so_does_its_replay(
     file: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Recorded on sockets; then what happened around the fronts happens again to the code of today."""
+    """Check a recording made on sockets, and a replay of its external events to the current fronts."""
     recording: list[Event] = [
         msgspec.json.decode(line) for line in lzma.decompress(file.read_bytes()).splitlines()
     ]
@@ -97,12 +97,12 @@
 
 
 def digest(simulation: Simulation) -> str:
-    """A hash of the whole recording."""
+    """Return a hash of the whole recording."""
     return sha256(msgspec.json.encode(simulation.events)).hexdigest()
 
 
 def test_same_seed_gives_the_same_history_in_every_process() -> None:
-    """Whatever order the interpreter gives its sets, by hash or by address."""
+    """The history must not depend on the iteration order of sets, which follows from hashes or addresses."""
     runs = [
         subprocess.run(
             [sys.executable, "-c", PRINT_DIGEST],
@@ -116,11 +116,12 @@
     assert len({run.stdout.splitlines()[-1] for run in runs}) == 1
 
 
-# One violation for each rule, put into the real code. The same history without it is sound: see the test.
+# For each rule, a patch of the real code that violates it. The test first checks that the history keeps every
+# rule without the patch.
 
 
 def give_no_final_response_on_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Break the rule that no request is lost."""
+    """Patch the front to violate the rule that no request is lost."""
     timer_fired, finish = Front.timer_fired, Front.finish
     not_given = (ResponseKind.REJECTED, ResponseKind.INDETERMINATE)
     monkeypatch.setattr(
@@ -136,7 +137,7 @@
 
 
 def release_no_state(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Break the rule that states are released."""
+    """Patch the front to violate the rule that states are released."""
 
     async def release(front: Front, *arguments: Any) -> None:
         return
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The scheduler on the simulator's line protocol."""
+"""The adapter that runs the scheduler behind the simulator's line protocol."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def output_for(*lines: str) -> str:
-    """What the adapter writes in response to input lines."""
+    """Return what the adapter writes in response to input lines."""
     output = io.BytesIO()
     FrontHost(io.BytesIO("".join(line + "\n" for line in lines).encode()), output).serve()
     return output.getvalue().decode()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,7 +1,7 @@
-"""Short soaks with fixed seeds, and for each rule a node that violates it (`tests/soak/sabotage.py`).
+"""Short soaks with fixed seeds, and for each rule one with a node that violates it (tests/soak/sabotage.py).
 
-Longer ones by hand: `python -m tests.soak.run --seed 3 --seconds 60 --nodes 24`, many seeds with
-`python -m tests.soak.sweep --first 1 --count 50`.
+To run longer soaks by hand, use `python -m tests.soak.run --seed 3 --seconds 60 --nodes 24`, and for many
+seeds `python -m tests.soak.sweep --first 1 --count 50`.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 SEEDS = (1, 5, 8)
 SABOTAGE = (*RULES, "stopped.exits", "lost.cuts", "drain.gives_up", "drain.asks_rarely", "calls.owed")
-TIMEOUT = 90.0  # seconds for one soak, the ends of its processes included
+TIMEOUT = 90.0  # seconds for one soak, including the ends of its processes
 SOAKS_AT_ONCE = 3
 
 SoakResult = tuple[dict[str, tuple[int, int]], str]  # cases and violations by rule, and the output
 
 
 def run_soak(*options: str) -> SoakResult:
-    """Run one soak; returns cases and violations by rule, and the output."""
+    """Run one soak; return cases and violations by rule, and the output."""
     process = subprocess.run(
         [sys.executable, "-m", "tests.soak.run", *options],
         env=PROCESS_ENVIRONMENT,
@@ -40,7 +40,7 @@
 
 @pytest.fixture(scope="module")
 def soaks() -> Iterator[dict[str, Future[SoakResult]]]:
-    """All soaks by seed or violated rule, a few at a time."""
+    """Run all soaks, SOAKS_AT_ONCE at a time; yield their results by seed or by name of the sabotage."""
     with ThreadPoolExecutor(SOAKS_AT_ONCE) as pool:
         results = {
             str(seed): pool.submit(run_soak, f"--seed={seed}", "--seconds=9", "--nodes=5", "--each=0.4")
@@ -66,6 +66,6 @@
 
 
 @pytest.mark.parametrize("sabotage", SABOTAGE)
-def test_a_node_that_violates_a_rule_is_noticed(sabotage: str, soaks: dict[str, Future[SoakResult]]) -> None:
+def test_a_node_that_violates_a_rule_is_detected(sabotage: str, soaks: dict[str, Future[SoakResult]]) -> None:
     verdict, output = soaks[sabotage].result()
     assert verdict[sabotage.partition(".")[0]][1] > 0, output
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -1,4 +1,4 @@
-"""Every stage of a request, ended in every way: at most one final response, nothing after it, no leaks."""
+"""A request that ends at any stage, for any cause, gets at most one final response and leaks nothing."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 TIME_LIMIT_WHEN_ENGINE_LOST_MS = 3_000
 LONG_TIME_LIMIT_MS = 20_000
 DRAIN_MS = 100
-STATE_RELEASE_TIMEOUT = 20_000  # so long that a state stays until something ends it
+STATE_RELEASE_TIMEOUT = 20_000  # so long that a state does not expire during a test
 
 # Stages.
 HALF_RECEIVED = "half received"
@@ -49,13 +49,13 @@
 DECODE_IN_PROGRESS = "decode in progress"
 STREAMING = "streaming"
 
-# Ways to end it.
+# Causes that end a request.
 CLIENT_DISCONNECTS = "client disconnects"
 TIME_LIMIT = "time limit"
 ENGINE_LOST = "engine lost"
 SHUTDOWN = "shutdown"
 
-# What the client gets: the kind of an error by the word of the wire, or a status.
+# What the client receives: the `type` of an error as it is on the wire, or a status.
 SUCCEEDED = "succeeded"
 REJECTED = "dismissed"
 INDETERMINATE = "scrapped"
@@ -64,7 +64,7 @@
 
 
 class ClientRequest:
-    """One at-most-once request on a connection of its own, and what its client got."""
+    """An at-most-once request on its own connection, and the response that its client receives."""
 
     def __init__(self, cluster: SmallFleet, time_limit_ms: int) -> None:
         self.cluster = cluster
@@ -74,7 +74,7 @@
         self.ended = anyio.Event()
 
     async def send(self, output_tokens: int, prompt_words: int = 50, half: bool = False) -> None:
-        """Send it, or only the head and some of the body, and read the response."""
+        """Send the request and read the response; with `half`, send only the head and a part of the body."""
         body = msgspec.json.encode(
             {
                 "prompt": "abcd" * prompt_words,
@@ -90,13 +90,13 @@
         with self.scope:
             async with await anyio.connect_tcp("127.0.0.1", self.cluster.port) as stream:
                 await stream.send(head + (body[:20] if half else body))
-                # A connection that was cut leaves `response` None, which answer_kind() tells.
+                # If the connection is cut, `response` stays None, and answer_kind() returns CONNECTION_CUT.
                 with suppress(Exception):
                     self.response = await receive_response(stream)
         self.ended.set()
 
 
-# How a request comes to a stage; each returns once it is there.
+# Functions that bring a request to a stage; each returns when the stage is reached.
 
 ReachStage = Callable[[SmallFleet, pytest.MonkeyPatch], Awaitable[None]]
 
@@ -108,22 +108,22 @@
 
 
 async def reach_half_received(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The front has the head and a part of the body."""
+    """Wait until the front has received the head and a part of the body."""
     await poll_until(lambda: cluster.running.active_requests)
 
 
 async def reach_queued(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The request waits at the front for a prefill engine."""
+    """Wait until the request is queued at the front for a prefill engine."""
     await poll_until(lambda: cluster.running.front.first_driver.scheduler.prefill_queue)
 
 
 async def reach_prefill(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The prefill engine has the request."""
+    """Wait until the prefill engine has received the request."""
     await cluster.until("arrived", stage="read")
 
 
 async def reach_state_reserved(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The prefill has completed, and no decode engine is to be had."""
+    """Let the prefill complete while no decode engine is available."""
     await cluster.until("arrived", stage="read")
     cluster.tell(DECODE, "draining")
     await poll_until(lambda: not cluster.running.front.first_driver.scheduler.engines[DECODE].ready)
@@ -133,7 +133,7 @@
 
 
 async def reach_connecting(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The front waits for a connection to the decode engine."""
+    """Let the front wait for a connection to the decode engine."""
     connecting, connect = anyio.Event(), tcp.connect
 
     async def hang_at_decode_engine(address: tuple[str, int], source: str | None) -> tcp.TcpConnection:
@@ -149,12 +149,12 @@
 
 
 async def reach_decode(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The decode engine has the request."""
+    """Wait until the decode engine has received the request."""
     await cluster.until("arrived", stage="write")
 
 
 async def reach_streaming(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The client's stream has started."""
+    """Wait until the client's stream has started."""
     await cluster.until("ran")
     await poll_until(
         lambda: any(pending.stream_started for pending in cluster.running.front.requests.values())
@@ -163,11 +163,11 @@
 
 @dataclass(frozen=True)
 class Stage:
-    """A stage and what the client may get there.
+    """A stage, how a request reaches it, and the responses that are allowed there.
 
-    `hanging_engines` hang from the start until the request has ended. `lost_engine` is the one whose loss
-    ends it. `answers` are the kinds of final response that a client that stays may get, by the way in which
-    the request ends.
+    `hanging_engines` hang from the start until the request has ended. `lost_engine` is the engine that is
+    killed for the cause ENGINE_LOST. `answers` holds, by cause, the kinds of final response that a client
+    may receive if it does not disconnect.
     """
 
     reach: ReachStage
@@ -216,7 +216,7 @@
 
 
 def answer_kind(request: ClientRequest) -> str:
-    """The kind of final response that the client got."""
+    """Return the kind of final response that the client received."""
     response = request.response
     if response is None:
         return CONNECTION_CUT
@@ -228,7 +228,10 @@
 
 
 def leaks(cluster: SmallFleet, way: str) -> list[str]:
-    """What is still held anywhere; after a shutdown by the engines and the front's accounting alone."""
+    """Return what the front and the engines still hold.
+
+    After a shutdown, the front's connections to engines are not checked.
+    """
     front = cluster.running.front
     states = [
         f"{engine.spec.name} holds {engine.model.held_states}"
@@ -254,14 +257,14 @@
 
 
 def time_limit_of(stage: str, way: str) -> int:
-    """The request's time limit: long, where something else is to end it."""
+    """Return the request's time limit, which is long if something else is to end the request."""
     if way == TIME_LIMIT:
         return TIME_LIMIT_WHEN_QUEUED_MS if stage == QUEUED else TIME_LIMIT_MS
     return TIME_LIMIT_WHEN_ENGINE_LOST_MS if way == ENGINE_LOST else LONG_TIME_LIMIT_MS
 
 
 def end_request(cluster: SmallFleet, way: str, request: ClientRequest, lost_engine: int) -> None:
-    """Have the request end; by its time limit it ends by itself."""
+    """End the request; do nothing for the cause TIME_LIMIT."""
     if way == CLIENT_DISCONNECTS:
         request.scope.cancel()
     elif way == ENGINE_LOST:
@@ -287,7 +290,7 @@
         for engine in case.hanging_engines:
             cluster.engines[engine].set_fault("hang", on=True)
         if stage == QUEUED:
-            # So long that the next request is queued at the front.
+            # The prompt is so long that the next request is queued at the front.
             tasks.start_soon(earlier_request.send, 5, 5_000)
             await cluster.until("arrived", stage="read")
         tasks.start_soon(request.send, case.output_tokens, 50, stage == HALF_RECEIVED)
@@ -297,7 +300,9 @@
             await request.ended.wait()
             earlier_request.scope.cancel()
             for engine in case.hanging_engines:
-                cluster.engines[engine].set_fault("hang", on=False)  # it now sees what came meanwhile
+                cluster.engines[engine].set_fault(
+                    "hang", on=False
+                )  # it now processes what it received meanwhile
         with anyio.move_on_after(LEAK_TIMEOUT_SECONDS):
             while leaks(cluster, way):
                 await anyio.sleep(0.01)
@@ -316,7 +321,7 @@
 async def test_shutdown_waits_for_states_to_be_released(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Three calls are lost: the fourth comes when the response has long been sent."""
+    """Three release calls are lost; the fourth is made long after the response has been sent."""
     cluster = SmallFleet(tmp_path, ENGINE_TYPES, drain_ms=DRAIN_MS)
     cluster.plan.state_release_timeout = STATE_RELEASE_TIMEOUT
     request = ClientRequest(cluster, LONG_TIME_LIMIT_MS)
@@ -339,11 +344,11 @@
         tasks.cancel_scope.cancel()
 
 
-# Two ends at one instant, on one simulated clock, as no socket could bring them about.
+# Two ends at the same instant of the simulated clock, which sockets could not produce.
 
 
 class RecordingListener:
-    """A client's end of a stream."""
+    """A listener that records what the client of a stream receives."""
 
     def __init__(self) -> None:
         self.received: list[str] = []
@@ -356,7 +361,7 @@
 
 
 async def start_simulation(simulation: Simulation) -> Front:
-    """Start the engines and the only front."""
+    """Start the engines and the front of a simulation with one front, and return the front."""
     for engine in simulation.cluster.engines:
         engine.start(cold=False)
     simulation.cluster.start_fronts(with_list=True)
@@ -367,7 +372,7 @@
 async def prefilled_request(
     simulation: Simulation, front: Front, listener: RecordingListener
 ) -> PendingCompletion:
-    """An at-most-once request whose prefill's state is reserved."""
+    """Return an at-most-once request whose prefill state is reserved."""
     simulation.context.token_counts["1.1"] = TokenCounts(500, 3)
     headers = {"runspool-tariff": "book", "runspool-mark": "1.1", "runspool-limit-ms": "2000"}
     completion = parse_completion_request(headers, b'{"prompt": "x", "stream": true}', front.config)
@@ -378,7 +383,7 @@
 
 
 async def end_twice(simulation: Simulation, order: str) -> None:
-    """End a request, whose prefill's state is reserved, in two ways at once: the first one counts."""
+    """End a request with a reserved prefill state for two causes at once; only the first must take effect."""
     front = await start_simulation(simulation)
     listener = RecordingListener()
     pending = await prefilled_request(simulation, front, listener)
@@ -410,7 +415,9 @@
         "disconnect and success",
     ],
 )
-def test_two_ends_at_one_instant_are_one(order: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_only_the_first_of_two_simultaneous_ends_takes_effect(
+    order: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     simulated_clock.install(monkeypatch)
 
     async def run() -> None:
--- a/tests/test_state_release.py
+++ b/tests/test_state_release.py
@@ -1,4 +1,4 @@
-"""When a prefill's state is released without a decode."""
+"""Release of prefill states that no decode engine will use."""
 
 from __future__ import annotations
 
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -1,4 +1,4 @@
-"""Files that earlier versions wrote still load, and their recorded events replay action by action."""
+"""Files written by earlier versions still load, and replayed recorded events produce the same actions."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("recording", EVENTS, ids=lambda file: str(file.name))
-def test_recorded_events_bring_the_same_actions(recording: Path, tmp_path: Path) -> None:
+def test_replayed_events_produce_the_recorded_actions(recording: Path, tmp_path: Path) -> None:
     plain = tmp_path / "events"
     plain.write_bytes(lzma.decompress(recording.read_bytes()))
     found = replay(plain)
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("recording", EVENTS, ids=lambda file: str(file.name))
-def test_what_is_recorded_now_has_the_form_of_old_recordings(recording: Path) -> None:
+def test_events_are_still_recorded_in_the_format_of_old_recordings(recording: Path) -> None:
     seen = set()
     for line in lzma.decompress(recording.read_bytes()).splitlines():
         _, word, *values = msgspec.json.decode(line)
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("kind", STORED_NAMES, ids=lambda kind: str(kind.__name__))
-def test_every_stored_name_stands_for_a_field(kind: type) -> None:
+def test_every_stored_name_maps_to_one_field(kind: type) -> None:
     names = {one.name for one in fields(kind)}
     assert set(STORED_NAMES[kind]) <= names
     assert len({STORED_NAMES[kind].get(name, name) for name in names}) == len(names)
@@ -67,7 +67,7 @@
     ]
 
 
-def test_an_old_cell_map_its_log_and_the_map_that_was_adopted_load() -> None:
+def test_an_old_cell_map_its_change_log_and_an_adopted_map_load() -> None:
     stored = cell_store.load_map(FILES / "cells.map")
     adopted = cell_store.load_adopted_map(FILES / "cells-adopted.map")
     logged = cell_store.read_change_log(FILES / "cells.map")
--- a/tests/test_stream_migration.py
+++ b/tests/test_stream_migration.py
@@ -1,4 +1,4 @@
-"""When streams are moved to another engine, and how their continuations are admitted."""
+"""Migration of streams to another engine, and admission of their continuations."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def migrated_requests(host: FakeSchedulerHost) -> list[int]:
-    """The requests whose streams were migrated, in order."""
+    """Return the requests whose streams were migrated, in order."""
     return [request for action, request in host.actions if action == "migrate_stream"]
 
 
-def test_overloaded_decode_engine_has_one_stream_migrated_a_second() -> None:
+def test_overloaded_decode_engine_has_one_stream_migrated_per_second() -> None:
     host = FakeSchedulerHost([PREFILL, DECODE, DECODE])
     for _ in range(4):
         request = host.submit()
--- a/tests/test_tenant_migration.py
+++ b/tests/test_tenant_migration.py
@@ -1,4 +1,4 @@
-"""Moving a tenant to another cell: when requests change cells, and that no effect happens in two of them."""
+"""Moves of a tenant to another cell: when requests change cells; no effect may happen in two cells."""
 
 from __future__ import annotations
 
@@ -38,13 +38,15 @@
     )
     assert migrations.stage(1, MOVE_STARTS_MS, planned_move) is MigrationStage.SETTLING
     migrations.record_finish("t", "a")
-    assert migrations.stage(1, MOVE_STARTS_MS, planned_move) is MigrationStage.SETTLING  # its ticket binds
+    assert (
+        migrations.stage(1, MOVE_STARTS_MS, planned_move) is MigrationStage.SETTLING
+    )  # the ticket still binds its request to cell a
     assert migrations.choose_cell(1, MOVE_STARTS_MS, "t", None, "ticket", True, WINDOW).cell == "a"
     assert migrations.stage(WINDOW + 1, MOVE_STARTS_MS, planned_move) is MigrationStage.SETTLED
     assert migrations.choose_cell(WINDOW + 1, MOVE_STARTS_MS, "t", None, "new", False, WINDOW).cell == "b"
 
 
-def test_changes_that_must_not_be_made_are_refused_with_a_reason() -> None:
+def test_invalid_map_changes_are_refused_with_a_reason() -> None:
     for cell_map, change, reason in (
         (MAP_WITH_MOVE, move("n"), "already"),
         (MAP_BEFORE_MOVE, move().model_copy(update={"target": "z"}), "no cell"),
--- a/tests/test_timer_queue.py
+++ b/tests/test_timer_queue.py
@@ -1,4 +1,4 @@
-"""The queue of a front's timers."""
+"""The timer queue of a front."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.anyio
-async def test_timers_fire_in_order_also_those_set_later_for_sooner() -> None:
+async def test_timers_fire_in_order_of_time_not_of_scheduling() -> None:
     fired: list[str] = []
     all_fired = anyio.Event()
 
--- a/tests/test_undelivered_attempts.py
+++ b/tests/test_undelivered_attempts.py
@@ -1,6 +1,7 @@
-"""Attempts that were written and have not arrived (incident 1): real nodes on loopback, faults by a proxy.
+"""Attempts that a node has written but that have not arrived at the engine (incident 1).
 
-docs/incidents/incident-1.md has the evidence and the candidates.
+The tests run real nodes on loopback and inject faults through a proxy. docs/incidents/incident-1.md has the
+evidence and the possible causes.
 """
 
 from __future__ import annotations
@@ -27,23 +28,23 @@
 
 pytestmark = pytest.mark.anyio
 PAIR = {"r": "prefill", "w": "decode"}
-RELEASE_GRANT = 0.3  # seconds that the settings grant for a release
-SOCKET_SLACK = 0.3  # more on sockets
+RELEASE_GRANT = 0.3  # seconds within which the settings require a state to be released
+SOCKET_SLACK = 0.3  # additional seconds allowed for real sockets and processes
 
 
 class Stopwatch:
-    """When something was first seen, in seconds of the monotonic clock."""
+    """The time at which something first happened, in seconds of the monotonic clock; 0 before."""
 
     def __init__(self) -> None:
         self.at = 0.0
 
     def stop(self) -> None:
-        """Note the time, the first time only."""
+        """Store the current time; later calls have no effect."""
         self.at = self.at or time.monotonic()
 
 
 def prefills(prefilled: Stopwatch) -> Script:
-    """Return a script that completes a prefill and stops the watch."""
+    """Return a script that completes a prefill and stops the stopwatch."""
 
     async def script(request: ReceivedRequest) -> None:
         await request.send(PREFILL_RESPONSE)
@@ -53,7 +54,7 @@
 
 
 async def seconds_until_release(platform: Platform, name: str, since: Stopwatch) -> float:
-    """Return the seconds since then until the first release call, which must come."""
+    """Wait for the first release call; return the seconds from `since` until it was seen."""
     await platform.until(lambda: bool(platform.release_calls(name)))
     return time.monotonic() - since.at
 
@@ -63,7 +64,7 @@
 async def test_a_state_is_released_while_its_decode_attempt_has_not_arrived(
     effect: str, connection: str, tmp_path: Path
 ) -> None:
-    """The decode engine's kernel takes connection and bytes, and nothing reaches its process."""
+    """The decode engine's kernel accepts the connection and the bytes, but its process receives nothing."""
     platform = Platform(tmp_path, PAIR)
     proxy = platform.engines["w"].behind_proxy()
     async with platform.open():
@@ -97,8 +98,8 @@
         assert await seconds_until_release(platform, "q1", lost) < RELEASE_GRANT + SOCKET_SLACK
 
 
-async def test_a_state_is_released_once_the_network_is_back_however_long_it_was_away(tmp_path: Path) -> None:
-    """No engine can be reached for longer than all release calls may take; none may be given up."""
+async def test_a_state_is_released_after_a_network_outage_of_any_length(tmp_path: Path) -> None:
+    """The outage outlasts the deadline and the timeout of every release call; the node must not give up."""
     platform = Platform(tmp_path, PAIR)
     proxies = [engine.behind_proxy() for engine in platform.engines.values()]
 
@@ -111,7 +112,7 @@
         platform.engines["r"].scripts = [prefills_then_silences]
         client = await platform.client()
         client.send(post("q1", req_deadline="500m"))
-        await asyncio.sleep(2.0)  # the deadline and the time of every release call are over
+        await asyncio.sleep(2.0)  # the deadline and the timeout of every release call have passed
         for proxy in proxies:
             proxy.reset()
             proxy.heal()
@@ -121,7 +122,7 @@
 async def test_a_slow_decode_attempt_that_arrived_keeps_its_state_and_needs_one_prefill(
     tmp_path: Path,
 ) -> None:
-    """The release call finds an attempt waiting for the state, and takes nothing from it."""
+    """The release call finds an attempt that waits for the state, and leaves the state to it."""
     platform = Platform(tmp_path, PAIR)
     async with platform.open():
         proceed = asyncio.Event()
@@ -152,10 +153,10 @@
         assert [attempt.engine for attempt in platform.attempts("q1")] == ["r", "w", "r", "w"]
 
 
-async def test_the_deadline_sent_to_an_engine_is_what_is_left_when_it_is_sent(
+async def test_the_deadline_sent_to_an_engine_is_the_time_left_when_it_is_sent(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A connection that took long to open has used some of the client's time."""
+    """A connection that is slow to open uses some of the client's time."""
 
     async def slow_connect(address: tuple[str, int], source: str | None) -> TcpConnection:
         await asyncio.sleep(0.22)
@@ -176,7 +177,7 @@
 
 
 async def test_a_state_that_a_later_attempt_took_over_is_released_once_more(tmp_path: Path) -> None:
-    """Its engine may have found the state that an earlier release left to the attempt given up (soak)."""
+    """An earlier release may have left the state to an attempt that was given up since (found by a soak)."""
     platform = Platform(tmp_path, {"r": "prefill", "w": "decode", "m": "mixed"})
     for name in "wm":
         platform.engines[name].scripts = [never_responds] * 10
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""An engine that has just started is in slow start, however the wall clock was stepped meanwhile."""
+"""An engine that has just started is in slow start, even if the wall clock was stepped in the meantime."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from runspool.service.start_time_converter import StartTimeConverter
 
 HOUR_MS = 3_600_000
-UNIX_MS_AT_ZERO = 1_700_000_000_000.0  # the wall clock's time when the monotonic clock stood at 0
+UNIX_MS_AT_ZERO = 1_700_000_000_000.0  # the wall-clock time at 0 of the monotonic clock
 NOW = 50_000_000  # tenths of a millisecond
 NOW_UNIX_MS = UNIX_MS_AT_ZERO + NOW / 10
 
@@ -33,7 +33,7 @@
     assert StartTimeConverter(lambda: UNIX_MS_AT_ZERO).to_monotonic(0, NOW) == 0
 
 
-def test_slewed_clock_counts_as_one_clock() -> None:
+def test_slewing_of_the_wall_clock_does_not_accumulate_offsets() -> None:
     offset = UNIX_MS_AT_ZERO
     converter = StartTimeConverter(lambda: offset)
     for _ in range(100):
--- a/tests/test_watch_client.py
+++ b/tests/test_watch_client.py
@@ -1,4 +1,4 @@
-"""A front's watch on a list service with a pace of its own."""
+"""A front's watch on an endpoint list service that is slow or answers several watches at once."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def watch_client(server: asyncio.Server, heard: asyncio.Event) -> WatchClient:
-    """Return a client of a list service that sets `heard` when the list has come."""
+    """Return a client of a list service that sets `heard` when the list has been received."""
     port = server.sockets[0].getsockname()[1]
     config = EndpointListConfig(host=HOST, port=port, quiet_ms=QUIET_MS, retry_ms=20, line_bytes=65_536)
     return WatchClient(
@@ -33,8 +33,8 @@
 
 
 @pytest.mark.parametrize("delay", [0.25, 1.5])
-async def test_a_list_service_slower_than_the_quiet_time_is_heard(delay: float) -> None:
-    # Each watch was given up after the quiet time, so that none ever brought the list.
+async def test_the_list_is_received_from_a_service_slower_than_the_quiet_time(delay: float) -> None:
+    # Each watch was given up after the quiet time, so that the list was never received.
     open_watches = most_open = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -58,15 +58,15 @@
     following = asyncio.ensure_future(watch_client(server, heard).follow())
     try:
         await asyncio.wait_for(heard.wait(), WAIT)
-        assert most_open <= MAX_OPENING_ATTEMPTS + 1  # one may be closing
+        assert most_open <= MAX_OPENING_ATTEMPTS + 1  # one more may be closing
     finally:
         following.cancel()
         await asyncio.gather(following, return_exceptions=True)
         server.close()
 
 
-async def test_a_watch_that_brings_data_with_another_is_closed() -> None:
-    # Two that brought their first data in one moment: the later one's connection stayed open, unread.
+async def test_one_of_two_watches_that_receive_data_together_is_closed() -> None:
+    # When two watches received their first data at the same moment, the later connection stayed open, unread.
     readers: list[asyncio.StreamReader] = []
     two_are_open = asyncio.Event()
 
