--- a/runspool/lab/report.py
+++ b/runspool/lab/report.py
@@ -14,7 +14,7 @@
 from hdrh.histogram import HdrHistogram
 from jinja2 import Environment, PackageLoader, StrictUndefined
 
-from runspool.lab.audit import ClientAttemptRecord, History, RuleVerdict, judge, read_history
+from runspool.lab.audit import ClientAttemptRecord, History, RuleVerdict, check_rules, read_history
 from runspool.lab.plan import SECOND, ScenarioPlan
 from runspool.lab.recording import Event
 from runspool.units import TENTHS_PER_MS
@@ -87,13 +87,13 @@
         UnreadableRecordingError: the recording cannot be audited.
     """
     history = read_history(events)
-    rules = judge(history)
+    rules = check_rules(history)
     attempts = history.client_attempts.values()
     engine_attempts = history.engine_attempts.values()
     return {
         "day": history.plan.name,
         "seed": history.plan.seed,
-        "kept": all(rule.broken == 0 for rule in rules.values()),
+        "kept": all(rule.violation_count == 0 for rule in rules.values()),
         "rules": {name: _summarize_rule(rule) for name, rule in rules.items()},
         "unjudged": [name for name, rule in rules.items() if rule.cases == 0],
         "gain": _value_served(history),
@@ -156,10 +156,11 @@
 
 
 def _summarize_rule(rule: RuleVerdict) -> RuleSummary:
-    return {"cases": rule.cases, "broken": rule.broken, "examples": rule.examples}
+    return {"cases": rule.cases, "broken": rule.violation_count, "examples": rule.examples}
 
 
 def _summarize_faults(events: list[Event]) -> list[FaultSummary]:
+    """Return the faults that were injected, in the order in which they began."""
     begin = next((event["at"] for event in events if event["what"] == "begin"), 0)
     return [
         {"kind": event["kind"], "at_ms": round(event["t"] / TENTHS_PER_MS - begin / TENTHS_PER_MS)}
@@ -178,12 +179,13 @@
 
 
 def _value_served(history: History) -> ValueServed:
+    """Compute the value served in time. A request counts with the best of its attempts."""
     weights = {
         request_class.name: request_class.priority_weight for request_class in history.plan.request_classes
     }
     asked: dict[tuple[str, str], float] = defaultdict(float)
     earned: dict[tuple[str, str], float] = defaultdict(float)
-    for attempts in history.requests().values():
+    for attempts in history.attempts_by_request().values():
         if any(attempt.answer_kind == "left" for attempt in attempts):
             continue  # requests whose client disconnected are not counted
         first = attempts[0]
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -133,15 +133,15 @@
 def violations(events: list[Event]) -> dict[str, int]:
     """Return the number of violations of each rule that the auditor finds violated."""
     return {
-        name: rule.broken
+        name: rule.violation_count
         for name, rule in audit(sorted(events, key=lambda event: event["t"])).items()
-        if rule.broken
+        if rule.violation_count
     }
 
 
 def test_a_clean_recording_passes_and_exercises_every_rule() -> None:
     rules = audit(sorted(clean_recording(), key=lambda event: event["t"]))
-    assert {name: rule.broken for name, rule in rules.items()} == dict.fromkeys(RULES, 0)
+    assert {name: rule.violation_count for name, rule in rules.items()} == dict.fromkeys(RULES, 0)
     assert all(rule.cases for rule in rules.values())
 
 
--- a/tests/test_auditor_rejects_forged_recordings.py
+++ b/tests/test_auditor_rejects_forged_recordings.py
@@ -294,7 +294,7 @@
         await anyio.sleep(settings.get("held_on", 0))  # a state counts as kept only after so long
         fleet.recorder.record_event("over")
     results = audit(list(recording.read_recording(fleet.file)), tolerance)
-    violations = {name: result.broken for name, result in results.items() if result.broken}
+    violations = {name: result.violation_count for name, result in results.items() if result.violation_count}
     assert results[rule].cases
     assert (violations.get(rule, 0) > 0) if defective else not violations, [
         result.examples for result in results.values()
--- a/tests/test_fleet_soak.py
+++ b/tests/test_fleet_soak.py
@@ -12,8 +12,8 @@
 import pytest
 
 from tests.fleet.draw import draw_plan
-from tests.fleet.judge import Verdict, harness_fault, judge
 from tests.fleet.plan import Backlog, Plan
+from tests.fleet.rules import Verdict, check_rules, harness_fault
 from tests.fleet.trial import play
 
 SEED = 3  # draws three consecutive outages and 119 nodes that also send requests
@@ -32,7 +32,7 @@
         lost_watches=1,
         duration=OUTAGE[1] + 3.0,
     )
-    return judge(asyncio.run(play(plan, violated_rule)))
+    return check_rules(asyncio.run(play(plan, violated_rule)))
 
 
 @pytest.fixture(scope="module")
@@ -46,11 +46,11 @@
 def test_a_fleet_that_violates_a_rule_is_detected(
     rule: str, violating_trials: dict[str, Future[Verdict]]
 ) -> None:
-    assert violating_trials[rule].result().broken.get(rule, 0) > 0
+    assert violating_trials[rule].result().violation_counts.get(rule, 0) > 0
 
 
 def test_a_fleet_violates_no_rule_over_consecutive_outages() -> None:
     outcome = asyncio.run(play(draw_plan(SEED)))
     assert not harness_fault(outcome)
-    verdict = judge(outcome)
-    assert not verdict.broken, verdict
+    verdict = check_rules(outcome)
+    assert not verdict.violation_counts, verdict
--- a/tests/test_list_after_outage.py
+++ b/tests/test_list_after_outage.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from tests.fleet.judge import Verdict, judge
 from tests.fleet.plan import Backlog, Plan
+from tests.fleet.rules import Verdict, check_rules
 from tests.fleet.trial import play
 
 LARGE_FLEET = 230  # nodes
@@ -36,7 +36,7 @@
         lost_watches=lost_watches,
         duration=changes[-1] + 2.0,
     )
-    return judge(asyncio.run(play(plan)))
+    return check_rules(asyncio.run(play(plan)))
 
 
 @pytest.fixture(scope="module")
@@ -56,7 +56,7 @@
 def test_calls_abandoned_in_an_outage_do_not_delay_changes_after_it() -> None:
     # The agents once answered all calls that the fleet had abandoned in the outage before its new watches.
     verdict = run_outage_trial(LARGE_FLEET, Backlog.ALL, 0.1, 1.6)
-    assert not verdict.broken, verdict
+    assert not verdict.violation_counts, verdict
 
 
 @pytest.mark.parametrize("after_return", CHANGES_AFTER_LOST_WATCH)
@@ -69,4 +69,4 @@
 def test_calls_left_to_answer_after_an_outage_are_bounded(backlog: Backlog, trials: Trials) -> None:
     # A node once made ten calls a second throughout an outage, each on a new connection.
     verdict = trials[backlog].result()
-    assert not verdict.broken, verdict
+    assert not verdict.violation_counts, verdict
