--- a/tests/test_simulated_histories.py
+++ b/tests/test_simulated_histories.py
@@ -26,9 +26,9 @@
 from tests.simulation.settings import SimulationSettings
 from tests.simulation.simulation import Simulation
 from tests.test_auditor_rejects_forged_recordings import (
-    does_not_hear_of_drains,
-    forgets_that_it_may_have_run,
-    takes_cold_for_warm,
+    ignore_drains,
+    ignore_slow_start,
+    treat_executed_attempts_as_not_sent,
 )
 
 NO_REQUEST_LOST, NO_EFFECT_TWICE, DRAINS_RESPECTED, SLOW_START_RESPECTED, STATES_RELEASED = RULES
@@ -147,10 +147,10 @@
 
 VIOLATIONS: dict[str, tuple[Callable[[pytest.MonkeyPatch], None], SimulationSettings]] = {
     NO_REQUEST_LOST: (give_no_final_response_on_failure, SimulationSettings()),
-    NO_EFFECT_TWICE: (forgets_that_it_may_have_run, SimulationSettings()),
-    DRAINS_RESPECTED: (does_not_hear_of_drains, SimulationSettings()),
+    NO_EFFECT_TWICE: (treat_executed_attempts_as_not_sent, SimulationSettings()),
+    DRAINS_RESPECTED: (ignore_drains, SimulationSettings()),
     SLOW_START_RESPECTED: (
-        takes_cold_for_warm,
+        ignore_slow_start,
         SimulationSettings(slow_start_overload_multiple=0.4, requests_per_second=70.0),
     ),
     STATES_RELEASED: (release_no_state, SimulationSettings()),
