--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -110,49 +110,49 @@
             cell_store.write_with_checksum(self.map_file, cell_store.encode_map(cells))
         self.file = folder / "small-fleet.jsonl"
         self.recorder = Recorder(self.file)
-        self.listing = EndpointListService(self.recorder, 0)
+        self.endpoint_list = EndpointListService(self.recorder, 0)
         self.engines = [
             StandInEngine(planned.spec, self.recorder, False, index)
             for index, planned in enumerate(self.plan.engines)
         ]
         self.started = [0] * len(self.engines)  # start times in Unix milliseconds; 0: started long ago
-        self.lives: dict[int, anyio.CancelScope] = {}
+        self.engine_scopes: dict[int, anyio.CancelScope] = {}
         self.bounds = bounds
-        self.running: FrontServer
+        self.front_server: FrontServer
         self.port = 0
 
     @asynccontextmanager
     async def open(self, tape: Path | None = None) -> AsyncIterator[SmallFleet]:
         """Run the whole fleet; on exit, stop the front and cancel everything that still runs."""
         async with anyio.create_task_group() as tasks:
-            await tasks.start(self.listing.run, "127.0.0.1", 0)
+            await tasks.start(self.endpoint_list.run, "127.0.0.1", 0)
             for at in range(len(self.engines)):
                 self.plan.engines[at].port = await tasks.start(self._engine, at)
-                self.tell(at, "on")
-            configuration = front_configuration(self.plan, 0, self.listing.port, self.folder)
+                self.publish_state(at, "on")
+            configuration = front_configuration(self.plan, 0, self.endpoint_list.port, self.folder)
             configuration["front"]["bounds"] |= self.bounds
-            self.running = FrontServer(parse_config(configuration), tape)
-            self.port = await tasks.start(self.running.run)
-            while len(self.running.front.endpoints) < len(self.engines):
+            self.front_server = FrontServer(parse_config(configuration), tape)
+            self.port = await tasks.start(self.front_server.run)
+            while len(self.front_server.front.endpoints) < len(self.engines):
                 await anyio.sleep(0.005)
             yield self
-            self.running.stop()
+            self.front_server.stop()
             tasks.cancel_scope.cancel()
 
     async def _engine(self, at: int, *, task_status: TaskStatus[int]) -> None:
-        with anyio.CancelScope() as self.lives[at]:
+        with anyio.CancelScope() as self.engine_scopes[at]:
             await self.engines[at].run("127.0.0.1", 0, task_status=task_status)
 
     def kill(self, at: int) -> None:
         """Kill an engine, with all its connections and states."""
         self.recorder.record_event("killed", process=f"e{at}", engine=f"e{at}")
         self.engines[at].model.held_states.clear()
-        self.lives[at].cancel()
+        self.engine_scopes[at].cancel()
 
-    def tell(self, at: int, state: str) -> None:
+    def publish_state(self, at: int, state: str) -> None:
         """Publish an engine's state in the endpoint list without delay."""
         planned = self.plan.engines[at]
-        self.listing.update(
+        self.endpoint_list.update(
             msgspec.convert(
                 {
                     "engine": planned.spec.name,
@@ -168,7 +168,7 @@
             at_once=True,
         )
 
-    async def ask(
+    async def send_request(
         self,
         tariff: str = "ask",
         tokens: int = 50,
@@ -199,15 +199,15 @@
             **{name.replace("_", "-"): value for name, value in headers.items()},
         }
         lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items() if value)
-        return await self.say(f"POST /v1/completions HTTP/1.1\r\n{lines}\r\n".encode() + raw)
+        return await self.send_raw(f"POST /v1/completions HTTP/1.1\r\n{lines}\r\n".encode() + raw)
 
-    async def say(self, raw: bytes) -> ReceivedResponse:
+    async def send_raw(self, raw: bytes) -> ReceivedResponse:
         """Send raw bytes on a new connection and return the response."""
         async with await anyio.connect_tcp("127.0.0.1", self.port) as stream:
             await stream.send(raw)
             return await receive_response(stream)
 
-    def seen(self, what: str, **fields: Any) -> list[Event]:
+    def recorded_events(self, what: str, **fields: Any) -> list[Event]:
         """Return the recorded events of a kind whose fields have the given values."""
         return [
             event
@@ -215,10 +215,10 @@
             if event["what"] == what and all(event.get(name) == value for name, value in fields.items())
         ]
 
-    async def until(self, what: str, count: Any = 1, **fields: Any) -> None:
+    async def wait_for_events(self, what: str, count: Any = 1, **fields: Any) -> None:
         """Wait until at least `count` matching events are recorded; raise TimeoutError after WAIT_LIMIT."""
         with anyio.fail_after(WAIT_LIMIT):
-            while len(self.seen(what, **fields)) < count:
+            while len(self.recorded_events(what, **fields)) < count:
                 await anyio.sleep(0.01)
 
 
--- a/tests/test_auditor_rejects_forged_recordings.py
+++ b/tests/test_auditor_rejects_forged_recordings.py
@@ -85,12 +85,12 @@
 
 
 async def drained(fleet: SmallFleet) -> None:
-    await fleet.until("ran", 5)
-    fleet.tell(0, "draining")
+    await fleet.wait_for_events("ran", 5)
+    fleet.publish_state(0, "draining")
     with anyio.fail_after(10):
         while not any(
             name == "e0" and state == "draining"
-            for event in fleet.seen("told")
+            for event in fleet.recorded_events("told")
             for name, state, _ in event["engines"]
         ):
             await anyio.sleep(0.01)
@@ -257,7 +257,7 @@
         clients = WorkloadClients(fleet.plan, load_balancer, fleet.recorder)
         with anyio.fail_after(30):
             await clients.run(planned, now())
-            while fleet.running.front.requests:
+            while fleet.front_server.front.requests:
                 await anyio.sleep(0.01)
         await anyio.sleep(settings.get("held_on", 0))  # a state is pinned by being there for so long
         fleet.recorder.record_event("over")
--- a/tests/test_front_attempts.py
+++ b/tests/test_front_attempts.py
@@ -22,26 +22,26 @@
     async with SmallFleet(tmp_path, TWO_DECODE_ENGINES).open() as fleet:
         for engine in fleet.engines[1:]:
             engine.set_fault("row", row="reset_after", share=1.0)
-        response = await fleet.ask("book")
+        response = await fleet.send_request("book")
         assert (response.status, response.error["type"]) == (424, "scrapped")
         # Client libraries repeat 408, 409, 429 and 5xx by themselves; this error must be none of them.
         assert response.headers["x-should-retry"] == "false"
-        assert len(fleet.seen("arrived", stage="write")) == 1
+        assert len(fleet.recorded_events("arrived", stage="write")) == 1
 
 
 async def test_an_at_most_once_request_that_did_not_execute_is_tried_again(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, TWO_DECODE_ENGINES).open() as fleet:
         for engine in fleet.engines[1:]:
             engine.set_fault("row", row="full_503", share=0.6)
-        response = await fleet.ask("book")
+        response = await fleet.send_request("book")
         assert response.status in (200, 503)  # served in the end or rejected, never failed
-        assert len(fleet.seen("ran")) <= 1
+        assert len(fleet.recorded_events("ran")) <= 1
 
 
 async def test_a_stream_interrupted_in_the_middle_ends_in_one_error_event(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
         fleet.engines[1].set_fault("row", row="reset_stream", share=1.0)
-        response = await fleet.ask(out=50)
+        response = await fleet.send_request(out=50)
         assert response.status == 200
         assert b'"type":"scrapped"' in response.body.split(b"\n\n")[-2]
         assert b"[DONE]" not in response.body
@@ -66,25 +66,27 @@
         responses = []
 
         async def make_request() -> None:
-            responses.append(await fleet.ask("book"))
+            responses.append(await fleet.send_request("book"))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(make_request)
             with anyio.fail_after(10):
                 await connecting.wait()
-                fleet.tell(chosen[0], "draining")
-                while fleet.running.front.first_driver.scheduler.engines[chosen[0]].ready:
+                fleet.publish_state(chosen[0], "draining")
+                while fleet.front_server.front.first_driver.scheduler.engines[chosen[0]].ready:
                     await anyio.sleep(0.005)
             proceed.set()
         assert responses[0].status == 200
-        assert {event["engine"] for event in fleet.seen("arrived", stage="write")} == {f"e{3 - chosen[0]}"}
+        assert {event["engine"] for event in fleet.recorded_events("arrived", stage="write")} == {
+            f"e{3 - chosen[0]}"
+        }
 
 
 async def test_the_check_for_poisonous_requests_holds_up_no_client_that_disconnects(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
-        front, checking = fleet.running.front, anyio.Event()
+        front, checking = fleet.front_server.front, anyio.Event()
 
         async def never_answers(address: tuple[str, int]) -> bool:
             checking.set()
@@ -96,7 +98,7 @@
         fleet.engines[1].set_fault("row", row="reset_after", share=1.0)
         with anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(fleet.ask)
+                tasks.start_soon(fleet.send_request)
                 await checking.wait()
                 tasks.cancel_scope.cancel()
             while front.requests:
@@ -108,23 +110,23 @@
 
 async def test_an_error_in_the_scheduler_fails_one_request_alone(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
-        scheduler = fleet.running.front.first_driver.scheduler
+        scheduler = fleet.front_server.front.first_driver.scheduler
         original = scheduler.select_engine
         scheduler.select_engine = lambda *_: 1 // 0  # type: ignore[method-assign, assignment]
-        response = await fleet.ask()
+        response = await fleet.send_request()
         assert (response.status, response.error["type"]) == (424, "scrapped")
         scheduler.select_engine = original  # type: ignore[method-assign]
-        assert (await fleet.ask()).status == 200
-        assert not fleet.running.front.requests
+        assert (await fleet.send_request()).status == 200
+        assert not fleet.front_server.front.requests
 
 
 async def test_an_error_while_a_response_streams_cancels_its_attempt(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
-        front = fleet.running.front
+        front = fleet.front_server.front
         monkeypatch.setattr("runspool.scheduling.attempt_accounting.update_estimate", lambda *_: 1 // 0)
-        response = await fleet.ask(out=200)
+        response = await fleet.send_request(out=200)
         if response.status == 200:
             assert b"scrapped" in response.body
         else:
--- a/tests/test_front_cells.py
+++ b/tests/test_front_cells.py
@@ -20,19 +20,19 @@
     """Write a map and wait until the front has adopted it."""
     cell_store.write_with_checksum(fleet.map_file, cell_store.encode_map(cell_map))
     with anyio.fail_after(10):
-        while fleet.running.front.cell_router.cell_map.version < cell_map.version:
+        while fleet.front_server.front.cell_router.cell_map.version < cell_map.version:
             await anyio.sleep(0.005)
 
 
 async def until_event(fleet: SmallFleet, what: str, mark: str) -> None:
     """Wait for an event of the request with this mark."""
     fields: dict[str, Any] = {"try": mark}
-    await fleet.until(what, **fields)
+    await fleet.wait_for_events(what, **fields)
 
 
 def engines_reached(fleet: SmallFleet, mark: str) -> set[str]:
     """Return the engines that the request with this mark arrived at."""
-    return {str(event["engine"]) for event in fleet.seen("arrived", **{"try": mark})}
+    return {str(event["engine"]) for event in fleet.recorded_events("arrived", **{"try": mark})}
 
 
 @pytest.mark.anyio
@@ -41,7 +41,7 @@
         for number in range(6):
             for tenant, engines in (("one", {"e0", "e1"}), ("two", {"e2", "e3"})):
                 mark = f"{tenant}{number}"
-                assert (await fleet.ask(runspool_tenant=tenant, runspool_mark=mark)).status == 200
+                assert (await fleet.send_request(runspool_tenant=tenant, runspool_mark=mark)).status == 200
                 assert engines_reached(fleet, mark) == engines
 
 
@@ -55,7 +55,7 @@
         rejections: list[str] = []
 
         async def flood(number: int) -> None:
-            response = await fleet.ask(out=400, runspool_tenant="one", runspool_mark=f"f{number}")
+            response = await fleet.send_request(out=400, runspool_tenant="one", runspool_mark=f"f{number}")
             rejections.append(response.error["code"] if response.status == 503 else "")
 
         for number in range(40):
@@ -63,9 +63,9 @@
         with anyio.fail_after(10):
             while rejections.count("cell_full") < 10:
                 await anyio.sleep(0.005)
-        budget = fleet.running.front.cell_router.request_budget
+        budget = fleet.front_server.front.cell_router.request_budget
         assert budget.used["a"] <= 20 - 2 * budget.guarantee("b")
-        assert (await fleet.ask(runspool_tenant="two")).status == 200
+        assert (await fleet.send_request(runspool_tenant="two")).status == 200
         tasks.cancel_scope.cancel()
 
 
@@ -77,15 +77,15 @@
     ):
 
         async def long_request() -> None:
-            response = await fleet.ask("book", out=60, runspool_tenant="one", runspool_mark="old")
+            response = await fleet.send_request("book", out=60, runspool_tenant="one", runspool_mark="old")
             assert response.status == 200
 
         tasks.start_soon(long_request)
         await until_event(fleet, "arrived", "old")
         await adopt(fleet, map_with_move())
-        assert (await fleet.ask(runspool_tenant="one", runspool_mark="new")).status == 200
+        assert (await fleet.send_request(runspool_tenant="one", runspool_mark="new")).status == 200
         assert engines_reached(fleet, "new") == {"e2", "e3"}
-        moves = fleet.running.front.status_page()["moves"]
+        moves = fleet.front_server.front.status_page()["moves"]
         assert [(move["stage"], move["out"]) for move in moves] in ([("settling", 1)], [("settled", 0)])
         await until_event(fleet, "ran", "old")
         (turned_back,) = map_with_move(step="turned_back", turned_unix_ms=2).moves
@@ -93,7 +93,7 @@
             fleet,
             map_with_move().model_copy(update={"version": 3, "moves": [turned_back]}),
         )
-        assert (await fleet.ask(runspool_tenant="one", runspool_mark="back")).status == 200
+        assert (await fleet.send_request(runspool_tenant="one", runspool_mark="back")).status == 200
         assert engines_reached(fleet, "back") == {"e0", "e1"}
     assert engines_reached(fleet, "old") == {"e0", "e1"}
 
@@ -105,11 +105,11 @@
     async with SmallFleet(tmp_path, ENGINE_TYPES, CELL_MAP).open() as fleet:
         known: dict[str, Any] = {"runspool_tenant": "one", "runspool_ticket": "t1"}
         unknown = known | {"runspool_ticket": "t2"}
-        assert (await fleet.ask("mark", runspool_mark="first", **known)).status == 200
+        assert (await fleet.send_request("mark", runspool_mark="first", **known)).status == 200
         await adopt(fleet, map_with_move())
-        repeated = await fleet.ask("mark", runspool_mark="again", runspool_try="2", **known)
+        repeated = await fleet.send_request("mark", runspool_mark="again", runspool_try="2", **known)
         assert (repeated.status, engines_reached(fleet, "again")) == (200, {"e0", "e1"})
-        rejected = await fleet.ask("mark", runspool_mark="strange", runspool_try="2", **unknown)
+        rejected = await fleet.send_request("mark", runspool_mark="strange", runspool_try="2", **unknown)
         assert (rejected.status, rejected.error["code"]) == (424, "unsure")
         assert engines_reached(fleet, "strange") == set()
 
@@ -119,13 +119,13 @@
     fleet = SmallFleet(tmp_path, ENGINE_TYPES, CELL_MAP)
     async with fleet.open():
         await adopt(fleet, map_with_move())
-        adopted_at = fleet.running.front.cell_router.adopted_unix_ms
-    restarted = FrontServer(fleet.running.config)
+        adopted_at = fleet.front_server.front.cell_router.adopted_unix_ms
+    restarted = FrontServer(fleet.front_server.config)
     assert restarted.front.cell_router.cell_map == map_with_move()
     assert restarted.front.cell_router.migrations.adopted_unix_ms == adopted_at
     # A damaged record of it counts as a map adopted just now, so that no key is trusted too early.
     (tmp_path / "front-0.list.cells").write_bytes(b"torn")
-    restored = FrontServer(fleet.running.config)
+    restored = FrontServer(fleet.front_server.config)
     assert restored.front.cell_router.cell_map == map_with_move()
     assert restored.front.cell_router.adopted_unix_ms > adopted_at
 
@@ -134,7 +134,7 @@
 async def test_a_damaged_or_older_map_changes_nothing(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, ENGINE_TYPES, CELL_MAP).open() as fleet:
         await adopt(fleet, map_with_move())
-        watcher = fleet.running.cell_map_watcher
+        watcher = fleet.front_server.cell_map_watcher
         assert watcher is not None
         for raw in (b"torn", b"%08x\n{}" % 0):
             fleet.map_file.write_bytes(raw)
@@ -143,8 +143,8 @@
                 while watcher.last_file_version == version_before:
                     await anyio.sleep(0.005)
         cell_store.write_with_checksum(fleet.map_file, cell_store.encode_map(CELL_MAP))
-        assert (await fleet.ask(runspool_tenant="one", runspool_mark="q")).status == 200
-        assert fleet.running.front.cell_router.cell_map.version == 2
+        assert (await fleet.send_request(runspool_tenant="one", runspool_mark="q")).status == 200
+        assert fleet.front_server.front.cell_router.cell_map.version == 2
 
 
 @pytest.mark.anyio
@@ -155,7 +155,9 @@
     ):
 
         async def open_request() -> None:
-            assert (await fleet.ask(out=60, runspool_tenant="one", runspool_mark="held")).status == 200
+            assert (
+                await fleet.send_request(out=60, runspool_tenant="one", runspool_mark="held")
+            ).status == 200
 
         tasks.start_soon(open_request)
         await until_event(fleet, "arrived", "held")
@@ -163,11 +165,11 @@
         await adopt(
             fleet, CELL_MAP.model_copy(update={"version": 2, "cells": cells, "tenants": {"two": "b"}})
         )
-        assert (await fleet.ask(runspool_tenant="one", runspool_mark="now")).status == 200
+        assert (await fleet.send_request(runspool_tenant="one", runspool_mark="now")).status == 200
         assert engines_reached(fleet, "now") == {"e2", "e3"}
         await until_event(fleet, "ran", "held")
         with anyio.fail_after(10):
-            while "a" in fleet.running.front.cell_schedulers:
+            while "a" in fleet.front_server.front.cell_schedulers:
                 await anyio.sleep(0.005)
 
 
@@ -175,17 +177,21 @@
 async def test_a_cell_that_rejects_everything_overflows_into_the_reserve_and_recovers(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, ENGINE_TYPES, CELL_MAP).open() as fleet:
         fleet.engines[0].set_fault("row", row="full_503", share=1.0)
-        overflow = fleet.running.front.cell_router.overflow_policy.state("a")
+        overflow = fleet.front_server.front.cell_router.overflow_policy.state("a")
         number = 0
         with anyio.fail_after(30):
-            while not fleet.seen("ran", engine="e5"):
+            while not fleet.recorded_events("ran", engine="e5"):
                 number += 1
-                await fleet.ask(runspool_tenant="one", runspool_limit_ms="300", runspool_mark=f"o{number}")
+                await fleet.send_request(
+                    runspool_tenant="one", runspool_limit_ms="300", runspool_mark=f"o{number}"
+                )
             assert overflow.overflowing
             fleet.engines[0].set_fault("row", row="full_503", share=0.0)
             while overflow.overflowing:
-                await fleet.ask(runspool_tenant="one", runspool_mark=f"o{number}")
-        assert not fleet.seen("arrived", engine="e2") and not fleet.seen("arrived", engine="e3")
+                await fleet.send_request(runspool_tenant="one", runspool_mark=f"o{number}")
+        assert not fleet.recorded_events("arrived", engine="e2") and not fleet.recorded_events(
+            "arrived", engine="e3"
+        )
 
 
 @pytest.mark.anyio
@@ -199,13 +205,13 @@
     monkeypatch.setattr(StandInEngine, "crash", cancel_tasks)
     cell_map = CELL_MAP.model_copy(update={"cells": {}, "reserve": None, "tenants": {}, "poison_after": 2})
     async with SmallFleet(tmp_path, ["prefill", *["decode"] * 4], cell_map).open() as fleet:
-        response = await fleet.ask(poison=True, runspool_tenant="one", runspool_mark="bad")
+        response = await fleet.send_request(poison=True, runspool_tenant="one", runspool_mark="bad")
         assert (response.status, response.error["code"]) == (424, "poisonous")
-        assert len(fleet.seen("fell")) == 2  # of four
-        repeated = await fleet.ask(poison=True, runspool_tenant="one", runspool_mark="bad2")
+        assert len(fleet.recorded_events("fell")) == 2  # of four
+        repeated = await fleet.send_request(poison=True, runspool_tenant="one", runspool_mark="bad2")
         assert (repeated.status, repeated.error["code"]) == (424, "poisonous")
         assert engines_reached(fleet, "bad2") == set()
-        assert (await fleet.ask(tokens=60, runspool_tenant="one")).status == 200
+        assert (await fleet.send_request(tokens=60, runspool_tenant="one")).status == 200
 
 
 @pytest.mark.anyio
@@ -214,6 +220,6 @@
         for engine in fleet.engines[1:]:
             engine.set_fault("row", row="reset_after", share=0.7)
         for number in range(10):
-            await fleet.ask(runspool_mark=f"r{number}")
-        assert not fleet.running.front.cell_router.poison_detector.losses
-        assert fleet.running.front.counts["poisonous"] == 0
+            await fleet.send_request(runspool_mark=f"r{number}")
+        assert not fleet.front_server.front.cell_router.poison_detector.losses
+        assert fleet.front_server.front.counts["poisonous"] == 0
--- a/tests/test_front_disconnects.py
+++ b/tests/test_front_disconnects.py
@@ -29,12 +29,12 @@
         raw = msgspec.json.encode({"prompt": "abcd" * 40, "stream": True, "standin": {"try": "t", "out": 5}})
         async with await anyio.connect_tcp("127.0.0.1", fleet.port) as stream:
             await stream.send(REQUEST_HEAD + b"Content-Length: %d\r\n\r\n" % len(raw) + raw)
-            await fleet.until("arrived", stage="write")
-        await fleet.until("ended", how="left")
-        await fleet.until("released")
-        while fleet.running.front.requests:
+            await fleet.wait_for_events("arrived", stage="write")
+        await fleet.wait_for_events("ended", how="left")
+        await fleet.wait_for_events("released")
+        while fleet.front_server.front.requests:
             await anyio.sleep(0.01)
-        assert fleet.running.front.counts["client_disconnected"] == 1
+        assert fleet.front_server.front.counts["client_disconnected"] == 1
 
 
 async def test_a_client_that_does_not_read_its_response_counts_as_disconnected(tmp_path: Path) -> None:
@@ -46,13 +46,13 @@
         )
         async with await anyio.connect_tcp("127.0.0.1", fleet.port) as stream:
             await stream.send(REQUEST_HEAD + b"Content-Length: %d\r\n\r\n" % len(raw) + raw)
-            await fleet.until("ended", how="left")
-        assert fleet.running.front.counts["client_disconnected"] == 1
+            await fleet.wait_for_events("ended", how="left")
+        assert fleet.front_server.front.counts["client_disconnected"] == 1
 
 
 async def test_what_an_engine_sends_after_the_final_response_is_dropped(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
-        front = fleet.running.front
+        front = fleet.front_server.front
         passed: list[str] = []
 
         class RecordingListener:
@@ -83,7 +83,7 @@
 
 async def test_a_late_disconnect_in_a_closed_cell_creates_no_scheduler(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
-        front = fleet.running.front
+        front = fleet.front_server.front
         request = parse_completion_request({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
         admission = replace(front._admit(request), cell="closed")
         front.disconnect(
@@ -99,15 +99,15 @@
         responses = []
 
         async def make_request() -> None:
-            responses.append(await fleet.ask(out=30))
+            responses.append(await fleet.send_request(out=30))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(make_request)
-            await fleet.until("ran")
-            fleet.running.stop()
+            await fleet.wait_for_events("ran")
+            fleet.front_server.stop()
         assert responses[0].text.split()[-1] == "t30"
         with pytest.raises(OSError):
-            await fleet.ask()
+            await fleet.send_request()
 
 
 async def test_a_shutdown_that_cannot_wait_fails_what_is_left(tmp_path: Path) -> None:
@@ -116,10 +116,10 @@
         responses = []
 
         async def make_request() -> None:
-            responses.append(await fleet.ask())
+            responses.append(await fleet.send_request())
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(make_request)
-            await fleet.until("arrived", stage="write")
-            fleet.running.stop()
+            await fleet.wait_for_events("arrived", stage="write")
+            fleet.front_server.stop()
         assert (responses[0].status, responses[0].error["code"]) == (424, "stopped")
--- a/tests/test_front_endpoint_list.py
+++ b/tests/test_front_endpoint_list.py
@@ -27,45 +27,45 @@
         tmp_path / "front-0.list", 7, [EndpointEntry("e9", "127.0.0.1:9", "prefill", "a", 0, "draining")]
     )
     async with fleet.open() as opened:
-        assert opened.running.front.endpoints[0].name == "e9"
+        assert opened.front_server.front.endpoints[0].name == "e9"
         # The service's snapshot does not name it: it is removed, and the new list is saved soon.
         while b"e9" in (tmp_path / "front-0.list").read_bytes():
             await anyio.sleep(0.01)
     (tmp_path / "front-0.list").write_bytes(b"00000000\n{}")
     async with SmallFleet(tmp_path, PAIR).open() as opened:
-        assert (await opened.ask()).status == 200
+        assert (await opened.send_request()).status == 200
 
 
 async def test_an_engine_that_returns_with_another_type_is_used_as_that(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, TWO_DECODE_ENGINES).open() as fleet:
-        front = fleet.running.front
+        front = fleet.front_server.front
         fleet.plan.engines[1].engine_type = "prefill"
-        fleet.tell(1, "on")
+        fleet.publish_state(1, "on")
         with anyio.fail_after(10):
             while front.first_driver.scheduler.engines[1].role is not Role.PREFILL:
                 await anyio.sleep(0.005)
         async with anyio.create_task_group() as tasks:
             for _ in range(8):
-                tasks.start_soon(fleet.ask)
-        assert {event["stage"] for event in fleet.seen("arrived", engine="e1")} <= {"read"}
-        assert len(fleet.seen("ran", engine="e2")) == 8
+                tasks.start_soon(fleet.send_request)
+        assert {event["stage"] for event in fleet.recorded_events("arrived", engine="e1")} <= {"read"}
+        assert len(fleet.recorded_events("ran", engine="e2")) == 8
         # A type that this front does not know: nothing is known of what it can do, or whether it drains.
         fleet.plan.engines[1].engine_type = "novel"
-        fleet.tell(1, "draining")
+        fleet.publish_state(1, "draining")
         with anyio.fail_after(10):
             while front.first_driver.scheduler.engines[1].ready:
                 await anyio.sleep(0.005)
-        assert (await fleet.ask()).status == 200
+        assert (await fleet.send_request()).status == 200
 
 
 async def test_an_engine_is_cold_for_a_front_whose_wall_clock_was_set_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with SmallFleet(tmp_path, TWO_DECODE_ENGINES).open() as fleet:
-        front = fleet.running.front
+        front = fleet.front_server.front
         hour = 3_600_000
         fleet.started[1] = unix_ms() - 30_000
-        fleet.tell(1, "on")
+        fleet.publish_state(1, "on")
         scheduler = front.first_driver.scheduler
         with anyio.fail_after(10):
             while not scheduler.engines[1].started_at:
@@ -74,9 +74,9 @@
         monkeypatch.setattr(
             "runspool.service.executor_base.wall_clock_offset_ms", lambda: wall_clock_offset_ms() - hour
         )
-        fleet.tell(1, "draining")
+        fleet.publish_state(1, "draining")
         fleet.started[2] = unix_ms() - hour
-        fleet.tell(2, "on")
+        fleet.publish_state(2, "on")
         with anyio.fail_after(10):
             while not scheduler.engines[2].started_at:
                 await anyio.sleep(0.005)
@@ -86,7 +86,7 @@
 
 async def test_what_is_kept_of_removed_engines_is_bounded(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
-        front = fleet.running.front
+        front = fleet.front_server.front
         for number in range(MAX_GONE_ENGINES + 200):
             for state in ("on", "gone"):
                 entry = EndpointEntry(f"n{number}", f"127.0.0.1:{number + 1}", "decode", "a", 0, "on")
@@ -97,7 +97,7 @@
             == len(front.endpoint_registry.engine_interner)
             <= MAX_GONE_ENGINES + 2
         )
-        assert (await fleet.ask()).status == 200
+        assert (await fleet.send_request()).status == 200
 
 
 async def test_the_thread_that_saves_the_list_has_its_own_copy(
@@ -112,7 +112,7 @@
             while not saved or len(saved[-1]) < 2:
                 await anyio.sleep(0.005)
         last_saved = list(saved[-1])
-        entries = fleet.running.front.endpoint_tracker.entries
+        entries = fleet.front_server.front.endpoint_tracker.entries
         entries.clear()
         assert saved[-1] == last_saved
         with pytest.raises(AttributeError):
--- a/tests/test_front_recordings.py
+++ b/tests/test_front_recordings.py
@@ -25,14 +25,14 @@
         async with anyio.create_task_group() as tasks:
             for number in range(40):
                 tasks.start_soon(
-                    lambda index=number: fleet.ask(  # type: ignore[misc]
+                    lambda index=number: fleet.send_request(  # type: ignore[misc]
                         REQUEST_CLASSES[index % 2],
                         out=5,
                         runspool_mark=f"m{index}",
                         runspool_session=f"s{index % 7}",
                     )
                 )
-        fleet.running.front.cell_scheduler("whole").recorder.close()
+        fleet.front_server.front.cell_scheduler("whole").recorder.close()
     replayed = replay(recording)
     assert replayed.first_difference == ""
     assert replayed.events > 100
@@ -49,10 +49,10 @@
         async with anyio.create_task_group() as tasks:
             for number in range(30):
                 tasks.start_soon(
-                    lambda index=number: fleet.ask(  # type: ignore[misc]
+                    lambda index=number: fleet.send_request(  # type: ignore[misc]
                         "book", out=5, runspool_mark=f"m{index}"
                     )
                 )
-        assert len(fleet.seen("ran")) == 30
+        assert len(fleet.recorded_events("ran")) == 30
         events = [msgspec.json.decode(line) for line in fleet.file.read_bytes().splitlines()]
         assert all(rule.violation_count == 0 for rule in audit(events).values())
--- a/tests/test_front_requests.py
+++ b/tests/test_front_requests.py
@@ -20,43 +20,43 @@
 
 async def test_a_response_is_streamed_or_sent_complete(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
-        streamed = await fleet.ask(out=7)
+        streamed = await fleet.send_request(out=7)
         assert (streamed.status, streamed.text.split()) == (200, [f"t{at}" for at in range(1, 8)])
         assert streamed.body.endswith(b"data: [DONE]\n\n")
-        complete = await fleet.ask(out=7, stream=False)
+        complete = await fleet.send_request(out=7, stream=False)
         completion = msgspec.json.decode(complete.body)
         assert completion["choices"][0]["text"] == streamed.text
         assert completion["usage"]["prompt_tokens"] == 50
         # Prefilled at one engine, fetched by the other, nothing left behind.
-        assert len(fleet.seen("held")) == len(fleet.seen("taken", by="e1")) == 2
+        assert len(fleet.recorded_events("held")) == len(fleet.recorded_events("taken", by="e1")) == 2
 
 
 async def test_invalid_requests_are_rejected_before_admission(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR, query_bytes=2000).open() as fleet:
         rejected = [
-            (await fleet.ask("none"), 400, "runspool-tariff"),
-            (await fleet.ask(body=b"{"), 400, "body"),
-            (await fleet.ask(body=b"{}"), 400, "prompt"),
-            (await fleet.ask(body=b'{"prompt": 7}'), 400, "prompt"),
-            (await fleet.ask(body=b'{"prompt": "x", "max_tokens": 0}'), 400, "max_tokens"),
-            (await fleet.ask(body=b'{"prompt": "x", "stream": 3}'), 400, "stream"),
-            (await fleet.ask(runspool_limit_ms="soon"), 400, "runspool-limit-ms"),
-            (await fleet.ask(runspool_limit_ms="-5"), 400, "runspool-limit-ms"),
-            (await fleet.ask(runspool_tenant="nobody"), 400, "runspool-tenant"),
-            (await fleet.ask("mark"), 400, "runspool-ticket"),
-            (await fleet.ask(runspool_session="s" * 300), 400, "runspool-session"),
-            (await fleet.ask(tokens=900), 413, "query_bytes"),
-            (await fleet.say(b"NONSENSE\r\n\r\n"), 400, "malformed"),
-            (await fleet.say(b"GET /healthz HTTP/1.1\r\n\r\n"), 400, "malformed"),  # no host
+            (await fleet.send_request("none"), 400, "runspool-tariff"),
+            (await fleet.send_request(body=b"{"), 400, "body"),
+            (await fleet.send_request(body=b"{}"), 400, "prompt"),
+            (await fleet.send_request(body=b'{"prompt": 7}'), 400, "prompt"),
+            (await fleet.send_request(body=b'{"prompt": "x", "max_tokens": 0}'), 400, "max_tokens"),
+            (await fleet.send_request(body=b'{"prompt": "x", "stream": 3}'), 400, "stream"),
+            (await fleet.send_request(runspool_limit_ms="soon"), 400, "runspool-limit-ms"),
+            (await fleet.send_request(runspool_limit_ms="-5"), 400, "runspool-limit-ms"),
+            (await fleet.send_request(runspool_tenant="nobody"), 400, "runspool-tenant"),
+            (await fleet.send_request("mark"), 400, "runspool-ticket"),
+            (await fleet.send_request(runspool_session="s" * 300), 400, "runspool-session"),
+            (await fleet.send_request(tokens=900), 413, "query_bytes"),
+            (await fleet.send_raw(b"NONSENSE\r\n\r\n"), 400, "malformed"),
+            (await fleet.send_raw(b"GET /healthz HTTP/1.1\r\n\r\n"), 400, "malformed"),  # no host
             (
-                await fleet.say(
+                await fleet.send_raw(
                     b"GET /healthz HTTP/1.1\r\nHost: x\r\nRunspool-Tariff: a\r\nRunspool-Tariff: b\r\n\r\n"
                 ),
                 400,
                 "malformed",
             ),
             (
-                await fleet.say(
+                await fleet.send_raw(
                     b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n"
                     b"Transfer-Encoding: chunked\r\n\r\n"
                 ),
@@ -64,7 +64,7 @@
                 "malformed",
             ),
             (
-                await fleet.say(
+                await fleet.send_raw(
                     b"POST /v1/completions HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n"
                     b"fffff\r\n" + b"x" * 0xFFFFF + b"\r\n0\r\n\r\n"
                 ),
@@ -72,7 +72,7 @@
                 "query_bytes",
             ),
             (
-                await fleet.say(
+                await fleet.send_raw(
                     b"GET /healthz HTTP/1.1\r\nHost: x\r\n"
                     + b"".join(b"A%d: b\r\n" % at for at in range(101))
                     + b"\r\n"
@@ -80,20 +80,20 @@
                 431,
                 "malformed",
             ),
-            (await fleet.say(b"GET / HTTP/1.1\r\nHost: x\r\nA: " + b"x" * 40_000), 431, "malformed"),
-            (await fleet.say(b"GET /else HTTP/1.1\r\nHost: x\r\n\r\n"), 404, "path"),
+            (await fleet.send_raw(b"GET / HTTP/1.1\r\nHost: x\r\nA: " + b"x" * 40_000), 431, "malformed"),
+            (await fleet.send_raw(b"GET /else HTTP/1.1\r\nHost: x\r\n\r\n"), 404, "path"),
         ]
         for response, status, code in rejected:
             assert (response.status, response.error["code"]) == (status, code)
-        assert fleet.running.front.counts["accepted"] == 0
-        assert not fleet.seen("arrived")
+        assert fleet.front_server.front.counts["accepted"] == 0
+        assert not fleet.recorded_events("arrived")
 
 
 async def test_a_partial_body_and_a_slow_head_are_rejected(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR, body_ms=100, head_ms=100).open() as fleet:
-        partial = await fleet.say(REQUEST_HEAD + b"Content-Length: 500\r\n\r\n{")
+        partial = await fleet.send_raw(REQUEST_HEAD + b"Content-Length: 500\r\n\r\n{")
         assert (partial.status, partial.error["code"]) == (408, "body_time")
-        slow = await fleet.say(REQUEST_HEAD)
+        slow = await fleet.send_raw(REQUEST_HEAD)
         assert (slow.status, slow.error["code"]) == (408, "head_time")
 
 
@@ -125,16 +125,18 @@
                 await stream.send_eof()
                 response = await receive_response(stream)
             assert (response.status, response.error["code"]) == (400, "malformed")
-        assert fleet.running.front.counts["accepted"] == 0
+        assert fleet.front_server.front.counts["accepted"] == 0
 
 
 async def test_without_any_engine_a_request_is_rejected_in_time(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
-        fleet.tell(0, "gone")
-        fleet.tell(1, "gone")
-        while any(engine.ready for engine in fleet.running.front.first_driver.scheduler.engines.values()):
+        fleet.publish_state(0, "gone")
+        fleet.publish_state(1, "gone")
+        while any(
+            engine.ready for engine in fleet.front_server.front.first_driver.scheduler.engines.values()
+        ):
             await anyio.sleep(0.005)
-        response = await fleet.ask(runspool_limit_ms="500")
+        response = await fleet.send_request(runspool_limit_ms="500")
         assert (response.status, response.error["type"]) == (503, "dismissed")
         assert response.headers["x-should-retry"] == "true"
 
@@ -142,23 +144,23 @@
 async def test_a_response_that_cannot_be_complete_in_time_fails_in_time(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
         started = anyio.current_time()
-        response = await fleet.ask(out=400, stream=False, runspool_limit_ms="700")
+        response = await fleet.send_request(out=400, stream=False, runspool_limit_ms="700")
         assert (response.status, response.error["code"]) == (424, "out_of_time")
         assert anyio.current_time() - started < 0.75
-        await fleet.until("ended", how="left")
+        await fleet.wait_for_events("ended", how="left")
 
 
 async def test_beyond_its_limits_a_front_rejects_cleanly(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR, queries=1, connections=3).open() as fleet:
         fleet.engines[0].set_fault("hang", on=True)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(fleet.ask)
-            while not fleet.running.front.requests:
+            tasks.start_soon(fleet.send_request)
+            while not fleet.front_server.front.requests:
                 await anyio.sleep(0.005)
-            rejected_response = await fleet.ask()
+            rejected_response = await fleet.send_request()
             assert (rejected_response.status, rejected_response.error["code"]) == (503, "front_full")
             idle = [await anyio.connect_tcp("127.0.0.1", fleet.port) for _ in range(2)]
-            while fleet.running.open_connections < 3:
+            while fleet.front_server.open_connections < 3:
                 await anyio.sleep(0.005)
             async with await anyio.connect_tcp("127.0.0.1", fleet.port) as stream:
                 excess = await receive_response(stream)
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -109,27 +109,27 @@
 
 async def reach_half_received(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
     """Wait until the front has received the head and a part of the body."""
-    await poll_until(lambda: cluster.running.active_requests)
+    await poll_until(lambda: cluster.front_server.active_requests)
 
 
 async def reach_queued(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
     """Wait until the request is queued at the front for a prefill engine."""
-    await poll_until(lambda: cluster.running.front.first_driver.scheduler.prefill_queue)
+    await poll_until(lambda: cluster.front_server.front.first_driver.scheduler.prefill_queue)
 
 
 async def reach_prefill(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
     """Wait until the prefill engine has received the request."""
-    await cluster.until("arrived", stage="read")
+    await cluster.wait_for_events("arrived", stage="read")
 
 
 async def reach_state_reserved(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
     """Let the prefill complete while no decode engine is available."""
-    await cluster.until("arrived", stage="read")
-    cluster.tell(DECODE, "draining")
-    await poll_until(lambda: not cluster.running.front.first_driver.scheduler.engines[DECODE].ready)
+    await cluster.wait_for_events("arrived", stage="read")
+    cluster.publish_state(DECODE, "draining")
+    await poll_until(lambda: not cluster.front_server.front.first_driver.scheduler.engines[DECODE].ready)
     cluster.engines[PREFILL].set_fault("hang", on=False)
-    await cluster.until("held")
-    await poll_until(lambda: any(pending.state for pending in cluster.running.front.requests.values()))
+    await cluster.wait_for_events("held")
+    await poll_until(lambda: any(pending.state for pending in cluster.front_server.front.requests.values()))
 
 
 async def reach_connecting(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -150,14 +150,14 @@
 
 async def reach_decode(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
     """Wait until the decode engine has received the request."""
-    await cluster.until("arrived", stage="write")
+    await cluster.wait_for_events("arrived", stage="write")
 
 
 async def reach_streaming(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
     """Wait until the client's stream has started."""
-    await cluster.until("ran")
+    await cluster.wait_for_events("ran")
     await poll_until(
-        lambda: any(pending.stream_started for pending in cluster.running.front.requests.values())
+        lambda: any(pending.stream_started for pending in cluster.front_server.front.requests.values())
     )
 
 
@@ -232,7 +232,7 @@
 
     After a shutdown, the front's connections to engines are not checked.
     """
-    front = cluster.running.front
+    front = cluster.front_server.front
     states = [
         f"{engine.spec.name} holds {engine.model.held_states}"
         for engine in cluster.engines
@@ -269,9 +269,9 @@
         request.scope.cancel()
     elif way == ENGINE_LOST:
         cluster.kill(lost_engine)
-        cluster.tell(lost_engine, "gone")
+        cluster.publish_state(lost_engine, "gone")
     elif way == SHUTDOWN:
-        cluster.running.stop()
+        cluster.front_server.stop()
 
 
 @pytest.mark.anyio
@@ -292,7 +292,7 @@
         if stage == QUEUED:
             # The prompt is so long that the next request is queued at the front.
             tasks.start_soon(earlier_request.send, 5, 5_000)
-            await cluster.until("arrived", stage="read")
+            await cluster.wait_for_events("arrived", stage="read")
         tasks.start_soon(request.send, case.output_tokens, 50, stage == HALF_RECEIVED)
         with anyio.fail_after(END_TIMEOUT_SECONDS):
             await case.reach(cluster, monkeypatch)
@@ -309,9 +309,9 @@
         assert leaks(cluster, way) == []
         if way != CLIENT_DISCONNECTS:
             assert answer_kind(request) in case.answers[way]
-        decodes = cluster.seen("arrived", stage="write")
+        decodes = cluster.recorded_events("arrived", stage="write")
         assert len(decodes) == (stage in (DECODE_IN_PROGRESS, STREAMING))
-        assert cluster.running.front.counts["accepted"] == (
+        assert cluster.front_server.front.counts["accepted"] == (
             0 if stage == HALF_RECEIVED else 2 if stage == QUEUED else 1
         )
         tasks.cancel_scope.cancel()
@@ -326,7 +326,7 @@
     cluster.plan.state_release_timeout = STATE_RELEASE_TIMEOUT
     request = ClientRequest(cluster, LONG_TIME_LIMIT_MS)
     async with cluster.open(), anyio.create_task_group() as tasks:
-        client, calls = cluster.running.front.engine_client, []
+        client, calls = cluster.front_server.front.engine_client, []
         release_state = client.release_state
 
         async def lose_three_calls(*arguments: Any) -> FailureCause | None:
@@ -338,9 +338,9 @@
         tasks.start_soon(request.send, 5)
         with anyio.fail_after(END_TIMEOUT_SECONDS):
             await reach_state_reserved(cluster, monkeypatch)
-            cluster.running.stop()
+            cluster.front_server.stop()
             await request.ended.wait()
-            await cluster.until("released")
+            await cluster.wait_for_events("released")
         tasks.cancel_scope.cancel()
 
 
