--- a/tests/fault_proxy.py
+++ b/tests/fault_proxy.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 HOST = "127.0.0.1"
-PIECE = 65_536
+DEFAULT_CHUNK_SIZE = 65_536
 CONNECTION_NUMBERS = count()
 
 
@@ -24,9 +24,9 @@
     """The faults that apply to the bytes of one direction; while the gate is closed, they are held back."""
 
     gate: asyncio.Event = field(default_factory=asyncio.Event)
-    delay: float = 0.0  # seconds by which each piece is delayed
-    piece: int = PIECE  # the most bytes forwarded at a time
-    silences: int = 0  # how many overlapping faults keep the direction silent
+    delay: float = 0.0  # seconds by which each chunk is delayed
+    chunk_size: int = DEFAULT_CHUNK_SIZE  # the most bytes forwarded at a time
+    active_silences: int = 0  # how many overlapping faults keep the direction silent
     silent_after: int | None = None  # bytes of a connection after which nothing is forwarded
 
     def __post_init__(self) -> None:
@@ -96,7 +96,7 @@
         self.to_engine.gate.clear()
         self.from_engine.gate.clear()
 
-    def heal(self) -> None:
+    def end_silence(self) -> None:
         """Forward the bytes that were held back, and all later ones."""
         self.to_engine.gate.set()
         self.from_engine.gate.set()
@@ -145,13 +145,13 @@
     ) -> None:
         """Forward until one side ends; discard what the other side still sends."""
 
-        def response_bytes_passed(data: bytes) -> None:
+        def response_bytes_forwarded(data: bytes) -> None:
             self.on_response_bytes(number, data)
 
         directions = [
             asyncio.ensure_future(self._forward(reader, engine_writer, self.to_engine, _ignore)),
             asyncio.ensure_future(
-                self._forward(engine_reader, writer, self.from_engine, response_bytes_passed)
+                self._forward(engine_reader, writer, self.from_engine, response_bytes_forwarded)
             ),
         ]
         try:
@@ -166,19 +166,19 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         direction: Direction,
-        on_passed: Callable[[bytes], None],
+        on_forwarded: Callable[[bytes], None],
     ) -> None:
-        passed = 0
-        while data := await reader.read(direction.piece):
-            if direction.silent_after is not None and passed + len(data) > direction.silent_after:
-                writer.write(data[: max(0, direction.silent_after - passed)])
+        forwarded = 0
+        while data := await reader.read(direction.chunk_size):
+            if direction.silent_after is not None and forwarded + len(data) > direction.silent_after:
+                writer.write(data[: max(0, direction.silent_after - forwarded)])
                 await asyncio.Event().wait()
             if direction.delay:
                 await asyncio.sleep(direction.delay)
             await direction.gate.wait()
             writer.write(data)
-            on_passed(data)
-            passed += len(data)
+            on_forwarded(data)
+            forwarded += len(data)
             await writer.drain()
 
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -134,12 +134,12 @@
 
     async def _silence_directions(self, fault: Fault, directions: list[Direction]) -> None:
         for direction in directions:
-            direction.silences += 1
+            direction.active_silences += 1
             direction.gate.clear()
         await asyncio.sleep(fault.lasts)
         for direction in directions:
-            direction.silences -= 1
-            if not direction.silences:
+            direction.active_silences -= 1
+            if not direction.active_silences:
                 direction.gate.set()
 
     async def silent_after(self, fault: Fault) -> None:
@@ -155,10 +155,10 @@
         """Forward requests slowly and in small pieces."""
         directions = [proxy.to_engine for proxy in self._proxies(fault)]
         for direction in directions:
-            direction.delay, direction.piece = 0.05, 64
+            direction.delay, direction.chunk_size = 0.05, 64
         await asyncio.sleep(fault.lasts)
         for direction in directions:
-            direction.delay, direction.piece = 0.0, 65_536
+            direction.delay, direction.chunk_size = 0.0, 65_536
 
     async def reset(self, fault: Fault) -> None:
         """Reset all connections between the nodes and the engines."""
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -69,7 +69,7 @@
     """The transfer takes longer than the timeout of a single read and the timeout for a silent agent."""
     platform = LargePlatform(tmp_path)
     assert len(platform.listed()) > 400_000
-    platform.proxy.from_engine.piece, platform.proxy.from_engine.delay = 16_384, 0.03
+    platform.proxy.from_engine.chunk_size, platform.proxy.from_engine.delay = 16_384, 0.03
     async with platform.open():
         platform.tell(r="leaving")
         await platform.logged("endpoint_list_changed")
--- a/tests/test_undelivered_attempts.py
+++ b/tests/test_undelivered_attempts.py
@@ -115,7 +115,7 @@
         await asyncio.sleep(2.0)  # the deadline and the timeout of every release call have passed
         for proxy in proxies:
             proxy.reset()
-            proxy.heal()
+            proxy.end_silence()
         await platform.until(lambda: bool(platform.release_calls("q1")))
 
 
@@ -148,7 +148,7 @@
         client = await platform.client()
         client.send(post("q1", effect))
         await platform.until(lambda: bool(platform.release_calls("q1")))
-        proxy.heal()
+        proxy.end_silence()
         assert (await client.read_response()).complete
         assert [attempt.engine for attempt in platform.attempts("q1")] == ["r", "w", "r", "w"]
 
