--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,8 +6,8 @@
 
 from tests.known_red import KNOWN_RED, KnownRed, read_known_red
 
-JUDGED: Counter[str] = Counter()  # cases that the auditor judged in histories, by rule
-LISTED: list[KnownRed] = read_known_red(KNOWN_RED)
+JUDGED_CASES: Counter[str] = Counter()  # cases that the auditor judged in histories, by rule
+KNOWN_RED_TESTS: list[KnownRed] = read_known_red(KNOWN_RED)
 
 
 @pytest.fixture
@@ -24,7 +24,7 @@
     for item in items:
         by_name.setdefault(item.nodeid.partition("[")[0], []).append(item)
     whole_suite = session.config.args_source is not pytest.Config.ArgsSource.ARGS
-    for red in LISTED:
+    for red in KNOWN_RED_TESTS:
         if whole_suite and red.test not in by_name:
             raise pytest.UsageError(f"{KNOWN_RED.name}: {red.test} is not the name of a test")
         for item in by_name.get(red.test, []):
@@ -33,7 +33,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for rule, cases in JUDGED.items():
+    for rule, cases in JUDGED_CASES.items():
         terminalreporter.write_line(f"{rule}: {cases} cases judged in histories")
-    for red in LISTED:
+    for red in KNOWN_RED_TESTS:
         terminalreporter.write_line(f"known red, passed over: {red.test}: {red.seen} ({red.issue})")
--- a/tests/migration_model.py
+++ b/tests/migration_model.py
@@ -21,7 +21,7 @@
 TICK_MS = WINDOW // 10 // 2  # the time step of the model: half a window
 TICK = TICK_MS * 10
 TICKS_PER_WINDOW = 2
-MOVE_STARTS_MS = 2 * TICK_MS
+MOVE_START_MS = 2 * TICK_MS
 REQUEST_DURATION = 10 * TICK_MS  # the longest request lasts one tick; in tenths of a millisecond
 BINDING_TIME = WINDOW + REQUEST_DURATION  # for which a ticket binds its request to a cell
 
@@ -32,7 +32,7 @@
 MAX_ATTEMPTS = 2
 MAX_KILLS = 1
 
-NOT_SENT = -1  # stands for a front's number while no front has the request
+NO_FRONT = -1  # stands for a front's number while no front has the request
 TICKET = "k"
 
 # Results of an attempt for the client.
@@ -46,7 +46,7 @@
 ChooseCell = Callable[..., CellChoice]
 
 
-def move(name: str = "m", starts_unix_ms: int = MOVE_STARTS_MS) -> Move:
+def make_move(name: str = "m", starts_unix_ms: int = MOVE_START_MS) -> Move:
     """Return the move of the tenant from cell a to cell b."""
     return Move.model_validate(
         {"id": name, "tenant": "t", "source": "a", "target": "b", "starts_unix_ms": starts_unix_ms}
@@ -54,7 +54,7 @@
 
 
 MAP_BEFORE_MOVE = cell_map_with("a", "b", "c", tenants={"t": "a"})
-MAP_WITH_MOVE = tenant_migration.plan_move(MAP_BEFORE_MOVE, move(), [])
+MAP_WITH_MOVE = tenant_migration.plan_move(MAP_BEFORE_MOVE, make_move(), [])
 
 
 @dataclass(frozen=True)
@@ -83,11 +83,11 @@
     fronts: tuple[FrontState, FrontState]
     idempotency: str
     attempts: int = 0
-    in_progress_at: int = NOT_SENT
+    in_progress_at: int = NO_FRONT
     cell: str = ""
     executions: tuple[tuple[str, int], ...] = ()
     last_result: str = ""
-    last_front: int = NOT_SENT
+    last_front: int = NO_FRONT
     kills: int = 0
     admitted_at: int = 0
 
@@ -135,29 +135,29 @@
         # of an attempt that was in progress.
         killed = _with_front(state, number, replace(front, ticket=None))
         if state.in_progress_at == number:
-            killed = replace(killed, in_progress_at=NOT_SENT, last_result=UNKNOWN)
+            killed = replace(killed, in_progress_at=NO_FRONT, last_result=UNKNOWN)
         steps.append(replace(killed, kills=state.kills + 1))
     return steps
 
 
 def _request_steps(state: State, choose_cell: ChooseCell) -> list[State]:
     if state.in_progress_at >= 0:
-        return _ends_of_attempt(state)
+        return _end_attempt(state)
     if state.attempts >= MAX_ATTEMPTS:
         return []
     steps = []
     for number in range(len(state.fronts)):
         if _may_send(state, number):
-            steps += _sent_to(state, number, choose_cell)
+            steps += _send_to(state, number, choose_cell)
     return steps
 
 
-def _ends_of_attempt(state: State) -> list[State]:
-    steps = [replace(state, in_progress_at=NOT_SENT, last_result=UNKNOWN)]
+def _end_attempt(state: State) -> list[State]:
+    steps = [replace(state, in_progress_at=NO_FRONT, last_result=UNKNOWN)]
     if not any(cell == state.cell for cell, _ in state.executions):
         steps.append(replace(state, executions=(*state.executions, (state.cell, state.tick))))
     if not state.executions:
-        steps.append(replace(state, in_progress_at=NOT_SENT, last_result=REJECTED))
+        steps.append(replace(state, in_progress_at=NO_FRONT, last_result=REJECTED))
     return steps
 
 
@@ -173,7 +173,7 @@
     return state.idempotency == KEYED and number == state.last_front and not is_window_over
 
 
-def _sent_to(state: State, number: int, choose_cell: ChooseCell) -> list[State]:
+def _send_to(state: State, number: int, choose_cell: ChooseCell) -> list[State]:
     """Send the request to a front, which admits it to a cell unless its earlier cell is unknown."""
     front = state.fronts[number]
     now = state.tick * TICK
@@ -200,11 +200,11 @@
     ]
 
 
-def _changes(newest: CellMap, name: str, unix_ms: int) -> list[CellMap]:
+def _possible_changes(newest: CellMap, name: str, unix_ms: int) -> list[CellMap]:
     """Return the maps that an operator may publish next."""
     changes = []
     with suppress(MapChangeRefusedError):
-        changes.append(tenant_migration.plan_move(newest, move(name, unix_ms + TICK_MS), []))
+        changes.append(tenant_migration.plan_move(newest, make_move(name, unix_ms + TICK_MS), []))
     with suppress(MapChangeRefusedError):
         changes.append(tenant_migration.undo_move(newest, newest.moves[-1].id, unix_ms))
     with suppress(MapChangeRefusedError):
@@ -212,20 +212,20 @@
     return changes
 
 
-_known_maps: dict[str, CellMap] = {}
-_known_changes: dict[tuple[int, str, int], list[CellMap]] = {}
+_maps_by_json: dict[str, CellMap] = {}
+_changes_by_key: dict[tuple[int, str, int], list[CellMap]] = {}
 
 
 def _cached_changes(newest: CellMap, name: str, unix_ms: int) -> list[CellMap]:
     key = (id(newest), name, unix_ms)
-    if key not in _known_changes:
-        _known_changes[key] = [_same_object(cell_map) for cell_map in _changes(newest, name, unix_ms)]
-    return _known_changes[key]
+    if key not in _changes_by_key:
+        _changes_by_key[key] = [_interned(cell_map) for cell_map in _possible_changes(newest, name, unix_ms)]
+    return _changes_by_key[key]
 
 
-def _same_object(cell_map: CellMap) -> CellMap:
+def _interned(cell_map: CellMap) -> CellMap:
     """Return one object for all equal maps, so that states can be compared by identity."""
-    return _known_maps.setdefault(cell_map.model_dump_json(), cell_map)
+    return _maps_by_json.setdefault(cell_map.model_dump_json(), cell_map)
 
 
 def _with_front(state: State, number: int, front: FrontState) -> State:
@@ -257,18 +257,18 @@
 
     Return the number of states visited, and a list that holds this first violation or is empty.
     """
-    first_map = _same_object(MAP_BEFORE_MOVE)
-    maps = (first_map, _same_object(MAP_WITH_MOVE))
+    first_map = _interned(MAP_BEFORE_MOVE)
+    maps = (first_map, _interned(MAP_WITH_MOVE))
     start = State(maps, 1, (FrontState(first_map), FrontState(first_map)), idempotency)
-    visited, to_visit, wrong = {_key(start)}, [start], []
+    visited, to_visit, violations = {_key(start)}, [start], []
     while to_visit:
         state = to_visit.pop()
         if len({cell for cell, _ in state.executions}) > 1:
-            wrong.append(state)
+            violations.append(state)
             break
         for following in next_states(state, choose_cell):
             key = _key(following)
             if key not in visited:
                 visited.add(key)
                 to_visit.append(following)
-    return len(visited), wrong
+    return len(visited), violations
--- a/tests/test_simulated_histories.py
+++ b/tests/test_simulated_histories.py
@@ -21,7 +21,7 @@
 from runspool.service.pending_request import ResponseKind
 from runspool.service.timer_queue import DeadlineGuardTimer
 from tests import simulated_clock
-from tests.conftest import JUDGED
+from tests.conftest import JUDGED_CASES
 from tests.simulation.replay import RecordedSimulation
 from tests.simulation.settings import SimulationSettings
 from tests.simulation.simulation import Simulation
@@ -48,7 +48,7 @@
     """Return examples of violations by broken rule; assert that the history has cases for every rule."""
     verdicts = audit(simulation.events, EXACT_TOLERANCE)
     for rule, verdict in verdicts.items():
-        JUDGED[rule] += verdict.cases
+        JUDGED_CASES[rule] += verdict.cases
         assert verdict.cases, f"{rule} had no cases"
     return {rule: verdict.examples for rule, verdict in verdicts.items() if verdict.violation_count}
 
