--- a/runspool/cells/cell_router.py
+++ b/runspool/cells/cell_router.py
@@ -1,5 +1,8 @@
 """Admit requests to cells at one front, and track which engines each cell has.
 
+A map may designate one cell as the reserve. It has no tenants of its own, and serves requests of cells that
+are overloaded or have lost too many engines.
+
 The router combines the cell map (`cell_map`, `engine_placement`, `tenant_migration`) with the front's own
 observations (`admission_policy`). It does not select engines; the scheduler of each cell does.
 
@@ -31,7 +34,8 @@
 
     CELL_FULL = auto()  # over its home cell's budget
     FRONT_FULL = auto()  # over the limit of the whole front
-    POISONOUS = auto()  # it has brought down as many engines as `CellMap.poison_after` allows
+    # `CellMap.poison_after` or more engines went down while they executed the request.
+    POISONOUS = auto()
     EARLIER_CELL_UNKNOWN = auto()  # a client retry whose earlier try may have executed in another cell
 
 
@@ -76,7 +80,7 @@
 
     @property
     def overflowed(self) -> bool:
-        """Whether the reserve serves the request in place of its home cell."""
+        """Whether the reserve cell serves the request in place of its home cell."""
         return self.cell != self.home_cell
 
 
@@ -135,18 +139,18 @@
         """Assign the available engines to the cells, and return the placement.
 
         `engines` also lists those in `unavailable`, which are draining or have disappeared. A cell receives
-        other engines in their place, so that every role stays served. They count only in the comparison
-        of a cell's engines with its configured engines, which decides whether the cell panics.
+        other engines in their place, so that every role stays served. A cell panics if it has too few
+        engines in comparison with those that it would have if none were unavailable (see is_panicking()).
         """
         self.engines = engines
         self.unavailable = unavailable
         available = [engine for engine in engines if engine.name not in unavailable]
         self.placement = place_engines(self.cell_map, available)
-        configured = place_engines(self.cell_map, engines).cells if unavailable else self.placement.cells
+        undisturbed = place_engines(self.cell_map, engines).cells if unavailable else self.placement.cells
         self.panicking_cells = frozenset(
             name
             for name, members in self.placement.cells.items()
-            if is_panicking(self.cell_map, len(members), len(configured[name]))
+            if is_panicking(self.cell_map, len(members), len(undisturbed[name]))
         )
         return self.placement
 
@@ -237,7 +241,8 @@
 
         Draw one random number, unless the request is a retry with an idempotency key or the cell panics.
         """
-        # Only the cell of the earlier try, which `home` is for a retry, can recognize the idempotency key.
+        # Only the cell that executed the earlier try can recognize the idempotency key of a retry. As far as
+        # this front knows, that cell is `home`.
         if request.idempotency_key is not None and request.is_retry:
             return home
         if home in self.panicking_cells or self.overflow_policy.use_reserve(now, home, self.draw_random()):
--- a/runspool/cells/tenant_migration.py
+++ b/runspool/cells/tenant_migration.py
@@ -1,13 +1,14 @@
 """Live migration of tenants between cells: select the cell for a request, and plan, undo and finish moves.
 
-Fronts keep the guarantees during a move without communicating with each other. A request belongs to one cell
-from its admission to its end. A move only changes the cell that admits *new* requests, from a time that the
-map states, so a front needs no message to start or end a move. A front that was killed derives the same state
-from the map and the clock after its restart. Requests in flight end in the cell where they started; in
-particular, a request that must execute at most once never has an attempt in the new cell. Two fronts with
-different maps admit a tenant's requests to different cells for a while, but each request to one cell only.
-
-The exception to the independence of requests is a client retry with an idempotency key, because only the
+A move does not weaken the guarantees on how often a request executes, although the fronts do not communicate
+with each other. A request belongs to one cell from its admission to its end. A move only changes the cell
+that admits *new* requests, from a time that the map states, so a front needs no message to start or end a
+move. A front that was killed derives the same state from the map and the clock after its restart. Requests in
+flight end in the cell where they started; in particular, a request that must execute at most once never has
+an attempt in the new cell. Two fronts with different maps admit a tenant's requests to different cells for a
+while, but each request to one cell only.
+
+Requests are independent of each other in this, except for client retries with an idempotency key: only the
 deduplication scope that has seen the key drops a duplicate. Such retries go to the cell where the key was
 seen, for as long as that cell may still remember the key or execute the earlier try.
 
@@ -48,7 +49,8 @@
     Attributes:
         cell: the name of the cell.
         earlier_cell_unknown: whether the request is a client retry whose earlier try may have been admitted
-            to another cell, because its tenant moves and this front has not seen its idempotency key.
+            to another cell: this front has not seen its idempotency key, and the tenant's home cell may have
+            changed recently.
     """
 
     cell: str
@@ -92,6 +94,7 @@
         cell = self._home_cell_without_moves(tenant, session)
         for move in self.cell_map.moves:
             if move.tenant == tenant:
+                # `turned_back` is the step of an undone move, and `turned_unix_ms` when it was undone.
                 undone = move.step == "turned_back" and unix_ms >= move.turned_unix_ms
                 cell = move.target if unix_ms >= move.starts_unix_ms and not undone else move.source
         return cell
@@ -99,9 +102,10 @@
     def _home_cell_without_moves(self, tenant: str | None, session: str | None) -> str:
         """Return the home cell without regard to moves.
 
-        The result is cached, because with 128 shards the computation took as much time as all engine
-        selections of the scheduler.
+        The result is cached, because with the 128 cells of a sharded fleet the computation took as much time
+        as all engine selections of the scheduler.
         """
+        # SPREAD stands for a tenant that has no cell of its own: its sessions are spread over all cells.
         session_matters = tenant is None or self.cell_map.tenants.get(tenant) == SPREAD
         key = (tenant, session if session_matters else None)
         found = self.home_cell_cache.get(key)
@@ -123,9 +127,9 @@
     ) -> CellChoice:
         """Return the cell that admits a request; nothing is recorded.
 
-        A retry goes to the cell where this front has seen its idempotency key. If the front has not seen the
-        key and a move of the tenant started less than `key_binding_time` ago, the earlier try may have
-        executed in either cell, and the result is marked accordingly.
+        A request goes to the cell to which this front has bound its idempotency key. A retry whose key is not
+        bound may have executed in another cell if less than `key_binding_time` ago a move of the tenant
+        started or was undone, or the front adopted a map. The result is marked accordingly.
 
         Args:
             now: the front's clock, in tenths of a millisecond.
--- a/runspool/discovery/endpoint_tracker.py
+++ b/runspool/discovery/endpoint_tracker.py
@@ -2,9 +2,9 @@
 
 An entry holds the complete state of an engine, so for each engine the entry with the highest version applies.
 A message that arrives after a gap in the versions is therefore applied immediately, because a drain takes
-effect when it is announced. Changes hidden by the gap are missing only until the whole list has been
-requested. A list service that has lost its version numbers begins a new epoch; the tracker ignores its
-messages until a whole list arrives, which begins a new sequence of versions.
+effect when it is announced. The changes in the gap are missing until their messages or the whole list
+arrive. A list service that has lost its version numbers begins a new epoch. The tracker applies no entries of
+the new epoch until a whole list arrives, which begins a new sequence of versions.
 
 Times are in tenths of a millisecond.
 """
@@ -19,7 +19,8 @@
 
 # Time, in tenths of a millisecond, for missing versions to arrive late before the whole list is requested.
 GAP_TIMEOUT = 2_000
-# Number of versions applied after a gap above which the whole list is requested, as it is cheaper then.
+# Maximum number of versions applied beyond the first missing one. Above it, requesting the whole list is the
+# cheaper way to close the gap.
 MAX_VERSIONS_AHEAD = 256
 MAX_ENGINES = 20_000  # maximum number of entries; further engines are ignored
 # Number of removed engines whose versions are kept, so that a late message does not add such an engine again.
@@ -32,7 +33,7 @@
     """Identifies the state of the list at the time of a decision.
 
     Attributes:
-        version: Version up to which all messages had been applied; -1 before the first message.
+        version: Version up to which all messages had been applied; -1 if the epoch's whole list was missing.
         confirmed_at: Time of the last message from the list service; None before the first message.
     """
 
@@ -46,12 +47,14 @@
 
     Attributes:
         epoch: Epoch of `version`.
-        version: Version up to which all messages have been applied; -1 before the first message.
+        version: Version up to which all messages have been applied; -1 until the epoch's first whole list.
         entries: Entries by engine name: active and draining engines, and recently removed ones.
-        last_versions: Highest version that held an entry of the engine, by engine name.
+        last_versions: Highest version of the epoch that held an entry of the engine, by engine name; -1 if
+            there was none yet.
         versions_ahead: Versions applied after the first missing version.
-        gap_since: Time at which the oldest gap was detected; None if no version is missing.
-        confirmed_at: Time of the last message, heartbeats included; None before the first message.
+        gap_since: Time at which missing versions were first detected. It becomes None with each whole list,
+            and with each other message after which no applied version is ahead of a missing one.
+        confirmed_at: Time of the last message of any kind, even one without effect; None before the first.
     """
 
     epoch: str = ""
@@ -71,7 +74,8 @@
 
         Args:
             now: Current time.
-            message: The message. Repeated and outdated messages have no effect on the entries.
+            message: The message. Repeated and outdated messages of the same epoch have no effect on the
+                entries. A whole list of another epoch always begins that epoch.
 
         Returns:
             The changed entries in the order of the message, followed by an entry with the state "gone" for
@@ -105,7 +109,11 @@
         return [entry for entry in entries if self._apply_entry(entry, NO_VERSION)]
 
     def needs_snapshot(self, now: int) -> bool:
-        """Return whether to request the whole list: a gap exceeds GAP_TIMEOUT or MAX_VERSIONS_AHEAD."""
+        """Return whether to request the whole list.
+
+        This is the case if a gap is older than GAP_TIMEOUT, or if more than MAX_VERSIONS_AHEAD versions after
+        a gap have been applied.
+        """
         timed_out = self.gap_since is not None and now - self.gap_since >= GAP_TIMEOUT
         return timed_out or len(self.versions_ahead) > MAX_VERSIONS_AHEAD
 
@@ -145,7 +153,10 @@
         return previous != entry
 
     def _advance(self, now: int, message: EndpointListMessage) -> None:
-        """Record a message's version as applied, and all earlier versions that the message includes."""
+        """Record the versions that a message covers as applied.
+
+        A message covers its own version, and all versions after `since` if that is stated.
+        """
         if message.since is not None and message.since <= self.version:
             self.version = message.version - 1
             self._drop_versions_ahead(message.version)
--- a/runspool/engines/completions_client.py
+++ b/runspool/engines/completions_client.py
@@ -48,10 +48,18 @@
         time_limit: int,
         permit: SendPermit,
     ) -> AttemptResult:
-        """Make an attempt that only prefills the prompt. The arguments are those of decode().
+        """Make an attempt that only prefills the prompt.
 
         A cancelled call closes its connection.
 
+        Args:
+            address: Host and port of the engine.
+            parameters: Parameters of the client's request body.
+            headers: Additional headers of the request.
+            time_limit: Time limit of the whole exchange, in tenths of a millisecond.
+            permit: Asked before the first and the last byte of the request are sent, and notified when the
+                request has been sent and when the first byte of the response arrives.
+
         Returns:
             The status PREFILL_COMPLETE with the prefill state, or the failure.
         """
@@ -118,7 +126,8 @@
                 only the idle timeout applies.
             permit: Asked before the first and the last byte of the request are sent, and notified when the
                 request has been sent and when the first byte of the response arrives.
-            max_output_tokens: Number of tokens past which the response is treated as malformed.
+            max_output_tokens: Maximum number of pieces of text in the response. Engines send one for each
+                token; a response with more pieces is treated as malformed.
             listener: Receives the text.
 
         Returns:
@@ -157,7 +166,8 @@
         Args:
             address: Host and port of the engine.
             state: The prefill state; None if the prefill's response, which would identify it, was lost.
-            request_id: Request id of the prefill.
+            request_id: Id of the front's request; with the number of the attempt if `state` is None, because
+                the engine then identifies the state by the id that the prefill was sent with.
             time_limit: Time limit in tenths of a millisecond.
 
         Returns:
@@ -177,7 +187,7 @@
     async def accepts_connections(self, address: Address) -> bool:
         """Return whether an engine accepts connections.
 
-        Called after a connection was lost, to distinguish a reset of one connection from a stopped engine.
+        This is called after a connection was lost, to distinguish a reset connection from a stopped engine.
         """
         try:
             with anyio.fail_after(self.settings.connect_ms / 1000):
@@ -213,7 +223,10 @@
                 await listener.data_received(text)
 
     async def _read_trailing_bytes(self, exchange: Exchange) -> None:
-        """Read the end of the response for at most `connect_ms`, so that the connection can be reused."""
+        """Read the end of the response, so that the connection can be reused.
+
+        It takes at most `connect_ms`, because opening a new connection would not take longer than that.
+        """
         with anyio.move_on_after(self.settings.connect_ms / 1000):
             try:
                 for _ in range(MAX_TRAILING_READS):
@@ -229,7 +242,7 @@
     """Reader of a streamed response; it stores the token counts in the attempt's result.
 
     Attributes:
-        started: Set by the caller once the first text is forwarded.
+        started: Set by the caller immediately before the first text is forwarded.
         finished: True once the finish reason was received, which completes the text.
         ended: True once the end of the stream was received.
     """
@@ -261,7 +274,7 @@
 
         Raises:
             ExchangeAbortedError: The connection was lost (with the cause `cause_if_closed`), or the engine
-                has sent an error or more tokens than requested.
+                has sent an error or more than `max_output_tokens` pieces of text.
             wire.MalformedResponseError: An event cannot be parsed.
         """
         response = exchange.response
@@ -303,7 +316,7 @@
             result.prompt_tokens = completion.usage.prompt_tokens
         for choice in completion.choices:
             if choice.text and not self.finished:
-                result.output_tokens += 1
+                result.output_tokens += 1  # engines send each token as a piece of text of its own
                 texts.append(choice.text)
             if choice.finish_reason:
                 self.finished = True
--- a/runspool/engines/connection_pool.py
+++ b/runspool/engines/connection_pool.py
@@ -39,11 +39,11 @@
 
     @property
     def read_answer_bytes(self) -> int:
-        """The maximum size of a response body that is not streamed."""
+        """The maximum size of a response body that is not streamed, in bytes."""
 
     @property
     def line_bytes(self) -> int:
-        """The maximum size of one event of a stream."""
+        """The maximum size of one event of a stream, in bytes."""
 
     @property
     def source_address(self) -> str | None:
@@ -76,7 +76,10 @@
         self.exchange_count = 0
 
     def has_unsolicited_data(self) -> bool:
-        """Return whether the peer has closed, reset or sent data; if so, no request may be sent."""
+        """Return whether the peer has sent data, or has closed or reset the connection.
+
+        In each of these cases no request may be sent on the connection.
+        """
         return self.tcp.has_unsolicited_data()
 
 
@@ -97,7 +100,8 @@
             now: Returns the current time in tenths of a millisecond.
             max_connections: Maximum number of connections to all engines together; 0 for no limit.
             quiet_time: Time after an exchange, in tenths of a millisecond, during which its connection is
-                reused only if no other connection is available and none may be opened.
+                reused only if no other connection is available and none may be opened. The peer may still
+                send surplus bytes in this time, which would be taken for the next response.
         """
         self.settings = settings
         self.max_connections = max_connections
@@ -192,7 +196,7 @@
         return False
 
     async def _open(self, address: Address, connect_ms: float) -> PooledConnection:
-        # Counted before it is open, so that concurrent calls cannot exceed the limit.
+        # The connection is counted before it is open, so that concurrent calls cannot exceed the limit.
         self.open_counts[address] = self.open_counts.get(address, 0) + 1
         started = self.now()
         try:
--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -4,12 +4,15 @@
 requests either the whole list or the changes after a version. A call for changes is a watch: the agent delays
 its response until the list changes, or until a wait given in the request has passed.
 
-Waiting for responses is independent of making further calls. A call stays open as long as its connection
-lives, however slow the agent is, and its response is accepted whenever it arrives: an agent that queues the
-calls it receives during an outage responds to them when it recovers. Further calls are made concurrently at a
-low rate. They only serve to detect the recovery of an agent that has dropped the earlier calls. The rate is
-low because the agent may have to process all calls of an outage, including those that the node has given up,
-before the next watch.
+Waiting for responses is independent of making further calls. A call is not given up because the agent is
+slow, and its response is accepted whenever it arrives: an agent that queues the calls it receives during an
+outage responds to them when it recovers. A call is given up only to make room for another one, and dropped
+once a later call has been responded to.
+
+During an outage, further calls for the whole list are made concurrently at a low rate. They detect the
+recovery of an agent that has dropped the earlier calls. The rate is low because the agent may have to process
+all calls of an outage, including those that the node has given up, before the next watch. After an outage,
+backup watches (`backup_watch`) run concurrently with the first watch.
 
 All times are in tenths of a millisecond.
 """
@@ -40,8 +43,8 @@
 MAX_RECEIVE_DURATION = 30_000
 MAX_OPEN_CALLS = 6  # maximum number of calls that are open at the same time
 MAX_REMEMBERED_GIVEN_UP = 1_000  # maximum number of given-up calls that are remembered
-# An agent may refuse a second connection. The open call is then given up in favour of a new one once it has
-# been open for the replacement age beyond its wait. This is the lower bound of the replacement age.
+# Lower bound of the replacement age. If the agent refuses a further connection, the oldest open call is given
+# up so that a new call can be made, provided that it has been open for its wait plus the replacement age.
 MIN_REPLACEMENT_AGE = 20_000
 
 
@@ -59,7 +62,7 @@
 
     Attributes:
         call: The call.
-        given_up: The open call that must be cancelled to make room for it; None if there is room.
+        given_up: The open call that must be cancelled to make room for `call`; None if there is room.
     """
 
     call: DiscoveryCall
@@ -71,7 +74,8 @@
     """The decision on a response.
 
     Attributes:
-        is_usable: Whether the response may be applied. It must not be if it is older than the applied list.
+        is_usable: Whether the list in the response may be applied, which must not be older than the applied
+            one.
         superseded: The open calls that are no longer needed.
     """
 
@@ -104,7 +108,9 @@
         self.open_calls: list[DiscoveryCall] = []
         self._watch: DiscoveryCall | None = None
         self._backup_watch = BackupWatch()
-        self._needs_watch = False  # a response has been received, and no watch is open
+        # Whether the next regular call is a watch. It is set by a response after which no watch is open, and
+        # cleared when the watch is opened. After a watch has failed, the whole list is called for first.
+        self._watch_is_next = False
         self._version = 0  # the version after which the next watch requests changes
         self._applied_at: int | None = None  # when the latest response was applied; None at a new address
         self.given_up_numbers: deque[int] = deque(maxlen=MAX_REMEMBERED_GIVEN_UP)
@@ -132,7 +138,10 @@
 
     @property
     def agent_backlog(self) -> int:
-        """The number of calls that the agent may still have to process, including those given up."""
+        """The number of calls that the agent may still have to process, including those given up.
+
+        An open watch at a former address is counted too.
+        """
         return len(self.open_calls) + len(self.given_up_numbers)
 
     @property
@@ -142,12 +151,12 @@
 
     @property
     def watch(self) -> DiscoveryCall | None:
-        """The open watch; None if there is none."""
+        """The open watch; None if there is none. Backup watches and one at a former address do not count."""
         return self._watch
 
     def state(self, now: int) -> DiscoveryState:
         """Return the state of the watch at `now`."""
-        if self._needs_watch:
+        if self._watch_is_next:
             return DiscoveryState.WATCHING
         if self._watch is None:
             return DiscoveryState.SEARCHING
@@ -161,7 +170,7 @@
 
     def _next_required_at(self, now: int) -> int:
         """Return when the next call is due that is not a backup watch."""
-        if self._needs_watch:
+        if self._watch_is_next:
             return now if self._last_watch_at is None else self._last_watch_at + MIN_WATCH_INTERVAL
         if self._last_made_at is None:
             return now
@@ -171,16 +180,16 @@
     def make_call(self, now: int) -> PlannedCall:
         """Create the call that is due at `now` and record it as made.
 
-        The call is a watch if a response has been received and no watch is open. It is a backup watch, on
-        another connection in case the first watch after an interruption is lost, if one is due. Otherwise it
-        is a call for the whole list.
+        The call is a watch if the last response left no watch open and none has been opened since. Otherwise
+        it is a backup watch if one is due, and else a call for the whole list. A backup watch is made on
+        another connection, in case the first watch after an interruption is lost.
         """
         backup_watch_at = self._backup_watch.due_at()
         self.calls_made += 1
         call = DiscoveryCall(self.calls_made, self.address, None, 0, now)
-        if self._needs_watch and self._next_required_at(now) <= now:
+        if self._watch_is_next and self._next_required_at(now) <= now:
             call.after_version, call.wait = self._version, WATCH_WAIT
-            self._watch, self._needs_watch, self._last_watch_at = call, False, now
+            self._watch, self._watch_is_next, self._last_watch_at = call, False, now
         elif backup_watch_at is not None and backup_watch_at <= now:
             call.after_version = self._version
             self._backup_watch.record_call(call)
@@ -236,7 +245,7 @@
             self._version, self._applied_at = version, now
         if call is self._watch:
             self._watch = None
-        self._needs_watch = self._watch is None
+        self._watch_is_next = self._watch is None
         return ResponseDecision(is_usable, superseded)
 
     def record_failure(self, call: DiscoveryCall, now: int) -> DiscoveryCall | None:
@@ -251,8 +260,9 @@
             return None
         self._remove(call)
         self._backoff.record_failure()
-        is_refused = call.number == self.calls_made and call.first_byte_at is None
-        if not is_refused or not self.open_calls or self.state(now) is DiscoveryState.WATCHING:
+        # The connection was refused, or lost before the response started.
+        failed_before_response = call.number == self.calls_made and call.first_byte_at is None
+        if not failed_before_response or not self.open_calls or self.state(now) is DiscoveryState.WATCHING:
             return None
         given_up = self._least_useful(now) or self._oldest_call_to_replace(now)
         if given_up is not None:
@@ -260,7 +270,10 @@
         return given_up
 
     def _oldest_call_to_replace(self, now: int) -> DiscoveryCall | None:
-        """Return the oldest open call if it has reached the replacement age, and double it; else None."""
+        """Return the oldest open call if it has been open for its wait plus the replacement age, else None.
+
+        The replacement age is doubled for each call returned.
+        """
         oldest = self.open_calls[0]
         if now - oldest.made_at - oldest.wait < self._replacement_age:
             return None
--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -1,8 +1,9 @@
-"""Admission of prefills (mechanism 3 of docs/design.md): which requests a front queues and which it rejects.
+"""Admission of prefills: which requests a front queues, sends to an engine or rejects.
 
 A front keeps a request in its own prefill queue while the best engine's queue is too long, or while all
 engines that can decode are full. If the request's tenant exceeds its share, a shorter engine queue already
-counts as too long. A request that cannot start in time is rejected.
+counts as too long. A request that cannot start in time is rejected. docs/design.md describes this as
+mechanism 3.
 """
 
 from __future__ import annotations
@@ -30,7 +31,8 @@
 SELECTION_INTERVAL = 25 * MILLISECOND
 # Time before the client's time limit at which the scheduler stops starting anything for a request.
 DEADLINE_MARGIN = 15 * MILLISECOND
-# Lower bound on the predicted wait that a request accepts; if more is predicted, it may be rejected.
+# A request whose predicted wait, multiplied by a random factor, is at most this long is not rejected, however
+# soon its first token is due (see admit_prefill()).
 MIN_ACCEPTED_WAIT = 150 * MILLISECOND
 # Longest queue of an engine to which a prefill is sent, as a fraction of the shortest first-token objective.
 # Behind a longer queue, requests with that objective miss it: their own prefill and delays unknown to this
@@ -39,12 +41,13 @@
 # Longest queue to which the prefill of a request beyond its tenant's share is sent, as a fraction of the
 # shortest first-token objective.
 OVER_SHARE_QUEUE_LIMIT_FRACTION = 0.1
-# Longest predicted wait that a request accepts, as a fraction of the time until its first token is due.
+# Predicted wait above which a request may be rejected, as a fraction of the time that is left until its first
+# token is due, less the time of its own prefill. It applies to a front that has many streams of its own.
 MAX_WAIT_FRACTION = 0.6
-# Longest predicted wait that a request accepts at a front without streams of its own, which has no evidence
-# of the engines' load; as a fraction of the time until the first token is due.
+# The same fraction for a front without streams of its own, which has no evidence of the engines' load.
+# Between no streams and many, the fraction is interpolated.
 MAX_WAIT_FRACTION_WITHOUT_STREAMS = 0.45
-# Factor on the longest accepted wait for a request that its client repeats: part of the client's time has
+# Factor on either fraction for a request that its client repeats, because part of the client's time has
 # already passed.
 CLIENT_RETRY_WAIT_FACTOR = 0.3
 # Lower bound on a class's priority weight where queue positions are computed.
@@ -72,8 +75,9 @@
     max_wait_fraction = _max_wait_fraction(front, request)
     is_over_share = _count_arrival(front, request)
     queue_limit = OVER_SHARE_QUEUE_LIMIT_FRACTION if is_over_share else QUEUE_LIMIT_FRACTION
-    # Requests are ordered by their arrival time plus their time until the first token is due, divided by the
-    # priority weight. Since later arrivals get later times, no class starves.
+    # Requests are ordered by a priority time: the arrival time plus a delay, which is the time until the
+    # first token is due divided by the priority weight. Since later arrivals get later priority times, no
+    # class starves. All requests of tenants beyond their share come after the others.
     weight = max(class_state.settings.priority_weight, MIN_PRIORITY_WEIGHT)
     priority_time = front.now + int((due - front.now) * (not request.is_continuation) / weight)
     return RequestProgress(
@@ -92,7 +96,11 @@
 
 
 def _first_token_due(front: FrontState, request: Request, deadline: int) -> int:
-    """Return the time after which a request's first token is too late to be useful."""
+    """Return the time after which a request's first token is too late to be useful.
+
+    This is the end of the class's first-token objective or the deadline, whichever is earlier, and the
+    deadline for continuations.
+    """
     # A continuation is not given up before its deadline, because the part already streamed would be lost too.
     if request.is_continuation:
         return deadline
@@ -133,8 +141,8 @@
         return False
     if queue[0] >= progress.queue_position:
         return False
-    # Until `queued_until`, engines are selected only for the first request in the queue, which saves CPU
-    # time.
+    # Until its `queued_until`, no engine is selected for a request that is not the first in the queue. This
+    # saves CPU time. After that time the request stays in the queue, but an engine is selected for it too.
     _enter_queue(front, progress)
     return True
 
@@ -151,17 +159,19 @@
 
 
 def admit_prefill(front: FrontState, progress: RequestProgress, engine: Engine) -> Engine | None:
-    """Return the engine if its queue is short enough for this request, else None.
+    """Return the engine if the request may be sent to it now, else None.
 
-    If the predicted wait leaves too little time for the first token, the request is marked as given up.
+    It may not be sent if the engine's queue is too long for it or if all engines that can decode are full. If
+    the request has had no attempt and the predicted wait leaves too little time for its first token, it is
+    marked to be rejected.
     """
     request = progress.request
     decode_capable = candidate_engines(front, request, Role.MIXED)
     decode_capable += candidate_engines(front, request, Role.DECODE)
-    own_time = tokens_to_prefill(front, engine, request) / prefill_rate(front, engine)
+    prefill_time = tokens_to_prefill(front, engine, request) / prefill_rate(front, engine)
     shortest_decode_wait = min((predicted_decode_wait(front, e) for e in decode_capable), default=0)
-    wait = predicted_first_token_time(front, engine, request) - own_time + shortest_decode_wait
-    wait_allowance = (progress.first_token_due - front.now - own_time) * progress.max_wait_fraction
+    wait = predicted_first_token_time(front, engine, request) - prefill_time + shortest_decode_wait
+    wait_allowance = (progress.first_token_due - front.now - prefill_time) * progress.max_wait_fraction
     accepted_wait = max(MIN_ACCEPTED_WAIT, wait_allowance)
     # The random `request_draw` makes requests differ in the wait that they accept. Otherwise all fronts would
     # reject, or admit, everything at the same time.
@@ -178,9 +188,9 @@
 
 
 def queue_until_next_selection(front: FrontState, progress: RequestProgress) -> int | None:
-    """Put a request that needs a prefill into the queue, and return when to select an engine for it again.
+    """Return when to select an engine for a request again, or None if its first token is due already.
 
-    Return None once the first token is due.
+    A request that needs a prefill is also put into the queue; one that only needs a decode is not.
     """
     is_prefill = not progress.prefill_engine
     if is_prefill:
@@ -202,7 +212,10 @@
 
 
 def retry_after(front: FrontState, request: Request) -> int:
-    """Return how long a rejected client is asked to wait before it retries; 0 if it is not told."""
+    """Return how long a rejected client is asked to wait before it retries.
+
+    Return 0 if the settings do not allow that clients are told a time.
+    """
     engines = candidate_engines(front, request, Role.PREFILL)
     soonest = min((predicted_first_token_time(front, e, request) for e in engines), default=0)
     # Clients that retry during the congestion that caused their rejection would only add to it.
--- a/runspool/scheduling/request_lifecycle.py
+++ b/runspool/scheduling/request_lifecycle.py
@@ -1,10 +1,13 @@
-"""Rules for what may be done with a request: when to attempt, repeat, reject and release it. Free of I/O.
+"""Rules for when to attempt, repeat or reject a request, and when to release its reserved state.
 
 All code that acts on a request asks this module, which also counts violations of the rules. It prevents one
 class of faults: mistaking a local action for its effect on the engine. Bytes that were written have not
 necessarily been received; closing a connection does not end the work on the engine; a release that was sent
-is not confirmed. An attempt's stage therefore advances only with what its engine has reported, and state that
-an engine may hold has to be released until some engine has confirmed a release.
+is not confirmed. Therefore an attempt that was written counts as received only when its engine has responded,
+and state that an engine may hold counts as reserved until an engine has confirmed its release.
+
+Reserved state is the result of a prefill that an engine keeps for the decode, or may be keeping. It must be
+released within `AttemptPolicy.state_release_timeout`. The module does no I/O.
 
 Times are tenths of a millisecond on the process's monotonic clock.
 """
@@ -25,32 +28,36 @@
     Role,
 )
 
-# Time before the release timeout at which a release is started, in tenths of a millisecond.
+# A release of reserved state is started this long before `AttemptPolicy.state_release_timeout` has passed, in
+# tenths of a millisecond.
 RELEASE_MARGIN = 150
-# Time after the release timeout that the platform still tolerates, in tenths of a millisecond.
+# A release counts as in time if it is confirmed at most this long after `AttemptPolicy.state_release_timeout`
+# has passed, in tenths of a millisecond; the platform tolerates it.
 RELEASE_TOLERANCE = 3_000
 # Maximum age, in tenths of a millisecond, of the deadline in an attempt's header when the attempt's last byte
 # is sent.
 MAX_DEADLINE_AGE = 1_000
-# Statuses of attempts that are known to have ended on this side only: the engine may still run them.
+# Statuses of attempts that have ended on this side, without any report from the engine that they have ended
+# there; the engine may still run them.
 ENDED_LOCALLY = frozenset({AttemptStatus.TIMED_OUT, AttemptStatus.CANCELLED, AttemptStatus.CONNECTION_LOST})
 # Statuses after which a prefill may still have been computed.
 PREFILL_MAY_HAVE_RUN = ENDED_LOCALLY | {AttemptStatus.SERVER_ERROR}
 
 
 class AttemptStage(Enum):
-    """The progress of an attempt as far as its engine's responses show it."""
+    """The progress of an attempt, as far as it is known on this side."""
 
     STARTED = auto()  # connecting, or writing to the socket
     # The kernel has accepted all of the request; the engine may never receive it.
     WRITTEN = auto()
     RECEIVED = auto()  # the engine has responded with at least one byte
-    ENDED = auto()
+    ENDED = auto()  # ended on this side; the engine may still run it
 
 
 class DenialReason(Enum):
     """Why an action is not allowed now; the value is the text for logs."""
 
+    # Also returned while the response is being streamed.
     ALREADY_ANSWERED = "the request has its final response"
     CLIENT_DISCONNECTED = "its client has disconnected"
     DEADLINE_EXCEEDED = "its deadline has passed"
@@ -77,7 +84,8 @@
     STATE_RELEASED_LATE = "state_released_late"
     # The scheduler did not migrate a stream before the time at which the process may be killed.
     STREAM_LEFT_OPEN = "stream_left_open"
-    # A request was received, and its connection closed without a response.
+    # A connection had to be closed before its response was complete, or the scheduler finished a request
+    # without a final response.
     CLOSED_UNANSWERED = "closed_unanswered"
 
 
@@ -89,18 +97,20 @@
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window: int = 0
     max_attempts: int = 1_000
-    state_release_timeout: int = 0  # 0 if there is no timeout
+    # Time for which an engine may keep state for the request, in tenths of a millisecond; 0 if it is not
+    # limited.
+    state_release_timeout: int = 0
     # Whether the client requests the rest of a stream that ends without its last chunk.
     stream_can_resume: bool = False
 
     @classmethod
     def for_class(cls, settings: RoutingSettings, request_class: int) -> AttemptPolicy:
         """Return the policy of a request class, given by its index in the settings."""
-        row = settings.request_classes[request_class]
+        class_settings = settings.request_classes[request_class]
         return cls(
-            row.idempotency,
-            row.deduplication_scope,
-            row.deduplication_window,
+            class_settings.idempotency,
+            class_settings.deduplication_scope,
+            class_settings.deduplication_window,
             settings.max_attempts,
             settings.state_release_timeout,
             settings.streams_can_resume,
@@ -108,9 +118,10 @@
 
 
 def max_reservation_time(release_timeout: int, default_timeout: int) -> int:
-    """Return how long state may stay reserved before its release starts.
+    """Return how long state may stay reserved before its release has to start, in tenths of a millisecond.
 
-    `default_timeout` is the time limit where `release_timeout` is 0. A margin is subtracted from either.
+    `default_timeout` is the time limit where `release_timeout` is 0. A margin is subtracted from either, so
+    that the release can be confirmed in time.
     """
     allowed = release_timeout or default_timeout
     return allowed - min(RELEASE_MARGIN, allowed // 2)
@@ -159,7 +170,8 @@
     streaming: bool = False
     # The first decode attempt that may have been executed.
     possibly_executed: Attempt | None = None
-    # Start of the time for which an engine may have reserved state that no attempt uses.
+    # Time from which the limit on reserved state is counted; None if no engine is known to reserve any. While
+    # a decode attempt is on its engine, the limit does not apply; it is counted anew from the attempt's end.
     reserved_since: int | None = None
     release_in_progress: bool = False
     # Whether a release was started while the last attempt was in progress.
@@ -220,16 +232,22 @@
         return DenialReason.RESUMABLE_AT_KILL if self.policy.stream_can_resume else None
 
     def release_due_at(self) -> int | None:
-        """Return when a release has to start, unless an engine receives an attempt first.
+        """Return the latest time at which the release of the reserved state has to start.
 
-        None means that nothing is reserved, that a release is in progress, or that there is no timeout.
+        None means that nothing is reserved, that a release is in progress, or that there is no time limit.
+        The time does not account for an attempt in progress, which may suspend the limit (see
+        release_is_due()).
         """
         if self.reserved_since is None or self.release_in_progress or not self.policy.state_release_timeout:
             return None
         return self.reserved_since + max_reservation_time(self.policy.state_release_timeout, 0)
 
     def release_is_due(self, now: int) -> bool:
-        """Return whether a release has to start now, even if an attempt is in progress."""
+        """Return whether the release of the reserved state has to start now.
+
+        This may be so while an attempt is in progress, except if its engine has responded: the engine then
+        keeps the state for the attempt, which suspends the time limit.
+        """
         due_at = self.release_due_at()
         return due_at is not None and due_at <= now and not self._attempt_received()
 
@@ -305,8 +323,9 @@
     def _decode_ended(self, now: int, status: AttemptStatus, received: bool, attempt: Attempt) -> None:
         if status not in NOT_EXECUTED and self.possibly_executed is None:
             self.possibly_executed = attempt
-        # If the release reached the engine before it noticed that this attempt's connection is closed, it
-        # found the attempt still waiting there.
+        # A release that was started during the attempt may have reached the engine while the attempt was
+        # still waiting there. The engine then keeps the state for the attempt, so even after a release the
+        # attempt counts as having used state.
         used_state = self.released_during_attempt or self.reserved_since is not None
         if used_state and status in ENDED_LOCALLY:
             self.remote_end_unknown = True
@@ -329,7 +348,10 @@
                 self.remote_end_unknown = True
 
     def _reserve(self, now: int) -> None:
-        """Record that state may be reserved from now on, which a release in progress may have missed."""
+        """Record that an engine may reserve state from now on.
+
+        A release in progress no longer counts, because the engine may have executed it before.
+        """
         self.reserved_since = now
         self.release_in_progress = False
 
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -1,4 +1,6 @@
-"""The scheduler of one front: it takes a request through prefill, decode and repeats to its final response.
+"""The scheduler of one cell at one front, which decides on all attempts of a request and on its response.
+
+A request needs a prefill and a decode, at one engine or at two; attempts that fail may be repeated.
 
 To use it, create a `Scheduler` from the routing settings and a seed, and set `now` before each call. Pass
 endpoint changes to `update_endpoints()`. Run the generators that `handle_request()`, `run_background_task()`
@@ -6,7 +8,7 @@
 results.
 
 The other modules of this package make the decisions, as functions that operate on a `FrontState`.
-docs/design.md describes when each mechanism takes effect. Times are tenths of a millisecond.
+docs/design.md describes these mechanisms and when each takes effect. Times are tenths of a millisecond.
 """
 
 from __future__ import annotations
@@ -60,13 +62,13 @@
 
 
 class Scheduler(FrontState):
-    """The decisions of one front; free of I/O, and of any clock other than `now`."""
+    """The decisions of one front for one cell; it does no I/O and uses no clock other than `now`."""
 
     def handle_request(self, request: Request) -> Generator[Action, Any, None]:
-        """Take one request to its end; the front's state keeps nothing of it, however the generator ends."""
+        """Yield the actions that serve a request. No state of it is kept, however the generator ends."""
         try:
             if request.request_class is None or 0 < self.engine_index.largest_memory < request.prompt_tokens:
-                yield FailIndeterminate()  # A retry would fail as well.
+                yield FailIndeterminate()  # a retry would fail as well
             else:
                 yield from self._serve(begin_request(self, request))
         except BaseException:
@@ -78,7 +80,7 @@
             ]
 
     def _serve(self, progress: RequestProgress) -> Generator[Action, Any, None]:
-        """Take a request through prefill, decode and repeats to its final response."""
+        """Yield the attempts of a request, including repeated ones, and finally its response."""
         while may_attempt(self, progress):
             if must_release_before_connect(self, progress):
                 yield ReleaseState()
@@ -105,7 +107,7 @@
             yield final_response(self, progress)
 
     def _wait_for_engine(self, progress: RequestProgress) -> Generator[Action, Any, bool]:
-        """Sleep until an engine is to be selected again; return False if the request is given up instead."""
+        """Sleep until an engine is to be selected again; return False if it is too late for the request."""
         if progress.is_given_up:
             return False
         wake_at = queue_until_next_selection(self, progress)
@@ -120,7 +122,8 @@
     def select_engine(self, progress: RequestProgress) -> Engine | None:
         """Return the engine for the next attempt, or None if none is available now.
 
-        May mark the request as given up.
+        If no engine can start the request in time, this also sets `progress.is_given_up`; the request is then
+        rejected.
         """
         request, failed_engine_ids, first_execution_engine = (
             progress.request,
--- a/runspool/service/attempt_runner.py
+++ b/runspool/service/attempt_runner.py
@@ -22,7 +22,7 @@
 
 
 class AttemptRunner(Generic[RequestT]):
-    """Runs the attempts of an executor, whose subclasses implement the protocol between front and engines."""
+    """Runs attempts for a request executor, whose run_exchange() implements the engines' protocol."""
 
     def __init__(
         self, executor: RequestExecutorBase[RequestT], release_check: ReleaseCheck[RequestT]
@@ -131,7 +131,7 @@
     def _finish_if_final(self, pending: RequestT, result: AttemptResult) -> bool:
         """Finish the request if this attempt determines its final response.
 
-        Returns True if the request has its final response, from this attempt or from elsewhere.
+        Return True if the request has its final response, from this attempt or from elsewhere.
         """
         if result.status is AttemptStatus.SUCCEEDED:
             self.executor.finish(pending, FinalResponse(ResponseKind.SUCCEEDED, result=result))
--- a/runspool/service/executor_base.py
+++ b/runspool/service/executor_base.py
@@ -43,7 +43,9 @@
         self.invariants = InvariantMonitor(self._report_violation)
         start_times = StartTimeConverter(lambda: wall_clock_offset_ms())
         self.endpoint_registry = EndpointRegistry(settings, engine_types, zones, start_times)
+        # Names, addresses and roles of the engines for attempts, by engine index.
         self.endpoints = self.endpoint_registry.endpoints
+        # The scheduler's descriptions of the same engines, by engine name.
         self.engine_records = self.endpoint_registry.engine_records
         self.endpoint_tracker = EndpointTracker()
         self.timers: TimerQueue[ExecutorTimer] = TimerQueue(self.timer_fired)
@@ -78,7 +80,11 @@
         return True
 
     def disconnect(self, pending: RequestT) -> None:
-        """Cancel the attempt of a request that has its final response, and notify the scheduler."""
+        """Cancel the attempt of a request that has its final response, and notify the scheduler.
+
+        The client has disconnected, or the deadline guard has answered the request. The scheduler treats both
+        as a disconnect.
+        """
         pending.cancel_attempt()
         self.notify_scheduler(
             self.scheduler_for(pending), pending.index, CellScheduler.client_disconnected, pending.index
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -40,9 +40,13 @@
 from runspool.service.response_relay import ResponseRelay
 from runspool.wire.completions import CompletionRequest
 
-MAX_INTERNED_NAMES = 200_000  # sessions and prompt prefixes; beyond it the least recently used is forgotten
+# Maximum number of session and prompt prefix names to which the front assigns indices for the schedulers.
+# Beyond it, the least recently used name is forgotten.
+MAX_INTERNED_NAMES = 200_000
 MAX_REQUEST_BYTES = 256 << 20  # total size of the open requests' bodies, a budget that the cells share
-MAX_LOGGED_SHORTAGES = 20  # shortages listed in one log line; for the rest only their number is logged
+# Maximum number of shortages, which are cells with too few engines of a role, that one log line lists. For
+# the rest only their number is logged.
+MAX_LOGGED_SHORTAGES = 20
 
 
 class Front(RequestExecutor[PendingCompletion]):
@@ -56,6 +60,15 @@
         cell_map: CellMap | None = None,
         adopted_unix_ms: int = 0,
     ) -> None:
+        """Initialize a front without requests.
+
+        Args:
+            config: The front's own configuration and that of the whole fleet (`config.house`).
+            recording_path: Where the schedulers' events are recorded; None to record nothing.
+            seed: Seed of the random numbers; None for that of the configuration.
+            cell_map: The cell map; None if the whole fleet is one cell.
+            adopted_unix_ms: When this front adopted the cell map, in milliseconds since the epoch.
+        """
         self.config = config
         super().__init__(
             config.routing_settings(),
@@ -131,6 +144,7 @@
             index=pending.index,
             request_class=request_class,
             tenant=None if completion.tenant is None else self.tenant_indices[completion.tenant],
+            # The first argument distinguishes the names of sessions from those of prompt prefixes.
             session=self.intern_name("s", completion.session, accepted_at),
             prefix=self.intern_name("b", completion.prefix, accepted_at),
             prompt_tokens=completion.prompt_tokens,
@@ -174,7 +188,8 @@
     def publish_engines(self) -> None:
         """Assign the engines to cells and update the cells' schedulers.
 
-        A cell that is no longer on the cell map keeps those of its engines that are still READY.
+        A cell that is no longer on the cell map keeps those of its engines that the endpoint list still
+        states as ready for requests.
         """
         before = self.cell_router.placement.shortages
         shortages = self.scheduler_registry.place_engines().shortages
@@ -192,7 +207,10 @@
 
     @property
     def first_driver(self) -> SchedulerDriver:
-        """The scheduler driver of the first cell, which is the only one unless a cell map is configured."""
+        """The driver that runs the scheduler created first; without a cell map it is the only one.
+
+        Requires that a request has been admitted, because schedulers are created by requests.
+        """
         return next(iter(self.cell_schedulers.values())).driver
 
     def subscription_lost(self) -> None:
@@ -223,7 +241,7 @@
         limit: int,
         permit: SendPermit,
     ) -> AttemptResult:
-        """Run one attempt. If it is cancelled, its connection is closed and nothing is reported."""
+        """Run one attempt and return its result. If it is cancelled, its connection is closed."""
         headers = pending.headers | {"X-Request-Id": f"{pending.id}.{attempt}"}
         body = pending.completion.body
         if endpoint.role is Role.PREFILL:
@@ -288,9 +306,10 @@
     async def _check_for_poisonous_request(self, pending: PendingCompletion, endpoint: Endpoint) -> None:
         """Count an engine that went down during the request against the request, which may be the cause.
 
-        Once as many engines have gone down as the cell map allows, the request is answered as poisonous and
-        not attempted again. The request and the release of its state wait for the check for at most
-        ENGINE_CHECK_TIMEOUT; the check is cancelled when the client disconnects.
+        Once the number of engines that went down has reached `CellMap.poison_after`, the request is answered
+        as poisonous and not attempted again. The request and the release of its state wait until the check
+        has ended, which takes at most ENGINE_CHECK_TIMEOUT seconds (see `engine_check`). The check is
+        cancelled when the client disconnects.
         """
         is_up = await is_engine_up(self.engine_client, endpoint.address)
         if (
--- a/runspool/service/http_connection.py
+++ b/runspool/service/http_connection.py
@@ -62,11 +62,14 @@
 class HttpConnection(ABC):
     """Serves the requests of one connection, one after another.
 
-    Subclasses respond to requests in route(). Every request that has been read completely is passed to
-    route(), even if the connection is about to be closed.
-
-    `keeps_alive` is cleared when the connection closes after the current response. `response_started` is set
-    once some of the current response has been written.
+    Subclasses respond to requests in route(). Requests that have arrived are still served after `closing` is
+    set, but not after a request that asks to close the connection.
+
+    Attributes:
+        keeps_alive: False if no request is served after the current one, because the client has asked to
+            close the connection, has disconnected or has sent an invalid request.
+        response_started: True once anything has been sent to the client, `100 Continue` included. A subclass
+            that uses it clears it at the start of each request.
     """
 
     # Prefixes of the lower-case names of headers that a request may contain only once.
@@ -77,8 +80,8 @@
     ) -> None:
         """Initialize the connection.
 
-        `count_active` is called with +1 when a request's head has been received, and with -1 after the
-        response.
+        `count_active` is called with +1 when the connection starts to serve a request whose head is complete,
+        and with -1 after the response, or when the request's body turns out to be late or invalid.
         """
         self.limits = limits
         self.tcp = connection
@@ -99,14 +102,18 @@
 
     @property
     def closes_after_response(self) -> bool:
-        """Whether the connection closes after the current response, which then says `Connection: close`."""
+        """Whether a response sent now says `Connection: close`.
+
+        If this is only because of `closing`, requests that have already arrived are still served.
+        """
         return self.closing or not self.keeps_alive or self.tcp.discarded_bytes > 0
 
     @abstractmethod
     async def route(self, request: HttpRequest, received_at: int) -> None:
         """Respond to a request that has been read completely.
 
-        `received_at` is when its head was complete, in tenths of a millisecond on the front's clock.
+        `received_at` is when its head was complete and the previous request had ended, in tenths of a
+        millisecond on the front's clock.
 
         Raises:
             ConnectionClosedError: The client has disconnected; the connection ends.
@@ -123,11 +130,12 @@
         return self.limits.idle_ms
 
     def close_if_waiting(self, even_if_head_started: bool = False) -> bool:
-        """Close the connection if it is waiting for a request.
+        """Stop waiting for a request, so that the connection closes, and return True.
 
-        Returns False without any effect if the connection is not waiting for a request's head, or if bytes of
-        the next request have already arrived in this process or its kernel. With `even_if_head_started`, a
-        request whose head has been read in part is refused.
+        Return False without any effect if the connection is not waiting for a request's head, or if bytes of
+        the next request have already arrived in this process or its kernel. With `even_if_head_started`, the
+        wait for the rest of a head that has been read in part is ended too; such a request receives an error
+        response.
 
         Only the wait is cancelled, not the task of the connection: cancelling the task would lose a request
         that is read at that moment.
@@ -156,10 +164,12 @@
             self._refused_at_shutdown = True
 
     async def run(self) -> None:
-        """Serve requests until the client disconnects, asks to close or sends an invalid request.
+        """Serve requests until the connection is to be closed; the caller closes the socket.
 
-        It also ends once `closing` is set. The caller closes the socket. If cancelled, a request in progress
-        is treated as if its client had disconnected.
+        This is the case when the client disconnects, asks to close, sends an invalid or incomplete request,
+        sends no request for `idle_ms` or does not read a response in time. It is also the case when `closing`
+        is set and no request is left that has already arrived. If the call is cancelled, a request in
+        progress is treated as if its client had disconnected.
         """
         try:
             # Requests that have been read are answered even after `closing` is set.
--- a/runspool/service/release_check.py
+++ b/runspool/service/release_check.py
@@ -1,4 +1,4 @@
-"""Releases prefill states whose release is due even though an attempt may still claim them."""
+"""Starts the release of prefill states when the time limit on their reservation requires it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class ReleaseCheck(Generic[RequestT]):
-    """Schedules a timer for each prefill state at the latest time at which its release must start."""
+    """Schedules a timer for each reserved prefill state, and starts the release when the timer fires.
+
+    The timer fires at the latest time at which the release may start.
+    """
 
     def __init__(self, executor: RequestExecutorBase[RequestT]) -> None:
         self.executor = executor
@@ -26,11 +29,12 @@
             self.executor.timers.schedule(at, ReleaseCheckTimer(pending.index))
 
     def timer_fired(self, request: int) -> None:
-        """Release the request's state if the release is due, even if an attempt may still claim the state.
+        """Start the release of the request's state if it is due and the protocol has a release for this case.
 
-        The time for which the state may be reserved is not extended by an attempt whose engine has not sent
-        anything yet. If such an attempt has reached its engine, which is only slow to respond, the release
-        does no harm: engines keep a state that an attempt is waiting for.
+        An attempt in progress prevents the release only if its engine has responded. Otherwise the attempt
+        does not extend the time for which the state may be reserved. If such an attempt has reached its
+        engine, which is only slow to respond, the release does no harm: engines keep a state that an attempt
+        is waiting for.
         """
         executor = self.executor
         pending = executor.requests.get(request)
