--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -15,5 +15,5 @@
 - `clients.py`, `faults.py`: the requests, and the faults that are injected.
 - `replay.py`: the replay of a recording in place of a history from a seed.
 - `leaks.py`: a check for state that a front still holds after all requests have ended.
-- `recorded_words.py`: the values that recordings use.
+- `recorded_values.py`: the values that recordings use.
 """
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -15,7 +15,7 @@
 from runspool.service.pending_request import RequestNotAcceptedError, ResponseKind
 from runspool.wire.completions import CompletionRequest, parse_completion_request
 from tests.simulated_clock import TICKS_PER_MILLISECOND, now
-from tests.simulation import recorded_words as words
+from tests.simulation import recorded_values as values
 from tests.simulation.context import SimulationContext, TokenCounts
 from tests.simulation.fronts import SimulatedFront
 from tests.simulation.settings import TENANTS
@@ -114,7 +114,7 @@
             shape = self._draw_shape(request_class, remaining)
             attempt = ClientAttempt(f"{item}.{number}", item, request_class, remaining, shape)
             answer = await self.send(front, attempt)
-            may_retry = answer in (words.ANSWER_REJECTED, words.ANSWER_NOT_ACCEPTED)
+            may_retry = answer in (values.ANSWER_REJECTED, values.ANSWER_NOT_ACCEPTED)
             if not may_retry or now() - first_sent_at > time_limit - MIN_TIME_FOR_RETRY:
                 return
             await anyio.sleep(self.context.random.uniform(0, MAX_RETRY_DELAY_SECONDS))
@@ -140,8 +140,8 @@
         context.token_counts[attempt.name] = shape.tokens
         self._record_request(front, attempt)
         if not front.is_up:
-            self._record_answer(attempt, words.ANSWER_UNREACHABLE)
-            return words.ANSWER_UNREACHABLE
+            self._record_answer(attempt, values.ANSWER_UNREACHABLE)
+            return values.ANSWER_UNREACHABLE
         context.record_for_attempt("sent", attempt.name)
         reader = ResponseReader(context, attempt.name, shape.is_streaming)
         request = _completion_request(front, attempt)
@@ -149,12 +149,12 @@
             pending = front.front.submit(request, reader, now())
         except RequestNotAcceptedError as error:
             is_rejected = error.kind is ResponseKind.REJECTED
-            answer = words.ANSWER_NOT_ACCEPTED if is_rejected else words.ANSWER_INDETERMINATE
+            answer = values.ANSWER_NOT_ACCEPTED if is_rejected else values.ANSWER_INDETERMINATE
             code = error.code
         else:
             answer, code = await self._wait_for_answer(front, attempt, pending, reader)
         reader.is_finished = True
-        if answer == words.ANSWER_SUCCEEDED:
+        if answer == values.ANSWER_SUCCEEDED:
             self._record_end(attempt, reader.token_count)
         self._record_answer(attempt, answer, code)
         return answer
@@ -177,11 +177,11 @@
                 tasks.cancel_scope.cancel()
         response = pending.final_response
         if response is not None:
-            return words.ANSWER_BY_RESPONSE_KIND[response.kind], response.code
+            return values.ANSWER_BY_RESPONSE_KIND[response.kind], response.code
         if not front.is_up:
-            return words.ANSWER_FRONT_KILLED, ""
+            return values.ANSWER_FRONT_KILLED, ""
         front.front.client_disconnected(pending)
-        return words.ANSWER_CLIENT_DISCONNECTED if disconnects_after else words.ANSWER_NONE, ""
+        return values.ANSWER_CLIENT_DISCONNECTED if disconnects_after else values.ANSWER_NONE, ""
 
     # Recording.
 
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -6,7 +6,7 @@
 
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
 from tests.simulated_clock import TICKS_PER_MILLISECOND, UNIX_MS_AT_ZERO
-from tests.simulation import recorded_words as words
+from tests.simulation import recorded_values as values
 from tests.simulation.context import SimulationContext, sleep
 from tests.simulation.engines import SimulatedEngine
 from tests.simulation.fronts import SimulatedFront
@@ -26,7 +26,7 @@
         self.engines = [SimulatedEngine(context, index) for index in range(len(context.plan.engines))]
         self.fronts: list[SimulatedFront] = []
         self.list_version = 0
-        self.listed_states = [words.LISTED_READY] * len(self.engines)
+        self.listed_states = [values.LISTED_READY] * len(self.engines)
 
     # Fronts.
 
@@ -69,7 +69,7 @@
         entries = [
             self.list_entry(index)
             for index, state in enumerate(self.listed_states)
-            if state != words.LISTED_REMOVED
+            if state != values.LISTED_REMOVED
         ]
         return EndpointListMessage(self.list_version, EPOCH, is_snapshot=True, engines=entries)
 
--- a/tests/simulation/engine_client.py
+++ b/tests/simulation/engine_client.py
@@ -19,7 +19,7 @@
 from runspool.scheduling.time_units import SECOND
 from runspool.scheduling.types import AttemptStatus
 from tests.simulated_clock import now
-from tests.simulation import recorded_words as words
+from tests.simulation import recorded_values as values
 from tests.simulation.context import SimulationContext, sleep
 from tests.simulation.engines import EngineDownError, SimulatedEngine
 
@@ -106,7 +106,7 @@
         self.result.status = status
 
 
-# Serves an attempt at its engine and returns how it ended, as one of the ENDED_ constants of recorded_words.
+# Serves an attempt at its engine and returns how it ended, as one of the ENDED_ constants of recorded_values.
 Serve = Callable[[EngineAttempt], Coroutine[Any, Any, str]]
 
 
@@ -131,7 +131,9 @@
         permit: SendPermit,
     ) -> AttemptResult:
         """Prefill a prompt."""
-        return await self._run_attempt(address, words.STAGE_PREFILL, headers, time_limit, self._serve_prefill)
+        return await self._run_attempt(
+            address, values.STAGE_PREFILL, headers, time_limit, self._serve_prefill
+        )
 
     async def decode(
         self,
@@ -149,7 +151,7 @@
         async def serve(attempt: EngineAttempt) -> str:
             return await self._serve_decode(attempt, cast("ReservedState | None", state), listener)
 
-        return await self._run_attempt(address, words.STAGE_DECODE, headers, time_limit, serve)
+        return await self._run_attempt(address, values.STAGE_DECODE, headers, time_limit, serve)
 
     async def release_state(
         self, address: Address, state: PrefillState | None, request: str, time_limit: int
@@ -211,23 +213,23 @@
             request=request_id,
             head=now(),
             peer=self.source_address,
-            stage=stage if was_up else words.STAGE_CONNECT,
+            stage=stage if was_up else values.STAGE_CONNECT,
             tariff=headers["Runspool-Tariff"],
         )
-        how = words.ENDED_FRONT_CLOSED
+        how = values.ENDED_FRONT_CLOSED
         try:
             with anyio.CancelScope(deadline=anyio.current_time() + time_limit / SECOND) as scope:
                 attempt = EngineAttempt(engine, request_id, client_attempt, result, scope)
                 how = await (serve if was_up else self._refuse_connection)(attempt)
         except EngineDownError:
-            how = words.ENDED_ENGINE_DOWN
+            how = values.ENDED_ENGINE_DOWN
             result.failure_cause = (
                 FailureCause.STREAM_INTERRUPTED
                 if result.output_tokens
                 else FailureCause.CLOSED_BEFORE_RESPONSE
             )
         finally:
-            closed_prefill = stage == words.STAGE_PREFILL and how == words.ENDED_FRONT_CLOSED
+            closed_prefill = stage == values.STAGE_PREFILL and how == values.ENDED_FRONT_CLOSED
             if closed_prefill and was_up and engine.is_up:
                 self._maybe_complete_closed_prefill(engine, request_id, client_attempt)
             engine.record_for_attempt("ended", client_attempt, request=request_id, how=how)
@@ -245,7 +247,7 @@
     async def _refuse_connection(self, attempt: EngineAttempt) -> str:
         attempt.result.failure_cause = FailureCause.CONNECT_FAILED
         await sleep(self.context.random.choice(CONNECT_REFUSED_AFTER))
-        return words.ENDED_CONNECT_REFUSED
+        return values.ENDED_CONNECT_REFUSED
 
     async def _serve_prefill(self, attempt: EngineAttempt) -> str:
         fault = self._draw_fault(PREFILL_FAULT_SHARES)
@@ -260,13 +262,13 @@
             await anyio.sleep_forever()
         if fault:
             result.failure_cause = PREFILL_FAULT_CAUSES[fault]
-            return words.ENDED_OVERLOADED if fault is AttemptFault.OVERLOADED else words.ENDED_FAILED
+            return values.ENDED_OVERLOADED if fault is AttemptFault.OVERLOADED else values.ENDED_FAILED
         engine.reserve_state(attempt.request_id, prompt_tokens, attempt.client_attempt)
         attempt.succeed(AttemptStatus.PREFILL_COMPLETE)
         result.prompt_tokens = prompt_tokens
         reserved = ReservedState(engine=engine, request=attempt.request_id)
         result.state = cast(PrefillState, reserved)
-        return words.ENDED_PREFILLED
+        return values.ENDED_PREFILLED
 
     async def _serve_decode(
         self, attempt: EngineAttempt, state: ReservedState | None, listener: ResponseListener[str]
@@ -279,10 +281,10 @@
             await anyio.sleep_forever()
         if fault in IMMEDIATE_FAULTS:
             result.failure_cause = DECODE_FAULT_CAUSES[fault]
-            return words.ENDED_OVERLOADED if fault is AttemptFault.OVERLOADED else words.ENDED_FAILED
+            return values.ENDED_OVERLOADED if fault is AttemptFault.OVERLOADED else values.ENDED_FAILED
         if not await self._obtain_state(engine, state, tokens.prompt):
             result.failure_cause = FailureCause.STATE_MISSING
-            return words.ENDED_STATE_MISSING
+            return values.ENDED_STATE_MISSING
         first_token = self.context.random.uniform(*FIRST_TOKEN_DURATION)
         await engine.work(first_token * engine.slowdown / engine.speed_fraction)
         engine.record_for_attempt("ran", attempt.client_attempt, request=attempt.request_id)
@@ -290,7 +292,7 @@
             await anyio.sleep_forever()
         if fault in (AttemptFault.SERVER_ERROR_AFTER_EXECUTION, AttemptFault.CONNECTION_CUT):
             result.failure_cause = DECODE_FAULT_CAUSES[fault]
-            return words.ENDED_FAILED
+            return values.ENDED_FAILED
         attempt.scope.deadline = math.inf  # the time limit applies only until the first token
         return await self._stream(attempt, tokens.output, fault is AttemptFault.STREAM_CUT, listener)
 
@@ -317,8 +319,8 @@
             await listener.data_received(f"t{number} ")
             if is_cut and number > TOKENS_BEFORE_STREAM_CUT:
                 result.failure_cause = FailureCause.STREAM_INTERRUPTED
-                return words.ENDED_STREAM_CUT
+                return values.ENDED_STREAM_CUT
             await engine.work(engine.spec.step_time * engine.slowdown / engine.speed_fraction)
         attempt.succeed(AttemptStatus.SUCCEEDED)
         result.finish_reason = "stop"
-        return words.ENDED_COMPLETED
+        return values.ENDED_COMPLETED
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -5,7 +5,7 @@
 import anyio
 
 from runspool.scheduling.time_units import SECOND
-from tests.simulation import recorded_words as words
+from tests.simulation import recorded_values as values
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.context import SimulationContext, sleep
 
@@ -54,30 +54,30 @@
 
     async def drain_engine(self, index: int, duration: float) -> None:
         """List an engine as draining for a while."""
-        self.cluster.set_listed_state(index, words.LISTED_DRAINING)
+        self.cluster.set_listed_state(index, values.LISTED_DRAINING)
         await sleep(duration)
-        self.cluster.set_listed_state(index, words.LISTED_READY)
+        self.cluster.set_listed_state(index, values.LISTED_READY)
 
     async def replace_engine(self, index: int, duration: float) -> None:
         """Drain an engine, remove it from the list and restart it."""
         engine = self.cluster.engines[index]
-        self.cluster.set_listed_state(index, words.LISTED_DRAINING)
+        self.cluster.set_listed_state(index, values.LISTED_DRAINING)
         await sleep(duration)
-        self.cluster.set_listed_state(index, words.LISTED_REMOVED)
+        self.cluster.set_listed_state(index, values.LISTED_REMOVED)
         engine.crash()
         await anyio.sleep(ABSENCE_SECONDS)
         engine.start(cold=True)
-        self.cluster.set_listed_state(index, words.LISTED_READY)
+        self.cluster.set_listed_state(index, values.LISTED_READY)
 
     async def crash_engine(self, index: int, duration: float) -> None:
         """Crash an engine and restart it; the list may or may not remove it in the meantime."""
         engine = self.cluster.engines[index]
         engine.crash()
         if self.context.random.random() < LIST_REMOVES_CRASHED_SHARE:
-            self.cluster.set_listed_state(index, words.LISTED_REMOVED)
+            self.cluster.set_listed_state(index, values.LISTED_REMOVED)
         await sleep(duration)
         engine.start(cold=True)
-        self.cluster.set_listed_state(index, words.LISTED_READY)
+        self.cluster.set_listed_state(index, values.LISTED_READY)
 
     async def hang_engine(self, index: int, duration: float) -> None:
         """Let an engine hang for a while."""
--- a/tests/simulation/replay.py
+++ b/tests/simulation/replay.py
@@ -9,7 +9,7 @@
 from runspool.lab.recording import Event
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
 from tests.simulated_clock import now
-from tests.simulation import recorded_words as words
+from tests.simulation import recorded_values as values
 from tests.simulation.clients import ClientAttempt, RequestShape
 from tests.simulation.cluster import EPOCH
 from tests.simulation.context import TokenCounts, sleep
@@ -39,7 +39,7 @@
         self.disconnect_times = {
             event["try"]: event["at"]
             for event in recording
-            if event["what"] == "answer" and event["kind"] == words.ANSWER_CLIENT_DISCONNECTED
+            if event["what"] == "answer" and event["kind"] == values.ANSWER_CLIENT_DISCONNECTED
         }
 
     async def _play(self) -> None:
