--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -26,9 +26,8 @@
 MAX_RETRY_DELAY_SECONDS = 0.2
 SESSION_COUNT = 50  # sessions over which all requests are spread
 MAX_OUTPUT_TOKENS = 500
-LATE_RESPONSE_WINDOW = (
-    SECOND  # a response up to this long after the time limit is still received, and recorded as late
-)
+# A client still receives a response up to this long after the time limit; it is recorded as late.
+LATE_RESPONSE_WINDOW = SECOND
 
 PROMPT_TOKENS = (50, 900)  # range of the prompt's length
 STREAMING_SHARE = 0.7  # of requests
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -12,10 +12,8 @@
 LIST_REMOVES_CRASHED_SHARE = 0.5  # of crashed engines, which the list then removes
 ABSENCE_SECONDS = 0.5  # from the removal of an engine to its restart
 SLOWDOWN = (2, 6)  # range of the factor by which a slow engine takes longer
-DURATION_SHARE_OF_GAP = (
-    0.3,
-    0.9,
-)  # range of a fault's duration, as a fraction of the time between two faults
+# Range of a fault's duration, as a fraction of the time between two faults.
+DURATION_SHARE_OF_GAP = (0.3, 0.9)
 FRONT_OUTAGE_DIVISOR = 4  # divides a fault's duration: fronts restart faster than engines
 
 
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -33,11 +33,8 @@
     RequestClassPlan("book", 0.5, "exclusive", 1, 20_000, 0, 60_000, 1_000, 200, 20, 1.0, 0.0, 0),
     RequestClassPlan("mark", 0.5, "ticketed", 1, 20_000, 0, 60_000, 1_000, 200, 20, 1.0, 0.0, 0, 0.1, "zone"),
 ]
-ENGINE_TYPES = {
-    "reader": "prefill",
-    "writer": "decode",
-    "mixed": "mixed",
-}  # the type of stand-in engine by role
+# The type of stand-in engine by role.
+ENGINE_TYPES = {"reader": "prefill", "writer": "decode", "mixed": "mixed"}
 WAIT_LIMIT = 20.0  # the most seconds to wait for a recorded event
 
 
@@ -95,12 +92,12 @@
 class SmallFleet:
     """Stand-in engines, an endpoint list service and one front.
 
-    `bounds` override entries of the front's `bounds` configuration. `cells` is the cell map that the front
-    loads when it starts, if any.
+    `bounds_overrides` replace entries of the front's `bounds` configuration. `cells` is the cell map that the
+    front loads when it starts, if any.
     """
 
     def __init__(
-        self, folder: Path, engine_types: list[str], cells: CellMap | None = None, **bounds: Any
+        self, folder: Path, engine_types: list[str], cells: CellMap | None = None, **bounds_overrides: Any
     ) -> None:
         self.folder = folder
         self.plan = small_plan(engine_types)
@@ -108,30 +105,30 @@
             self.plan.cells = cells.model_dump()
             self.map_file = folder / "front-0.map"
             cell_store.write_with_checksum(self.map_file, cell_store.encode_map(cells))
-        self.file = folder / "small-fleet.jsonl"
-        self.recorder = Recorder(self.file)
+        self.recording_file = folder / "small-fleet.jsonl"
+        self.recorder = Recorder(self.recording_file)
         self.endpoint_list = EndpointListService(self.recorder, 0)
         self.engines = [
             StandInEngine(planned.spec, self.recorder, False, index)
             for index, planned in enumerate(self.plan.engines)
         ]
-        self.started = [0] * len(self.engines)  # start times in Unix milliseconds; 0: started long ago
+        self.start_times = [0] * len(self.engines)  # start times in Unix milliseconds; 0: started long ago
         self.engine_scopes: dict[int, anyio.CancelScope] = {}
-        self.bounds = bounds
+        self.bounds_overrides = bounds_overrides
         self.front_server: FrontServer
         self.port = 0
 
     @asynccontextmanager
-    async def open(self, tape: Path | None = None) -> AsyncIterator[SmallFleet]:
+    async def open(self, event_recording: Path | None = None) -> AsyncIterator[SmallFleet]:
         """Run the whole fleet; on exit, stop the front and cancel everything that still runs."""
         async with anyio.create_task_group() as tasks:
             await tasks.start(self.endpoint_list.run, "127.0.0.1", 0)
-            for at in range(len(self.engines)):
-                self.plan.engines[at].port = await tasks.start(self._engine, at)
-                self.publish_state(at, "on")
+            for index in range(len(self.engines)):
+                self.plan.engines[index].port = await tasks.start(self._run_engine, index)
+                self.publish_state(index, "on")
             configuration = front_configuration(self.plan, 0, self.endpoint_list.port, self.folder)
-            configuration["front"]["bounds"] |= self.bounds
-            self.front_server = FrontServer(parse_config(configuration), tape)
+            configuration["front"]["bounds"] |= self.bounds_overrides
+            self.front_server = FrontServer(parse_config(configuration), event_recording)
             self.port = await tasks.start(self.front_server.run)
             while len(self.front_server.front.endpoints) < len(self.engines):
                 await anyio.sleep(0.005)
@@ -139,19 +136,19 @@
             self.front_server.stop()
             tasks.cancel_scope.cancel()
 
-    async def _engine(self, at: int, *, task_status: TaskStatus[int]) -> None:
-        with anyio.CancelScope() as self.engine_scopes[at]:
-            await self.engines[at].run("127.0.0.1", 0, task_status=task_status)
+    async def _run_engine(self, index: int, *, task_status: TaskStatus[int]) -> None:
+        with anyio.CancelScope() as self.engine_scopes[index]:
+            await self.engines[index].run("127.0.0.1", 0, task_status=task_status)
 
-    def kill(self, at: int) -> None:
+    def kill(self, index: int) -> None:
         """Kill an engine, with all its connections and states."""
-        self.recorder.record_event("killed", process=f"e{at}", engine=f"e{at}")
-        self.engines[at].model.held_states.clear()
-        self.engine_scopes[at].cancel()
+        self.recorder.record_event("killed", process=f"e{index}", engine=f"e{index}")
+        self.engines[index].model.held_states.clear()
+        self.engine_scopes[index].cancel()
 
-    def publish_state(self, at: int, state: str) -> None:
+    def publish_state(self, index: int, state: str) -> None:
         """Publish an engine's state in the endpoint list without delay."""
-        planned = self.plan.engines[at]
+        planned = self.plan.engines[index]
         self.endpoint_list.update(
             msgspec.convert(
                 {
@@ -161,7 +158,7 @@
                     "zone": planned.spec.zone,
                     "rack": planned.spec.rack,
                     "state": state,
-                    "started_unix_ms": self.started[at],
+                    "started_unix_ms": self.start_times[index],
                 },
                 EndpointEntry,
             ),
@@ -170,9 +167,9 @@
 
     async def send_request(
         self,
-        tariff: str = "ask",
-        tokens: int = 50,
-        out: int = 10,
+        request_class: str = "ask",
+        prompt_tokens: int = 50,
+        output_tokens: int = 10,
         stream: bool = True,
         body: bytes | None = None,
         poison: bool = False,
@@ -184,15 +181,19 @@
             if body is not None
             else msgspec.json.encode(
                 {
-                    "prompt": "abcd" * tokens,
+                    "prompt": "abcd" * prompt_tokens,
                     "max_tokens": 500,
                     "stream": stream,
-                    "standin": {"try": headers.get("runspool_mark", "t"), "out": out, "poison": poison},
+                    "standin": {
+                        "try": headers.get("runspool_mark", "t"),
+                        "out": output_tokens,
+                        "poison": poison,
+                    },
                 }
             )
         )
         fields = {
-            "Runspool-Tariff": tariff,
+            "Runspool-Tariff": request_class,
             "Content-Length": str(len(raw)),
             "Host": "x",
             "Connection": "close",
@@ -211,7 +212,7 @@
         """Return the recorded events of a kind whose fields have the given values."""
         return [
             event
-            for event in recording.read_recording(self.file)
+            for event in recording.read_recording(self.recording_file)
             if event["what"] == what and all(event.get(name) == value for name, value in fields.items())
         ]
 
--- a/tests/test_auditor_rejects_forged_recordings.py
+++ b/tests/test_auditor_rejects_forged_recordings.py
@@ -247,7 +247,7 @@
         multiple = settings.get("slow_start_overload_multiple", one.spec.slow_start_overload_multiple)
         one.spec = replace(one.spec, zone="ab"[at % 2], slow_start_overload_multiple=multiple)
         fleet.engines[at] = StandInEngine(one.spec, fleet.recorder, at == settings.get("cold"), at)
-        fleet.started[at] = int(time() * 1000) if at == settings.get("cold") else 0
+        fleet.start_times[at] = int(time() * 1000) if at == settings.get("cold") else 0
     for name in settings.keys() - {"cold", "held_on"}:
         setattr(fleet.plan, name, settings[name])
     fleet.recorder.record_event("day", plan=msgspec.to_builtins(fleet.plan))
@@ -261,7 +261,7 @@
                 await anyio.sleep(0.01)
         await anyio.sleep(settings.get("held_on", 0))  # a state is pinned by being there for so long
         fleet.recorder.record_event("over")
-    found = audit(list(recording.read_recording(fleet.file)), tolerance)
+    found = audit(list(recording.read_recording(fleet.recording_file)), tolerance)
     broken = {name: judged.violation_count for name, judged in found.items() if judged.violation_count}
     assert found[rule].cases
     assert (broken.get(rule, 0) > 0) if doctored else not broken, [one.examples for one in found.values()]
--- a/tests/test_front_attempts.py
+++ b/tests/test_front_attempts.py
@@ -41,7 +41,7 @@
 async def test_a_stream_interrupted_in_the_middle_ends_in_one_error_event(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
         fleet.engines[1].set_fault("row", row="reset_stream", share=1.0)
-        response = await fleet.send_request(out=50)
+        response = await fleet.send_request(output_tokens=50)
         assert response.status == 200
         assert b'"type":"scrapped"' in response.body.split(b"\n\n")[-2]
         assert b"[DONE]" not in response.body
@@ -126,7 +126,7 @@
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
         front = fleet.front_server.front
         monkeypatch.setattr("runspool.scheduling.attempt_accounting.update_estimate", lambda *_: 1 // 0)
-        response = await fleet.send_request(out=200)
+        response = await fleet.send_request(output_tokens=200)
         if response.status == 200:
             assert b"scrapped" in response.body
         else:
--- a/tests/test_front_cells.py
+++ b/tests/test_front_cells.py
@@ -55,7 +55,9 @@
         rejections: list[str] = []
 
         async def flood(number: int) -> None:
-            response = await fleet.send_request(out=400, runspool_tenant="one", runspool_mark=f"f{number}")
+            response = await fleet.send_request(
+                output_tokens=400, runspool_tenant="one", runspool_mark=f"f{number}"
+            )
             rejections.append(response.error["code"] if response.status == 503 else "")
 
         for number in range(40):
@@ -77,7 +79,9 @@
     ):
 
         async def long_request() -> None:
-            response = await fleet.send_request("book", out=60, runspool_tenant="one", runspool_mark="old")
+            response = await fleet.send_request(
+                "book", output_tokens=60, runspool_tenant="one", runspool_mark="old"
+            )
             assert response.status == 200
 
         tasks.start_soon(long_request)
@@ -156,7 +160,7 @@
 
         async def open_request() -> None:
             assert (
-                await fleet.send_request(out=60, runspool_tenant="one", runspool_mark="held")
+                await fleet.send_request(output_tokens=60, runspool_tenant="one", runspool_mark="held")
             ).status == 200
 
         tasks.start_soon(open_request)
@@ -211,7 +215,7 @@
         repeated = await fleet.send_request(poison=True, runspool_tenant="one", runspool_mark="bad2")
         assert (repeated.status, repeated.error["code"]) == (424, "poisonous")
         assert engines_reached(fleet, "bad2") == set()
-        assert (await fleet.send_request(tokens=60, runspool_tenant="one")).status == 200
+        assert (await fleet.send_request(prompt_tokens=60, runspool_tenant="one")).status == 200
 
 
 @pytest.mark.anyio
--- a/tests/test_front_disconnects.py
+++ b/tests/test_front_disconnects.py
@@ -99,7 +99,7 @@
         responses = []
 
         async def make_request() -> None:
-            responses.append(await fleet.send_request(out=30))
+            responses.append(await fleet.send_request(output_tokens=30))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(make_request)
--- a/tests/test_front_endpoint_list.py
+++ b/tests/test_front_endpoint_list.py
@@ -64,7 +64,7 @@
     async with SmallFleet(tmp_path, TWO_DECODE_ENGINES).open() as fleet:
         front = fleet.front_server.front
         hour = 3_600_000
-        fleet.started[1] = unix_ms() - 30_000
+        fleet.start_times[1] = unix_ms() - 30_000
         fleet.publish_state(1, "on")
         scheduler = front.first_driver.scheduler
         with anyio.fail_after(10):
@@ -75,7 +75,7 @@
             "runspool.service.executor_base.wall_clock_offset_ms", lambda: wall_clock_offset_ms() - hour
         )
         fleet.publish_state(1, "draining")
-        fleet.started[2] = unix_ms() - hour
+        fleet.start_times[2] = unix_ms() - hour
         fleet.publish_state(2, "on")
         with anyio.fail_after(10):
             while not scheduler.engines[2].started_at:
--- a/tests/test_front_recordings.py
+++ b/tests/test_front_recordings.py
@@ -27,7 +27,7 @@
                 tasks.start_soon(
                     lambda index=number: fleet.send_request(  # type: ignore[misc]
                         REQUEST_CLASSES[index % 2],
-                        out=5,
+                        output_tokens=5,
                         runspool_mark=f"m{index}",
                         runspool_session=f"s{index % 7}",
                     )
@@ -50,9 +50,9 @@
             for number in range(30):
                 tasks.start_soon(
                     lambda index=number: fleet.send_request(  # type: ignore[misc]
-                        "book", out=5, runspool_mark=f"m{index}"
+                        "book", output_tokens=5, runspool_mark=f"m{index}"
                     )
                 )
         assert len(fleet.recorded_events("ran")) == 30
-        events = [msgspec.json.decode(line) for line in fleet.file.read_bytes().splitlines()]
+        events = [msgspec.json.decode(line) for line in fleet.recording_file.read_bytes().splitlines()]
         assert all(rule.violation_count == 0 for rule in audit(events).values())
--- a/tests/test_front_requests.py
+++ b/tests/test_front_requests.py
@@ -20,10 +20,10 @@
 
 async def test_a_response_is_streamed_or_sent_complete(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
-        streamed = await fleet.send_request(out=7)
+        streamed = await fleet.send_request(output_tokens=7)
         assert (streamed.status, streamed.text.split()) == (200, [f"t{at}" for at in range(1, 8)])
         assert streamed.body.endswith(b"data: [DONE]\n\n")
-        complete = await fleet.send_request(out=7, stream=False)
+        complete = await fleet.send_request(output_tokens=7, stream=False)
         completion = msgspec.json.decode(complete.body)
         assert completion["choices"][0]["text"] == streamed.text
         assert completion["usage"]["prompt_tokens"] == 50
@@ -45,7 +45,7 @@
             (await fleet.send_request(runspool_tenant="nobody"), 400, "runspool-tenant"),
             (await fleet.send_request("mark"), 400, "runspool-ticket"),
             (await fleet.send_request(runspool_session="s" * 300), 400, "runspool-session"),
-            (await fleet.send_request(tokens=900), 413, "query_bytes"),
+            (await fleet.send_request(prompt_tokens=900), 413, "query_bytes"),
             (await fleet.send_raw(b"NONSENSE\r\n\r\n"), 400, "malformed"),
             (await fleet.send_raw(b"GET /healthz HTTP/1.1\r\n\r\n"), 400, "malformed"),  # no host
             (
@@ -144,7 +144,7 @@
 async def test_a_response_that_cannot_be_complete_in_time_fails_in_time(tmp_path: Path) -> None:
     async with SmallFleet(tmp_path, PAIR).open() as fleet:
         started = anyio.current_time()
-        response = await fleet.send_request(out=400, stream=False, runspool_limit_ms="700")
+        response = await fleet.send_request(output_tokens=400, stream=False, runspool_limit_ms="700")
         assert (response.status, response.error["code"]) == (424, "out_of_time")
         assert anyio.current_time() - started < 0.75
         await fleet.wait_for_events("ended", how="left")
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -73,8 +73,8 @@
         self.response: ReceivedResponse | None = None
         self.ended = anyio.Event()
 
-    async def send(self, output_tokens: int, prompt_words: int = 50, half: bool = False) -> None:
-        """Send the request and read the response; with `half`, send only the head and a part of the body."""
+    async def send(self, output_tokens: int, prompt_words: int = 50, partial: bool = False) -> None:
+        """Send the request and read the response; `partial` sends only the head and a part of the body."""
         body = msgspec.json.encode(
             {
                 "prompt": "abcd" * prompt_words,
@@ -89,7 +89,7 @@
         ).encode()
         with self.scope:
             async with await anyio.connect_tcp("127.0.0.1", self.cluster.port) as stream:
-                await stream.send(head + (body[:20] if half else body))
+                await stream.send(head + (body[:20] if partial else body))
                 # If the connection is cut, `response` stays None, and answer_kind() returns CONNECTION_CUT.
                 with suppress(Exception):
                     self.response = await receive_response(stream)
@@ -227,7 +227,7 @@
     return str(response.error["type"]) if response.status in (503, 424) else str(response.status)
 
 
-def leaks(cluster: SmallFleet, way: str) -> list[str]:
+def leaks(cluster: SmallFleet, cause: str) -> list[str]:
     """Return what the front and the engines still hold.
 
     After a shutdown, the front's connections to engines are not checked.
@@ -238,7 +238,7 @@
         for engine in cluster.engines
         if engine.model.held_states
     ]
-    if way == SHUTDOWN:
+    if cause == SHUTDOWN:
         return leaked_state(front) + states
     return leaked_state(front) + _leaked_connections(front) + states
 
@@ -256,35 +256,35 @@
     return found
 
 
-def time_limit_of(stage: str, way: str) -> int:
+def time_limit_of(stage: str, cause: str) -> int:
     """Return the request's time limit, which is long if something else is to end the request."""
-    if way == TIME_LIMIT:
+    if cause == TIME_LIMIT:
         return TIME_LIMIT_WHEN_QUEUED_MS if stage == QUEUED else TIME_LIMIT_MS
-    return TIME_LIMIT_WHEN_ENGINE_LOST_MS if way == ENGINE_LOST else LONG_TIME_LIMIT_MS
+    return TIME_LIMIT_WHEN_ENGINE_LOST_MS if cause == ENGINE_LOST else LONG_TIME_LIMIT_MS
 
 
-def end_request(cluster: SmallFleet, way: str, request: ClientRequest, lost_engine: int) -> None:
+def end_request(cluster: SmallFleet, cause: str, request: ClientRequest, lost_engine: int) -> None:
     """End the request; do nothing for the cause TIME_LIMIT."""
-    if way == CLIENT_DISCONNECTS:
+    if cause == CLIENT_DISCONNECTS:
         request.scope.cancel()
-    elif way == ENGINE_LOST:
+    elif cause == ENGINE_LOST:
         cluster.kill(lost_engine)
         cluster.publish_state(lost_engine, "gone")
-    elif way == SHUTDOWN:
+    elif cause == SHUTDOWN:
         cluster.front_server.stop()
 
 
 @pytest.mark.anyio
-@pytest.mark.parametrize("way", [CLIENT_DISCONNECTS, TIME_LIMIT, ENGINE_LOST, SHUTDOWN])
+@pytest.mark.parametrize("cause", [CLIENT_DISCONNECTS, TIME_LIMIT, ENGINE_LOST, SHUTDOWN])
 @pytest.mark.parametrize("stage", STAGES)
 async def test_request_ends_cleanly_at_every_stage(
-    stage: str, way: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    stage: str, cause: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     case = STAGES[stage]
-    body_ms = TIME_LIMIT_MS if way != CLIENT_DISCONNECTS else LONG_TIME_LIMIT_MS
+    body_ms = TIME_LIMIT_MS if cause != CLIENT_DISCONNECTS else LONG_TIME_LIMIT_MS
     cluster = SmallFleet(tmp_path, ENGINE_TYPES, drain_ms=DRAIN_MS, body_ms=body_ms)
     cluster.plan.state_release_timeout = STATE_RELEASE_TIMEOUT
-    request = ClientRequest(cluster, time_limit_of(stage, way))
+    request = ClientRequest(cluster, time_limit_of(stage, cause))
     earlier_request = ClientRequest(cluster, LONG_TIME_LIMIT_MS)
     async with cluster.open(), anyio.create_task_group() as tasks:
         for engine in case.hanging_engines:
@@ -296,7 +296,7 @@
         tasks.start_soon(request.send, case.output_tokens, 50, stage == HALF_RECEIVED)
         with anyio.fail_after(END_TIMEOUT_SECONDS):
             await case.reach(cluster, monkeypatch)
-            end_request(cluster, way, request, case.lost_engine)
+            end_request(cluster, cause, request, case.lost_engine)
             await request.ended.wait()
             earlier_request.scope.cancel()
             for engine in case.hanging_engines:
@@ -304,11 +304,11 @@
                     "hang", on=False
                 )  # it now processes what it received meanwhile
         with anyio.move_on_after(LEAK_TIMEOUT_SECONDS):
-            while leaks(cluster, way):
+            while leaks(cluster, cause):
                 await anyio.sleep(0.01)
-        assert leaks(cluster, way) == []
-        if way != CLIENT_DISCONNECTS:
-            assert answer_kind(request) in case.answers[way]
+        assert leaks(cluster, cause) == []
+        if cause != CLIENT_DISCONNECTS:
+            assert answer_kind(request) in case.answers[cause]
         decodes = cluster.recorded_events("arrived", stage="write")
         assert len(decodes) == (stage in (DECODE_IN_PROGRESS, STREAMING))
         assert cluster.front_server.front.counts["accepted"] == (
