--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -230,10 +230,10 @@
 
     def release_prefill_state(self, pending: PendingNodeRequest) -> None:
         """Start the release of all state that engines reserve, or may reserve, for the request."""
-        self.release_unclaimed_state(pending)
+        self.release_even_if_in_use(pending)
         pending.prefill_endpoint = pending.possible_prefill_endpoint = None
 
-    def release_unclaimed_state(self, pending: PendingNodeRequest) -> bool:
+    def release_even_if_in_use(self, pending: PendingNodeRequest) -> bool:
         """Start the release of the request's state, although an attempt may be in progress.
 
         Engines keep state that an attempt they have received waits for. Therefore the engines that may hold
--- a/runspool/service/executor_base.py
+++ b/runspool/service/executor_base.py
@@ -79,7 +79,7 @@
             )
         return True
 
-    def disconnect(self, pending: RequestT) -> None:
+    def cancel_remaining_work(self, pending: RequestT) -> None:
         """Cancel the attempt of a request that has its final response, and notify the scheduler.
 
         The client has disconnected, or the deadline guard has answered the request. The scheduler treats both
--- a/runspool/service/protocol_hooks.py
+++ b/runspool/service/protocol_hooks.py
@@ -49,7 +49,7 @@
     async def before_attempt(self, pending: RequestT, endpoint: Endpoint) -> None:
         """Perform, or wait for, whatever must be complete before an attempt starts."""
 
-    def release_unclaimed_state(self, pending: RequestT) -> bool:
+    def release_even_if_in_use(self, pending: RequestT) -> bool:
         """Start the release of state that no attempt is known to use, although an attempt may be in progress.
 
         Returns False if the protocol has no such call or if there is no state to release.
--- a/runspool/service/release_check.py
+++ b/runspool/service/release_check.py
@@ -44,7 +44,7 @@
         due_at = pending.lifecycle.release_due_at()
         if due_at is not None and due_at > at:
             self.schedule(pending)
-        elif pending.lifecycle.release_is_due(at) and executor.release_unclaimed_state(pending):
+        elif pending.lifecycle.release_is_due(at) and executor.release_even_if_in_use(pending):
             self._report_release(pending)
 
     def _report_release(self, pending: RequestT) -> None:
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -93,7 +93,7 @@
         """Record that the client has disconnected, cancel the current attempt and notify the scheduler."""
         pending.lifecycle.mark_client_disconnected()
         if self.finish(pending, final_responses.client_disconnected()):
-            self.disconnect(pending)
+            self.cancel_remaining_work(pending)
 
     def endpoints_changed(self, changed: list[EndpointEntry]) -> None:
         """Apply changed entries of the endpoint list and send the schedulers their engines."""
@@ -236,4 +236,4 @@
         # the deadline, so this is not logged as a failure of the scheduler.
         if not pending.stream_started:
             self.deadline_guard.log_answer(pending, self.log)
-        self.disconnect(pending)
+        self.cancel_remaining_work(pending)
--- a/runspool/service/request_terminator.py
+++ b/runspool/service/request_terminator.py
@@ -56,4 +56,4 @@
                 InvariantViolation.STREAM_LEFT_OPEN, request=pending.id, reason=denial.value
             )
         if self.executor.finish(pending, final_responses.front_stopped()):
-            self.executor.disconnect(pending)
+            self.executor.cancel_remaining_work(pending)
