--- a/runspool/engines/connection_pool.py
+++ b/runspool/engines/connection_pool.py
@@ -75,12 +75,12 @@
         self.idle_since = 0  # tenths of a millisecond; 0 until the first exchange has ended
         self.exchange_count = 0
 
-    def has_unsolicited_data(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Return whether the peer has sent data, or has closed or reset the connection.
 
         In each of these cases no request may be sent on the connection.
         """
-        return self.tcp.has_unsolicited_data()
+        return self.tcp.has_unread_input()
 
 
 class ConnectionPool:
@@ -151,7 +151,7 @@
         connection.tcp.close()
         connection.response.detach_parser()
 
-    def close_idle(self) -> None:
+    def close_expired(self) -> None:
         """Close all connections that have been idle for longer than `idle_ms`."""
         oldest = self.now() - ms_to_tenths(self.settings.idle_ms)
         for address, idle in list(self.idle.items()):
@@ -188,7 +188,7 @@
         """Remove a connection from `idle`; if it is not usable, close it and return False."""
         self.idle[connection.address].remove(connection)
         if (
-            not connection.has_unsolicited_data()
+            not connection.has_unread_input()
             and self.now() - connection.idle_since < self.settings.idle_ms * TENTHS_PER_MS
         ):
             return True
--- a/runspool/engines/http_exchange.py
+++ b/runspool/engines/http_exchange.py
@@ -193,7 +193,7 @@
             await connection.tcp.send(request[:-1])
             if observation_time:
                 await connection.tcp.stays_silent(observation_time / TENTHS_PER_SECOND)
-            if connection.has_unsolicited_data():
+            if connection.has_unread_input():
                 raise ExchangeAbortedError(
                     FailureCause.CLOSED_WHILE_SENDING,
                     "peer closed the connection or sent data before it had the whole request",
--- a/runspool/node/client_connections.py
+++ b/runspool/node/client_connections.py
@@ -69,8 +69,8 @@
             (handler for handler in self.handlers if handler.idle_since),
             key=lambda handler: (handler.has_accepted_request, handler.idle_since),
         )
-        return any(handler.close_if_waiting() for handler in waiting) or any(
-            handler.close_if_waiting(even_if_head_started=True) for handler in waiting
+        return any(handler.stop_waiting_for_request() for handler in waiting) or any(
+            handler.stop_waiting_for_request(even_if_head_started=True) for handler in waiting
         )
 
     async def _reject(self, connection: TcpConnection) -> None:
--- a/runspool/node/graceful_shutdown.py
+++ b/runspool/node/graceful_shutdown.py
@@ -180,7 +180,7 @@
             # The first request on a new connection may arrive with a delay. If the connection were closed
             # before, the client would not get a response from any node.
             if not handler.awaits_first_request or now() - handler.idle_since > FIRST_REQUEST_GRACE:
-                handler.close_if_waiting()
+                handler.stop_waiting_for_request()
 
     def _in_progress(self) -> bool:
         return bool(
--- a/runspool/node/server.py
+++ b/runspool/node/server.py
@@ -271,7 +271,7 @@
     async def _close_idle_engine_connections(self) -> None:
         while True:
             await anyio.sleep(IDLE_CLOSE_INTERVAL_SECONDS)
-            self.executor.engine_client.pool.close_idle()
+            self.executor.engine_client.pool.close_expired()
 
     def _log_listening(self) -> None:
         self.log.info(
--- a/runspool/service/front_server.py
+++ b/runspool/service/front_server.py
@@ -211,7 +211,7 @@
     async def _close_idle_connections(self) -> None:
         while True:
             await anyio.sleep(IDLE_SWEEP_INTERVAL)
-            self.front.engine_client.pool.close_idle()
+            self.front.engine_client.pool.close_expired()
 
     def _log_error(self, event: str, error: Exception) -> None:
         """Log an expected error without a traceback."""
--- a/runspool/service/http_connection.py
+++ b/runspool/service/http_connection.py
@@ -129,7 +129,7 @@
         """Return the time to wait for the first byte of the next request, in milliseconds."""
         return self.limits.idle_ms
 
-    def close_if_waiting(self, even_if_head_started: bool = False) -> bool:
+    def stop_waiting_for_request(self, even_if_head_started: bool = False) -> bool:
         """Stop waiting for a request, so that the connection closes, and return True.
 
         Return False without any effect if the connection is not waiting for a request's head, or if bytes of
@@ -145,7 +145,7 @@
             scope is None
             or scope.cancel_called
             or (self._head_started and not even_if_head_started)
-            or self.tcp.has_unsolicited_data()
+            or self.tcp.has_unread_input()
         ):
             return False
         scope.cancel()
@@ -157,10 +157,10 @@
         This has no effect if unread bytes have arrived, which may be the rest of the request.
         """
         if self._body_scope is not None:
-            if not self.tcp.has_unsolicited_data():
+            if not self.tcp.has_unread_input():
                 self._refused_at_shutdown = True
                 self._body_scope.cancel()
-        elif self._head_started and self.close_if_waiting(even_if_head_started=True):
+        elif self._head_started and self.stop_waiting_for_request(even_if_head_started=True):
             self._refused_at_shutdown = True
 
     async def run(self) -> None:
--- a/runspool/transport/tcp.py
+++ b/runspool/transport/tcp.py
@@ -149,7 +149,7 @@
         if not self.write(data):
             await self.drained()
 
-    def has_unsolicited_data(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Return whether the peer has closed, reset or sent data that receive() has not returned yet."""
         if self._buffer or self._peer_closed or self._closed:
             return True
@@ -160,14 +160,14 @@
 
     async def stays_silent(self, seconds: float) -> bool:
         """Wait for `seconds`; return False as soon as the peer sends, closes or resets, otherwise True."""
-        if not self.has_unsolicited_data():
+        if not self.has_unread_input():
             with anyio.move_on_after(seconds):
                 self._receive_waiter = asyncio.get_running_loop().create_future()
                 try:
                     await self._receive_waiter
                 finally:
                     self._receive_waiter = None
-        return not self.has_unsolicited_data()
+        return not self.has_unread_input()
 
     def send_eof(self) -> None:
         """Close the sending side, where the transport supports it."""
--- a/tests/test_failure_classification.py
+++ b/tests/test_failure_classification.py
@@ -225,7 +225,7 @@
 
     async def prepare(client: CompletionsEngineClient, address: Address) -> None:
         assert (await decode(client, address)).status is AttemptStatus.OVERLOADED
-        while not client.pool.idle[address][0].has_unsolicited_data():  # the engine's close has come
+        while not client.pool.idle[address][0].has_unread_input():  # the engine's close has come
             await anyio.sleep(0.001)
 
     result = await attempt_at(answer_once, prepare=prepare)
@@ -239,7 +239,7 @@
 
     async def prepare(client: CompletionsEngineClient, address: Address) -> None:
         connection = await client.pool.acquire(address)
-        while not connection.has_unsolicited_data():  # closed by its engine after the pool had checked it
+        while not connection.has_unread_input():  # closed by its engine after the pool had checked it
             await anyio.sleep(0.001)
 
         async def acquire_closed(*_: object) -> object:
--- a/tests/test_node_shutdown_races.py
+++ b/tests/test_node_shutdown_races.py
@@ -139,7 +139,7 @@
         client, handler = await idle_connection(platform, running)
         client.send(post("q1")[:50])
         await until(lambda: handler.parser.ready)
-        assert not handler.close_if_waiting()
+        assert not handler.stop_waiting_for_request()
         client.send(post("q1")[50:])
         assert (await client.read_response()).complete
         await until(lambda: handler.idle_since)  # an iteration or two of the event loop after its response
--- a/tests/test_node_state_release.py
+++ b/tests/test_node_state_release.py
@@ -80,7 +80,7 @@
             if endpoint.name != "r"
         }
         node.engine_client.pool.idle = cast(Any, idle_connections)
-        node.engine_client.pool.close_idle = lambda: None  # type: ignore[method-assign]
+        node.engine_client.pool.close_expired = lambda: None  # type: ignore[method-assign]
         node.engine_client.release_state = release  # type: ignore[method-assign]
         pending = PendingNodeRequest(
             0, "q1", 0, 0, cast(Any, None), client_request=cast(Any, None), prefill_endpoint=endpoints["r"]
