--- a/runspool/node/executor.py
+++ b/runspool/node/executor.py
@@ -281,7 +281,7 @@
         """Record the state that a lost or cancelled attempt may have left, and release unused state."""
         if endpoint.role is Role.PREFILL and result.status in PREFILL_MAY_HAVE_RUN:
             pending.possible_prefill_endpoint = endpoint
-        elif pending.lifecycle.remote_end_unknown and not pending.stream_started:
+        elif pending.lifecycle.may_still_run_on_engine and not pending.stream_started:
             # This node ended an attempt that may have continued at its engine and left state, which the
             # attempt that ends now may have taken over. Record an engine, so that the state is released.
             # Which one does not matter much: any engine accepts the release of all state of a request.
@@ -325,7 +325,7 @@
         """Return whether an attempt that this node ended may leave state that nothing else would release."""
         attempt = pending.lifecycle.last_attempt
         return (
-            pending.lifecycle.remote_end_unknown
+            pending.lifecycle.may_still_run_on_engine
             and pending.prefill_endpoint is None
             and not (attempt is not None and attempt.in_progress)
         )
--- a/runspool/scheduling/request_lifecycle.py
+++ b/runspool/scheduling/request_lifecycle.py
@@ -177,7 +177,7 @@
     # Whether a release was started while the last attempt was in progress.
     released_during_attempt: bool = False
     # Whether an attempt that ended on this side may still run, and reserve state, on its engine.
-    remote_end_unknown: bool = False
+    may_still_run_on_engine: bool = False
 
     # Decisions
 
@@ -249,7 +249,7 @@
         keeps the state for the attempt, which suspends the time limit.
         """
         due_at = self.release_due_at()
-        return due_at is not None and due_at <= now and not self._attempt_received()
+        return due_at is not None and due_at <= now and not self._has_engine_responded()
 
     # Events
 
@@ -265,7 +265,7 @@
         if self.last_attempt is not None and self.last_attempt.stage is AttemptStage.STARTED:
             self.last_attempt.stage = AttemptStage.WRITTEN
 
-    def attempt_received(self) -> None:
+    def engine_responded(self) -> None:
         """Record that the engine has responded to the attempt in progress."""
         if self.last_attempt is not None and self.last_attempt.in_progress:
             self.last_attempt.stage = AttemptStage.RECEIVED
@@ -328,7 +328,7 @@
         # attempt counts as having used state.
         used_state = self.released_during_attempt or self.reserved_since is not None
         if used_state and status in ENDED_LOCALLY:
-            self.remote_end_unknown = True
+            self.may_still_run_on_engine = True
         if status is AttemptStatus.STATE_MISSING:
             self.reserved_since = None
         elif self.released_during_attempt or (received and self.reserved_since is not None):
@@ -345,7 +345,7 @@
                 self._reserve(now)
             # The engine may complete the prefill after this side closed the connection.
             if not received:
-                self.remote_end_unknown = True
+                self.may_still_run_on_engine = True
 
     def _reserve(self, now: int) -> None:
         """Record that an engine may reserve state from now on.
@@ -355,12 +355,12 @@
         self.reserved_since = now
         self.release_in_progress = False
 
-    def _attempt_received(self) -> bool:
+    def _has_engine_responded(self) -> bool:
         return self.last_attempt is not None and self.last_attempt.stage is AttemptStage.RECEIVED
 
     def _released_in_time(self, now: int, since: int) -> bool:
         timeout = self.policy.state_release_timeout
-        return not timeout or self._attempt_received() or now <= since + timeout + RELEASE_TOLERANCE
+        return not timeout or self._has_engine_responded() or now <= since + timeout + RELEASE_TOLERANCE
 
     def _deny_repeat(self, now: int, target: AttemptTarget) -> DenialReason | None:
         first, policy = self.possibly_executed, self.policy
--- a/runspool/service/attempt_permit.py
+++ b/runspool/service/attempt_permit.py
@@ -52,4 +52,4 @@
 
     def response_started(self) -> None:
         """Record that the engine has sent a response byte, which shows that it has received the request."""
-        self.pending.lifecycle.attempt_received()
+        self.pending.lifecycle.engine_responded()
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -126,7 +126,7 @@
     @precondition(attempt_in_progress)
     @rule()
     def engine_sends_a_byte(self) -> None:
-        self.lifecycle.attempt_received()
+        self.lifecycle.engine_responded()
 
     @precondition(attempt_in_progress)
     @rule(draw=st.data())
@@ -135,7 +135,7 @@
         assert attempt is not None
         status = draw.draw(st.sampled_from(PREFILL_STATUSES if attempt.is_prefill else DECODE_STATUSES))
         if status in SENT_BY_THE_ENGINE:
-            self.lifecycle.attempt_received()
+            self.lifecycle.engine_responded()
         if not attempt.is_prefill and status not in NOT_EXECUTED:
             self.executed_at.append(attempt.target)
         self._update_reservation(status, attempt.is_prefill, reached_engine=attempt.stage.name == "RECEIVED")
@@ -227,7 +227,7 @@
 def test_decode_that_has_not_reached_its_engine_does_not_stop_the_release_timeout() -> None:
     lifecycle = RequestLifecycle(AttemptPolicy(state_release_timeout=STATE_RELEASE_TIMEOUT))
     lifecycle.attempt_started(0, PREFILL_ENGINE)
-    lifecycle.attempt_received()
+    lifecycle.engine_responded()
     lifecycle.attempt_ended(100, AttemptStatus.PREFILL_COMPLETE)
     lifecycle.attempt_started(101, DECODE_ENGINE)
     lifecycle.attempt_written()
@@ -235,7 +235,7 @@
     assert due == 100 + max_reservation_time(STATE_RELEASE_TIMEOUT, 0)
     assert lifecycle.release_is_due(due)
     assert not lifecycle.release_is_due(due - 1)
-    lifecycle.attempt_received()
+    lifecycle.engine_responded()
     assert not lifecycle.release_is_due(due)
 
 
