--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -86,7 +86,7 @@
         deadline=deadline,
         first_token_due=due,
         max_wait_fraction=max_wait_fraction,
-        queued_until=front.now + int((due - front.now) * max_wait_fraction),
+        selection_skipped_until=front.now + int((due - front.now) * max_wait_fraction),
         queue_limit=int(front.shortest_objective() * queue_limit),
         queue_position=QueuePosition(is_over_share, priority_time, request.index),
         # The platform's settings may limit how long an engine's state stays reserved for a request. Without
@@ -134,14 +134,14 @@
     return 0 < SHARE_TOLERANCE * expected_count + SHARE_BURST_REQUESTS < count
 
 
-def enqueue_if_behind(front: FrontState, progress: RequestProgress) -> bool:
+def enqueue_if_not_first(front: FrontState, progress: RequestProgress) -> bool:
     """Queue a request if others are ahead of it in the prefill queue; return whether it has to wait there."""
     queue = front.prefill_queue
-    if progress.prefill_engine or not queue or front.now >= progress.queued_until:
+    if progress.prefill_engine or not queue or front.now >= progress.selection_skipped_until:
         return False
     if queue[0] >= progress.queue_position:
         return False
-    # Until its `queued_until`, no engine is selected for a request that is not the first in the queue. This
+    # Until its `selection_skipped_until`, no engine is selected for a request that is not the first in the queue. This
     # saves CPU time. After that time the request stays in the queue, but an engine is selected for it too.
     _enter_queue(front, progress)
     return True
@@ -176,7 +176,7 @@
     # The random `request_draw` makes requests differ in the wait that they accept. Otherwise all fronts would
     # reject, or admit, everything at the same time.
     if not progress.attempts and wait * (0.5 + request.request_draw) > accepted_wait:
-        progress.is_given_up = True
+        progress.cannot_start_in_time = True
         return None
     if predicted_queue_time(front, engine) > progress.queue_limit:
         return None
@@ -195,7 +195,7 @@
     is_prefill = not progress.prefill_engine
     if is_prefill:
         _enter_queue(front, progress)
-    # Engines are also selected for requests past `queued_until` that are not first in the queue. In a long
+    # Engines are also selected for requests past `selection_skipped_until` that are not first in the queue. In a long
     # queue this happens less often for each of them, which saves CPU time.
     intervals = 1
     if is_prefill and front.prefill_queue[0] != progress.queue_position:
--- a/runspool/scheduling/request_progress.py
+++ b/runspool/scheduling/request_progress.py
@@ -23,7 +23,7 @@
     first_token_due: int
     max_wait_fraction: float
     """Fraction of the time until `first_token_due` that a predicted wait may take."""
-    queued_until: int
+    selection_skipped_until: int
     """Until this time the request waits behind those ahead of it without evaluating engines."""
     queue_limit: int
     """Duration of a prefill engine's queue above which the request waits at the front."""
@@ -46,7 +46,7 @@
     """Ids of the engines that failed in the current stage, prefill or decode."""
     unresponsive_engine_ids: list[int] = field(default_factory=list)
     """Ids of the engines that did not respond to an attempt."""
-    is_given_up: bool = False
+    cannot_start_in_time: bool = False
     """Whether no engine can start the request in time."""
 
     def reservation_expires_before(self, time: int) -> bool:
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -29,7 +29,7 @@
 from runspool.scheduling.admission import (
     admit_prefill,
     begin_request,
-    enqueue_if_behind,
+    enqueue_if_not_first,
     leave_queue,
     next_selection_time,
     queue_until_next_selection,
@@ -88,8 +88,8 @@
                 # Without this pause a prefill that is sent at once could arrive before the release.
                 yield Sleep(next_selection_time(self, progress.deadline))
                 continue
-            if enqueue_if_behind(self, progress):
-                yield Sleep(next_selection_time(self, progress.queued_until))
+            if enqueue_if_not_first(self, progress):
+                yield Sleep(next_selection_time(self, progress.selection_skipped_until))
                 continue
             engine = self.select_engine(progress)
             if engine is None:
@@ -108,7 +108,7 @@
 
     def _wait_for_engine(self, progress: RequestProgress) -> Generator[Action, Any, bool]:
         """Sleep until an engine is to be selected again; return False if it is too late for the request."""
-        if progress.is_given_up:
+        if progress.cannot_start_in_time:
             return False
         wake_at = queue_until_next_selection(self, progress)
         if wake_at is None:
@@ -122,7 +122,7 @@
     def select_engine(self, progress: RequestProgress) -> Engine | None:
         """Return the engine for the next attempt, or None if none is available now.
 
-        If no engine can start the request in time, this also sets `progress.is_given_up`; the request is then
+        If no engine can start the request in time, this also sets `progress.cannot_start_in_time`; the request is then
         rejected.
         """
         request, failed_engine_ids, first_execution_engine = (
