--- a/runspool/cells/cell_map.py
+++ b/runspool/cells/cell_map.py
@@ -24,7 +24,9 @@
 MAX_TENANTS = 100_000
 MAX_MOVES = 1_000
 WHOLE_FLEET = "whole"  # the name of the single cell that a map without cells stands for
-SPREAD = "*"  # in place of a tenant's cell: its sessions are spread over all cells, each session in one cell
+ALL_CELLS = (
+    "*"  # in place of a tenant's cell: its sessions are spread over all cells, each session in one cell
+)
 
 AssignmentMethod = Literal["fixed", "shuffle", "rendezvous"]
 MoveStep = Literal["planned", "done", "turned_back"]
@@ -164,7 +166,7 @@
         return [
             f"tenants.{tenant}: there is no cell {home!r}"
             for tenant, home in self.tenants.items()
-            if home != SPREAD and home not in known_cells
+            if home != ALL_CELLS and home not in known_cells
         ]
 
     def _check_reserve(self) -> list[str]:
--- a/runspool/cells/engine_placement.py
+++ b/runspool/cells/engine_placement.py
@@ -23,7 +23,7 @@
 
 import xxhash
 
-from runspool.cells.cell_map import SPREAD, CellMap
+from runspool.cells.cell_map import ALL_CELLS, CellMap
 from runspool.scheduling.types import Role
 
 ROLES = (Role.PREFILL, Role.DECODE, Role.MIXED)
@@ -87,10 +87,10 @@
     unless it is the only cell.
     """
     cell = cell_map.tenants.get(tenant) if tenant is not None else None
-    if cell is not None and cell != SPREAD:
+    if cell is not None and cell != ALL_CELLS:
         return cell
     names = [name for name in cell_map.cell_names() if name != cell_map.reserve] or cell_map.cell_names()
-    key = session if cell == SPREAD and session is not None else tenant or session or ""
+    key = session if cell == ALL_CELLS and session is not None else tenant or session or ""
     weights = {name: cell_map.cells[name].weight if name in cell_map.cells else 1.0 for name in names}
     return max(names, key=lambda name: (affinity("key " + key, name, weights[name]), name))
 
--- a/runspool/cells/tenant_migration.py
+++ b/runspool/cells/tenant_migration.py
@@ -22,7 +22,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from runspool.cells.cell_map import SPREAD, CellMap, Move
+from runspool.cells.cell_map import ALL_CELLS, CellMap, Move
 from runspool.cells.engine_placement import home_cell
 from runspool.errors import RunspoolError
 
@@ -105,8 +105,8 @@
         The result is cached, because with the 128 cells of a sharded fleet the computation took as much time
         as all engine selections of the scheduler.
         """
-        # SPREAD stands for a tenant that has no cell of its own: its sessions are spread over all cells.
-        session_matters = tenant is None or self.cell_map.tenants.get(tenant) == SPREAD
+        # ALL_CELLS stands for a tenant that has no cell of its own: its sessions are spread over all cells.
+        session_matters = tenant is None or self.cell_map.tenants.get(tenant) == ALL_CELLS
         key = (tenant, session if session_matters else None)
         found = self.home_cell_cache.get(key)
         if found is None:
--- a/runspool/discovery/endpoint_tracker.py
+++ b/runspool/discovery/endpoint_tracker.py
@@ -34,11 +34,11 @@
 
     Attributes:
         version: Version up to which all messages had been applied; -1 if the epoch's whole list was missing.
-        confirmed_at: Time of the last message from the list service; None before the first message.
+        last_message_at: Time of the last message from the list service; None before the first message.
     """
 
     version: int
-    confirmed_at: int | None
+    last_message_at: int | None
 
 
 @dataclass(slots=True)
@@ -49,25 +49,25 @@
         epoch: Epoch of `version`.
         version: Version up to which all messages have been applied; -1 until the epoch's first whole list.
         entries: Entries by engine name: active and draining engines, and recently removed ones.
-        last_versions: Highest version of the epoch that held an entry of the engine, by engine name; -1 if
+        engine_versions: Highest version of the epoch that held an entry of the engine, by engine name; -1 if
             there was none yet.
         versions_ahead: Versions applied after the first missing version.
         gap_since: Time at which missing versions were first detected. It becomes None with each whole list,
             and with each other message after which no applied version is ahead of a missing one.
-        confirmed_at: Time of the last message of any kind, even one without effect; None before the first.
+        last_message_at: Time of the last message of any kind, even one without effect; None before the first.
     """
 
     epoch: str = ""
     version: int = NO_VERSION
     entries: dict[str, EndpointEntry] = field(default_factory=dict)
-    last_versions: dict[str, int] = field(default_factory=dict)
+    engine_versions: dict[str, int] = field(default_factory=dict)
     versions_ahead: set[int] = field(default_factory=set)
     gap_since: int | None = None
-    confirmed_at: int | None = None
+    last_message_at: int | None = None
 
     def revision(self) -> ListRevision:
         """Return the revision that a decision made now is based on."""
-        return ListRevision(self.version, self.confirmed_at)
+        return ListRevision(self.version, self.last_message_at)
 
     def apply(self, now: int, message: EndpointListMessage) -> list[EndpointEntry]:
         """Apply a message.
@@ -81,7 +81,7 @@
             The changed entries in the order of the message, followed by an entry with the state "gone" for
             each engine that a whole list no longer contains.
         """
-        self.confirmed_at = now
+        self.last_message_at = now
         if message.epoch != self.epoch:
             if not message.is_snapshot:
                 self._mark_gap(now)
@@ -123,7 +123,7 @@
 
     def _start_epoch(self, epoch: str) -> None:
         self.epoch, self.version, self.versions_ahead = epoch, NO_VERSION, set()
-        self.last_versions = dict.fromkeys(self.last_versions, NO_VERSION)
+        self.engine_versions = dict.fromkeys(self.engine_versions, NO_VERSION)
 
     def _apply_snapshot(self, message: EndpointListMessage) -> list[EndpointEntry]:
         if message.version < self.version:
@@ -131,7 +131,7 @@
         listed = {entry.engine for entry in message.engines}
         changed = [entry for entry in message.engines if self._apply_entry(entry, message.version)]
         for entry in self.listed_entries():
-            if entry.engine not in listed and self.last_versions[entry.engine] <= message.version:
+            if entry.engine not in listed and self.engine_versions[entry.engine] <= message.version:
                 gone = msgspec.structs.replace(entry, state="gone")
                 self._apply_entry(gone, message.version)
                 changed.append(gone)
@@ -143,13 +143,13 @@
 
     def _apply_entry(self, entry: EndpointEntry, version: int) -> bool:
         """Store an entry unless a newer one is known for its engine; return whether it was a change."""
-        if version < self.last_versions.get(entry.engine, NO_VERSION):
+        if version < self.engine_versions.get(entry.engine, NO_VERSION):
             return False
         if entry.engine not in self.entries and len(self.entries) >= MAX_ENGINES:
             return False
         previous = self.entries.get(entry.engine)
         self.entries[entry.engine] = entry
-        self.last_versions[entry.engine] = version
+        self.engine_versions[entry.engine] = version
         return previous != entry
 
     def _advance(self, now: int, message: EndpointListMessage) -> None:
@@ -179,6 +179,6 @@
     def _forget_gone(self) -> None:
         """Remove the oldest entries of removed engines beyond `MAX_GONE_ENGINES`."""
         gone = [name for name, entry in self.entries.items() if entry.state == "gone"]
-        oldest_first = sorted(gone, key=lambda name: self.last_versions[name])
+        oldest_first = sorted(gone, key=lambda name: self.engine_versions[name])
         for name in oldest_first[: max(0, len(gone) - MAX_GONE_ENGINES)]:
-            del self.entries[name], self.last_versions[name]
+            del self.entries[name], self.engine_versions[name]
--- a/runspool/node/discovery_call_log.py
+++ b/runspool/node/discovery_call_log.py
@@ -120,7 +120,7 @@
             "calls_owed": planner.agent_backlog,
             "answer_time_ms": planner.agent_latency / TENTHS_PER_MS,
             "version": self.tracker.version,
-            "confirmed_ms_ago": _milliseconds_between(self.tracker.confirmed_at, now),
+            "confirmed_ms_ago": _milliseconds_between(self.tracker.last_message_at, now),
         }
 
 
--- a/runspool/service/attempt_runner.py
+++ b/runspool/service/attempt_runner.py
@@ -166,7 +166,9 @@
             "cached_tokens": result.cached_tokens,
             "output_tokens": result.output_tokens,
             "list_version": list_revision.version,
-            "list_age": None if list_revision.confirmed_at is None else sent_at - list_revision.confirmed_at,
+            "list_age": None
+            if list_revision.last_message_at is None
+            else sent_at - list_revision.last_message_at,
         }
         executor.log.debug("attempt_finished", **details)
         if result.failure_cause is not None:
