--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -62,11 +62,11 @@
 
     Attributes:
         call: The call.
-        given_up: The open call that must be cancelled to make room for `call`; None if there is room.
+        call_to_cancel: The open call that must be cancelled to make room for `call`; None if there is room.
     """
 
     call: DiscoveryCall
-    given_up: DiscoveryCall | None
+    call_to_cancel: DiscoveryCall | None
 
 
 @dataclass(frozen=True, slots=True)
--- a/runspool/node/discovery_client.py
+++ b/runspool/node/discovery_client.py
@@ -106,8 +106,8 @@
                 while True:
                     await self._wait_for_next_call()
                     planned = self.planner.make_call(self.now())
-                    if planned.given_up is not None:
-                        self._cancel([planned.given_up], CallOutcome.GIVEN_UP)
+                    if planned.call_to_cancel is not None:
+                        self._cancel([planned.call_to_cancel], CallOutcome.GIVEN_UP)
                     scope = self._call_scopes[planned.call.number] = anyio.CancelScope()
                     calls.start_soon(self._run_call, planned.call, scope)
                     self._update_state()
