--- a/tests/test_front_disconnects.py
+++ b/tests/test_front_disconnects.py
@@ -86,7 +86,7 @@
         front = fleet.front_server.front
         request = parse_completion_request({"runspool-tariff": "ask"}, b'{"prompt": "x"}', front.config)
         admission = replace(front._admit(request), cell="closed")
-        front.disconnect(
+        front.cancel_remaining_work(
             PendingCompletion(
                 0, "q", 0, 10, completion=request, listener=cast(Any, None), headers={}, admission=admission
             )
