--- a/runspool/cells/tenant_migration.py
+++ b/runspool/cells/tenant_migration.py
@@ -105,7 +105,7 @@
         The result is cached, because with the 128 cells of a sharded fleet the computation took as much time
         as all engine selections of the scheduler.
         """
-        # ALL_CELLS stands for a tenant that has no cell of its own: its sessions are spread over all cells.
+        # For a tenant in all cells, and without a tenant, the session determines the cell.
         session_matters = tenant is None or self.cell_map.tenants.get(tenant) == ALL_CELLS
         key = (tenant, session if session_matters else None)
         found = self.home_cell_cache.get(key)
--- a/runspool/discovery/endpoint_tracker.py
+++ b/runspool/discovery/endpoint_tracker.py
@@ -34,7 +34,7 @@
 
     Attributes:
         version: Version up to which all messages had been applied; -1 if the epoch's whole list was missing.
-        last_message_at: Time of the last message from the list service; None before the first message.
+        last_message_at: Time of the last message of any kind from the list service; None before the first.
     """
 
     version: int
--- a/runspool/engines/completions_client.py
+++ b/runspool/engines/completions_client.py
@@ -108,7 +108,7 @@
         parameters: PrefillState,
         state: PrefillState | None,
         headers: Mapping[str, str],
-        time_limit: int,
+        first_token_limit: int,
         permit: SendPermit,
         max_output_tokens: int,
         listener: ResponseListener[str],
@@ -122,8 +122,8 @@
             parameters: Parameters of the client's request body.
             state: Prefill state to continue from; None to prefill at this engine.
             headers: Additional headers of the request.
-            time_limit: Time limit until the first token, in tenths of a millisecond. After the first token
-                only the idle timeout applies.
+            first_token_limit: Time limit until the first token, in tenths of a millisecond. After the first
+                token only the idle timeout applies.
             permit: Asked before the first and the last byte of the request are sent, and notified when the
                 request has been sent and when the first byte of the response arrives.
             max_output_tokens: Maximum number of pieces of text in the response. Engines send one for each
@@ -137,7 +137,7 @@
         stream = _TokenStream(self._read_more, result, self.settings.line_bytes, max_output_tokens)
         exchange = Exchange(permit)
         try:
-            with self._start_timer(time_limit) as timer, self._managed_connection(exchange):
+            with self._start_timer(first_token_limit) as timer, self._managed_connection(exchange):
                 request = _encode_post(address, headers, wire.decode_body(parameters, state))
                 await self._send_request(exchange, timer, address, lambda remaining: request)
                 head = await self._read_head(exchange)
--- a/runspool/engines/connection_pool.py
+++ b/runspool/engines/connection_pool.py
@@ -161,7 +161,7 @@
                 self.idle.pop(address, None)
 
     def close(self) -> None:
-        """Close all idle connections."""
+        """Close all idle connections, even recently used ones. Connections in use stay open."""
         for idle in self.idle.values():
             while idle:
                 self.discard(idle.popleft())
--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -141,8 +141,9 @@
         return False
     if queue[0] >= progress.queue_position:
         return False
-    # Until its `selection_skipped_until`, no engine is selected for a request that is not the first in the queue. This
-    # saves CPU time. After that time the request stays in the queue, but an engine is selected for it too.
+    # Until its `selection_skipped_until`, no engine is selected for a request that is not the first in the
+    # queue. This saves CPU time. After that time the request stays in the queue, but an engine is selected
+    # for it too.
     _enter_queue(front, progress)
     return True
 
@@ -195,8 +196,8 @@
     is_prefill = not progress.prefill_engine
     if is_prefill:
         _enter_queue(front, progress)
-    # Engines are also selected for requests past `selection_skipped_until` that are not first in the queue. In a long
-    # queue this happens less often for each of them, which saves CPU time.
+    # Engines are also selected for requests past `selection_skipped_until` that are not first in the queue.
+    # In a long queue this happens less often for each of them, which saves CPU time.
     intervals = 1
     if is_prefill and front.prefill_queue[0] != progress.queue_position:
         intervals = max(1, len(front.prefill_queue) // 4)
--- a/runspool/scheduling/front_state.py
+++ b/runspool/scheduling/front_state.py
@@ -1,4 +1,4 @@
-"""State of one front: its settings, its engines, and what it has learned about them and about its traffic.
+"""State of one front for one cell: its settings, its engines, and what it has learned about them.
 
 The modules of this package are functions that operate on a `FrontState`. Only the scheduler driver sets its
 clock. Times are tenths of a millisecond.
@@ -52,7 +52,7 @@
 
 
 class FrontState:
-    """The state that all scheduling decisions of one front share."""
+    """The state that all scheduling decisions of one front for one cell share."""
 
     def __init__(self, settings: RoutingSettings, seed: int) -> None:
         """Create the state; `seed`, unique to this front, seeds its random draws and engine samples."""
--- a/runspool/scheduling/scheduler.py
+++ b/runspool/scheduling/scheduler.py
@@ -122,8 +122,8 @@
     def select_engine(self, progress: RequestProgress) -> Engine | None:
         """Return the engine for the next attempt, or None if none is available now.
 
-        If no engine can start the request in time, this also sets `progress.cannot_start_in_time`; the request is then
-        rejected.
+        If no engine can start the request in time, this also sets `progress.cannot_start_in_time`; the
+        request is then rejected.
         """
         request, failed_engine_ids, first_execution_engine = (
             progress.request,
--- a/runspool/service/protocol_hooks.py
+++ b/runspool/service/protocol_hooks.py
@@ -50,9 +50,9 @@
         """Perform, or wait for, whatever must be complete before an attempt starts."""
 
     def release_even_if_in_use(self, pending: RequestT) -> bool:
-        """Start the release of state that no attempt is known to use, although an attempt may be in progress.
+        """Start the release of the request's state, even if an attempt in progress may use it.
 
-        Returns False if the protocol has no such call or if there is no state to release.
+        Return False if the protocol has no such call or if there is no state to release.
         """
         return False
 
