--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -5,17 +5,15 @@
 import anyio
 
 from runspool.scheduling.time_units import SECOND
-from tests.simulation import recorded_words as words
+from tests.simulation import recorded_values as values
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.context import SimulationContext, sleep
 
 LIST_REMOVES_CRASHED_SHARE = 0.5  # of crashed engines, which the list then removes
 ABSENCE_SECONDS = 0.5  # from the removal of an engine to its restart
 SLOWDOWN = (2, 6)  # range of the factor by which a slow engine takes longer
-DURATION_SHARE_OF_GAP = (
-    0.3,
-    0.9,
-)  # range of a fault's duration, as a fraction of the time between two faults
+# Range of a fault's duration, as a fraction of the time between two faults.
+DURATION_SHARE_OF_GAP = (0.3, 0.9)
 FRONT_OUTAGE_DIVISOR = 4  # divides a fault's duration: fronts restart faster than engines
 
 
@@ -54,30 +52,30 @@
 
     async def drain_engine(self, index: int, duration: float) -> None:
         """List an engine as draining for a while."""
-        self.cluster.set_listed_state(index, words.LISTED_DRAINING)
+        self.cluster.set_listed_state(index, values.LISTED_DRAINING)
         await sleep(duration)
-        self.cluster.set_listed_state(index, words.LISTED_READY)
+        self.cluster.set_listed_state(index, values.LISTED_READY)
 
     async def replace_engine(self, index: int, duration: float) -> None:
         """Drain an engine, remove it from the list and restart it."""
         engine = self.cluster.engines[index]
-        self.cluster.set_listed_state(index, words.LISTED_DRAINING)
+        self.cluster.set_listed_state(index, values.LISTED_DRAINING)
         await sleep(duration)
-        self.cluster.set_listed_state(index, words.LISTED_REMOVED)
+        self.cluster.set_listed_state(index, values.LISTED_REMOVED)
         engine.crash()
         await anyio.sleep(ABSENCE_SECONDS)
         engine.start(cold=True)
-        self.cluster.set_listed_state(index, words.LISTED_READY)
+        self.cluster.set_listed_state(index, values.LISTED_READY)
 
     async def crash_engine(self, index: int, duration: float) -> None:
         """Crash an engine and restart it; the list may or may not remove it in the meantime."""
         engine = self.cluster.engines[index]
         engine.crash()
         if self.context.random.random() < LIST_REMOVES_CRASHED_SHARE:
-            self.cluster.set_listed_state(index, words.LISTED_REMOVED)
+            self.cluster.set_listed_state(index, values.LISTED_REMOVED)
         await sleep(duration)
         engine.start(cold=True)
-        self.cluster.set_listed_state(index, words.LISTED_READY)
+        self.cluster.set_listed_state(index, values.LISTED_READY)
 
     async def hang_engine(self, index: int, duration: float) -> None:
         """Let an engine hang for a while."""
--- a/tests/test_auditor_rejects_forged_recordings.py
+++ b/tests/test_auditor_rejects_forged_recordings.py
@@ -90,12 +90,12 @@
 
 
 async def drain_first_engine(fleet: SmallFleet) -> None:
-    await fleet.until("ran", 5)
-    fleet.tell(0, "draining")
+    await fleet.wait_for_events("ran", 5)
+    fleet.publish_state(0, "draining")
     with anyio.fail_after(10):
         while not any(
             name == "e0" and state == "draining"
-            for event in fleet.seen("told")
+            for event in fleet.recorded_events("told")
             for name, state, _ in event["engines"]
         ):
             await anyio.sleep(0.01)
@@ -279,7 +279,7 @@
         fleet.engines[index] = StandInEngine(
             planned_engine.spec, fleet.recorder, index == settings.get("cold"), index
         )
-        fleet.started[index] = int(time() * 1000) if index == settings.get("cold") else 0
+        fleet.start_times[index] = int(time() * 1000) if index == settings.get("cold") else 0
     for name in settings.keys() - {"cold", "held_on"}:
         setattr(fleet.plan, name, settings[name])
     fleet.recorder.record_event("day", plan=msgspec.to_builtins(fleet.plan))
@@ -289,11 +289,11 @@
         clients = WorkloadClients(fleet.plan, load_balancer, fleet.recorder)
         with anyio.fail_after(30):
             await clients.run(planned, now())
-            while fleet.running.front.requests:
+            while fleet.front_server.front.requests:
                 await anyio.sleep(0.01)
         await anyio.sleep(settings.get("held_on", 0))  # a state counts as kept only after so long
         fleet.recorder.record_event("over")
-    results = audit(list(recording.read_recording(fleet.file)), tolerance)
+    results = audit(list(recording.read_recording(fleet.recording_file)), tolerance)
     violations = {name: result.violation_count for name, result in results.items() if result.violation_count}
     assert results[rule].cases
     assert (violations.get(rule, 0) > 0) if defective else not violations, [
--- a/tests/test_failure_classification.py
+++ b/tests/test_failure_classification.py
@@ -225,7 +225,7 @@
 
     async def prepare(client: CompletionsEngineClient, address: Address) -> None:
         assert (await decode(client, address)).status is AttemptStatus.OVERLOADED
-        while not client.pool.idle[address][0].has_unsolicited_data():  # until the engine's close arrives
+        while not client.pool.idle[address][0].has_unread_input():  # until the engine's close arrives
             await anyio.sleep(0.001)
 
     result = await attempt_at(answer_once, prepare=prepare)
@@ -239,7 +239,7 @@
 
     async def prepare(client: CompletionsEngineClient, address: Address) -> None:
         connection = await client.pool.acquire(address)
-        while not connection.has_unsolicited_data():  # closed by its engine after the pool checked it
+        while not connection.has_unread_input():  # closed by its engine after the pool checked it
             await anyio.sleep(0.001)
 
         async def acquire_closed(*_: object) -> object:
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -73,8 +73,8 @@
         self.response: ReceivedResponse | None = None
         self.ended = anyio.Event()
 
-    async def send(self, output_tokens: int, prompt_words: int = 50, half: bool = False) -> None:
-        """Send the request and read the response; with `half`, send only the head and a part of the body."""
+    async def send(self, output_tokens: int, prompt_words: int = 50, partial: bool = False) -> None:
+        """Send the request and read the response; `partial` sends only the head and a part of the body."""
         body = msgspec.json.encode(
             {
                 "prompt": "abcd" * prompt_words,
@@ -89,7 +89,7 @@
         ).encode()
         with self.scope:
             async with await anyio.connect_tcp("127.0.0.1", self.cluster.port) as stream:
-                await stream.send(head + (body[:20] if half else body))
+                await stream.send(head + (body[:20] if partial else body))
                 # If the connection is cut, `response` stays None, and answer_kind() returns CONNECTION_CUT.
                 with suppress(Exception):
                     self.response = await receive_response(stream)
@@ -109,27 +109,27 @@
 
 async def reach_half_received(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
     """Wait until the front has received the head and a part of the body."""
-    await poll_until(lambda: cluster.running.active_requests)
+    await poll_until(lambda: cluster.front_server.active_requests)
 
 
 async def reach_queued(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
     """Wait until the request is queued at the front for a prefill engine."""
-    await poll_until(lambda: cluster.running.front.first_driver.scheduler.prefill_queue)
+    await poll_until(lambda: cluster.front_server.front.first_driver.scheduler.prefill_queue)
 
 
 async def reach_prefill(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
     """Wait until the prefill engine has received the request."""
-    await cluster.until("arrived", stage="read")
+    await cluster.wait_for_events("arrived", stage="read")
 
 
 async def reach_state_reserved(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
     """Let the prefill complete while no decode engine is available."""
-    await cluster.until("arrived", stage="read")
-    cluster.tell(DECODE, "draining")
-    await poll_until(lambda: not cluster.running.front.first_driver.scheduler.engines[DECODE].ready)
+    await cluster.wait_for_events("arrived", stage="read")
+    cluster.publish_state(DECODE, "draining")
+    await poll_until(lambda: not cluster.front_server.front.first_driver.scheduler.engines[DECODE].ready)
     cluster.engines[PREFILL].set_fault("hang", on=False)
-    await cluster.until("held")
-    await poll_until(lambda: any(pending.state for pending in cluster.running.front.requests.values()))
+    await cluster.wait_for_events("held")
+    await poll_until(lambda: any(pending.state for pending in cluster.front_server.front.requests.values()))
 
 
 async def reach_connecting(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -150,14 +150,14 @@
 
 async def reach_decode(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
     """Wait until the decode engine has received the request."""
-    await cluster.until("arrived", stage="write")
+    await cluster.wait_for_events("arrived", stage="write")
 
 
 async def reach_streaming(cluster: SmallFleet, monkeypatch: pytest.MonkeyPatch) -> None:
     """Wait until the client's stream has started."""
-    await cluster.until("ran")
+    await cluster.wait_for_events("ran")
     await poll_until(
-        lambda: any(pending.stream_started for pending in cluster.running.front.requests.values())
+        lambda: any(pending.stream_started for pending in cluster.front_server.front.requests.values())
     )
 
 
@@ -227,18 +227,18 @@
     return str(response.error["type"]) if response.status in (503, 424) else str(response.status)
 
 
-def leaks(cluster: SmallFleet, way: str) -> list[str]:
+def leaks(cluster: SmallFleet, cause: str) -> list[str]:
     """Return what the front and the engines still hold.
 
     After a shutdown, the front's connections to engines are not checked.
     """
-    front = cluster.running.front
+    front = cluster.front_server.front
     states = [
         f"{engine.spec.name} holds {engine.model.held_states}"
         for engine in cluster.engines
         if engine.model.held_states
     ]
-    if way == SHUTDOWN:
+    if cause == SHUTDOWN:
         return leaked_state(front) + states
     return leaked_state(front) + _leaked_connections(front) + states
 
@@ -256,35 +256,35 @@
     return found
 
 
-def time_limit_of(stage: str, way: str) -> int:
+def time_limit_of(stage: str, cause: str) -> int:
     """Return the request's time limit, which is long if something else is to end the request."""
-    if way == TIME_LIMIT:
+    if cause == TIME_LIMIT:
         return TIME_LIMIT_WHEN_QUEUED_MS if stage == QUEUED else TIME_LIMIT_MS
-    return TIME_LIMIT_WHEN_ENGINE_LOST_MS if way == ENGINE_LOST else LONG_TIME_LIMIT_MS
+    return TIME_LIMIT_WHEN_ENGINE_LOST_MS if cause == ENGINE_LOST else LONG_TIME_LIMIT_MS
 
 
-def end_request(cluster: SmallFleet, way: str, request: ClientRequest, lost_engine: int) -> None:
+def end_request(cluster: SmallFleet, cause: str, request: ClientRequest, lost_engine: int) -> None:
     """End the request; do nothing for the cause TIME_LIMIT."""
-    if way == CLIENT_DISCONNECTS:
+    if cause == CLIENT_DISCONNECTS:
         request.scope.cancel()
-    elif way == ENGINE_LOST:
+    elif cause == ENGINE_LOST:
         cluster.kill(lost_engine)
-        cluster.tell(lost_engine, "gone")
-    elif way == SHUTDOWN:
-        cluster.running.stop()
+        cluster.publish_state(lost_engine, "gone")
+    elif cause == SHUTDOWN:
+        cluster.front_server.stop()
 
 
 @pytest.mark.anyio
-@pytest.mark.parametrize("way", [CLIENT_DISCONNECTS, TIME_LIMIT, ENGINE_LOST, SHUTDOWN])
+@pytest.mark.parametrize("cause", [CLIENT_DISCONNECTS, TIME_LIMIT, ENGINE_LOST, SHUTDOWN])
 @pytest.mark.parametrize("stage", STAGES)
 async def test_request_ends_cleanly_at_every_stage(
-    stage: str, way: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    stage: str, cause: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     case = STAGES[stage]
-    body_ms = TIME_LIMIT_MS if way != CLIENT_DISCONNECTS else LONG_TIME_LIMIT_MS
+    body_ms = TIME_LIMIT_MS if cause != CLIENT_DISCONNECTS else LONG_TIME_LIMIT_MS
     cluster = SmallFleet(tmp_path, ENGINE_TYPES, drain_ms=DRAIN_MS, body_ms=body_ms)
     cluster.plan.state_release_timeout = STATE_RELEASE_TIMEOUT
-    request = ClientRequest(cluster, time_limit_of(stage, way))
+    request = ClientRequest(cluster, time_limit_of(stage, cause))
     earlier_request = ClientRequest(cluster, LONG_TIME_LIMIT_MS)
     async with cluster.open(), anyio.create_task_group() as tasks:
         for engine in case.hanging_engines:
@@ -292,11 +292,11 @@
         if stage == QUEUED:
             # The prompt is so long that the next request is queued at the front.
             tasks.start_soon(earlier_request.send, 5, 5_000)
-            await cluster.until("arrived", stage="read")
+            await cluster.wait_for_events("arrived", stage="read")
         tasks.start_soon(request.send, case.output_tokens, 50, stage == HALF_RECEIVED)
         with anyio.fail_after(END_TIMEOUT_SECONDS):
             await case.reach(cluster, monkeypatch)
-            end_request(cluster, way, request, case.lost_engine)
+            end_request(cluster, cause, request, case.lost_engine)
             await request.ended.wait()
             earlier_request.scope.cancel()
             for engine in case.hanging_engines:
@@ -304,14 +304,14 @@
                     "hang", on=False
                 )  # it now processes what it received meanwhile
         with anyio.move_on_after(LEAK_TIMEOUT_SECONDS):
-            while leaks(cluster, way):
+            while leaks(cluster, cause):
                 await anyio.sleep(0.01)
-        assert leaks(cluster, way) == []
-        if way != CLIENT_DISCONNECTS:
-            assert answer_kind(request) in case.answers[way]
-        decodes = cluster.seen("arrived", stage="write")
+        assert leaks(cluster, cause) == []
+        if cause != CLIENT_DISCONNECTS:
+            assert answer_kind(request) in case.answers[cause]
+        decodes = cluster.recorded_events("arrived", stage="write")
         assert len(decodes) == (stage in (DECODE_IN_PROGRESS, STREAMING))
-        assert cluster.running.front.counts["accepted"] == (
+        assert cluster.front_server.front.counts["accepted"] == (
             0 if stage == HALF_RECEIVED else 2 if stage == QUEUED else 1
         )
         tasks.cancel_scope.cancel()
@@ -326,7 +326,7 @@
     cluster.plan.state_release_timeout = STATE_RELEASE_TIMEOUT
     request = ClientRequest(cluster, LONG_TIME_LIMIT_MS)
     async with cluster.open(), anyio.create_task_group() as tasks:
-        client, calls = cluster.running.front.engine_client, []
+        client, calls = cluster.front_server.front.engine_client, []
         release_state = client.release_state
 
         async def lose_three_calls(*arguments: Any) -> FailureCause | None:
@@ -338,9 +338,9 @@
         tasks.start_soon(request.send, 5)
         with anyio.fail_after(END_TIMEOUT_SECONDS):
             await reach_state_reserved(cluster, monkeypatch)
-            cluster.running.stop()
+            cluster.front_server.stop()
             await request.ended.wait()
-            await cluster.until("released")
+            await cluster.wait_for_events("released")
         tasks.cancel_scope.cancel()
 
 
