--- a/runspool/cells/cell_map.py
+++ b/runspool/cells/cell_map.py
@@ -24,9 +24,8 @@
 MAX_TENANTS = 100_000
 MAX_MOVES = 1_000
 WHOLE_FLEET = "whole"  # the name of the single cell that a map without cells stands for
-ALL_CELLS = (
-    "*"  # in place of a tenant's cell: its sessions are spread over all cells, each session in one cell
-)
+# Stands in place of a tenant's cell: its sessions are spread over all cells, each session in one cell.
+ALL_CELLS = "*"
 
 AssignmentMethod = Literal["fixed", "shuffle", "rendezvous"]
 MoveStep = Literal["planned", "done", "turned_back"]
@@ -133,7 +132,8 @@
         overflow: limits on the requests that overflow to the reserve.
         panic_under: a cell that has fewer than this fraction of its engines left sends all requests to the
             reserve.
-        poison_after: a request is rejected once it has brought down this many engines.
+        poison_after: once this many engines went down while they executed the same request, the request
+            counts as poisonous and is not sent to any engine again.
         moves: migrations of tenants that are planned, finished or undone.
     """
 
--- a/runspool/engines/attempt_result.py
+++ b/runspool/engines/attempt_result.py
@@ -31,7 +31,8 @@
         detail: Description of the failure for the log.
         cached_tokens: Number of prompt tokens that the engine found in its cache.
         prompt_tokens: Number of prompt tokens, as counted by the engine.
-        output_tokens: Number of tokens received.
+        output_tokens: Number of output tokens. For the completions API it is the number of pieces of text
+            received, because engines send each token as a piece of its own.
         finish_reason: Reason for the end of the output, as reported by the engine.
         reached_engine: True once the engine has sent any byte, which shows that it received the request or at
             least its head.
--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -110,7 +110,7 @@
 
 
 def _max_wait_fraction(front: FrontState, request: Request) -> float:
-    """Return the fraction of the time until a request's first token is due that a predicted wait may take."""
+    """Return the fraction of the time left for a request's first token that a predicted wait may take."""
     refresh_fleet_statistics(front)
     # A front that has few streams, and so knows little about the queues, relies less on its predictions.
     evidence_weight = front.own_streams_per_engine / (SMOOTHING_STREAMS + front.own_streams_per_engine)
--- a/runspool/scheduling/engine_state.py
+++ b/runspool/scheduling/engine_state.py
@@ -59,7 +59,9 @@
     """Time that a prefill takes beyond computing its own tokens and those known to be ahead of it."""
     decode_wait: DecayingEstimate = field(default_factory=DecayingEstimate)
     """Time from sending a decode to its first token."""
-    observed_capacity: int = 0  # stream tokens at which the engine refused a request; 0 if it never did
+    # Estimated stream tokens of all fronts when the engine first refused a request, at least half of its
+    # memory; 0 if it never refused one.
+    observed_capacity: int = 0
     cached_tokens: dict[int, int] = field(default_factory=dict)
     """Cached tokens by text key (see `prefix_affinity.record_cached_texts`), the least recently used text
     first."""
--- a/runspool/scheduling/front_state.py
+++ b/runspool/scheduling/front_state.py
@@ -31,7 +31,8 @@
     is_over_share: bool
     """Whether the request's tenant sends more than its share of the traffic."""
     priority_time: int
-    """Sort key: arrival time plus the time until the first token is due divided by the priority weight."""
+    """The arrival time plus a delay, which is the time until the first token is due divided by the priority
+    weight."""
     request_index: int
 
 
--- a/runspool/scheduling/outlier_detection.py
+++ b/runspool/scheduling/outlier_detection.py
@@ -10,7 +10,7 @@
 from runspool.scheduling.time_units import MILLISECOND, SECOND
 
 MIN_EJECTION = 200 * MILLISECOND  # duration of the first ejection
-MAX_EJECTION = 6 * SECOND
+MAX_EJECTION = 6 * SECOND  # upper bound on the duration of an ejection
 # Bound on the number of doublings; `MAX_EJECTION` is reached earlier.
 MAX_DOUBLINGS = 10
 
--- a/runspool/scheduling/prefix_affinity.py
+++ b/runspool/scheduling/prefix_affinity.py
@@ -1,8 +1,9 @@
 """Prediction of which prefill engines have a prompt cached, and how many of its tokens.
 
-One of many fronts has hardly ever sent a given text itself. All fronts therefore assume a text to be cached
-at the same engines, which they derive from hashes: a session at one engine, a shared prefix at more engines
-the more requests use it.
+One of many fronts has hardly ever sent a given text itself. The fronts of a zone therefore assume a text to
+be cached at the same engines, which they derive from hashes: a session at one engine, a shared prefix at more
+engines the more requests use it. They differ in this only as far as they have learned different rack weights
+and frequencies of prefixes.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 def affinity_candidates(front: FrontState, request: Request) -> list[int]:
     """Return the ids of the prefill engines that are assumed to have a prompt cached; count its prefix.
 
-    The first one is the engine of the request's session. All fronts assume the same engines.
+    The first one is the engine of the request's session.
     """
     if front.engine_index.is_large(Role.PREFILL):
         return _candidates_in_large_fleet(front, request)
@@ -70,7 +71,10 @@
 
 
 def _in_session_order(front: FrontState, engines: list[Engine], request: Request) -> list[int]:
-    """Return the ids of the candidates, the one assumed for the session first; sorts `engines` in place."""
+    """Return the ids of the candidates, the one assumed for the session first.
+
+    The engines of this front's zone precede the others. `engines` is sorted in place.
+    """
     zone = front.settings.zone
     engines.sort(key=lambda e: (e.zone != zone, affinity_rank(front, e, request.session_hash)))
     return [e.id for e in engines]
@@ -79,7 +83,8 @@
 def affinity_rank(front: FrontState, engine: Engine, text_hash: int) -> float:
     """Return an engine's rank for a text; the engine with the lowest rank is the first candidate.
 
-    This is rendezvous hashing, weighted by the engine's rack: all fronts draw the same ranks from the hashes.
+    This is rendezvous hashing, weighted by the engine's rack: fronts with the same rack weights compute the
+    same ranks.
     """
     mixed_hash = (engine.stable_hash * (2 * text_hash + 1) & HASH_MASK) + 1
     return -log(mixed_hash / (HASH_MASK + 2)) / front.rack_weights.get(engine.rack, 1.0)
--- a/runspool/scheduling/request_progress.py
+++ b/runspool/scheduling/request_progress.py
@@ -21,8 +21,10 @@
     deadline: int
     """The client's time limit less a margin; nothing is started after it."""
     first_token_due: int
+    """Time after which the first token is too late to be useful."""
     max_wait_fraction: float
-    """Fraction of the time until `first_token_due` that a predicted wait may take."""
+    """Fraction of the time until `first_token_due`, less the request's own prefill, that a predicted wait may
+    take."""
     selection_skipped_until: int
     """Until this time the request waits behind those ahead of it without evaluating engines."""
     queue_limit: int
@@ -35,7 +37,7 @@
     reservation_start: int = 0  # start of the state's time limit, which an attempt on an engine restarts
     attempts: int = 0
     unsent_attempt_duration: int = 0
-    """Duration of the last decode attempt if it was not sent in full, else 0."""
+    """Duration of the last failed attempt if its status is in `retry_policy.UNSENT_STATUSES`, else 0."""
     needs_retry_budget: bool = False
     """Whether the next prefill counts against the retry budget, because one timed out or was refused."""
     first_execution_engine: Engine | None = None
--- a/runspool/scheduling/retry_policy.py
+++ b/runspool/scheduling/retry_policy.py
@@ -26,8 +26,8 @@
     Role,
 )
 
-# Statuses of attempts that were not sent in full. Such a decode attempt does not suspend the time limit on
-# the prefill's reserved state.
+# Statuses of attempts that were not sent in full or that the engine refused as invalid or unsupported. Such a
+# decode attempt does not suspend the time limit on the prefill's reserved state.
 UNSENT_STATUSES = frozenset({AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_SENT})
 # Timeout of a decode attempt that may be repeated, as a fraction of the time left.
 DECODE_TIMEOUT_FRACTION = 0.8
--- a/runspool/scheduling/types.py
+++ b/runspool/scheduling/types.py
@@ -62,15 +62,17 @@
     STATE_MISSING = 5
     """The engine reported that the prefill's state no longer exists and that it has done nothing."""
     CONNECT_FAILED = 6
-    """No connection was made, or it broke before the engine had the whole request."""
+    """No connection was made, it broke before the engine had the whole request, or the peer does not serve
+    this API."""
     NOT_SENT = 7
-    """This front gave up the attempt before it sent the last byte."""
+    """This front gave up the attempt before it sent the last byte, or the engine refused the request as
+    invalid."""
     SERVER_ERROR = 8
     TIMED_OUT = 9
     CONNECTION_LOST = 10
     """The connection broke after the whole request had been sent."""
     CANCELLED = 11
-    """This front ended the attempt after the whole request had been sent."""
+    """This front ended the attempt; the engine may have received the whole request."""
 
 
 NOT_EXECUTED = frozenset(
--- a/runspool/service/clock.py
+++ b/runspool/service/clock.py
@@ -4,7 +4,7 @@
 
 import time
 
-NS_PER_TICK = 100_000
+NS_PER_TICK = 100_000  # nanoseconds in a tenth of a millisecond, the unit of the monotonic clock
 NS_PER_MS = 1_000_000
 
 
--- a/runspool/service/completions_handler.py
+++ b/runspool/service/completions_handler.py
@@ -36,15 +36,15 @@
     def __init__(self, front: Front, connection: TcpConnection, count_active: Callable[[int], None]) -> None:
         """Initialize the handler.
 
-        `count_active` is called with +1 when the head of a request has been received, and with -1 when its
-        response has been sent.
+        `count_active` is called with +1 when the connection starts to serve a request whose head is complete,
+        and with -1 after the response, or when the request's body turns out to be late or invalid.
         """
         super().__init__(front.config.front.bounds, connection, count_active)
         self.front = front
 
     @property
     def closing(self) -> bool:
-        """True once the front is shutting down, after which no further requests are read."""
+        """True once the front is shutting down; the connection then waits for no further requests."""
         return self.front.closing
 
     def error_body(self, code: str, message: str) -> bytes:
@@ -54,8 +54,9 @@
     async def route(self, request: HttpRequest, received_at: int) -> None:
         """Respond to a request that has been read completely.
 
-        `received_at` is when the request's head was complete, in tenths of a millisecond on the front's
-        clock. If this method is cancelled, an accepted request is treated as if its client had disconnected.
+        `received_at` is when the request's head was complete and the previous request had ended, in tenths of
+        a millisecond on the front's clock. If this method is cancelled, an accepted request is treated as if
+        its client had disconnected.
 
         Raises:
             ConnectionClosedError: The client has disconnected.
--- a/runspool/service/final_responses.py
+++ b/runspool/service/final_responses.py
@@ -21,7 +21,7 @@
 
 
 def scheduler_failed() -> FinalResponse:
-    """Return the response to a request on which the scheduler raised an exception."""
+    """Return the response to a request that the scheduler failed to answer, for example by an exception."""
     return FinalResponse(ResponseKind.INDETERMINATE, "scrapped", "nothing is promised")
 
 
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -202,14 +202,14 @@
         self.scheduler_registry.update_schedulers()
 
     def cell_scheduler(self, name: str) -> CellScheduler:
-        """Return a cell's scheduler, which is created with the cell's first request."""
+        """Return a cell's scheduler; create it if there is none."""
         return self.scheduler_registry.get_or_create(name)
 
     @property
     def first_driver(self) -> SchedulerDriver:
-        """The driver that runs the scheduler created first; without a cell map it is the only one.
+        """The driver of the oldest scheduler, which at startup is that of the cell map's first cell.
 
-        Requires that a request has been admitted, because schedulers are created by requests.
+        A scheduler driver runs a scheduler and carries its actions out. Without a cell map there is only one.
         """
         return next(iter(self.cell_schedulers.values())).driver
 
