--- a/runspool/engines/completions_client.py
+++ b/runspool/engines/completions_client.py
@@ -25,6 +25,8 @@
 
 # JSON object that identifies a prefill state (`kv_transfer_params`). Its values are passed on undecoded.
 PrefillState = dict[str, msgspec.Raw]
+# JSON object with the parameters of a client's request. Its values are passed on undecoded.
+RequestParameters = dict[str, msgspec.Raw]
 
 # Maximum number of socket reads after a response's last token. The connection can be reused only if the
 # response ends within them.
@@ -43,7 +45,7 @@
     async def prefill(
         self,
         address: Address,
-        parameters: PrefillState,
+        parameters: RequestParameters,
         headers: Mapping[str, str],
         time_limit: int,
         permit: SendPermit,
@@ -105,7 +107,7 @@
     async def decode(
         self,
         address: Address,
-        parameters: PrefillState,
+        parameters: RequestParameters,
         state: PrefillState | None,
         headers: Mapping[str, str],
         first_token_limit: int,
