--- a/tests/node_platform/agent.py
+++ b/tests/node_platform/agent.py
@@ -23,15 +23,17 @@
         super().__init__()
         self.engines = {name: ScriptedEngine(self, name, kind) for name, kind in kinds.items()}
         self.states = dict.fromkeys(kinds, "active")
-        self.starts = dict.fromkeys(kinds, 0)  # Unix time in milliseconds; 0 is in the distant past
+        self.start_times = dict.fromkeys(kinds, 0)  # Unix time in milliseconds; 0 is in the distant past
         self.version = 1
-        self.lists: list[str] = []  # targets of the received requests for the list
-        self.list_scripts: list[bytes | None] = []  # the next responses of the agent; None sends none
+        self.list_requests: list[str] = []  # targets of the received requests for the list
+        self.scripted_list_responses: list[
+            bytes | None
+        ] = []  # the next responses of the agent; None sends none
         self.list_gate = asyncio.Event()  # while clear, the agent reads requests and sends nothing
         self.list_gate.set()
         self.pace = AgentPace()
 
-    def listed(self, snapshot: bool = True) -> bytes:
+    def endpoint_list_json(self, snapshot: bool = True) -> bytes:
         """Return the current endpoint list as JSON."""
         return json.dumps(
             {
@@ -46,28 +48,28 @@
                         "group": 1,
                         "status": self.states[name],
                         "weight": 1.0,
-                        "since_ms": self.starts[name],
+                        "since_ms": self.start_times[name],
                     }
                     for name, engine in self.engines.items()
                 ],
             }
         ).encode()
 
-    def tell(self, **states: str) -> None:
+    def publish_states(self, **states: str) -> None:
         """Change the states of endpoints, in a new version of the list."""
         self.states |= states
         self.version += 1
-        self.changed()
+        self.notify_change()
 
-    def tell_started_anew(self, engine: str, kind: str = "") -> None:
+    def publish_restart(self, engine: str, kind: str = "") -> None:
         """List an engine as restarted now, with another kind if one is given."""
-        self.starts[engine] = max(int(time.time() * 1000), self.starts[engine] + 1)
-        self.tell_kind(engine, kind or self.engines[engine].kind)
+        self.start_times[engine] = max(int(time.time() * 1000), self.start_times[engine] + 1)
+        self.publish_kind(engine, kind or self.engines[engine].kind)
 
-    def tell_kind(self, engine: str, kind: str) -> None:
+    def publish_kind(self, engine: str, kind: str) -> None:
         """List an engine with this kind."""
         self.engines[engine].kind = kind
-        self.tell(**{engine: "active"})
+        self.publish_states(**{engine: "active"})
 
     @asynccontextmanager
     async def agent(self) -> AsyncIterator[int]:
@@ -84,11 +86,11 @@
 
     async def _serve_agent(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         async with self.serving(writer):
-            with self.pace.connection(reader) as may_stay:
-                while may_stay:
+            with self.pace.connection(reader) as is_within_limit:
+                while is_within_limit:
                     request = await read_request(reader)
-                    self.lists.append(request.target)
-                    self.changed()
+                    self.list_requests.append(request.target)
+                    self.notify_change()
                     await self.list_gate.wait()
                     if await self.pace.answer(reader, writer, partial(self._next_response, request)) is None:
                         await reader.read()
@@ -100,12 +102,12 @@
 
     async def _next_body(self, request: ReceivedRequest) -> bytes | None:
         """Return the next scripted body if there is one, else the list; a watch waits for a new version."""
-        body: bytes | None = self.listed()
-        if self.list_scripts:
-            return self.list_scripts.pop(0)
+        body: bytes | None = self.endpoint_list_json()
+        if self.scripted_list_responses:
+            return self.scripted_list_responses.pop(0)
         if "after=" in request.target:
             await self._wait_for_version_after(request.target)
-            body = self.listed(snapshot=False)
+            body = self.endpoint_list_json(snapshot=False)
         return body
 
     async def _wait_for_version_after(self, target: str) -> None:
--- a/tests/node_platform/agent_pace.py
+++ b/tests/node_platform/agent_pace.py
@@ -19,10 +19,10 @@
         cost: processing time of each call in seconds; calls are processed one at a time, abandoned ones too.
         pieces: number of pieces in which an answer is sent.
         piece_interval: seconds between two pieces.
-        most_connections: connections beyond this number are reset; 0 sets no limit.
+        max_connections: connections beyond this number are reset; 0 sets no limit.
         drops: whether calls that are open during an outage are never answered, instead of at its end.
         skips_abandoned: whether calls whose connection closed during an outage are not processed after it.
-        turn: lock held by the call that is being processed; agents that share a process share it.
+        processing_lock: lock held by the call that is being processed; agents that share a process share it.
         reachable: set while no outage is in progress.
         outages_begun: number of outages so far, including those in progress.
         outages: number of outages in progress.
@@ -33,10 +33,10 @@
     cost: float = 0.0
     pieces: int = 1
     piece_interval: float = 0.0
-    most_connections: int = 0
+    max_connections: int = 0
     drops: bool = False
     skips_abandoned: bool = False
-    turn: asyncio.Lock = field(default_factory=asyncio.Lock)
+    processing_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     reachable: asyncio.Event = field(default_factory=asyncio.Event)
     outages_begun: int = 0
     outages: int = 0
@@ -67,7 +67,7 @@
         """Count a connection while it is served; yield whether it is within the limit."""
         self.readers.add(reader)
         try:
-            yield not self.most_connections or self.connections <= self.most_connections
+            yield not self.max_connections or self.connections <= self.max_connections
         finally:
             self.readers.discard(reader)
 
@@ -82,18 +82,18 @@
         await self.reachable.wait()
         if self.skips_abandoned and reader.at_eof():
             return None
-        took = await self._take_turn()
+        took = await self._process_call()
         body = await make_body()
         await self.reachable.wait()
         if body is None or (self.drops and outages != self.outages_begun):
             return None
         return took + await self._write(writer, body)
 
-    async def _take_turn(self) -> float:
+    async def _process_call(self) -> float:
         if not self.cost:
             return 0.0
         began = asyncio.get_running_loop().time()
-        async with self.turn:
+        async with self.processing_lock:
             await asyncio.sleep(self.cost)
         return asyncio.get_running_loop().time() - began
 
--- a/tests/node_platform/client.py
+++ b/tests/node_platform/client.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from tests.node_platform.http_messages import WAIT, parse_headers
+from tests.node_platform.http_messages import WAIT_TIMEOUT, parse_headers
 
 BODY = b'{"model":"chat","stream":true,"max_tokens":40,"messages":[{"role":"user","content":"hi"}]}'
 
@@ -49,14 +49,14 @@
 
     async def read_head(self) -> Response:
         """Read a response's status and headers."""
-        head = await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), WAIT)
+        head = await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), WAIT_TIMEOUT)
         lines = head.decode().split("\r\n")
         return Response(int(lines[0].split(" ")[1]), parse_headers(lines[1:-2]), b"", False)
 
     async def read_chunk(self) -> bytes:
         """Return the data of the next chunk; it is empty for the last chunk."""
-        size = int(await asyncio.wait_for(self.reader.readuntil(b"\r\n"), WAIT), 16)
-        data = await asyncio.wait_for(self.reader.readexactly(size + 2), WAIT)
+        size = int(await asyncio.wait_for(self.reader.readuntil(b"\r\n"), WAIT_TIMEOUT), 16)
+        data = await asyncio.wait_for(self.reader.readexactly(size + 2), WAIT_TIMEOUT)
         return data[:-2]
 
     async def read_body(self, response: Response) -> Response:
@@ -67,7 +67,7 @@
                     response.body += data
             else:
                 length = int(response.headers.get("content-length", "0"))
-                response.body = await asyncio.wait_for(self.reader.readexactly(length), WAIT)
+                response.body = await asyncio.wait_for(self.reader.readexactly(length), WAIT_TIMEOUT)
             response.complete = True
         except (OSError, asyncio.IncompleteReadError):
             pass
@@ -80,7 +80,7 @@
     async def read_to_close(self) -> bytes:
         """Return all bytes received until the node closes the connection; none if it resets it."""
         try:
-            return await asyncio.wait_for(self.reader.read(), WAIT)
+            return await asyncio.wait_for(self.reader.read(), WAIT_TIMEOUT)
         except ConnectionError:
             return b""
 
--- a/tests/node_platform/engine.py
+++ b/tests/node_platform/engine.py
@@ -51,7 +51,7 @@
 
 async def never_responds(request: ReceivedRequest) -> None:
     """Send nothing until the node closes the connection."""
-    await request.until_closed()
+    await request.wait_until_closed()
 
 
 class ScriptedEngine:
@@ -83,7 +83,7 @@
         if self.proxy is not None:
             await self.proxy.close()
 
-    def behind_proxy(self) -> FaultProxy:
+    def add_proxy(self) -> FaultProxy:
         """Put a proxy in front of the engine; call it before start()."""
         self.proxy = FaultProxy(lambda: self.port)
         return self.proxy
--- a/tests/node_platform/http_messages.py
+++ b/tests/node_platform/http_messages.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-WAIT = 15.0  # seconds after which a wait of a test fails
+WAIT_TIMEOUT = 15.0  # seconds after which a wait of a test fails
 
 EVENTS = [
     b'data: {"choices":[{"index":0,"delta":{"content":"oq"},"finish_reason":null}]}\n\n',
@@ -60,10 +60,10 @@
         """Reset the connection."""
         self.writer.transport.abort()
 
-    async def until_closed(self) -> None:
+    async def wait_until_closed(self) -> None:
         """Wait until the node has closed this connection."""
         with suppress(OSError):
-            await asyncio.wait_for(self.reader.read(), WAIT)
+            await asyncio.wait_for(self.reader.read(), WAIT_TIMEOUT)
 
 
 def parse_headers(lines: list[str]) -> dict[str, str]:
--- a/tests/node_platform/inspection.py
+++ b/tests/node_platform/inspection.py
@@ -12,7 +12,7 @@
 from runspool.node.server import NodeServer
 from runspool.scheduling.types import EngineState
 from tests.node_platform.client import Client, post
-from tests.node_platform.http_messages import WAIT
+from tests.node_platform.http_messages import WAIT_TIMEOUT
 from tests.node_platform.platform import Platform
 from tests.node_platform.settings import SETTINGS
 
@@ -34,26 +34,26 @@
     return changed_settings(change)
 
 
-async def until(condition: Callable[[], object]) -> None:
-    """Wait until the condition, on the internal state of a node, is true; raise TimeoutError after WAIT."""
-    async with asyncio.timeout(WAIT):
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Wait until a condition on a node's internal state is true; raise TimeoutError after WAIT_TIMEOUT."""
+    async with asyncio.timeout(WAIT_TIMEOUT):
         while not condition():
             await asyncio.sleep(0.001)
 
 
-async def until_listed(node: NodeExecutor, state: str, *names: str) -> None:
+async def wait_until_listed(node: NodeExecutor, state: str, *names: str) -> None:
     """Wait until the node has applied this listed state to the named engines, or to all if none is named."""
     expected = EngineState(state)
-    await until(
+    await wait_until(
         lambda: all(node.engine_records[name].state == expected for name in names or node.engine_records)
     )
 
 
-async def idle_connection(platform: Platform, running: NodeServer) -> tuple[Client, RequestHandler]:
+async def open_idle_connection(platform: Platform, running: NodeServer) -> tuple[Client, RequestHandler]:
     """Return a client with an idle connection after a response, and the node's handler of the connection."""
     client = await platform.client()
     client.send(post("q0"))
     assert (await client.read_response()).complete
     (handler,) = running.connections.handlers
-    await until(lambda: handler.idle_since)  # set some event-loop iterations after the response is sent
+    await wait_until(lambda: handler.idle_since)  # set some event-loop iterations after the response is sent
     return client, handler
--- a/tests/node_platform/observed_peers.py
+++ b/tests/node_platform/observed_peers.py
@@ -7,7 +7,7 @@
 from contextlib import asynccontextmanager, suppress
 from typing import Any
 
-from tests.node_platform.http_messages import WAIT, ReceivedRequest
+from tests.node_platform.http_messages import WAIT_TIMEOUT, ReceivedRequest
 
 
 class ObservedPeers:
@@ -34,9 +34,9 @@
     def record(self, request: ReceivedRequest) -> None:
         """Record a request that an engine has received."""
         self.received.append(request)
-        self.changed()
+        self.notify_change()
 
-    def changed(self) -> None:
+    def notify_change(self) -> None:
         """Wake the tests that wait, so that they check their conditions again."""
 
         async def notify() -> None:
@@ -45,7 +45,7 @@
 
         self.notification = asyncio.ensure_future(notify())
 
-    async def until(self, condition: Callable[[], bool]) -> None:
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
         """Wait until the condition is true; it is checked after each change."""
         async with self.change:
-            await asyncio.wait_for(self.change.wait_for(condition), WAIT)
+            await asyncio.wait_for(self.change.wait_for(condition), WAIT_TIMEOUT)
--- a/tests/node_platform/platform.py
+++ b/tests/node_platform/platform.py
@@ -18,7 +18,7 @@
 from tests.fault_proxy import HOST
 from tests.node_platform.agent import ScriptedAgent
 from tests.node_platform.client import Client, Response
-from tests.node_platform.http_messages import WAIT, ReceivedRequest
+from tests.node_platform.http_messages import WAIT_TIMEOUT, ReceivedRequest
 from tests.node_platform.ports import free_port
 from tests.node_platform.settings import SETTINGS
 
@@ -34,7 +34,7 @@
         super().__init__(kinds)
         self.folder = folder
         self.process: asyncio.subprocess.Process
-        self.run: asyncio.Future[None]  # of a node in the process of the test
+        self.node_task: asyncio.Future[None]  # of a node in the process of the test
         self.clients: list[Client] = []
         self.port = self.agent_port = 0
         self.log = b""
@@ -76,7 +76,7 @@
             "discovery": f"{HOST}:{self.agent_port}",
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets},
-            "known": json.loads(self.listed()),
+            "known": json.loads(self.endpoint_list_json()),
             "settings": self.settings,
         } | changes
         file.write_text(json.dumps(config))
@@ -89,13 +89,13 @@
             yield self
 
     @asynccontextmanager
-    async def inside(self, wait: bool = True) -> AsyncIterator[NodeServer]:
+    async def open_in_process(self, wait: bool = True) -> AsyncIterator[NodeServer]:
         """Run peers, and a node in the process of the test; with `wait`, wait until it is ready."""
         async with self.running_peers():
             config = read_node_config({"BALANCER_CONFIG": str(self.write_config(listen="127.0.0.1:1"))})
             config = replace(config, listen=("127.0.0.1", 0))
             running, ready = NodeServer(config, lambda: config, self.sockets), _Ready()
-            task = self.run = asyncio.ensure_future(running.run(task_status=ready))
+            task = self.node_task = asyncio.ensure_future(running.run(task_status=ready))
             if wait:
                 await ready.wait()
             while not running.port:
@@ -156,16 +156,19 @@
         if self.redirection:
             await self.until_accepting_connections()
         else:
-            await self.logged("node_listening")
+            await self.wait_for_log_event("node_listening")
         client = await self.client()
         client.send(HEALTH_REQUEST)
         assert (await client.read_response()).status == 200
         client.close()
-        await self.until(lambda: any("after=" in target for target in self.lists) or bool(self.list_scripts))
+        await self.wait_until(
+            lambda: any("after=" in target for target in self.list_requests)
+            or bool(self.scripted_list_responses)
+        )
 
     async def until_accepting_connections(self) -> None:
         """Wait until the node accepts connections, without use of its log."""
-        async with asyncio.timeout(WAIT):
+        async with asyncio.timeout(WAIT_TIMEOUT):
             while True:
                 with suppress(OSError):
                     (await self.client()).close()
@@ -177,11 +180,11 @@
         async for line in self.process.stderr:
             await self.reads_log.wait()
             self.log += line
-            self.changed()
+            self.notify_change()
 
-    async def logged(self, event: str) -> None:
+    async def wait_for_log_event(self, event: str) -> None:
         """Wait until the node has logged this event."""
-        await self.until(lambda: f'"event":"{event}"'.encode() in self.log)
+        await self.wait_until(lambda: f'"event":"{event}"'.encode() in self.log)
 
     def signal(self, number: signal.Signals) -> None:
         """Send the node process a signal."""
@@ -196,7 +199,7 @@
         self.clients.append(client)
         return client
 
-    async def ask(self, data: bytes) -> Response:
+    async def send_request(self, data: bytes) -> Response:
         """Send one request on a connection of its own and read the response."""
         client = await self.client()
         try:
--- a/tests/soak/agents.py
+++ b/tests/soak/agents.py
@@ -23,7 +23,7 @@
     def __init__(self, environment: Environment, node: str, port_of: Callable[[str], int]) -> None:
         self.environment, self.node, self.port_of = environment, node, port_of
         skips_abandoned = not environment.conditions.agents_owe_all
-        self.pace = AgentPace(turn=environment.agent_turn, skips_abandoned=skips_abandoned)
+        self.pace = AgentPace(processing_lock=environment.agent_turn, skips_abandoned=skips_abandoned)
         # The agent's version of the list is the environment's revision minus this one.
         self.first_revision = 0
         self._list_before_outage, self._revision_before_outage = b"", 0
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -256,10 +256,10 @@
     async def agent_crowded(self, fault: Fault) -> None:
         """Make agents reset every connection of a node above two or three."""
         for agent in self._agents(fault):
-            agent.pace.most_connections = 2 + (fault.amount < 0.5)
+            agent.pace.max_connections = 2 + (fault.amount < 0.5)
         await asyncio.sleep(fault.lasts)
         for agent in self._agents(fault):
-            agent.pace.most_connections = 0
+            agent.pace.max_connections = 0
 
     async def agent_reset(self, fault: Fault) -> None:
         """Reset all connections to the nodes' agents."""
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -9,8 +9,8 @@
 
 from tests.node_platform.client import post
 from tests.node_platform.engine import responds, streams_until
-from tests.node_platform.http_messages import COMPLETE_STREAM, PREFILL_RESPONSE, WAIT, ReceivedRequest
-from tests.node_platform.inspection import until
+from tests.node_platform.http_messages import COMPLETE_STREAM, PREFILL_RESPONSE, WAIT_TIMEOUT, ReceivedRequest
+from tests.node_platform.inspection import wait_until
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
@@ -28,8 +28,8 @@
         platform.engines["w"].scripts = [responds_later]
         first = await platform.client()
         first.send(post("q1"))
-        await platform.until(lambda: len(platform.attempts("q1", "decode")) == 1)
-        assert (await platform.ask(post("q1"))).status == 409
+        await platform.wait_until(lambda: len(platform.attempts("q1", "decode")) == 1)
+        assert (await platform.send_request(post("q1"))).status == 409
         proceed.set()
         assert (await first.read_response()).complete
         assert len(platform.attempts("q1")) == 2
@@ -40,25 +40,25 @@
         silent_clients = [await platform.client() for _ in range(400)]
         partial = await platform.client()
         partial.send(post("h1")[:-10])
-        assert (await platform.ask(post("q1"))).complete
+        assert (await platform.send_request(post("q1"))).complete
         for client in [*silent_clients, partial]:
             await client.read_to_close()
         assert platform.attempts("h1") == []
-        assert (await platform.ask(post("q2"))).complete
+        assert (await platform.send_request(post("q2"))).complete
 
 
 async def test_a_client_that_sends_excess_data_before_its_response_still_gets_it(tmp_path: Path) -> None:
     proceed = asyncio.Event()
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         platform.engines["r"].scripts = [responds(PREFILL_RESPONSE, proceed)]
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: len(platform.attempts("q1")) == 1)
+        await platform.wait_until(lambda: len(platform.attempts("q1")) == 1)
         client.send(b"x" * 400_000)
-        await asyncio.wait_for(client.writer.drain(), WAIT)
+        await asyncio.wait_for(client.writer.drain(), WAIT_TIMEOUT)
         (handler,) = running.connections.handlers
-        await until(lambda: handler.tcp.discarded_bytes)
+        await wait_until(lambda: handler.tcp.discarded_bytes)
         proceed.set()
         response = await client.read_response()
         assert response.complete and response.headers["connection"] == "close"
@@ -84,4 +84,4 @@
             if response.status == 200:
                 await client.read_body(response)  # frees descriptors for the last request
         assert most_open <= 64
-        assert (await platform.ask(post("last"))).status == 200
+        assert (await platform.send_request(post("last"))).status == 200
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -14,8 +14,8 @@
 from runspool.transport.tcp import TcpConnection, connect
 from tests.node_platform.client import post
 from tests.node_platform.engine import never_responds, responds
-from tests.node_platform.http_messages import PREFILL_RESPONSE, WAIT
-from tests.node_platform.inspection import changed_settings, until, until_listed
+from tests.node_platform.http_messages import PREFILL_RESPONSE, WAIT_TIMEOUT
+from tests.node_platform.inspection import changed_settings, wait_until, wait_until_listed
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
@@ -24,11 +24,11 @@
 
 async def assert_released(platform: Platform, node: NodeExecutor, name: str, attempts: int) -> None:
     """Check that everything the request held is released and that no attempt follows."""
-    await until(lambda: not node.requests and not node.releases_in_progress)
-    platform.tell(**dict.fromkeys(platform.states, "active"))
-    await until_listed(node, "on")
+    await wait_until(lambda: not node.requests and not node.releases_in_progress)
+    platform.publish_states(**dict.fromkeys(platform.states, "active"))
+    await wait_until_listed(node, "on")
     assert (
-        await platform.ask(post(f"after-{name}"))
+        await platform.send_request(post(f"after-{name}"))
     ).complete  # a request still queued would have been sent as well
     assert len(platform.attempts(name)) == attempts
     pool = node.engine_client.pool
@@ -41,28 +41,28 @@
     bytes_ahead: int, tmp_path: Path
 ) -> None:
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         platform.engines["r"].scripts = [never_responds]
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: len(platform.attempts("q1")) == 1)
+        await platform.wait_until(lambda: len(platform.attempts("q1")) == 1)
         # These are more bytes than node and kernel buffer, which could hide the end of the connection.
         client.send(b"x" * bytes_ahead)
         if bytes_ahead:
-            await asyncio.wait_for(client.writer.drain(), WAIT)
+            await asyncio.wait_for(client.writer.drain(), WAIT_TIMEOUT)
         client.writer.close()
-        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
+        await platform.wait_until(lambda: len(platform.release_calls("q1")) == 1)
         await assert_released(platform, running.executor, "q1", 1)
 
 
 async def test_a_queued_request_whose_client_disconnects_is_never_sent(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.inside() as running:
-        platform.tell(r="leaving")
-        await until_listed(running.executor, "draining", "r")
+    async with platform.open_in_process() as running:
+        platform.publish_states(r="leaving")
+        await wait_until_listed(running.executor, "draining", "r")
         client = await platform.client()
         client.send(post("q1"))
-        await until(lambda: running.executor.requests)
+        await wait_until(lambda: running.executor.requests)
         client.close()
         await assert_released(platform, running.executor, "q1", 0)
 
@@ -74,18 +74,20 @@
     platform.settings = changed_settings(
         lambda settings: settings["family-info"].update({"release-within-us": 60_000_000})
     )
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         proceed = asyncio.Event()
         platform.engines["r"].scripts = [responds(PREFILL_RESPONSE, proceed)]
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: len(platform.attempts("q1")) == 1)
-        platform.tell(w="leaving")
-        await until_listed(running.executor, "draining", "w")
+        await platform.wait_until(lambda: len(platform.attempts("q1")) == 1)
+        platform.publish_states(w="leaving")
+        await wait_until_listed(running.executor, "draining", "w")
         proceed.set()
-        await until(lambda: any(pending.prefill_endpoint for pending in running.executor.requests.values()))
+        await wait_until(
+            lambda: any(pending.prefill_endpoint for pending in running.executor.requests.values())
+        )
         client.close()
-        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
+        await platform.wait_until(lambda: len(platform.release_calls("q1")) == 1)
         await assert_released(platform, running.executor, "q1", 1)
 
 
@@ -101,13 +103,15 @@
         return await connect(address, source)
 
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         monkeypatch.setattr("runspool.engines.connection_pool.connect", delayed_connect)
         client = await platform.client()
         client.send(post("q1"))
-        await asyncio.wait_for(connecting.wait(), WAIT)
+        await asyncio.wait_for(connecting.wait(), WAIT_TIMEOUT)
         client.close()
-        await until(lambda: all(pending.final_response for pending in running.executor.requests.values()))
+        await wait_until(
+            lambda: all(pending.final_response for pending in running.executor.requests.values())
+        )
         proceed.set()
         await assert_released(platform, running.executor, "q1", 0)
 
@@ -128,7 +132,7 @@
         return connection
 
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         monkeypatch.setattr("runspool.engines.connection_pool.connect", connect_and_disconnect_client)
         client = await platform.client()
         client.send(post("q1"))
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -28,7 +28,7 @@
     async with Platform(tmp_path, PREFILL_AND_DECODE).open() as platform:
         platform.engines["w"].scripts = [serves_and_closes] * 10
         for index in range(10):
-            response = await platform.ask(post(f"q{index}", "book"))
+            response = await platform.send_request(post(f"q{index}", "book"))
             assert (response.status, response.complete) == (200, True)
             assert len(platform.attempts(f"q{index}", "decode")) == 1
 
@@ -52,12 +52,12 @@
     classes = [row | {"aim-us": 5_000_000} for row in SETTINGS["classes"]]
     limits = SETTINGS["limits"] | {"dial-timeout-us": 5_000_000}
     platform.settings = SETTINGS | {"limits": limits, "classes": classes}
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         # Without a quiet time, the idle connection is used however recently it served a request.
         running.executor.engine_client.pool.quiet_time = 0
         platform.engines["w"].scripts = [responds_then_resets]
-        assert (await platform.ask(post("q1"))).complete
-        assert (await platform.ask(post("q2", "book", req_deadline="9000m"))).complete
+        assert (await platform.send_request(post("q1"))).complete
+        assert (await platform.send_request(post("q2", "book", req_deadline="9000m"))).complete
         assert len(platform.attempts("q2", "decode")) == 1
 
 
@@ -68,15 +68,15 @@
         await request.send(
             PREFILL_RESPONSE
         )  # a duplicate of the first response: this request is not prefilled
-        await request.until_closed()
+        await request.wait_until_closed()
 
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         # With so long a quiet time, the connection counts as just used on a machine of any speed.
         running.executor.engine_client.pool.quiet_time = 600_000
         platform.engines["r"].scripts = [responds_twice]
-        assert (await platform.ask(post("q1"))).complete
-        assert (await platform.ask(post("q2"))).complete
+        assert (await platform.send_request(post("q1"))).complete
+        assert (await platform.send_request(post("q2"))).complete
         # Had the duplicate been accepted, the state would be fetched from an engine that never held it.
         assert [attempt.engine for attempt in platform.attempts("q2")] == ["r", "w"]
 
@@ -85,9 +85,9 @@
     tmp_path: Path,
 ) -> None:
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         pool = running.executor.engine_client.pool
-        assert (await platform.ask(post("q1"))).complete
+        assert (await platform.send_request(post("q1"))).complete
         observation_times: list[float] = []
         for idle in pool.idle.values():
             for connection in idle:
@@ -100,5 +100,5 @@
                 connection.tcp.stays_silent = observe_briefly  # type: ignore[method-assign]
         pool.quiet_time = 600_000
         pool.max_connections = sum(pool.open_counts.values())
-        assert (await platform.ask(post("q2"))).complete
+        assert (await platform.send_request(post("q2"))).complete
         assert len(observation_times) == 2 and min(observation_times) > 30
--- a/tests/test_endpoint_watch_faults.py
+++ b/tests/test_endpoint_watch_faults.py
@@ -20,7 +20,7 @@
 from runspool.units import TENTHS_PER_MS, ms_to_tenths
 from tests.node_platform.client import post
 from tests.node_platform.http_messages import http_response
-from tests.node_platform.inspection import until
+from tests.node_platform.inspection import wait_until
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
@@ -42,25 +42,25 @@
     fault: bytes | None, tmp_path: Path
 ) -> None:
     async with Platform(tmp_path, PREFILL_AND_DECODE).open() as platform:
-        fetched = len(platform.lists)
-        platform.list_scripts = [fault]
-        platform.tell()  # ends the watch: the next response is the fault
-        await platform.until(lambda: len(platform.lists) >= fetched + 3)
-        assert (await platform.ask(post("q1"))).complete
+        fetched = len(platform.list_requests)
+        platform.scripted_list_responses = [fault]
+        platform.publish_states()  # ends the watch: the next response is the fault
+        await platform.wait_until(lambda: len(platform.list_requests) >= fetched + 3)
+        assert (await platform.send_request(post("q1"))).complete
 
 
 async def test_a_list_whose_versions_restart_is_accepted(tmp_path: Path) -> None:
     async with Platform(tmp_path, TWO_DECODE_ENGINES).open() as platform:
         platform.version = 700
-        platform.changed()
-        await platform.until(lambda: any("after=700" in target for target in platform.lists))
+        platform.notify_change()
+        await platform.wait_until(lambda: any("after=700" in target for target in platform.list_requests))
         platform.version = 3
         platform.states["v"] = "leaving"
-        platform.list_scripts = [platform.listed()]
-        platform.changed()
-        await platform.until(lambda: any("after=3&" in target for target in platform.lists))
+        platform.scripted_list_responses = [platform.endpoint_list_json()]
+        platform.notify_change()
+        await platform.wait_until(lambda: any("after=3&" in target for target in platform.list_requests))
         for index in range(4):
-            assert (await platform.ask(post(f"q{index}"))).complete
+            assert (await platform.send_request(post(f"q{index}"))).complete
             assert [attempt.engine for attempt in platform.attempts(f"q{index}")] == ["r", "w"]
 
 
@@ -76,14 +76,14 @@
     platform = Platform(tmp_path, PREFILL_AND_DECODE | {"s": "prefill"})
     platform.states["s"] = "leaving"  # in the agent's list from the start
     platform.list_gate.clear()
-    async with platform.inside(wait=False) as running:
+    async with platform.open_in_process(wait=False) as running:
         # The node restores the list of an earlier run, in which the other prefill engine was draining.
         last_entries = [
             replace(entry, state={"r": "draining"}.get(entry.engine, "on"))
             for entry in running.config.last_known_endpoints.engines
         ]
         running.executor.endpoints_changed(running.executor.endpoint_tracker.restore(last_entries))
-        await platform.until(lambda: bool(platform.lists))
+        await platform.wait_until(lambda: bool(platform.list_requests))
         client = await platform.client()
         client.send(post("q1"))
         for _ in range(100):  # long enough for a wrongly accepted request to reach an engine
@@ -100,8 +100,8 @@
     monkeypatch.setattr(node_server, "FIRST_LIST_WAIT_SECONDS", 0.05)
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
     platform.list_gate.clear()
-    async with platform.inside():
-        assert (await platform.ask(post("q1"))).complete
+    async with platform.open_in_process():
+        assert (await platform.send_request(post("q1"))).complete
 
 
 async def test_a_reset_watch_is_reopened_without_a_pause(
@@ -110,13 +110,13 @@
     monkeypatch.setattr(search_backoff, "MIN_INTERVAL", ms_to_tenths(600_000))
     monkeypatch.setattr(search_backoff, "MAX_INTERVAL", ms_to_tenths(600_000))
     platform = Platform(tmp_path, PREFILL_AND_DECODE | {"s": "prefill"})
-    async with platform.inside() as running:
-        await platform.until(lambda: any("after=" in target for target in platform.lists))
+    async with platform.open_in_process() as running:
+        await platform.wait_until(lambda: any("after=" in target for target in platform.list_requests))
         # The watch has been open for as long as the minimum interval between two calls.
         running.discovery.planner._last_made_at = now() - ms_to_tenths(600_000)
         await reset_connections(platform)
-        platform.tell(s="leaving")  # changed while no watch is open
-        await platform.until(lambda: any("after=2" in target for target in platform.lists))
+        platform.publish_states(s="leaving")  # changed while no watch is open
+        await platform.wait_until(lambda: any("after=2" in target for target in platform.list_requests))
         assert running.executor.engine_records["s"].state == EngineState.DRAINING
 
 
@@ -124,14 +124,14 @@
     tmp_path: Path,
 ) -> None:
     platform = Platform(tmp_path, PREFILL_AND_DECODE | {"s": "prefill"})
-    async with platform.inside() as running:
-        await platform.until(lambda: any("after=" in target for target in platform.lists))
+    async with platform.open_in_process() as running:
+        await platform.wait_until(lambda: any("after=" in target for target in platform.list_requests))
         await reset_connections(platform)
-        platform.list_scripts = [None, None]
-        platform.tell(s="leaving")
-        await platform.until(lambda: any("after=2" in target for target in platform.lists))
+        platform.scripted_list_responses = [None, None]
+        platform.publish_states(s="leaving")
+        await platform.wait_until(lambda: any("after=2" in target for target in platform.list_requests))
         assert running.executor.engine_records["s"].state == EngineState.DRAINING
-        await until(lambda: list(running.discovery.pool.open_counts.values()) == [1])
+        await wait_until(lambda: list(running.discovery.pool.open_counts.values()) == [1])
 
 
 async def test_silence_of_the_agent_is_detected_within_the_time_the_platform_allows() -> None:
@@ -153,8 +153,8 @@
     fault: bytes, tmp_path: Path
 ) -> None:
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    platform.list_scripts = [fault]
-    async with platform.inside():
-        await platform.until(lambda: any("after=" in target for target in platform.lists))
-        assert [target for target in platform.lists if "after=" not in target][1:]  # fetched again
-        assert (await platform.ask(post("q1"))).complete
+    platform.scripted_list_responses = [fault]
+    async with platform.open_in_process():
+        await platform.wait_until(lambda: any("after=" in target for target in platform.list_requests))
+        assert [target for target in platform.list_requests if "after=" not in target][1:]  # fetched again
+        assert (await platform.send_request(post("q1"))).complete
--- a/tests/test_engine_accounting.py
+++ b/tests/test_engine_accounting.py
@@ -114,7 +114,7 @@
             engine.scripts = [engines.respond] * MORE_THAN_ALL_ATTEMPTS
         await _make_requests(platform, engines)
         observed = engines.observed
-        await platform.until(lambda: platform.log.count(b'"event":"attempt_finished"') >= len(observed))
+        await platform.wait_until(lambda: platform.log.count(b'"event":"attempt_finished"') >= len(observed))
         logged = [
             json.loads(line) for line in platform.log.splitlines() if b'"event":"attempt_finished"' in line
         ]
@@ -141,7 +141,7 @@
 
 async def _make_request(platform: Platform, name: str, index: int) -> None:
     await asyncio.sleep(index * 0.01)
-    await platform.ask(post(name, "ask" if index % 3 else "book"))
+    await platform.send_request(post(name, "ask" if index % 3 else "book"))
 
 
 def _seconds_at_engine(line: dict[str, Any], observed: list[ObservedAttempt]) -> list[float]:
@@ -165,7 +165,7 @@
 
     async def count_while_open(request: ReceivedRequest) -> None:
         open_at[request.engine] += 1
-        platform.changed()
+        platform.notify_change()
         end: Script = responds(PREFILL_RESPONSE)
         if platform.engines[request.engine].kind != "prefill":
             await request.send(STREAM_HEAD + chunked(EVENTS[0]))
@@ -178,23 +178,23 @@
 
     for engine in platform.engines.values():
         engine.scripts = [count_while_open] * MORE_THAN_ALL_ATTEMPTS
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
 
         def counts_agree() -> bool:
             return _open_attempt_counts(running) == {name: open_at[name] for name in ENGINE_KINDS}
 
-        requests = [asyncio.ensure_future(platform.ask(post(f"q{index}"))) for index in range(12)]
-        await platform.until(lambda: sum(open_at.values()) == 12 and open_streams() == 12)
-        await _until(counts_agree)
+        requests = [asyncio.ensure_future(platform.send_request(post(f"q{index}"))) for index in range(12)]
+        await platform.wait_until(lambda: sum(open_at.values()) == 12 and open_streams() == 12)
+        await _wait_until(counts_agree)
         complete, malformed = responds(STREAM_REMAINDER), responds(MALFORMED_REMAINDER)
         for end in (complete, resets_connection, complete, malformed, complete, resets_connection):
             stream_ends.put_nowait(end)
-        await platform.until(lambda: sum(open_at.values()) == 6)
-        await _until(counts_agree)
+        await platform.wait_until(lambda: sum(open_at.values()) == 6)
+        await _wait_until(counts_agree)
         for _ in range(6):
             stream_ends.put_nowait(complete)
         await asyncio.gather(*requests)
-        await _until(counts_agree)
+        await _wait_until(counts_agree)
 
 
 def _open_attempt_counts(running: NodeServer) -> dict[str, int]:
@@ -208,7 +208,7 @@
     }
 
 
-async def _until(condition: Callable[[], bool]) -> None:
+async def _wait_until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(10):
         while not condition():
             await asyncio.sleep(0.005)
--- a/tests/test_engine_streams.py
+++ b/tests/test_engine_streams.py
@@ -12,7 +12,7 @@
     COMPLETE_STREAM,
     EVENTS,
     STREAM_HEAD,
-    WAIT,
+    WAIT_TIMEOUT,
     ReceivedRequest,
     chunked,
     http_response,
@@ -40,16 +40,16 @@
 ) -> None:
     async def sends_malformed_stream(request: ReceivedRequest) -> None:
         await request.send(MALFORMED_STREAMS[fault])
-        await request.until_closed()  # the node closes the connection
+        await request.wait_until_closed()  # the node closes the connection
 
     async with Platform(tmp_path, TWO_DECODE_ENGINES).open() as platform:
         for engine in "wv":
             platform.engines[engine].scripts = [sends_malformed_stream]
-        repeated = await platform.ask(post("q1"))
+        repeated = await platform.send_request(post("q1"))
         assert (repeated.status, repeated.complete, len(platform.attempts("q1", "decode"))) == (200, True, 3)
         for engine in "wv":
             platform.engines[engine].scripts = [sends_malformed_stream]
-        assert (await platform.ask(post("q2", "book"))).status == 500
+        assert (await platform.send_request(post("q2", "book"))).status == 500
         assert len(platform.attempts("q2", "decode")) == 1
 
 
@@ -71,7 +71,7 @@
         await request.send(STREAM_HEAD + chunked(EVENTS[0]))
         await begun.wait()
         await request.send(MALFORMED_REMAINDERS[fault])
-        await request.until_closed()
+        await request.wait_until_closed()
 
     begun = asyncio.Event()
     async with Platform(tmp_path, PREFILL_AND_DECODE).open() as platform:
@@ -113,7 +113,7 @@
     async with Platform(tmp_path, PREFILL_AND_DECODE).open() as platform:
         platform.engines["w"].scripts = [sends_extra_bytes]
         for name in ("q1", "q2"):  # the connection with the extra bytes serves no other request
-            response = await platform.ask(post(name))
+            response = await platform.send_request(post(name))
             assert (response.status, response.complete, response.body) == (200, True, b"".join(EVENTS))
 
 
@@ -127,12 +127,12 @@
         for event, seen in zip(events, passed, strict=True):
             await request.send(chunked(event))
             await asyncio.wait_for(
-                seen.wait(), WAIT
+                seen.wait(), WAIT_TIMEOUT
             )  # send the next event only after the client has received this one
         await request.send(b"0\r\n\r\n")
 
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.inside():
+    async with platform.open_in_process():
         platform.engines["w"].scripts = [sends_one_by_one]
         client = await platform.client()
         client.send(post("q1"))
@@ -156,12 +156,12 @@
 
     async def sends_malformed_remainder(request: ReceivedRequest) -> None:
         await request.send(STREAM_HEAD + chunked(EVENTS[0]))
-        await asyncio.wait_for(seen.wait(), WAIT)
+        await asyncio.wait_for(seen.wait(), WAIT_TIMEOUT)
         await request.send(REMAINDERS_MALFORMED_AFTER_AN_EVENT[fault])
-        await request.until_closed()
+        await request.wait_until_closed()
 
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.inside():
+    async with platform.open_in_process():
         platform.engines["w"].scripts = [sends_malformed_remainder]
         client = await platform.client()
         client.send(post("q1"))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -71,7 +71,9 @@
     async with Platform(tmp_path, PREFILL_AND_DECODE).open() as platform:
         platform.reads_log.clear()
         for number in range(400):
-            assert (await platform.ask(post(f"q{number}", body=b'{"prompt":"%b"}' % (b"x" * 50)))).complete
+            assert (
+                await platform.send_request(post(f"q{number}", body=b'{"prompt":"%b"}' % (b"x" * 50)))
+            ).complete
         platform.reads_log.set()
 
 
@@ -81,7 +83,7 @@
     platform.redirection = redirection
     async with platform.open():
         for number in range(5):
-            assert (await platform.ask(post(f"q{number}"))).complete
+            assert (await platform.send_request(post(f"q{number}"))).complete
         assert {request.headers["req-id"] for request in platform.received} == {
             f"q{number}" for number in range(5)
         }
--- a/tests/test_malformed_requests.py
+++ b/tests/test_malformed_requests.py
@@ -60,7 +60,7 @@
             response = await client.read_head()
             assert 400 <= response.status < 600, fault
             client.close()
-        assert (await platform.ask(post("q1"))).status == 200
+        assert (await platform.send_request(post("q1"))).status == 200
         assert {request.headers.get("req-id") for request in platform.received} == {"q1"}
 
 
@@ -90,7 +90,7 @@
 async def test_deeply_nested_json_fails_at_most_its_own_request(where: str, tmp_path: Path) -> None:
     deep = b'{"a":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         scripts = {
             "event": ("w", STREAM_HEAD + chunked(b'data: {"choices":' + b"[" * 20_000 + b"\n\n")),
             "prefill": ("r", http_response(202, deep[:30_000])),
@@ -98,7 +98,7 @@
         if where in scripts:
             engine, data = scripts[where]
             platform.engines[engine].scripts = [responds(data)]
-        response = await platform.ask(post("q1", "book", body=deep if where == "body" else BODY))
+        response = await platform.send_request(post("q1", "book", body=deep if where == "body" else BODY))
         assert response.status == {"body": 400, "event": 500, "prefill": 200}[where]
-        assert (await platform.ask(post("q2"))).complete
-        assert not platform.run.done() and not running.executor.requests
+        assert (await platform.send_request(post("q2"))).complete
+        assert not platform.node_task.done() and not running.executor.requests
--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -19,7 +19,7 @@
     ReceivedRequest,
     http_response,
 )
-from tests.node_platform.inspection import until
+from tests.node_platform.inspection import wait_until
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
@@ -32,7 +32,7 @@
     tmp_path: Path,
 ) -> None:
     async with Platform(tmp_path, PAIR).open() as platform:
-        response = await platform.ask(post("q1"))
+        response = await platform.send_request(post("q1"))
         assert (response.status, response.complete, response.body) == (200, True, b"".join(EVENTS))
         prefill, decode = platform.attempts("q1")
         assert (prefill.engine, decode.engine) == ("r", "w")
@@ -65,7 +65,7 @@
     async with Platform(tmp_path, TWO_DECODE_ENGINES).open() as platform:
         for engine in "wv":
             platform.engines[engine].scripts.append(MAY_HAVE_EXECUTED[outcome])
-        response = await platform.ask(post("q1", "book"))
+        response = await platform.send_request(post("q1", "book"))
         assert response.status == 500 and "retry-after" not in response.headers
         assert len(platform.attempts("q1", "decode")) == 1
 
@@ -80,7 +80,7 @@
         platform.engines["v"].scripts = []
         platform.engines["w"].scripts *= 4
         for index in range(6):
-            response = await platform.ask(post(f"q{index}", "book"))
+            response = await platform.send_request(post(f"q{index}", "book"))
             assert (response.status, response.complete) == (200, True)
         assert any(len(platform.attempts(f"q{index}", "decode")) == 2 for index in range(6))
 
@@ -88,7 +88,7 @@
 async def test_a_missing_state_is_prefilled_again(tmp_path: Path) -> None:
     async with Platform(tmp_path, PAIR).open() as platform:
         platform.engines["w"].scripts = [responds(http_response(410, b"", DECLINED))]
-        response = await platform.ask(post("q1", "book"))
+        response = await platform.send_request(post("q1", "book"))
         assert (response.status, response.complete) == (200, True)
         assert [attempt.engine for attempt in platform.attempts("q1")] == ["r", "w", "r", "w"]
 
@@ -98,25 +98,25 @@
 ) -> None:
     async with Platform(tmp_path, PAIR).open() as platform:
         platform.engines["w"].scripts = [responds(http_response(503, b"", DECLINED))] * 5
-        response = await platform.ask(post("q1", "book"))
+        response = await platform.send_request(post("q1", "book"))
         assert response.status == 503
         assert float(response.headers["retry-after"]) <= 2.0
-        await platform.until(
+        await platform.wait_until(
             lambda: len(platform.release_calls("q1")) >= 1
         )  # of the state that no engine fetched
 
 
 def drains(platform: Platform) -> None:
-    platform.tell(w="leaving")
+    platform.publish_states(w="leaving")
 
 
 def prefills_only(platform: Platform) -> None:
-    platform.tell_kind("w", "prefill")
+    platform.publish_kind("w", "prefill")
 
 
 def has_another_address(platform: Platform) -> None:
     platform.engines["w"].announced_port = 1
-    platform.tell(w="active")
+    platform.publish_states(w="active")
 
 
 @pytest.mark.parametrize("change", [drains, prefills_only, has_another_address])
@@ -138,11 +138,11 @@
 
     platform = Platform(tmp_path, PAIR)
     monkeypatch.setattr("runspool.engines.connection_pool.connect", delayed_connect)
-    async with platform.inside() as running:
-        response = asyncio.ensure_future(platform.ask(post("q1", "book")))
+    async with platform.open_in_process() as running:
+        response = asyncio.ensure_future(platform.send_request(post("q1", "book")))
         await asyncio.wait_for(connecting.wait(), 15)
         change(platform)
-        await until(lambda: running.executor.endpoint_tracker.version == platform.version)
+        await wait_until(lambda: running.executor.endpoint_tracker.version == platform.version)
         proceed.set()
         assert (await response).status == 503  # known not to have executed
         assert platform.attempts("q1", "decode") == [] == sent
--- a/tests/test_node_configuration.py
+++ b/tests/test_node_configuration.py
@@ -16,7 +16,7 @@
 
 from runspool.node.config import InvalidNodeConfigError
 from tests.node_platform.client import post
-from tests.node_platform.inspection import until
+from tests.node_platform.inspection import wait_until
 from tests.node_platform.platform import Platform
 from tests.node_platform.settings import SETTINGS
 
@@ -28,15 +28,15 @@
     async with Platform(tmp_path, PAIR).open() as platform:
         (tmp_path / "config.json").write_text("{oops")
         platform.signal(signal.SIGHUP)
-        await platform.logged("config_unusable")
-        assert (await platform.ask(post("q1"))).complete
+        await platform.wait_for_log_event("config_unusable")
+        assert (await platform.send_request(post("q1"))).complete
         second = Platform(tmp_path, {"x": "mixed"})
         async with second.agent() as port:
             await second.engines["x"].start()
             platform.write_config(discovery=f"127.0.0.1:{port}")
             platform.signal(signal.SIGHUP)
-            await second.until(lambda: any("after=" in target for target in second.lists))
-            assert (await platform.ask(post("q2"))).complete
+            await second.wait_until(lambda: any("after=" in target for target in second.list_requests))
+            assert (await platform.send_request(post("q2"))).complete
             assert [attempt.engine for attempt in second.attempts("q2")] == ["x"]
             second.engines["x"].server.close()
 
@@ -78,9 +78,9 @@
             written = file.read_bytes()
             file.write_bytes(written[:100])
             platform.signal(signal.SIGHUP)
-            await platform.logged("config_unusable")
+            await platform.wait_for_log_event("config_unusable")
             file.write_bytes(written)
-            await second.until(lambda: bool(second.lists))
+            await second.wait_until(lambda: bool(second.list_requests))
 
 
 def setting_paths(value: Any, prefix: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
@@ -122,12 +122,12 @@
         platform.settings = with_setting(SETTINGS, path, value)
         with capture_logs() as log:
             try:
-                async with platform.inside() as running:
-                    response = await platform.ask(post("q1", req_deadline="700m"))
+                async with platform.open_in_process() as running:
+                    response = await platform.send_request(post("q1", req_deadline="700m"))
                     assert response.status in (200, 400, 500, 503) and response.complete
                     running.stop()
-                    await until(lambda: running.executor.shutdown_deadline)
-                    assert not platform.run.done(), value
+                    await wait_until(lambda: running.executor.shutdown_deadline)
+                    assert not platform.node_task.done(), value
             except InvalidNodeConfigError as error:
                 path_names = [str(key) for key in path if isinstance(key, str)]
                 assert any(name in str(error) for name in path_names), (value, str(error))
--- a/tests/test_node_internal_errors.py
+++ b/tests/test_node_internal_errors.py
@@ -12,7 +12,7 @@
 from runspool.service.timer_queue import SchedulerTimer
 from tests.node_platform.client import post
 from tests.node_platform.engine import never_responds
-from tests.node_platform.inspection import until
+from tests.node_platform.inspection import wait_until
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
@@ -21,7 +21,7 @@
 
 async def test_an_error_in_a_background_task_fails_no_request(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         errors = []
 
         def fails(*arguments: Any) -> None:
@@ -33,18 +33,18 @@
         running.executor.timers.on_timer = fails
         running.discovery.listener.receive = fails  # type: ignore[method-assign, assignment]
         running.executor.timers.schedule(0, SchedulerTimer("node", "0.0"))
-        platform.tell()
+        platform.publish_states()
         running.executor.engine_client.watchdog.watch(0, fails).waiting_since = 1
-        await until(lambda: len(errors) >= 3)
+        await wait_until(lambda: len(errors) >= 3)
         running.executor.timers.on_timer = on_timer
         running.discovery.listener.receive = receive  # type: ignore[method-assign]
-        assert (await platform.ask(post("q1"))).complete
-        assert not platform.run.done()
+        assert (await platform.send_request(post("q1"))).complete
+        assert not platform.node_task.done()
 
 
 async def test_an_error_after_an_attempt_fails_only_its_request(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         node = running.executor
         after_attempt = node.after_attempt
 
@@ -54,9 +54,9 @@
             after_attempt(pending, *arguments)
 
         node.after_attempt = fails  # type: ignore[method-assign, assignment]
-        assert (await platform.ask(post("bad"))).status == 500
-        assert (await platform.ask(post("q1"))).complete
-        assert not node.requests and not platform.run.done()
+        assert (await platform.send_request(post("bad"))).status == 500
+        assert (await platform.send_request(post("q1"))).complete
+        assert not node.requests and not platform.node_task.done()
 
 
 async def test_an_error_while_a_response_is_sent_is_answered_with_status_500(
@@ -66,11 +66,11 @@
         raise RuntimeError("an error of the program")
 
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         platform.engines["r"].scripts = [never_responds]
         monkeypatch.setattr(RequestHandler, "_send_final", fails)
-        response = await platform.ask(post("q1", req_deadline="300m"))
+        response = await platform.send_request(post("q1", req_deadline="300m"))
         assert (response.status, response.headers["connection"], response.complete) == (500, "close", True)
         monkeypatch.undo()
-        assert (await platform.ask(post("q2"))).complete
-        assert not platform.run.done() and not running.executor.requests
+        assert (await platform.send_request(post("q2"))).complete
+        assert not platform.node_task.done() and not running.executor.requests
--- a/tests/test_node_shutdown_races.py
+++ b/tests/test_node_shutdown_races.py
@@ -14,8 +14,13 @@
 from runspool.node import graceful_shutdown
 from tests.node_platform.client import post
 from tests.node_platform.engine import never_responds, streams_until
-from tests.node_platform.http_messages import EVENTS, STREAM_HEAD, WAIT, ReceivedRequest, chunked
-from tests.node_platform.inspection import changed_settings, idle_connection, settings_with_deadline, until
+from tests.node_platform.http_messages import EVENTS, STREAM_HEAD, WAIT_TIMEOUT, ReceivedRequest, chunked
+from tests.node_platform.inspection import (
+    changed_settings,
+    open_idle_connection,
+    settings_with_deadline,
+    wait_until,
+)
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
@@ -33,7 +38,7 @@
         streaming.send(post("q1"))
         response = await streaming.read_head()
         platform.signal(signal.SIGTERM)
-        await platform.logged("node_stopping")
+        await platform.wait_for_log_event("node_stopping")
         for client, name in ((idle_client, "q2"), (await platform.client(), "q3")):
             client.send(post(name))
             assert (await client.read_response()).complete
@@ -52,7 +57,7 @@
 ) -> None:
     async def never_ends_stream(request: ReceivedRequest) -> None:
         await request.send(STREAM_HEAD + chunked(EVENTS[0]))
-        await request.until_closed()
+        await request.wait_until_closed()
         engine_connection_closed.set()
 
     engine_connection_closed = asyncio.Event()
@@ -75,8 +80,8 @@
     monkeypatch.setattr(graceful_shutdown, "MIN_ACCEPT_DURATION", 10 * 10_000, raising=False)
     platform = Platform(tmp_path, PAIR)
     platform.settings = settings_with_deadline(600)
-    async with platform.inside() as running:
-        idle_client, _ = await idle_connection(platform, running)
+    async with platform.open_in_process() as running:
+        idle_client, _ = await open_idle_connection(platform, running)
         running.stop()
         await asyncio.sleep(0)
         # Enough time is left before the kill to serve these requests.
@@ -96,9 +101,9 @@
     monkeypatch.setattr(graceful_shutdown, "LAST_REQUEST_MARGIN", -60 * 10_000)
     platform = Platform(tmp_path, PAIR)
     platform.settings = changed_settings(lambda settings: settings["family-info"].update(resume=resumable))
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         running.stop()
-        await until(lambda: running.executor.shutdown_deadline)
+        await wait_until(lambda: running.executor.shutdown_deadline)
         for _ in range(20):  # iterations of the event loop, in which only the shutdown has work to do
             await asyncio.sleep(0)
         assert running.executor.closing is not resumable
@@ -106,8 +111,8 @@
 
 async def test_a_request_received_as_its_idle_connection_is_to_be_closed_is_served(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
-        client, handler = await idle_connection(platform, running)
+    async with platform.open_in_process() as running:
+        client, handler = await open_idle_connection(platform, running)
         data_received = handler.tcp.data_received
         closed: list[bool] = []
 
@@ -123,8 +128,8 @@
 
 async def test_an_unread_request_in_the_socket_buffer_keeps_its_connection_open(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
-        client, _ = await idle_connection(platform, running)
+    async with platform.open_in_process() as running:
+        client, _ = await open_idle_connection(platform, running)
         client.send(post("q1"))  # reaches the kernel immediately
         # The event loop has not run since, so the node has not read the request.
         assert not running.connections.close_waiting_connection()
@@ -135,16 +140,17 @@
     tmp_path: Path,
 ) -> None:
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
-        client, handler = await idle_connection(platform, running)
+    async with platform.open_in_process() as running:
+        client, handler = await open_idle_connection(platform, running)
         client.send(post("q1")[:50])
-        await until(lambda: handler.parser.ready)
+        await wait_until(lambda: handler.parser.ready)
         assert not handler.stop_waiting_for_request()
         client.send(post("q1")[50:])
         assert (await client.read_response()).complete
-        await until(lambda: handler.idle_since)  # an iteration or two of the event loop after its response
+        # An iteration or two of the event loop after its response, the handler is idle.
+        await wait_until(lambda: handler.idle_since)
         client.send(post("q2")[:50])
-        await until(lambda: handler.parser.ready)
+        await wait_until(lambda: handler.parser.ready)
         assert running.connections.close_waiting_connection()
         assert (await client.read_response()).status == 408
 
@@ -157,14 +163,14 @@
     platform = Platform(tmp_path, PAIR)
     platform.settings = settings_with_deadline(60_000)
     platform.engines["r"].scripts = [never_responds]
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         client = await platform.client()
         client.send(post("q1", req_deadline="60000m"))
-        await platform.until(lambda: len(platform.attempts("q1")) == 1)
+        await platform.wait_until(lambda: len(platform.attempts("q1")) == 1)
         running.stop()
         assert (await client.read_response()).status == 500
-        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
-        await asyncio.wait_for(platform.run, WAIT)
+        await platform.wait_until(lambda: len(platform.release_calls("q1")) == 1)
+        await asyncio.wait_for(platform.node_task, WAIT_TIMEOUT)
 
 
 async def test_a_shutdown_waits_for_the_first_request_of_a_connection_but_not_for_a_further_one(
@@ -174,16 +180,16 @@
     monkeypatch.setattr(graceful_shutdown, "LAST_REQUEST_MARGIN", 600_000)
     monkeypatch.setattr(graceful_shutdown, "FIRST_REQUEST_GRACE", 600_000, raising=False)
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
-        served, _ = await idle_connection(platform, running)
+    async with platform.open_in_process() as running:
+        served, _ = await open_idle_connection(platform, running)
         new = await platform.client()
-        await until(lambda: len(running.connections.handlers) == 2)
+        await wait_until(lambda: len(running.connections.handlers) == 2)
         running.stop()
         assert await served.read_to_close() == b""  # by then the shutdown has considered the new one as well
         new.send(post("q1"))
         response = await new.read_response()
         assert (response.status, response.headers["connection"]) == (503, "close")
-        await asyncio.wait_for(platform.run, WAIT)
+        await asyncio.wait_for(platform.node_task, WAIT_TIMEOUT)
 
 
 @pytest.mark.parametrize("sends_after", [0.0, 0.3])
@@ -196,12 +202,12 @@
     async with platform.open(ready=False):
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: bool(platform.lists))
+        await platform.wait_until(lambda: bool(platform.list_requests))
         platform.signal(signal.SIGTERM)
         await asyncio.sleep(sends_after)
         late_client = await platform.client()
         late_client.send(post("q2"))
         assert (await client.read_response()).status == 503
         assert (await late_client.read_response()).status == 503
-        assert await asyncio.wait_for(platform.process.wait(), WAIT) == 0
+        assert await asyncio.wait_for(platform.process.wait(), WAIT_TIMEOUT) == 0
         assert not platform.attempts("q1") + platform.attempts("q2")
--- a/tests/test_node_state_release.py
+++ b/tests/test_node_state_release.py
@@ -25,8 +25,8 @@
 from runspool.units import TENTHS_PER_SECOND, ms_to_tenths
 from tests.node_platform.client import post
 from tests.node_platform.engine import never_responds
-from tests.node_platform.http_messages import WAIT, ReceivedRequest
-from tests.node_platform.inspection import until
+from tests.node_platform.http_messages import WAIT_TIMEOUT, ReceivedRequest
+from tests.node_platform.inspection import wait_until
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
@@ -38,9 +38,9 @@
         platform.engines["r"].scripts = [never_responds]
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: len(platform.attempts("q1")) == 1)
+        await platform.wait_until(lambda: len(platform.attempts("q1")) == 1)
         client.close()
-        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
+        await platform.wait_until(lambda: len(platform.release_calls("q1")) == 1)
 
 
 async def fails_and_stops_listening(request: ReceivedRequest) -> None:
@@ -54,12 +54,12 @@
         platform.engines["r"].scripts = [fails_and_stops_listening]
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: any(call.engine == "w" for call in platform.release_calls("q1")))
+        await platform.wait_until(lambda: any(call.engine == "w" for call in platform.release_calls("q1")))
 
 
 async def test_a_release_does_not_try_unreachable_engines_one_after_the_other(tmp_path: Path) -> None:
     names = {"r": "prefill"} | {f"w{index}": "decode" for index in range(9)}
-    async with Platform(tmp_path, names).inside() as running:
+    async with Platform(tmp_path, names).open_in_process() as running:
         node = running.executor
         endpoints = {endpoint.name: endpoint for endpoint in node.endpoints.values()}
         called: list[Address] = []
@@ -86,7 +86,7 @@
             0, "q1", 0, 0, cast(Any, None), client_request=cast(Any, None), prefill_endpoint=endpoints["r"]
         )
         node.release_prefill_state(pending)
-        await asyncio.wait_for(released.wait(), WAIT)
+        await asyncio.wait_for(released.wait(), WAIT_TIMEOUT)
         node.engine_client.pool.idle = {}
         assert called == [endpoints["r"].address, endpoints["w7"].address]
 
@@ -95,7 +95,7 @@
     """All engines but the last are unreachable, and the node has not connected to any of them before."""
     names = {"r": "prefill"} | {f"w{index}": "decode" for index in range(12)}
     platform = Platform(tmp_path, names)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         node = running.executor
         endpoints = {endpoint.name: endpoint for endpoint in node.endpoints.values()}
         called: list[Address] = []
@@ -113,7 +113,7 @@
             0, "q1", 0, 0, cast(Any, None), client_request=cast(Any, None), prefill_endpoint=endpoints["r"]
         )
         node.release_prefill_state(pending)
-        await asyncio.wait_for(released.wait(), WAIT)
+        await asyncio.wait_for(released.wait(), WAIT_TIMEOUT)
         assert len(set(called)) == 13
 
 
@@ -124,7 +124,7 @@
     and the node keeps the engine of the earlier prefill, so that its state is released later.
     """
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         node = running.executor
         open_calls = 0
 
@@ -132,7 +132,7 @@
             nonlocal open_calls
             open_calls += 1
             try:
-                await asyncio.sleep(WAIT)
+                await asyncio.sleep(WAIT_TIMEOUT)
             finally:
                 open_calls -= 1
             return None
@@ -140,7 +140,7 @@
         async def prefill(
             address: Address, request: ClientRequest, limit: int, permit: SendPermit
         ) -> AttemptResult:
-            await until(lambda: open_calls == 2 and node.releases_in_progress == 1)
+            await wait_until(lambda: open_calls == 2 and node.releases_in_progress == 1)
             assert permit.deny_last_byte(now()) is None
             permit.request_written()
             await asyncio.sleep(0.05)
@@ -164,7 +164,7 @@
         node.requests[0] = pending
         pending.attempt_count = 1
         await node.attempt_runner.run(pending, endpoint, 0)
-        await until(lambda: not open_calls and not node.releases_in_progress)
+        await wait_until(lambda: not open_calls and not node.releases_in_progress)
         assert pending.possible_prefill_endpoint is endpoint and pending.prefill_endpoint is endpoint
 
 
@@ -173,17 +173,17 @@
 ) -> None:
     async def delayed_connect(address: tuple[str, int], source: str | None) -> TcpConnection:
         if any(engine.port == address[1] for name, engine in platform.engines.items() if name != "r"):
-            await asyncio.sleep(WAIT)  # as if its packets were dropped
+            await asyncio.sleep(WAIT_TIMEOUT)  # as if its packets were dropped
         return await connect(address, source)
 
     platform = Platform(tmp_path, {"r": "prefill"} | {f"w{index}": "decode" for index in range(6)})
     monkeypatch.setattr("runspool.engines.connection_pool.connect", delayed_connect)
     # Long enough that no further prefill starts before the state is released.
     monkeypatch.setattr("runspool.scheduling.admission.SELECTION_INTERVAL", 20_000)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: len(platform.release_calls("q1")) == 1)
+        await platform.wait_until(lambda: len(platform.release_calls("q1")) == 1)
         # The state must be released within 300 ms, and each connection times out after 250 ms.
         assert 1 <= running.executor.counts["attempt_connect_failed"] <= 2
 
@@ -191,7 +191,7 @@
 async def test_a_prefill_waits_for_a_release_no_longer_than_its_request_can_still_be_answered(
     tmp_path: Path,
 ) -> None:
-    async with Platform(tmp_path, PAIR).inside() as running:
+    async with Platform(tmp_path, PAIR).open_in_process() as running:
         node = running.executor
         endpoint = next(endpoint for endpoint in node.endpoints.values() if endpoint.name == "r")
         waits: list[float] = []
@@ -210,7 +210,7 @@
 
 async def test_a_release_is_confirmed_by_engines_that_answer_after_its_timeout(tmp_path: Path) -> None:
     # Each call was given up before its answer arrived, and repeated forever.
-    async with Platform(tmp_path, PAIR).inside() as running:
+    async with Platform(tmp_path, PAIR).open_in_process() as running:
         node = running.executor
         releaser = node.state_releaser
         calls = 0
@@ -225,8 +225,8 @@
 
         node.engine_client.release_state = release  # type: ignore[method-assign]
         node.release_prefill_state(_with_prefill_at(node, "r"))
-        await until(lambda: node.releases_in_progress)
-        await until(lambda: not node.releases_in_progress)
+        await wait_until(lambda: node.releases_in_progress)
+        await wait_until(lambda: not node.releases_in_progress)
         assert calls < 100
 
 
@@ -240,9 +240,9 @@
 
     platform = Platform(tmp_path, PAIR)
     monkeypatch.setattr("runspool.engines.connection_pool.connect", late_connect)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         running.executor.release_prefill_state(_with_prefill_at(running.executor, "r"))
-        await platform.until(lambda: bool(platform.release_calls("q1")))
+        await platform.wait_until(lambda: bool(platform.release_calls("q1")))
 
 
 def _with_prefill_at(node: NodeExecutor, engine: str) -> PendingNodeRequest:
--- a/tests/test_node_stop_before_kill.py
+++ b/tests/test_node_stop_before_kill.py
@@ -34,8 +34,8 @@
 from tests.fault_proxy import HOST
 from tests.node_platform.client import post
 from tests.node_platform.engine import never_responds, streams_until
-from tests.node_platform.http_messages import EVENTS, STREAM_HEAD, WAIT, ReceivedRequest, chunked
-from tests.node_platform.inspection import settings_with_deadline, until
+from tests.node_platform.http_messages import EVENTS, STREAM_HEAD, WAIT_TIMEOUT, ReceivedRequest, chunked
+from tests.node_platform.inspection import settings_with_deadline, wait_until
 from tests.node_platform.platform import Platform
 
 pytestmark = pytest.mark.anyio
@@ -94,7 +94,9 @@
 
 async def wait_until_list_is_adopted(platform: Platform) -> None:
     """Wait until the node has adopted the current list, as shown by its watch for the next version."""
-    await platform.until(lambda: any(f"after={platform.version}&" in target for target in platform.lists))
+    await platform.wait_until(
+        lambda: any(f"after={platform.version}&" in target for target in platform.list_requests)
+    )
 
 
 async def test_a_stream_accepted_after_sigterm_is_moved_after_its_engine_is_listed_as_restarted(
@@ -109,7 +111,7 @@
         platform.engines["w"].scripts = [streams_without_end]
         idle.send(post("q1"))
         head = await idle.read_head()
-        platform.tell_started_anew("w")
+        platform.publish_restart("w")
         assert await kill.awaits_first(idle.read_body(head))
         await platform.process.wait()
         assert b'"decision":"moved"' in platform.log
@@ -118,44 +120,44 @@
 
 async def engine_restarted(platform: Platform) -> Awaitable[object]:
     end = await running_stream(platform)
-    platform.tell_started_anew("w")
+    platform.publish_restart("w")
     await wait_until_list_is_adopted(platform)
     return end
 
 
 async def engine_restarted_twice(platform: Platform) -> Awaitable[object]:
     end = await engine_restarted(platform)
-    platform.tell_started_anew("w")
+    platform.publish_restart("w")
     await wait_until_list_is_adopted(platform)
     return end
 
 
 async def engine_type_changed(platform: Platform) -> Awaitable[object]:
     end = await running_stream(platform)
-    platform.tell_kind("w", "mixed")
+    platform.publish_kind("w", "mixed")
     await wait_until_list_is_adopted(platform)
     return end
 
 
 async def engine_type_changed_and_back(platform: Platform) -> Awaitable[object]:
     end = await engine_type_changed(platform)
-    platform.tell_kind("w", "decode")
+    platform.publish_kind("w", "decode")
     await wait_until_list_is_adopted(platform)
     return end
 
 
 async def engine_becomes_prefill(platform: Platform) -> Awaitable[object]:
     end = await running_stream(platform)
-    platform.tell_kind("w", "prefill")
+    platform.publish_kind("w", "prefill")
     await wait_until_list_is_adopted(platform)
     return end
 
 
 async def engine_left_and_back(platform: Platform) -> Awaitable[object]:
     end = await running_stream(platform)
-    platform.tell(w="left")
+    platform.publish_states(w="left")
     await wait_until_list_is_adopted(platform)
-    platform.tell_started_anew("w")
+    platform.publish_restart("w")
     await wait_until_list_is_adopted(platform)
     return end
 
@@ -226,7 +228,7 @@
         graceful_shutdown, "MAX_DEADLINE_ALLOWANCE", 1_000
     )  # the kill comes 0.8 s after SIGTERM
     platform = platform_with(tmp_path, 6_000)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         end = asyncio.ensure_future(await running_stream(platform))
         running.stop()
         await asyncio.wait([end], timeout=0.8)
@@ -241,16 +243,16 @@
     platform = platform_with(tmp_path, 6_000)
     platform.settings["family-info"]["resume"] = False
     proceed = asyncio.Event()
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         platform.engines["w"].scripts = [streams_until(proceed)]
         client = await platform.client()
         client.send(post("q1"))
         response = await client.read_head()
         running.stop()
-        await until(lambda: any(pending.left_open for pending in running.executor.requests.values()))
+        await wait_until(lambda: any(pending.left_open for pending in running.executor.requests.values()))
         proceed.set()
         assert (await client.read_body(response)).complete
-        await asyncio.wait_for(platform.run, WAIT)
+        await asyncio.wait_for(platform.node_task, WAIT_TIMEOUT)
         assert not running.executor.invariants.counts
 
 
@@ -266,7 +268,7 @@
             *(sys.executable, "-m", "runspool.node"), env=os.environ | {"BALANCER_CONFIG": str(file)}
         )
         try:
-            await until(lambda: catches_sigterm(process.pid))
+            await wait_until(lambda: catches_sigterm(process.pid))
             process.terminate()
             async with asyncio.timeout(
                 2.5
@@ -287,7 +289,7 @@
 
 async def test_a_pipelined_request_read_after_accepting_has_ended_is_answered(tmp_path: Path) -> None:
     platform, proceed = platform_with(tmp_path, 6_000), asyncio.Event()
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         platform.engines["w"].scripts = [streams_until(proceed)]
         client = await platform.client()
         client.send(post("q1") + post("q2"))
@@ -303,8 +305,8 @@
 ) -> None:
     monkeypatch.setattr(NodeExecutor, "fail_indeterminate", lambda executor, request: None)
     platform = platform_with(tmp_path, 6_000)
-    async with platform.inside() as running:
-        response = await platform.ask(post("q1", req_extra="prompt_len=280000,max_out=40"))
+    async with platform.open_in_process() as running:
+        response = await platform.send_request(post("q1", req_extra="prompt_len=280000,max_out=40"))
         assert response.status == 500
         assert running.executor.invariants.counts == {"closed_unanswered": 1}
 
@@ -317,11 +319,11 @@
     platform = platform_with(tmp_path, 6_000)
     platform.settings["family-info"]["release-within-us"] = 5_000_000  # no release is due before the shutdown
     platform.engines["w"].scripts = [never_responds]
-    async with platform.inside() as running:
+    async with platform.open_in_process() as running:
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: len(platform.attempts("q1", "decode")) == 1)
+        await platform.wait_until(lambda: len(platform.attempts("q1", "decode")) == 1)
         running.stop()
         assert (await client.read_response()).status == 500
-        await asyncio.wait_for(platform.run, WAIT)
+        await asyncio.wait_for(platform.node_task, WAIT_TIMEOUT)
         assert len(platform.release_calls("q1")) == 1 + len(REPEAT_DELAYS)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -19,7 +19,7 @@
 from runspool.transport import tcp
 from tests.fault_proxy import HOST, FaultProxy
 from tests.node_platform.client import post
-from tests.node_platform.http_messages import WAIT
+from tests.node_platform.http_messages import WAIT_TIMEOUT
 from tests.node_platform.platform import Platform
 from tests.node_platform.ports import free_port
 
@@ -37,8 +37,8 @@
         self.proxy = FaultProxy(lambda: self.real_agent_port)
         self.real_agent_port = 0
 
-    def listed(self, snapshot: bool = True) -> bytes:
-        message = json.loads(super().listed(snapshot))
+    def endpoint_list_json(self, snapshot: bool = True) -> bytes:
+        message = json.loads(super().endpoint_list_json(snapshot))
         if snapshot:
             message["endpoints"] += [
                 {
@@ -68,24 +68,24 @@
 async def test_list_of_thousands_arrives_from_a_slow_agent(tmp_path: Path) -> None:
     """The transfer takes longer than the timeout of a single read and the timeout for a silent agent."""
     platform = LargePlatform(tmp_path)
-    assert len(platform.listed()) > 400_000
+    assert len(platform.endpoint_list_json()) > 400_000
     platform.proxy.from_engine.chunk_size, platform.proxy.from_engine.delay = 16_384, 0.03
     async with platform.open():
-        platform.tell(r="leaving")
-        await platform.logged("endpoint_list_changed")
-        snapshots = [target for target in platform.lists if AFTER not in target]
+        platform.publish_states(r="leaving")
+        await platform.wait_for_log_event("endpoint_list_changed")
+        snapshots = [target for target in platform.list_requests if AFTER not in target]
         assert len(snapshots) <= 6  # more concurrent calls would slow each other down
-        platform.tell(r="active")
-        assert (await platform.ask(post("q1"))).complete
+        platform.publish_states(r="active")
+        assert (await platform.send_request(post("q1"))).complete
 
 
 async def test_list_is_requested_again_from_an_agent_that_falls_silent_in_the_middle(tmp_path: Path) -> None:
     platform = LargePlatform(tmp_path)
     platform.proxy.from_engine.silent_after = 200_000
-    async with platform.inside(wait=False) as server:
-        await platform.until(lambda: len(platform.lists) > 2)
+    async with platform.open_in_process(wait=False) as server:
+        await platform.wait_until(lambda: len(platform.list_requests) > 2)
         platform.proxy.from_engine.silent_after = None
-        await platform.until(lambda: any(AFTER in target for target in platform.lists))
+        await platform.wait_until(lambda: any(AFTER in target for target in platform.list_requests))
         assert server.executor.engine_records["s-00000001"].state == EngineState.DRAINING
 
 
@@ -101,9 +101,9 @@
             await asyncio.sleep(1.0)
             assert process.returncode is None
         await platform.until_accepting_connections()
-        assert (await platform.ask(post("q1"))).complete
+        assert (await platform.send_request(post("q1"))).complete
         process.terminate()
-        assert await asyncio.wait_for(process.wait(), WAIT) == 0
+        assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT) == 0
 
 
 async def test_start_reads_a_half_written_configuration_again(tmp_path: Path) -> None:
@@ -117,9 +117,9 @@
         await asyncio.sleep(0.8)
         file.write_bytes(complete)
         await platform.until_accepting_connections()
-        assert (await platform.ask(post("q1"))).complete
+        assert (await platform.send_request(post("q1"))).complete
         process.terminate()
-        assert await asyncio.wait_for(process.wait(), WAIT) == 0
+        assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT) == 0
 
 
 async def start_node(platform: Platform, write_config: bool = True) -> asyncio.subprocess.Process:
@@ -173,16 +173,16 @@
         return accepted
 
     accept_socket = tcp.accept_socket
-    async with platform.inside() as server:
+    async with platform.open_in_process() as server:
         monkeypatch.setattr(tcp, "accept_socket", fail)
         await connect_until(platform, lambda: not failures)
-        assert (await platform.ask(post("q1"))).complete
-        assert not platform.run.done() and server.port == platform.port
+        assert (await platform.send_request(post("q1"))).complete
+        assert not platform.node_task.done() and server.port == platform.port
 
 
 async def connect_until(platform: Platform, condition: Callable[[], bool]) -> None:
     """Send requests on connections that are closed at once, until a condition holds."""
-    async with asyncio.timeout(WAIT):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         while not condition():
             client = await platform.client()
             client.send(post("x"))
@@ -220,9 +220,9 @@
         return await connect(address, source)
 
     connect = tcp.connect
-    async with platform.inside():
+    async with platform.open_in_process():
         monkeypatch.setattr("runspool.engines.connection_pool.connect", fail_once)
-        answer = await platform.ask(post("q1", "book"))  # a request that must not execute twice
+        answer = await platform.send_request(post("q1", "book"))  # a request that must not execute twice
         assert failed and answer.complete and answer.status == 200
 
 
@@ -237,10 +237,10 @@
         failures += 1
         raise RuntimeError("a lasting fault")
 
-    async with platform.inside() as server:
+    async with platform.open_in_process() as server:
         task = asyncio.ensure_future(server._run_with_restarts(fail))
         await asyncio.sleep(1.0)
         assert 3 <= failures <= 10
-        assert (await platform.ask(post("q1"))).complete
+        assert (await platform.send_request(post("q1"))).complete
         task.cancel()
     assert node_server.RESTART_DELAY_SECONDS < node_server.MAX_RESTART_DELAY_SECONDS
--- a/tests/test_slow_discovery_agent.py
+++ b/tests/test_slow_discovery_agent.py
@@ -31,15 +31,15 @@
     """
     loop = asyncio.get_running_loop()
     announced = loop.time()
-    platform.tell(v="leaving")
+    platform.publish_states(v="leaving")
     async with asyncio.timeout(CHANGE_LEARNED_WITHIN):
-        await platform.until(lambda: b'"v":"draining"' in platform.log)
+        await platform.wait_until(lambda: b'"v":"draining"' in platform.log)
     return loop.time() - announced
 
 
 async def assert_drained_engine_is_not_used(platform: Platform) -> None:
     for index in range(4):
-        assert (await platform.ask(post(f"q{index}"))).complete
+        assert (await platform.send_request(post(f"q{index}"))).complete
         assert [attempt.engine for attempt in platform.attempts(f"q{index}")] == ["r", "w"]
 
 
@@ -48,9 +48,9 @@
     # Each call was given up before its response arrived, so the node used the draining engine forever.
     async with Platform(tmp_path, ENGINES).open() as platform:
         platform.pace.delay = delay
-        calls = len(platform.lists)
-        await platform.until(
-            lambda: len(platform.lists) >= calls + 2
+        calls = len(platform.list_requests)
+        await platform.wait_until(
+            lambda: len(platform.list_requests) >= calls + 2
         )  # the watch that was open before has ended
         await seconds_until_drain_is_known(platform)
         await assert_drained_engine_is_not_used(platform)
@@ -75,7 +75,7 @@
     async with Platform(tmp_path, ENGINES).open() as platform:
         platform.pace.pieces, platform.pace.piece_interval = 8, 0.4
         whole_after = 7 * 0.4
-        platform.tell()
+        platform.publish_states()
         await asyncio.sleep(0.3)
         took = await seconds_until_drain_is_known(platform)
         assert (
@@ -89,11 +89,11 @@
         platform.pace.drops = drops
         platform.pace.begin_outage()
         await asyncio.sleep(4.0)
-        platform.tell(v="leaving")
+        platform.publish_states(v="leaving")
         platform.pace.end_outage()
         loop = asyncio.get_running_loop()
         ended = loop.time()
-        await platform.until(lambda: b'"v":"draining"' in platform.log)
+        await platform.wait_until(lambda: b'"v":"draining"' in platform.log)
         allowed = RECOVERY_SEEN_WITHIN_AFTER_DROPS if drops else RECOVERY_SEEN_WITHIN
         assert loop.time() - ended < allowed
         assert platform.pace.connections <= MAX_CONCURRENT_CALLS + 1  # one more may be closing
@@ -105,32 +105,32 @@
 ) -> None:
     # Calls that the agent had dropped stayed open and occupied all the connections that it accepts.
     async with Platform(tmp_path, ENGINES).open() as platform:
-        platform.pace.drops, platform.pace.most_connections = True, most_connections
+        platform.pace.drops, platform.pace.max_connections = True, most_connections
         platform.pace.begin_outage()
         await asyncio.sleep(3.0)
-        platform.tell(v="leaving")
+        platform.publish_states(v="leaving")
         platform.pace.end_outage()
         async with asyncio.timeout(CHANGE_LEARNED_WITHIN):
-            await platform.until(lambda: b'"v":"draining"' in platform.log)
+            await platform.wait_until(lambda: b'"v":"draining"' in platform.log)
 
 
 async def test_calls_to_an_agent_that_answers_every_watch_at_once_are_bounded(tmp_path: Path) -> None:
     # The node repeated its watch as fast as it was answered, hundreds of times per second.
     async with Platform(tmp_path, ENGINES).open() as platform:
-        platform.list_scripts = [platform.listed(snapshot=False)] * 10_000
-        platform.tell()
-        before = len(platform.lists)
+        platform.scripted_list_responses = [platform.endpoint_list_json(snapshot=False)] * 10_000
+        platform.publish_states()
+        before = len(platform.list_requests)
         await asyncio.sleep(2.0)
-        assert len(platform.lists) - before <= 2 * MAX_CALLS_PER_SECOND
+        assert len(platform.list_requests) - before <= 2 * MAX_CALLS_PER_SECOND
 
 
 async def test_calls_during_an_outage_of_the_agent_are_bounded(tmp_path: Path) -> None:
     async with Platform(tmp_path, ENGINES).open() as platform:
         platform.pace.begin_outage()
         await asyncio.sleep(1.5)
-        before = len(platform.lists)
+        before = len(platform.list_requests)
         await asyncio.sleep(2.0)
-        assert len(platform.lists) - before <= 2 * MAX_CALLS_PER_SECOND
+        assert len(platform.list_requests) - before <= 2 * MAX_CALLS_PER_SECOND
         assert platform.pace.connections <= MAX_CONCURRENT_CALLS + 1
 
 
@@ -142,7 +142,7 @@
         platform.states["v"] = "leaving"  # after the configuration was written
         platform.version += 1
         async with asyncio.timeout(CHANGE_LEARNED_WITHIN):
-            await platform.until(lambda: b'"v":"draining"' in platform.log)
+            await platform.wait_until(lambda: b'"v":"draining"' in platform.log)
         await assert_drained_engine_is_not_used(platform)
 
 
@@ -157,7 +157,7 @@
 
     platform = Platform(tmp_path, ENGINES)
     monkeypatch.setattr("runspool.engines.connection_pool.connect", late_connect)
-    async with platform.inside(wait=False) as running:
+    async with platform.open_in_process(wait=False) as running:
         await asyncio.wait_for(running.discovery.snapshot_received.wait(), CHANGE_LEARNED_WITHIN)
 
 
--- a/tests/test_undelivered_attempts.py
+++ b/tests/test_undelivered_attempts.py
@@ -20,7 +20,7 @@
     COMPLETE_STREAM,
     DECLINED,
     PREFILL_RESPONSE,
-    WAIT,
+    WAIT_TIMEOUT,
     ReceivedRequest,
     http_response,
 )
@@ -55,7 +55,7 @@
 
 async def seconds_until_release(platform: Platform, name: str, since: Stopwatch) -> float:
     """Wait for the first release call; return the seconds from `since` until it was seen."""
-    await platform.until(lambda: bool(platform.release_calls(name)))
+    await platform.wait_until(lambda: bool(platform.release_calls(name)))
     return time.monotonic() - since.at
 
 
@@ -66,10 +66,10 @@
 ) -> None:
     """The decode engine's kernel accepts the connection and the bytes, but its process receives nothing."""
     platform = Platform(tmp_path, PAIR)
-    proxy = platform.engines["w"].behind_proxy()
+    proxy = platform.engines["w"].add_proxy()
     async with platform.open():
         if connection == "used":
-            assert (await platform.ask(post("q0"))).complete
+            assert (await platform.send_request(post("q0"))).complete
         proxy.silence()
         prefilled = Stopwatch()
         platform.engines["r"].scripts = [prefills(prefilled)]
@@ -83,7 +83,7 @@
 async def test_the_state_of_a_lost_prefill_is_released_while_the_next_has_not_arrived(tmp_path: Path) -> None:
     lost = Stopwatch()
     platform = Platform(tmp_path, {"r": "prefill", "s": "prefill", "w": "decode"})
-    proxies = {name: platform.engines[name].behind_proxy() for name in "rs"}
+    proxies = {name: platform.engines[name].add_proxy() for name in "rs"}
 
     async def loses_prefill(name: str, request: ReceivedRequest) -> None:
         proxies["s" if name == "r" else "r"].silence()
@@ -101,7 +101,7 @@
 async def test_a_state_is_released_after_a_network_outage_of_any_length(tmp_path: Path) -> None:
     """The outage outlasts the deadline and the timeout of every release call; the node must not give up."""
     platform = Platform(tmp_path, PAIR)
-    proxies = [engine.behind_proxy() for engine in platform.engines.values()]
+    proxies = [engine.add_proxy() for engine in platform.engines.values()]
 
     async def prefills_then_silences(request: ReceivedRequest) -> None:
         await request.send(PREFILL_RESPONSE)
@@ -116,7 +116,7 @@
         for proxy in proxies:
             proxy.reset()
             proxy.end_silence()
-        await platform.until(lambda: bool(platform.release_calls("q1")))
+        await platform.wait_until(lambda: bool(platform.release_calls("q1")))
 
 
 async def test_a_slow_decode_attempt_that_arrived_keeps_its_state_and_needs_one_prefill(
@@ -129,7 +129,7 @@
         platform.engines["w"].scripts = [responds(COMPLETE_STREAM, proceed)]
         client = await platform.client()
         client.send(post("q1"))
-        await platform.until(lambda: len(platform.attempts("q1", "decode")) == 1)
+        await platform.wait_until(lambda: len(platform.attempts("q1", "decode")) == 1)
         await asyncio.sleep(RELEASE_GRANT + SOCKET_SLACK)
         proceed.set()
         assert (await client.read_response()).complete
@@ -141,13 +141,13 @@
     effect: str, tmp_path: Path
 ) -> None:
     platform = Platform(tmp_path, PAIR)
-    proxy = platform.engines["w"].behind_proxy()
+    proxy = platform.engines["w"].add_proxy()
     async with platform.open():
         proxy.silence()
         platform.engines["w"].scripts = [responds(http_response(410, b"", DECLINED))]
         client = await platform.client()
         client.send(post("q1", effect))
-        await platform.until(lambda: bool(platform.release_calls("q1")))
+        await platform.wait_until(lambda: bool(platform.release_calls("q1")))
         proxy.end_silence()
         assert (await client.read_response()).complete
         assert [attempt.engine for attempt in platform.attempts("q1")] == ["r", "w", "r", "w"]
@@ -163,17 +163,17 @@
         return await connect(address, source)
 
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside():
+    async with platform.open_in_process():
         monkeypatch.setattr("runspool.engines.connection_pool.connect", slow_connect)
         client = await platform.client()
         sent = time.monotonic()
         client.send(post("q1", "book", req_deadline="2000m"))
-        await platform.until(lambda: len(platform.attempts("q1", "decode")) == 1)
+        await platform.wait_until(lambda: len(platform.attempts("q1", "decode")) == 1)
         seconds_left = 2.0 - (time.monotonic() - sent)
         (decode,) = platform.attempts("q1", "decode")
         deadline = int(decode.headers["req-deadline"].removesuffix("u")) / 1e6
         assert seconds_left - 0.2 < deadline < seconds_left + 0.1
-        assert (await asyncio.wait_for(client.read_response(), WAIT)).complete
+        assert (await asyncio.wait_for(client.read_response(), WAIT_TIMEOUT)).complete
 
 
 async def test_a_state_that_a_later_attempt_took_over_is_released_once_more(tmp_path: Path) -> None:
@@ -184,7 +184,9 @@
     async with platform.open():
         client = await platform.client()
         client.send(post("q1", req_deadline="1500m"))
-        await platform.until(lambda: len(platform.attempts("q1", "decode")) >= 1)
+        await platform.wait_until(lambda: len(platform.attempts("q1", "decode")) >= 1)
         assert (await client.read_response()).status in (500, 503)
         last = platform.received.index(platform.attempts("q1")[-1])
-        await platform.until(lambda: any(call.method == "DELETE" for call in platform.received[last + 1 :]))
+        await platform.wait_until(
+            lambda: any(call.method == "DELETE" for call in platform.received[last + 1 :])
+        )
--- a/tests/test_watch_client.py
+++ b/tests/test_watch_client.py
@@ -12,7 +12,7 @@
 from runspool.service.clock import now
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage, encode_message
 from tests.fault_proxy import HOST
-from tests.node_platform.http_messages import WAIT, read_request
+from tests.node_platform.http_messages import WAIT_TIMEOUT, read_request
 
 pytestmark = pytest.mark.anyio
 QUIET_MS = 100
@@ -57,7 +57,7 @@
     server = await asyncio.start_server(serve, HOST, 0)
     following = asyncio.ensure_future(watch_client(server, heard).follow())
     try:
-        await asyncio.wait_for(heard.wait(), WAIT)
+        await asyncio.wait_for(heard.wait(), WAIT_TIMEOUT)
         assert most_open <= MAX_OPENING_ATTEMPTS + 1  # one more may be closing
     finally:
         following.cancel()
@@ -85,7 +85,7 @@
     server = await asyncio.start_server(serve, HOST, 0)
     following = asyncio.ensure_future(watch_client(server, heard).follow())
     try:
-        await asyncio.wait_for(heard.wait(), WAIT)
+        await asyncio.wait_for(heard.wait(), WAIT_TIMEOUT)
         async with asyncio.timeout(QUIET_MS / 1000 / 2):  # before the watch that is used counts as lost
             while sum(reader.at_eof() for reader in readers) < 1:
                 await asyncio.sleep(0.001)
