--- a/tests/congestion_simulation.py
+++ b/tests/congestion_simulation.py
@@ -27,13 +27,13 @@
 )
 from tests.fake_scheduler_host import DECODE, PREFILL, routing_settings
 
-# Times are in tenths of a millisecond unless a name says otherwise.
+# Durations are in tenths of a millisecond unless a name says otherwise.
 START = SECOND
 WINDOW = 5 * SECOND  # new sessions arrive at one rate during a window
 DRAIN_WINDOWS = 4  # windows that are simulated after the last new session
 
-FIRST_TOKEN_OBJECTIVE = 15_000
-TIME_LIMIT = 60_000
+FIRST_TOKEN_OBJECTIVE = 15_000  # from submission; a later first token does not count as in time
+TIME_LIMIT = 60_000  # from submission, after which a client gives up
 MAX_OUTPUT_TOKENS, EXPECTED_OUTPUT_TOKENS = 400, 100
 
 PREFILL_RATE = 1.5  # tokens per tenth of a millisecond
@@ -44,12 +44,12 @@
 ZONE_COUNT = 3
 ENGINES_PER_RACK = 6
 CROSS_ZONE_PRICE = 0.011
-UNLIMITED_RATE = 1e6
+UNLIMITED_RATE = 1e6  # the tenant's quota, so high that it never limits requests
 
 TURNS = [1, 2, 3]  # possible numbers of requests of a session
 TURN_GAP_SECONDS = (8, 14)  # from one request of a session to the next
 TOKENS_ADDED_BY_TURN = (300, 900)  # by which the next prompt of a session is longer
-MIN_PREFIX_TOKENS = 1_000
+MIN_PREFIX_TOKENS = 1_000  # length of the shortest prefix that sessions share
 
 
 class PrefillEngine:
@@ -57,9 +57,8 @@
 
     def __init__(self) -> None:
         self.free_at = 0
-        self.cache: OrderedDict[tuple[str, int], int] = (
-            OrderedDict()
-        )  # cached tokens by kind and number of the text
+        # The number of cached tokens by kind and number of the text, the least recently used first.
+        self.cache: OrderedDict[tuple[str, int], int] = OrderedDict()
 
     def prefill(self, now: int, request: Request) -> tuple[int, int]:
         """Queue a prompt; return when its prefill will complete and how many of its tokens were cached."""
--- a/tests/fake_scheduler_host.py
+++ b/tests/fake_scheduler_host.py
@@ -33,7 +33,7 @@
 # Indices of the engine types in `routing_settings`.
 PREFILL, DECODE, MIXED = 0, 1, 2
 
-START = 1_000 * SECOND
+START = 1_000 * SECOND  # the time at which the host starts
 SEED = 7
 ENGINE_MEMORY_TOKENS = 90_000
 MAX_OUTPUT_TOKENS = 400
--- a/tests/fault_proxy.py
+++ b/tests/fault_proxy.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 HOST = "127.0.0.1"
-DEFAULT_CHUNK_SIZE = 65_536
-CONNECTION_NUMBERS = count()
+DEFAULT_CHUNK_SIZE = 65_536  # bytes
+CONNECTION_NUMBERS = count()  # numbers the connections of all proxies
 
 
 @dataclass
@@ -25,16 +25,16 @@
 
     gate: asyncio.Event = field(default_factory=asyncio.Event)
     delay: float = 0.0  # seconds by which each chunk is delayed
-    chunk_size: int = DEFAULT_CHUNK_SIZE  # the most bytes forwarded at a time
-    active_silences: int = 0  # how many overlapping faults keep the direction silent
-    silent_after: int | None = None  # bytes of a connection after which nothing is forwarded
+    chunk_size: int = DEFAULT_CHUNK_SIZE  # maximum number of bytes forwarded at a time
+    active_silences: int = 0  # number of overlapping faults that hold back bytes
+    silent_after: int | None = None  # after this many bytes, a connection forwards nothing more
 
     def __post_init__(self) -> None:
         self.gate.set()
 
 
 class NotifyingReader(asyncio.StreamReader):
-    """A reader that reports received data and the end of the connection at once, before they are read."""
+    """A reader that reports received data and the end of the connection immediately, before they are read."""
 
     number = 0  # the connection's number
     on_data: Callable[[bytes], None] = staticmethod(lambda data: None)
--- a/tests/migration_model.py
+++ b/tests/migration_model.py
@@ -25,12 +25,12 @@
 REQUEST_DURATION = 10 * TICK_MS  # the longest request lasts one tick; in tenths of a millisecond
 BINDING_TIME = WINDOW + REQUEST_DURATION  # for which a ticket binds its request to a cell
 
-# The last tick of the exploration. With 5, it visited 588,682 and 201,272 states in 47 s and found no
-# violation.
+# The last tick of the exploration. With 5, it visited 588,682 and 201,272 states for the two kinds of
+# idempotency in 47 s and found no violation.
 LAST_TICK = 4
-MAX_MAPS = 3
-MAX_ATTEMPTS = 2
-MAX_KILLS = 1
+MAX_MAPS = 3  # maps that are published, including the first two
+MAX_ATTEMPTS = 2  # attempts of the client
+MAX_KILLS = 1  # kills of fronts
 
 NO_FRONT = -1  # stands for a front's number while no front has the request
 TICKET = "k"
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -21,17 +21,17 @@
 from tests.simulation.settings import TENANTS
 
 # Durations are in tenths of a millisecond unless a name says otherwise.
-MAX_ATTEMPTS = 2
-MIN_TIME_FOR_RETRY = 3_000  # left of the time limit; with less, a client does not retry
-MAX_RETRY_DELAY_SECONDS = 0.2
-SESSION_COUNT = 50  # sessions over which all requests are spread
+MAX_ATTEMPTS = 2  # of one request
+MIN_TIME_FOR_RETRY = 3_000  # a client does not retry if less of its time limit is left
+MAX_RETRY_DELAY_SECONDS = 0.2  # upper bound of the random delay before a retry
+SESSION_COUNT = 50  # number of sessions over which all requests are spread
 MAX_OUTPUT_TOKENS = 500
 # A client still receives a response up to this long after the time limit; it is recorded as late.
 LATE_RESPONSE_WINDOW = SECOND
 
 PROMPT_TOKENS = (50, 900)  # range of the prompt's length
-STREAMING_SHARE = 0.7  # of requests
-MAX_EARLY_DISCONNECT = 3_000  # latest time of a disconnect soon after the request
+STREAMING_SHARE = 0.7  # fraction of requests whose response is streamed
+MAX_EARLY_DISCONNECT = 3_000  # upper bound of the time after which a client disconnects early
 
 
 class RequestShape(NamedTuple):
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -11,9 +11,9 @@
 from tests.simulation.engines import SimulatedEngine
 from tests.simulation.fronts import SimulatedFront
 
-EPOCH = "epoch"
-MAX_NOTIFICATION_DELAY = 4_000  # from a change of the list to its arrival at a front; tenths of a millisecond
-REPEATED_NOTIFICATION_SHARE = 0.2  # of the notifications that a front receives; these arrive twice
+EPOCH = "epoch"  # of the endpoint list, which never restarts in a simulation
+MAX_NOTIFICATION_DELAY = 4_000  # from a list change to its arrival at a front, in tenths of a millisecond
+REPEATED_NOTIFICATION_SHARE = 0.2  # fraction of the notifications that arrive twice
 
 
 class SimulatedCluster:
--- a/tests/simulation/engine_client.py
+++ b/tests/simulation/engine_client.py
@@ -23,19 +23,19 @@
 from tests.simulation.context import SimulationContext, sleep
 from tests.simulation.engines import EngineDownError, SimulatedEngine
 
-# Durations, in tenths of a millisecond.
+# Durations are in tenths of a millisecond; pairs are ranges of random durations.
 CONNECT_TIMEOUT = 2_500
-# A connection to an engine that is down is mostly refused at once, and otherwise times out.
+# Time after which a connection to an engine that is down fails: it is mostly refused, or else times out.
 CONNECT_REFUSED_AFTER = [1, 1, CONNECT_TIMEOUT]
-ERROR_RESPONSE_DURATION = 3
+ERROR_RESPONSE_DURATION = 3  # until an engine rejects or fails an attempt
 MAX_CONNECT_DURATION = 5
-TRANSFER_DURATION = (10, 200)
-FIRST_TOKEN_DURATION = (50, 300)
+TRANSFER_DURATION = (10, 200)  # of a state from its prefill engine to the decode engine
+FIRST_TOKEN_DURATION = (50, 300)  # from the state's arrival at the decode engine to the first token
 
 PREFILL_DURATION_MULTIPLE = (1, 1.5)  # range of a prefill's duration as a multiple of the usual one
-# Share of the prefills that had just completed when the front closed the connection.
+# Fraction of the prefills closed by the front that had just completed and thus reserve a state.
 COMPLETED_WHEN_CLOSED_SHARE = 0.3
-# Release calls for one state that may be lost: with more, the engine could not release the state in time.
+# Maximum number of lost release calls for one state; with more, it could not be released in time.
 MAX_LOST_RELEASES = 2
 TOKENS_BEFORE_STREAM_CUT = 2  # a cut stream delivers one token more than this
 
@@ -68,6 +68,7 @@
     AttemptFault.NO_RESPONSE_AFTER_EXECUTION: 0.1,
     AttemptFault.STREAM_CUT: 0.15,
 }
+# Faults that occur before the engine does any work on the attempt.
 IMMEDIATE_FAULTS = (AttemptFault.OVERLOADED, AttemptFault.SERVER_ERROR)
 
 PREFILL_FAULT_CAUSES = {
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -9,12 +9,14 @@
 from tests.simulation.cluster import SimulatedCluster
 from tests.simulation.context import SimulationContext, sleep
 
-LIST_REMOVES_CRASHED_SHARE = 0.5  # of crashed engines, which the list then removes
-ABSENCE_SECONDS = 0.5  # from the removal of an engine to its restart
+LIST_REMOVES_CRASHED_SHARE = 0.5  # fraction of the crashed engines that the list removes
+ABSENCE_SECONDS = 0.5  # from the removal of a replaced engine to its restart
 SLOWDOWN = (2, 6)  # range of the factor by which a slow engine takes longer
 # Range of a fault's duration, as a fraction of the time between two faults.
 DURATION_SHARE_OF_GAP = (0.3, 0.9)
-FRONT_OUTAGE_DIVISOR = 4  # divides a fault's duration: fronts restart faster than engines
+FRONT_OUTAGE_DIVISOR = (
+    4  # divides a fault's duration for a killed front, as fronts restart faster than engines
+)
 
 
 class FaultInjector:
--- a/tests/simulation/fronts.py
+++ b/tests/simulation/fronts.py
@@ -18,8 +18,8 @@
 from tests.simulation.engine_client import SimulatedEngineClient
 from tests.simulation.engines import SimulatedEngine
 
-SEEDS_PER_SIMULATION = 100  # spreads the seeds of fronts of different simulations
-RUN_NUMBER = 1  # the process's run, which the laboratory's configuration of a front needs
+SEEDS_PER_SIMULATION = 100  # keeps the seeds of fronts of different simulations apart
+LIST_PORT = 1  # for the configuration only: the simulation delivers the list without sockets
 
 
 class _ErrorLog:
@@ -86,7 +86,7 @@
         self.initial_list = initial_list
         plan = context.plan.fronts[index]
         self.name = plan.name
-        config = parse_config(front_configuration(context.plan, index, RUN_NUMBER, Path()))
+        config = parse_config(front_configuration(context.plan, index, LIST_PORT, Path()))
         self.front = Front(config, seed=context.seed * SEEDS_PER_SIMULATION + seed_number)
         self.front.engine_client = cast(Any, SimulatedEngineClient(context, engines, plan.source_address))
         log = cast(Any, _ErrorLog(context))
--- a/tests/simulation/settings.py
+++ b/tests/simulation/settings.py
@@ -48,10 +48,10 @@
     duration: int = 20 * SECOND
     requests_per_second: float = 40.0
     front_count: int = 3
-    failing_attempt_share: float = 0.06  # of attempts at engines that are up
-    disconnecting_client_share: float = 0.08  # of clients; these disconnect before their response
-    fault_count: int = 12  # faults of all kinds that `FaultInjector` injects
-    lost_release_share: float = 0.15  # of calls that release a state; their connection fails
+    failing_attempt_share: float = 0.06  # fraction of the attempts at engines that are up
+    disconnecting_client_share: float = 0.08  # fraction of clients that disconnect before their response
+    fault_count: int = 12  # number of faults that `FaultInjector` injects
+    lost_release_share: float = 0.15  # fraction of the release calls whose connection fails
     slow_start_overload_multiple: float = 1.5
     engine_types: list[str] = field(default_factory=lambda: list(ENGINE_TYPES))
 
--- a/tests/simulation/simulation.py
+++ b/tests/simulation/simulation.py
@@ -15,7 +15,7 @@
 from tests.simulation.leaks import leaked_state
 from tests.simulation.settings import REQUEST_CLASSES, SimulationSettings
 
-SETTLING_SECONDS = 20  # from the last request to the check for leaks
+SETTLING_SECONDS = 20  # from the end of the load to the check for leaks
 
 
 class Simulation:
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -35,7 +35,7 @@
 ]
 # The type of stand-in engine by role.
 ENGINE_TYPES = {"reader": "prefill", "writer": "decode", "mixed": "mixed"}
-WAIT_LIMIT = 20.0  # the most seconds to wait for a recorded event
+WAIT_LIMIT = 20.0  # maximum number of seconds to wait for a recorded event
 
 
 def small_plan(engine_types: list[str]) -> ScenarioPlan:
@@ -112,7 +112,7 @@
             StandInEngine(planned.spec, self.recorder, False, index)
             for index, planned in enumerate(self.plan.engines)
         ]
-        self.start_times = [0] * len(self.engines)  # start times in Unix milliseconds; 0: started long ago
+        self.start_times = [0] * len(self.engines)  # in Unix milliseconds; 0: started long ago
         self.engine_scopes: dict[int, anyio.CancelScope] = {}
         self.bounds_overrides = bounds_overrides
         self.front_server: FrontServer
--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -101,9 +101,8 @@
         response = await platform.ask(post("q1", "book"))
         assert response.status == 503
         assert float(response.headers["retry-after"]) <= 2.0
-        await platform.until(
-            lambda: len(platform.release_calls("q1")) >= 1
-        )  # of the state that no engine fetched
+        # No engine fetched the state, so it is released.
+        await platform.until(lambda: len(platform.release_calls("q1")) >= 1)
 
 
 def drains(platform: Platform) -> None:
--- a/tests/test_node_state_release.py
+++ b/tests/test_node_state_release.py
@@ -209,7 +209,7 @@
 
 
 async def test_a_release_is_confirmed_by_engines_that_answer_after_its_timeout(tmp_path: Path) -> None:
-    # Each call was given up before its answer arrived, and repeated forever.
+    # Each call was given up before its response arrived, and repeated forever.
     async with Platform(tmp_path, PAIR).inside() as running:
         node = running.executor
         releaser = node.state_releaser
--- a/tests/test_node_stop_before_kill.py
+++ b/tests/test_node_stop_before_kill.py
@@ -79,7 +79,7 @@
             platform.signal(signal.SIGKILL)
 
     async def awaits_first(self, end: Awaitable[object]) -> bool:
-        """Wait for an end; return whether it came before SIGKILL was sent."""
+        """Wait for `end`; return whether it came before SIGKILL was sent."""
         await end
         return not self.is_sent
 
@@ -222,9 +222,8 @@
     decisions: Callable[..., Any], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(scheduler, "migrate_before_shutdown", decisions)
-    monkeypatch.setattr(
-        graceful_shutdown, "MAX_DEADLINE_ALLOWANCE", 1_000
-    )  # the kill comes 0.8 s after SIGTERM
+    # The kill comes 0.8 s after SIGTERM.
+    monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_ALLOWANCE", 1_000)
     platform = platform_with(tmp_path, 6_000)
     async with platform.inside() as running:
         end = asyncio.ensure_future(await running_stream(platform))
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -26,6 +26,7 @@
     Role,
 )
 
+# Times are in tenths of a millisecond.
 STATE_RELEASE_TIMEOUT = 3_000
 START = 10_000
 DEADLINE = 60_000
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -25,7 +25,7 @@
 
 pytestmark = pytest.mark.anyio
 ENGINES = {"r": "prefill", "w": "decode"}  # type by engine name
-DRAINING_ENGINES = 3_200  # number of further engines on the list
+DRAINING_ENGINES = 3_200  # number of draining engines on the list
 AFTER = "after="  # query parameter of a call that asks for the changes since a version of the list
 
 
@@ -74,7 +74,7 @@
         platform.tell(r="leaving")
         await platform.logged("endpoint_list_changed")
         snapshots = [target for target in platform.lists if AFTER not in target]
-        assert len(snapshots) <= 6  # more concurrent calls would slow each other down
+        assert len(snapshots) <= 6  # with a new call every 0.1 s, the calls would slow each other down
         platform.tell(r="active")
         assert (await platform.ask(post("q1"))).complete
 
--- a/tests/test_scheduler_driver.py
+++ b/tests/test_scheduler_driver.py
@@ -53,6 +53,7 @@
 RANDOM_STEPS = 2_000
 STEPS_WITH_NEW_REQUESTS = 1_600
 
+# The attributes of an engine in which the scheduler accounts for its attempts.
 ACCOUNTS = ("prefills", "waiting_decodes", "streams", "prefill_tokens", "stream_tokens")
 
 
--- a/tests/test_slow_discovery_agent.py
+++ b/tests/test_slow_discovery_agent.py
@@ -20,8 +20,8 @@
 # for a busy machine. The second bound applies if the agent has dropped the calls it received in the outage.
 RECOVERY_SEEN_WITHIN = 0.1 + 0.15
 RECOVERY_SEEN_WITHIN_AFTER_DROPS = 1.0 + 0.15
-MAX_CONCURRENT_CALLS = 6  # bound on a node's open calls to the agent
-MAX_CALLS_PER_SECOND = 25  # bound on the rate of a node's calls to the agent
+MAX_CONCURRENT_CALLS = 6  # maximum number of open calls of a node to its agent
+MAX_CALLS_PER_SECOND = 25  # maximum rate of a node's calls to its agent
 
 
 async def seconds_until_drain_is_known(platform: Platform) -> float:
@@ -49,9 +49,8 @@
     async with Platform(tmp_path, ENGINES).open() as platform:
         platform.pace.delay = delay
         calls = len(platform.lists)
-        await platform.until(
-            lambda: len(platform.lists) >= calls + 2
-        )  # the watch that was open before has ended
+        # Wait until the watch that was open before has ended.
+        await platform.until(lambda: len(platform.lists) >= calls + 2)
         await seconds_until_drain_is_known(platform)
         await assert_drained_engine_is_not_used(platform)
 
@@ -78,9 +77,8 @@
         platform.tell()
         await asyncio.sleep(0.3)
         took = await seconds_until_drain_is_known(platform)
-        assert (
-            took < 1.0 + whole_after + RECOVERY_SEEN_WITHIN
-        )  # the node makes a call within a second of the change
+        # The node makes a call within a second of the change.
+        assert took < 1.0 + whole_after + RECOVERY_SEEN_WITHIN
 
 
 @pytest.mark.parametrize("drops", [False, True])
--- a/tests/test_stages.py
+++ b/tests/test_stages.py
@@ -30,14 +30,14 @@
 PREFILL, DECODE = 0, 1
 
 POLL_SECONDS = 0.005
-END_TIMEOUT_SECONDS = 15
-LEAK_TIMEOUT_SECONDS = 8
+END_TIMEOUT_SECONDS = 15  # for a request to reach its stage and end
+LEAK_TIMEOUT_SECONDS = 8  # after the end of a request, until nothing may be held any more
 
-TIME_LIMIT_MS = 900
-TIME_LIMIT_WHEN_QUEUED_MS = 4_000
+TIME_LIMIT_MS = 900  # of a request that is to end by its time limit
+TIME_LIMIT_WHEN_QUEUED_MS = 4_000  # the same, if it is to be queued first
 TIME_LIMIT_WHEN_ENGINE_LOST_MS = 3_000
-LONG_TIME_LIMIT_MS = 20_000
-DRAIN_MS = 100
+LONG_TIME_LIMIT_MS = 20_000  # longer than any test
+DRAIN_MS = 100  # time that a stopping front gives its open requests
 STATE_RELEASE_TIMEOUT = 20_000  # so long that a state does not expire during a test
 
 # Stages.
@@ -300,9 +300,8 @@
             await request.ended.wait()
             earlier_request.scope.cancel()
             for engine in case.hanging_engines:
-                cluster.engines[engine].set_fault(
-                    "hang", on=False
-                )  # it now processes what it received meanwhile
+                # The engine now processes what it received meanwhile.
+                cluster.engines[engine].set_fault("hang", on=False)
         with anyio.move_on_after(LEAK_TIMEOUT_SECONDS):
             while leaks(cluster, cause):
                 await anyio.sleep(0.01)
--- a/tests/test_tenant_migration.py
+++ b/tests/test_tenant_migration.py
@@ -36,9 +36,8 @@
     assert migrations.home_cell(MOVE_START_MS, "other", None) == home_cell(migrations.cell_map, "other", None)
     assert migrations.stage(1, MOVE_START_MS, planned_move) is MigrationStage.SETTLING
     migrations.record_finish("t", "a")
-    assert (
-        migrations.stage(1, MOVE_START_MS, planned_move) is MigrationStage.SETTLING
-    )  # the ticket still binds its request to cell a
+    # The ticket still binds its request to cell a.
+    assert migrations.stage(1, MOVE_START_MS, planned_move) is MigrationStage.SETTLING
     assert migrations.choose_cell(1, MOVE_START_MS, "t", None, "ticket", True, WINDOW).cell == "a"
     assert migrations.stage(WINDOW + 1, MOVE_START_MS, planned_move) is MigrationStage.SETTLED
     assert migrations.choose_cell(WINDOW + 1, MOVE_START_MS, "t", None, "new", False, WINDOW).cell == "b"
