--- a/tests/test_malformed_requests.py
+++ b/tests/test_malformed_requests.py
@@ -90,7 +90,7 @@
 async def test_deeply_nested_json_fails_at_most_its_own_request(where: str, tmp_path: Path) -> None:
     deep = b'{"a":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
+    async with platform.inside() as server:
         scripts = {
             "event": ("w", STREAM_HEAD + chunked(b'data: {"choices":' + b"[" * 20_000 + b"\n\n")),
             "prefill": ("r", http_response(202, deep[:30_000])),
@@ -101,4 +101,4 @@
         response = await platform.ask(post("q1", "book", body=deep if where == "body" else BODY))
         assert response.status == {"body": 400, "event": 500, "prefill": 200}[where]
         assert (await platform.ask(post("q2"))).complete
-        assert not platform.run.done() and not running.executor.requests
+        assert not platform.run.done() and not server.executor.requests
--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -137,11 +137,11 @@
 
     platform = Platform(tmp_path, PAIR)
     monkeypatch.setattr("runspool.engines.connection_pool.connect", delayed_connect)
-    async with platform.inside() as running:
+    async with platform.inside() as server:
         response = asyncio.ensure_future(platform.ask(post("q1", "book")))
         await asyncio.wait_for(connecting.wait(), 15)
         change(platform)
-        await until(lambda: running.executor.endpoint_tracker.version == platform.version)
+        await until(lambda: server.executor.endpoint_tracker.version == platform.version)
         proceed.set()
         assert (await response).status == 503  # known not to have executed
         assert platform.attempts("q1", "decode") == [] == sent
--- a/tests/test_node_configuration.py
+++ b/tests/test_node_configuration.py
@@ -122,11 +122,11 @@
         platform.settings = with_setting(SETTINGS, path, value)
         with capture_logs() as log:
             try:
-                async with platform.inside() as running:
+                async with platform.inside() as server:
                     response = await platform.ask(post("q1", req_deadline="700m"))
                     assert response.status in (200, 400, 500, 503) and response.complete
-                    running.stop()
-                    await until(lambda: running.executor.shutdown_deadline)
+                    server.stop()
+                    await until(lambda: server.executor.shutdown_deadline)
                     assert not platform.run.done(), value
             except InvalidNodeConfigError as error:
                 path_names = [str(key) for key in path if isinstance(key, str)]
--- a/tests/test_node_internal_errors.py
+++ b/tests/test_node_internal_errors.py
@@ -21,31 +21,31 @@
 
 async def test_an_error_in_a_background_task_fails_no_request(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
+    async with platform.inside() as server:
         errors = []
 
         def fails(*arguments: Any) -> None:
             errors.append(arguments)
             raise RuntimeError("an error of the program")
 
-        on_timer = running.executor.timers.on_timer
-        receive = running.discovery.listener.receive
-        running.executor.timers.on_timer = fails
-        running.discovery.listener.receive = fails  # type: ignore[method-assign, assignment]
-        running.executor.timers.schedule(0, SchedulerTimer("node", "0.0"))
+        on_timer = server.executor.timers.on_timer
+        receive = server.discovery.listener.receive
+        server.executor.timers.on_timer = fails
+        server.discovery.listener.receive = fails  # type: ignore[method-assign, assignment]
+        server.executor.timers.schedule(0, SchedulerTimer("node", "0.0"))
         platform.tell()
-        running.executor.engine_client.watchdog.watch(0, fails).waiting_since = 1
+        server.executor.engine_client.watchdog.watch(0, fails).waiting_since = 1
         await until(lambda: len(errors) >= 3)
-        running.executor.timers.on_timer = on_timer
-        running.discovery.listener.receive = receive  # type: ignore[method-assign]
+        server.executor.timers.on_timer = on_timer
+        server.discovery.listener.receive = receive  # type: ignore[method-assign]
         assert (await platform.ask(post("q1"))).complete
         assert not platform.run.done()
 
 
 async def test_an_error_after_an_attempt_fails_only_its_request(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
-        node = running.executor
+    async with platform.inside() as server:
+        node = server.executor
         after_attempt = node.after_attempt
 
         def fails(pending: PendingNodeRequest, *arguments: Any) -> None:
@@ -66,11 +66,11 @@
         raise RuntimeError("an error of the program")
 
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
+    async with platform.inside() as server:
         platform.engines["r"].scripts = [never_responds]
         monkeypatch.setattr(RequestHandler, "_send_final", fails)
         response = await platform.ask(post("q1", req_deadline="300m"))
         assert (response.status, response.headers["connection"], response.complete) == (500, "close", True)
         monkeypatch.undo()
         assert (await platform.ask(post("q2"))).complete
-        assert not platform.run.done() and not running.executor.requests
+        assert not platform.run.done() and not server.executor.requests
--- a/tests/test_node_shutdown_races.py
+++ b/tests/test_node_shutdown_races.py
@@ -75,15 +75,15 @@
     monkeypatch.setattr(graceful_shutdown, "MIN_ACCEPT_DURATION", 10 * 10_000, raising=False)
     platform = Platform(tmp_path, PAIR)
     platform.settings = settings_with_deadline(600)
-    async with platform.inside() as running:
-        idle_client, _ = await idle_connection(platform, running)
-        running.stop()
+    async with platform.inside() as server:
+        idle_client, _ = await idle_connection(platform, server)
+        server.stop()
         await asyncio.sleep(0)
         # Enough time is left before the kill to serve these requests.
         for client in (idle_client, await platform.client()):
             client.send(post(f"s{id(client)}", req_deadline="600m"))
             assert (await client.read_response()).complete
-            assert not running.executor.closing
+            assert not server.executor.closing
 
 
 @pytest.mark.parametrize("resumable", [True, False])
@@ -96,24 +96,24 @@
     monkeypatch.setattr(graceful_shutdown, "LAST_REQUEST_MARGIN", -60 * 10_000)
     platform = Platform(tmp_path, PAIR)
     platform.settings = changed_settings(lambda settings: settings["family-info"].update(resume=resumable))
-    async with platform.inside() as running:
-        running.stop()
-        await until(lambda: running.executor.shutdown_deadline)
+    async with platform.inside() as server:
+        server.stop()
+        await until(lambda: server.executor.shutdown_deadline)
         for _ in range(20):  # iterations of the event loop, in which only the shutdown has work to do
             await asyncio.sleep(0)
-        assert running.executor.closing is not resumable
+        assert server.executor.closing is not resumable
 
 
 async def test_a_request_received_as_its_idle_connection_is_to_be_closed_is_served(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
-        client, handler = await idle_connection(platform, running)
+    async with platform.inside() as server:
+        client, handler = await idle_connection(platform, server)
         data_received = handler.tcp.data_received
         closed: list[bool] = []
 
         def receive_and_close(data: bytes) -> None:
             data_received(data)  # the connection's task is scheduled but has not run yet
-            closed.append(running.connections.close_waiting_connection())
+            closed.append(server.connections.close_waiting_connection())
 
         handler.tcp.data_received = receive_and_close  # type: ignore[method-assign]
         client.send(post("q1"))
@@ -123,11 +123,11 @@
 
 async def test_an_unread_request_in_the_socket_buffer_keeps_its_connection_open(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
-        client, _ = await idle_connection(platform, running)
+    async with platform.inside() as server:
+        client, _ = await idle_connection(platform, server)
         client.send(post("q1"))  # reaches the kernel immediately
         # The event loop has not run since, so the node has not read the request.
-        assert not running.connections.close_waiting_connection()
+        assert not server.connections.close_waiting_connection()
         assert (await client.read_response()).complete
 
 
@@ -135,8 +135,8 @@
     tmp_path: Path,
 ) -> None:
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
-        client, handler = await idle_connection(platform, running)
+    async with platform.inside() as server:
+        client, handler = await idle_connection(platform, server)
         client.send(post("q1")[:50])
         await until(lambda: handler.parser.ready)
         assert not handler.stop_waiting_for_request()
@@ -145,7 +145,7 @@
         await until(lambda: handler.idle_since)  # an iteration or two of the event loop after its response
         client.send(post("q2")[:50])
         await until(lambda: handler.parser.ready)
-        assert running.connections.close_waiting_connection()
+        assert server.connections.close_waiting_connection()
         assert (await client.read_response()).status == 408
 
 
@@ -157,11 +157,11 @@
     platform = Platform(tmp_path, PAIR)
     platform.settings = settings_with_deadline(60_000)
     platform.engines["r"].scripts = [never_responds]
-    async with platform.inside() as running:
+    async with platform.inside() as server:
         client = await platform.client()
         client.send(post("q1", req_deadline="60000m"))
         await platform.until(lambda: len(platform.attempts("q1")) == 1)
-        running.stop()
+        server.stop()
         assert (await client.read_response()).status == 500
         await platform.until(lambda: len(platform.release_calls("q1")) == 1)
         await asyncio.wait_for(platform.run, WAIT)
@@ -174,11 +174,11 @@
     monkeypatch.setattr(graceful_shutdown, "LAST_REQUEST_MARGIN", 600_000)
     monkeypatch.setattr(graceful_shutdown, "FIRST_REQUEST_GRACE", 600_000, raising=False)
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
-        served, _ = await idle_connection(platform, running)
+    async with platform.inside() as server:
+        served, _ = await idle_connection(platform, server)
         new = await platform.client()
-        await until(lambda: len(running.connections.handlers) == 2)
-        running.stop()
+        await until(lambda: len(server.connections.handlers) == 2)
+        server.stop()
         assert await served.read_to_close() == b""  # by then the shutdown has considered the new one as well
         new.send(post("q1"))
         response = await new.read_response()
--- a/tests/test_node_state_release.py
+++ b/tests/test_node_state_release.py
@@ -59,8 +59,8 @@
 
 async def test_a_release_does_not_try_unreachable_engines_one_after_the_other(tmp_path: Path) -> None:
     names = {"r": "prefill"} | {f"w{index}": "decode" for index in range(9)}
-    async with Platform(tmp_path, names).inside() as running:
-        node = running.executor
+    async with Platform(tmp_path, names).inside() as server:
+        node = server.executor
         endpoints = {endpoint.name: endpoint for endpoint in node.endpoints.values()}
         called: list[Address] = []
         released = asyncio.Event()
@@ -95,8 +95,8 @@
     """All engines but the last are unreachable, and the node has not connected to any of them before."""
     names = {"r": "prefill"} | {f"w{index}": "decode" for index in range(12)}
     platform = Platform(tmp_path, names)
-    async with platform.inside() as running:
-        node = running.executor
+    async with platform.inside() as server:
+        node = server.executor
         endpoints = {endpoint.name: endpoint for endpoint in node.endpoints.values()}
         called: list[Address] = []
         released = asyncio.Event()
@@ -124,8 +124,8 @@
     and the node keeps the engine of the earlier prefill, so that its state is released later.
     """
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
-        node = running.executor
+    async with platform.inside() as server:
+        node = server.executor
         open_calls = 0
 
         async def release(address: Address, request: str, limit: int) -> FailureCause | None:
@@ -180,19 +180,19 @@
     monkeypatch.setattr("runspool.engines.connection_pool.connect", delayed_connect)
     # Long enough that no further prefill starts before the state is released.
     monkeypatch.setattr("runspool.scheduling.admission.SELECTION_INTERVAL", 20_000)
-    async with platform.inside() as running:
+    async with platform.inside() as server:
         client = await platform.client()
         client.send(post("q1"))
         await platform.until(lambda: len(platform.release_calls("q1")) == 1)
         # The state must be released within 300 ms, and each connection times out after 250 ms.
-        assert 1 <= running.executor.counts["attempt_connect_failed"] <= 2
+        assert 1 <= server.executor.counts["attempt_connect_failed"] <= 2
 
 
 async def test_a_prefill_waits_for_a_release_no_longer_than_its_request_can_still_be_answered(
     tmp_path: Path,
 ) -> None:
-    async with Platform(tmp_path, PAIR).inside() as running:
-        node = running.executor
+    async with Platform(tmp_path, PAIR).inside() as server:
+        node = server.executor
         endpoint = next(endpoint for endpoint in node.endpoints.values() if endpoint.name == "r")
         waits: list[float] = []
 
@@ -210,8 +210,8 @@
 
 async def test_a_release_is_confirmed_by_engines_that_answer_after_its_timeout(tmp_path: Path) -> None:
     # Each call was given up before its response arrived, and repeated forever.
-    async with Platform(tmp_path, PAIR).inside() as running:
-        node = running.executor
+    async with Platform(tmp_path, PAIR).inside() as server:
+        node = server.executor
         releaser = node.state_releaser
         calls = 0
 
@@ -240,8 +240,8 @@
 
     platform = Platform(tmp_path, PAIR)
     monkeypatch.setattr("runspool.engines.connection_pool.connect", late_connect)
-    async with platform.inside() as running:
-        running.executor.release_prefill_state(_with_prefill_at(running.executor, "r"))
+    async with platform.inside() as server:
+        server.executor.release_prefill_state(_with_prefill_at(server.executor, "r"))
         await platform.until(lambda: bool(platform.release_calls("q1")))
 
 
--- a/tests/test_node_stop_before_kill.py
+++ b/tests/test_node_stop_before_kill.py
@@ -101,16 +101,16 @@
     tmp_path: Path,
 ) -> None:
     async with platform_with(tmp_path, 6_000).open() as platform:
-        idle = await platform.client()
-        idle.send(post("q0"))
-        assert (await idle.read_response()).complete
+        idle_client = await platform.client()
+        idle_client.send(post("q0"))
+        assert (await idle_client.read_response()).complete
         kill = ScheduledKill(platform, 6_000)
         await asyncio.sleep(LATE_REQUEST_AFTER)
         platform.engines["w"].scripts = [streams_without_end]
-        idle.send(post("q1"))
-        head = await idle.read_head()
+        idle_client.send(post("q1"))
+        head = await idle_client.read_head()
         platform.tell_started_anew("w")
-        assert await kill.awaits_first(idle.read_body(head))
+        assert await kill.awaits_first(idle_client.read_body(head))
         await platform.process.wait()
         assert b'"decision":"moved"' in platform.log
         assert b'"event":"engine_replaced"' in platform.log
@@ -225,9 +225,9 @@
     # The kill comes 0.8 s after SIGTERM.
     monkeypatch.setattr(graceful_shutdown, "MAX_DEADLINE_ALLOWANCE", 1_000)
     platform = platform_with(tmp_path, 6_000)
-    async with platform.inside() as running:
+    async with platform.inside() as server:
         end = asyncio.ensure_future(await running_stream(platform))
-        running.stop()
+        server.stop()
         await asyncio.wait([end], timeout=0.8)
         assert end.done()
 
@@ -240,17 +240,17 @@
     platform = platform_with(tmp_path, 6_000)
     platform.settings["family-info"]["resume"] = False
     proceed = asyncio.Event()
-    async with platform.inside() as running:
+    async with platform.inside() as server:
         platform.engines["w"].scripts = [streams_until(proceed)]
         client = await platform.client()
         client.send(post("q1"))
         response = await client.read_head()
-        running.stop()
-        await until(lambda: any(pending.left_open for pending in running.executor.requests.values()))
+        server.stop()
+        await until(lambda: any(pending.left_open for pending in server.executor.requests.values()))
         proceed.set()
         assert (await client.read_body(response)).complete
         await asyncio.wait_for(platform.run, WAIT)
-        assert not running.executor.invariants.counts
+        assert not server.executor.invariants.counts
 
 
 @pytest.mark.parametrize("held", ["port", "configuration"])
@@ -286,12 +286,12 @@
 
 async def test_a_pipelined_request_read_after_accepting_has_ended_is_answered(tmp_path: Path) -> None:
     platform, proceed = platform_with(tmp_path, 6_000), asyncio.Event()
-    async with platform.inside() as running:
+    async with platform.inside() as server:
         platform.engines["w"].scripts = [streams_until(proceed)]
         client = await platform.client()
         client.send(post("q1") + post("q2"))
         response = await client.read_head()
-        running.executor.closing = True
+        server.executor.closing = True
         proceed.set()
         assert (await client.read_body(response)).complete
         assert (await client.read_response()).status == 503
@@ -302,10 +302,10 @@
 ) -> None:
     monkeypatch.setattr(NodeExecutor, "fail_indeterminate", lambda executor, request: None)
     platform = platform_with(tmp_path, 6_000)
-    async with platform.inside() as running:
+    async with platform.inside() as server:
         response = await platform.ask(post("q1", req_extra="prompt_len=280000,max_out=40"))
         assert response.status == 500
-        assert running.executor.invariants.counts == {"closed_unanswered": 1}
+        assert server.executor.invariants.counts == {"closed_unanswered": 1}
 
 
 async def test_a_release_is_repeated_before_the_process_ends(
@@ -316,11 +316,11 @@
     platform = platform_with(tmp_path, 6_000)
     platform.settings["family-info"]["release-within-us"] = 5_000_000  # no release is due before the shutdown
     platform.engines["w"].scripts = [never_responds]
-    async with platform.inside() as running:
+    async with platform.inside() as server:
         client = await platform.client()
         client.send(post("q1"))
         await platform.until(lambda: len(platform.attempts("q1", "decode")) == 1)
-        running.stop()
+        server.stop()
         assert (await client.read_response()).status == 500
         await asyncio.wait_for(platform.run, WAIT)
         assert len(platform.release_calls("q1")) == 1 + len(REPEAT_DELAYS)
--- a/tests/test_slow_discovery_agent.py
+++ b/tests/test_slow_discovery_agent.py
@@ -155,8 +155,8 @@
 
     platform = Platform(tmp_path, ENGINES)
     monkeypatch.setattr("runspool.engines.connection_pool.connect", late_connect)
-    async with platform.inside(wait=False) as running:
-        await asyncio.wait_for(running.discovery.snapshot_received.wait(), CHANGE_LEARNED_WITHIN)
+    async with platform.inside(wait=False) as server:
+        await asyncio.wait_for(server.discovery.snapshot_received.wait(), CHANGE_LEARNED_WITHIN)
 
 
 async def test_node_adopts_the_list_of_a_late_agent_after_several_quick_reloads(tmp_path: Path) -> None:
--- a/tests/test_stored_forms.py
+++ b/tests/test_stored_forms.py
@@ -19,6 +19,7 @@
 RECORDED = Path(__file__).parent / "recorded"
 FILES = RECORDED / "files"
 EVENTS = sorted((RECORDED / "events").glob("*.xz"))
+# The position of the stored object among the values of an event, and its type, by kind of event.
 STORED_TYPES = {
     RecordedEvent.STARTED: (1, RoutingSettings),
     RecordedEvent.SUBMITTED: (0, Request),
@@ -28,40 +29,40 @@
 
 @pytest.mark.parametrize("recording", EVENTS, ids=lambda file: str(file.name))
 def test_replayed_events_produce_the_recorded_actions(recording: Path, tmp_path: Path) -> None:
-    plain = tmp_path / "events"
-    plain.write_bytes(lzma.decompress(recording.read_bytes()))
-    found = replay(plain)
-    assert found.first_difference == ""
-    assert found.actions > 400
+    uncompressed = tmp_path / "events"
+    uncompressed.write_bytes(lzma.decompress(recording.read_bytes()))
+    result = replay(uncompressed)
+    assert result.first_difference == ""
+    assert result.actions > 400
 
 
 @pytest.mark.parametrize("recording", EVENTS, ids=lambda file: str(file.name))
 def test_events_are_still_recorded_in_the_format_of_old_recordings(recording: Path) -> None:
-    seen = set()
+    checked = set()
     for line in lzma.decompress(recording.read_bytes()).splitlines():
-        _, word, *values = msgspec.json.decode(line)
-        if word == RecordedEvent.ENDPOINTS_UPDATED:
-            assert [to_stored(from_stored(one, EngineRecord)) for one in values[1]] == values[1]
-        elif word in STORED_TYPES:
-            position, kind = STORED_TYPES[RecordedEvent(word)]
-            assert to_stored(from_stored(values[position], kind)) == values[position]
+        _, event_name, *values = msgspec.json.decode(line)
+        if event_name == RecordedEvent.ENDPOINTS_UPDATED:
+            assert [to_stored(from_stored(record, EngineRecord)) for record in values[1]] == values[1]
+        elif event_name in STORED_TYPES:
+            position, stored_type = STORED_TYPES[RecordedEvent(event_name)]
+            assert to_stored(from_stored(values[position], stored_type)) == values[position]
         else:
             continue
-        seen.add(word)
-    assert seen == {*STORED_TYPES, RecordedEvent.ENDPOINTS_UPDATED}
+        checked.add(event_name)
+    assert checked == {*STORED_TYPES, RecordedEvent.ENDPOINTS_UPDATED}
 
 
-@pytest.mark.parametrize("kind", STORED_NAMES, ids=lambda kind: str(kind.__name__))
-def test_every_stored_name_maps_to_one_field(kind: type) -> None:
-    names = {one.name for one in fields(kind)}
-    assert set(STORED_NAMES[kind]) <= names
-    assert len({STORED_NAMES[kind].get(name, name) for name in names}) == len(names)
+@pytest.mark.parametrize("stored_type", STORED_NAMES, ids=lambda stored_type: str(stored_type.__name__))
+def test_every_stored_name_maps_to_one_field(stored_type: type) -> None:
+    names = {field.name for field in fields(stored_type)}
+    assert set(STORED_NAMES[stored_type]) <= names
+    assert len({STORED_NAMES[stored_type].get(name, name) for name in names}) == len(names)
 
 
 def test_an_old_endpoint_snapshot_loads() -> None:
-    found = snapshot.load_snapshot(FILES / "endpoints.snapshot")
-    assert found is not None and found.version == 7
-    assert [(entry.engine, entry.state) for entry in found.engines] == [
+    loaded = snapshot.load_snapshot(FILES / "endpoints.snapshot")
+    assert loaded is not None and loaded.version == 7
+    assert [(entry.engine, entry.state) for entry in loaded.engines] == [
         ("waw-1-prefill-0", "on"),
         ("waw-2-decode-0", "draining"),
     ]
