--- a/runspool/cells/cell_map.py
+++ b/runspool/cells/cell_map.py
@@ -19,10 +19,9 @@
 Fraction = Annotated[float, Field(ge=0, le=1)]
 Milliseconds = Annotated[float, Field(ge=0, le=86_400_000)]
 
-# Limits on the size of a map
-MAX_CELLS = 256
-MAX_TENANTS = 100_000
-MAX_MOVES = 1_000
+MAX_CELLS = 256  # maximum number of cells, or of shards, in a map
+MAX_TENANTS = 100_000  # maximum number of tenants in a map
+MAX_MOVES = 1_000  # maximum number of moves in a map
 WHOLE_FLEET = "whole"  # the name of the single cell that a map without cells stands for
 # Stands in place of a tenant's cell: its sessions are spread over all cells, each session in one cell.
 ALL_CELLS = "*"
--- a/runspool/node/discovery_call_planner.py
+++ b/runspool/node/discovery_call_planner.py
@@ -31,20 +31,27 @@
 from runspool.node.discovery_call import DiscoveryCall
 from runspool.node.search_backoff import SearchBackoff
 
-WATCH_WAIT = 10_000  # how long the agent may delay its response to a watch while nothing changes
-# Bounds of the time from the end of a watch's wait until the watch counts as overdue. In between, this time
-# depends on the agent's response latency. The upper bound applies to slow agents too, because an agent that
-# has stopped responding must be detected within seconds.
+# How long the agent may delay its response to a watch while nothing changes, in tenths of a millisecond.
+WATCH_WAIT = 10_000
+# A watch counts as overdue when a margin has passed after the end of its wait. The margin depends on the
+# agent's response latency. This is its lower bound, in tenths of a millisecond.
 MIN_OVERDUE_MARGIN = 4_000
+# Upper bound of the same margin, in tenths of a millisecond. It applies to slow agents too, because an agent
+# that has stopped responding must be detected within seconds.
 MAX_OVERDUE_MARGIN = 20_000
-MIN_WATCH_INTERVAL = 500  # shortest interval between two watches, even if the agent responds to each at once
-RECEIVE_TIMEOUT = 4_000  # a response counts as stalled if no further bytes of it arrive for this time
-# A response that is incomplete for this time after its first byte counts as stalled even if bytes still come.
+# Shortest interval between two watches, in tenths of a millisecond, even if the agent responds to each at
+# once.
+MIN_WATCH_INTERVAL = 500
+# A response counts as stalled if no further bytes of it arrive for this time, in tenths of a millisecond.
+RECEIVE_TIMEOUT = 4_000
+# A response that is incomplete for this time after its first byte, in tenths of a millisecond, counts as
+# stalled even if bytes still come.
 MAX_RECEIVE_DURATION = 30_000
 MAX_OPEN_CALLS = 6  # maximum number of calls that are open at the same time
 MAX_REMEMBERED_GIVEN_UP = 1_000  # maximum number of given-up calls that are remembered
-# Lower bound of the replacement age. If the agent refuses a further connection, the oldest open call is given
-# up so that a new call can be made, provided that it has been open for its wait plus the replacement age.
+# Lower bound of the replacement age, in tenths of a millisecond. If the agent refuses a further connection,
+# the oldest open call is given up so that a new call can be made, provided that it has been open for its wait
+# plus the replacement age.
 MIN_REPLACEMENT_AGE = 20_000
 
 
--- a/runspool/scheduling/admission.py
+++ b/runspool/scheduling/admission.py
@@ -58,7 +58,7 @@
 RETRY_AFTER_FACTOR = 4
 # Half-life of a tenant's decayed count of arrivals.
 ARRIVAL_HALF_LIFE_SECONDS = 2
-LN_2 = 0.693
+LN_2 = 0.693  # natural logarithm of 2, which relates a half-life to a decay rate
 # Factor by which a tenant may exceed this front's share of its quota.
 SHARE_TOLERANCE = 1.3
 # Requests that a tenant may send in a burst beyond its tolerated share.
--- a/runspool/scheduling/settings.py
+++ b/runspool/scheduling/settings.py
@@ -62,7 +62,8 @@
     1 over `slow_start_duration`. It fails if within `slow_start_overload_window` it receives more than
     `slow_start_overload_multiple` times its current capacity.
 
-    A timeout of 0 means that no timeout applies.
+    `state_release_timeout` is how long an engine may keep the state of a prefill for a request; by then the
+    front must have released it. A timeout of 0 means that no timeout applies.
     """
 
     front_index: int
--- a/runspool/service/cell_map_watcher.py
+++ b/runspool/service/cell_map_watcher.py
@@ -32,7 +32,7 @@
         """Return the cell map to start with and the Unix time in milliseconds at which it was adopted.
 
         The snapshot of the previous run is used unless the file contains a newer map, which is then stored
-        as adopted at `adopted_unix_ms`. Returns None and 0 if neither can be read. Raises OSError if the map
+        as adopted at `adopted_unix_ms`. Return None and 0 if neither can be read. Raise OSError if the map
         cannot be stored.
         """
         stored = self._load_snapshot()
--- a/runspool/service/cell_scheduler.py
+++ b/runspool/service/cell_scheduler.py
@@ -100,7 +100,7 @@
         self._notify(RecordedEvent.TIMER_FIRED, self.driver.timer_fired, token)
 
     def abandon(self, request: int) -> None:
-        """Drop a request on which the scheduler raised an exception; does nothing if it is unknown."""
+        """Drop a request on which the scheduler raised an exception; do nothing if it is unknown."""
         self._notify(RecordedEvent.ABANDONED, self.driver.abort_task, request)
 
     def begin_shutdown(self, by: int) -> None:
--- a/runspool/service/deadline_guard.py
+++ b/runspool/service/deadline_guard.py
@@ -8,13 +8,12 @@
 from runspool.service.pending_request import PendingRequest
 from runspool.service.timer_queue import DeadlineGuardTimer, ExecutorTimer, TimerQueue
 
-# All times are in tenths of a millisecond.
-
-# A guard that fires late by at least this time is scheduled again after the same time, so that the timers of
-# the scheduler are handled first.
+# A guard that fires late by at least this time, in tenths of a millisecond, is scheduled again after the same
+# time, so that the timers of the scheduler are handled first.
 GUARD_DEFERRAL = 10
-# The time between the end of a request's attempts and the start of the response slack. If a guard fires late
-# by this time or more, the cause is a delay of the process, not a failure of the scheduler.
+# The time, in tenths of a millisecond, between the end of a request's attempts and the start of the response
+# slack. If a guard fires late by this time or more, the cause is a delay of the process, not a failure of the
+# scheduler.
 GUARD_MARGIN = 50
 
 
@@ -28,7 +27,8 @@
     def __init__(self, timers: TimerQueue[ExecutorTimer], response_slack: int) -> None:
         """Initialize the guard.
 
-        `response_slack` is the time before a deadline that is reserved for sending the response.
+        `response_slack` is the time before a deadline that is reserved for sending the response, in tenths of
+        a millisecond.
         """
         self.timers = timers
         self.response_slack = response_slack
@@ -49,7 +49,7 @@
         """Schedule the timer again if it has fired late, at most once per request.
 
         After the process was paused, many timers are due at once. The deferral lets the scheduler's timers
-        run first, so that the scheduler can still answer the request itself. Returns whether the timer was
+        run first, so that the scheduler can still answer the request itself. Return whether the timer was
         scheduled again.
         """
         if pending.guard_deferred or self._lateness(pending) < GUARD_DEFERRAL:
--- a/runspool/service/endpoint_registry.py
+++ b/runspool/service/endpoint_registry.py
@@ -65,7 +65,7 @@
     def apply(self, changed: Iterable[EndpointEntry]) -> list[EngineReplacement]:
         """Apply changed entries of the endpoint list and delete the oldest removed engines.
 
-        Returns the engines whose process, role or address has changed.
+        Return the engines whose process, role or address has changed.
         """
         replacements = []
         for entry in changed:
--- a/runspool/service/front.py
+++ b/runspool/service/front.py
@@ -102,7 +102,7 @@
     ) -> PendingCompletion:
         """Accept a request and submit it to its cell's scheduler.
 
-        Every accepted request receives exactly one final response. Raises RequestNotAcceptedError if the
+        Every accepted request receives exactly one final response. Raise RequestNotAcceptedError if the
         front is shutting down or the cell router refuses the request.
         """
         if self.closing:
--- a/runspool/service/front_server.py
+++ b/runspool/service/front_server.py
@@ -74,7 +74,7 @@
         """Serve requests until stop() is called, then shut down gracefully.
 
         `task_status` receives the listening port once the front accepts connections. If cancelled, the front
-        ends at once. Raises OSError if the address cannot be bound.
+        ends at once. Raise OSError if the address cannot be bound.
         """
         try:
             await self._run(task_status)
--- a/runspool/service/http_connection.py
+++ b/runspool/service/http_connection.py
@@ -25,10 +25,10 @@
     encode_response_head,
 )
 
-# After a request was refused, further bytes from the client are read and discarded for at most this time and
-# amount. Closing a socket with unread bytes resets the connection, and the client might lose the response.
-LINGER_SECONDS = 1.0
-LINGER_BYTES = 8 << 20
+# After a request was refused, further bytes from the client are read and discarded before the socket is
+# closed. Closing a socket with unread bytes resets the connection, and the client might lose the response.
+LINGER_SECONDS = 1.0  # maximum time for which bytes are discarded
+LINGER_BYTES = 8 << 20  # maximum number of bytes that are discarded; more may arrive in the last read
 
 
 class ConnectionLimits(Protocol):
@@ -259,7 +259,7 @@
     async def send_response(
         self, status: int, body: bytes, headers: list[tuple[str, str]] | None = None
     ) -> None:
-        """Send a complete response with a JSON body. Raises the same errors as send()."""
+        """Send a complete response with a JSON body; raise the same errors as send()."""
         fields = [("Content-Type", "application/json"), ("Content-Length", str(len(body))), *(headers or [])]
         if self.closes_after_response:
             fields.append(("Connection", "close"))
--- a/runspool/service/request_executor.py
+++ b/runspool/service/request_executor.py
@@ -149,7 +149,7 @@
     def migrate_stream(self, request: int) -> None:
         """End a running stream so that its client requests the remainder again.
 
-        Does nothing if the request has ended or its stream has not started.
+        Do nothing if the request has ended or its stream has not started.
         """
         pending = self.requests.get(request)
         if pending is None or not pending.stream_started:
--- a/runspool/service/streaming_response.py
+++ b/runspool/service/streaming_response.py
@@ -67,7 +67,7 @@
     async def forward(self, data: bytes) -> None:
         """Write a part of the response and wait until the kernel has accepted it.
 
-        Raises ConnectionClosedError if the connection is lost. `write_interrupted` stays set if the wait is
+        Raise ConnectionClosedError if the connection is lost. `write_interrupted` stays set if the wait is
         cancelled or fails.
         """
         self.connection.response_started = True
