--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -25,7 +25,7 @@
 
 pytestmark = pytest.mark.anyio
 ENGINES = {"r": "prefill", "w": "decode"}  # type by engine name
-DRAINING_ENGINES = 3_200  # number of further engines on the list
+DRAINING_ENGINES = 3_200  # number of draining engines on the list
 AFTER = "after="  # query parameter of a call that asks for the changes since a version of the list
 
 
@@ -74,7 +74,7 @@
         platform.tell(r="leaving")
         await platform.logged("endpoint_list_changed")
         snapshots = [target for target in platform.lists if AFTER not in target]
-        assert len(snapshots) <= 6  # more concurrent calls would slow each other down
+        assert len(snapshots) <= 6  # with a new call every 0.1 s, the calls would slow each other down
         platform.tell(r="active")
         assert (await platform.ask(post("q1"))).complete
 
@@ -92,7 +92,7 @@
 async def test_start_waits_for_a_port_that_is_still_in_use(tmp_path: Path) -> None:
     """The previous process, or an outgoing connection of another process, may still use the port."""
     platform = Platform(tmp_path, ENGINES)
-    async with platform._around():
+    async with platform.running_peers():
         with socket.socket() as listener:
             listener.bind((HOST, 0))
             listener.listen()
@@ -100,7 +100,7 @@
             process = await start_node(platform)
             await asyncio.sleep(1.0)
             assert process.returncode is None
-        await platform._answers()
+        await platform.until_accepting_connections()
         assert (await platform.ask(post("q1"))).complete
         process.terminate()
         assert await asyncio.wait_for(process.wait(), WAIT) == 0
@@ -108,7 +108,7 @@
 
 async def test_start_reads_a_half_written_configuration_again(tmp_path: Path) -> None:
     platform = Platform(tmp_path, ENGINES)
-    async with platform._around():
+    async with platform.running_peers():
         platform.port = free_port()
         file = platform.write_config()
         complete = file.read_bytes()
@@ -116,7 +116,7 @@
         process = await start_node(platform, write_config=False)
         await asyncio.sleep(0.8)
         file.write_bytes(complete)
-        await platform._answers()
+        await platform.until_accepting_connections()
         assert (await platform.ask(post("q1"))).complete
         process.terminate()
         assert await asyncio.wait_for(process.wait(), WAIT) == 0
