--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -101,9 +101,8 @@
         response = await platform.send_request(post("q1", "book"))
         assert response.status == 503
         assert float(response.headers["retry-after"]) <= 2.0
-        await platform.wait_until(
-            lambda: len(platform.release_calls("q1")) >= 1
-        )  # of the state that no engine fetched
+        # No engine fetched the state, so it is released.
+        await platform.wait_until(lambda: len(platform.release_calls("q1")) >= 1)
 
 
 def drains(platform: Platform) -> None:
@@ -138,11 +137,11 @@
 
     platform = Platform(tmp_path, PAIR)
     monkeypatch.setattr("runspool.engines.connection_pool.connect", delayed_connect)
-    async with platform.open_in_process() as running:
+    async with platform.open_in_process() as server:
         response = asyncio.ensure_future(platform.send_request(post("q1", "book")))
         await asyncio.wait_for(connecting.wait(), 15)
         change(platform)
-        await wait_until(lambda: running.executor.endpoint_tracker.version == platform.version)
+        await wait_until(lambda: server.executor.endpoint_tracker.version == platform.version)
         proceed.set()
         assert (await response).status == 503  # known not to have executed
         assert platform.attempts("q1", "decode") == [] == sent
--- a/tests/test_node_configuration.py
+++ b/tests/test_node_configuration.py
@@ -122,11 +122,11 @@
         platform.settings = with_setting(SETTINGS, path, value)
         with capture_logs() as log:
             try:
-                async with platform.open_in_process() as running:
+                async with platform.open_in_process() as server:
                     response = await platform.send_request(post("q1", req_deadline="700m"))
                     assert response.status in (200, 400, 500, 503) and response.complete
-                    running.stop()
-                    await wait_until(lambda: running.executor.shutdown_deadline)
+                    server.stop()
+                    await wait_until(lambda: server.executor.shutdown_deadline)
                     assert not platform.node_task.done(), value
             except InvalidNodeConfigError as error:
                 path_names = [str(key) for key in path if isinstance(key, str)]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -25,7 +25,7 @@
 
 pytestmark = pytest.mark.anyio
 ENGINES = {"r": "prefill", "w": "decode"}  # type by engine name
-DRAINING_ENGINES = 3_200  # number of further engines on the list
+DRAINING_ENGINES = 3_200  # number of draining engines on the list
 AFTER = "after="  # query parameter of a call that asks for the changes since a version of the list
 
 
@@ -74,7 +74,7 @@
         platform.publish_states(r="leaving")
         await platform.wait_for_log_event("endpoint_list_changed")
         snapshots = [target for target in platform.list_requests if AFTER not in target]
-        assert len(snapshots) <= 6  # more concurrent calls would slow each other down
+        assert len(snapshots) <= 6  # with a new call every 0.1 s, the calls would slow each other down
         platform.publish_states(r="active")
         assert (await platform.send_request(post("q1"))).complete
 
