--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -163,8 +163,8 @@
 
 
 FORGED_RECORDINGS: dict[str, tuple[str, Callable[[], list[Event]]]] = {
-    "no answer": (REQUEST_LOST, lambda: without_events(clean_recording(), "answer", "first", "end")),
-    "no answer, and the client says so": (
+    "no final response": (REQUEST_LOST, lambda: without_events(clean_recording(), "answer", "first", "end")),
+    "no final response, as the client reports": (
         REQUEST_LOST,
         lambda: [
             *without_events(clean_recording(), "answer", "first", "end"),
@@ -175,12 +175,12 @@
         REQUEST_LOST,
         lambda: [*without_events(clean_recording(), "answer", "end"), *answer_events(15_000, "lost")],
     ),
-    "two answers": (REQUEST_LOST, lambda: [*clean_recording(), *answer_events(20_100)]),
-    "more after the answer": (
+    "two final responses": (REQUEST_LOST, lambda: [*clean_recording(), *answer_events(20_100)]),
+    "bytes after the final response": (
         REQUEST_LOST,
         lambda: [*clean_recording(), event_at(20_100, "extra", bytes=9, try_="1.1")],
     ),
-    "a late answer": (
+    "a late final response": (
         REQUEST_LOST,
         lambda: [
             *without_events(clean_recording(), "answer", "first", "end"),
@@ -192,19 +192,19 @@
         lambda: [*without_events(clean_recording(), "first"), event_at(71_000, "first", try_="1.1")],
     ),
     "a gap in a stream": (REQUEST_LOST, lambda: [*clean_recording(), event_at(15_000, "gap", try_="1.1")]),
-    "sent after the end": (
+    "an attempt after the final response": (
         REQUEST_LOST,
         lambda: [*clean_recording(), *attempt_events(25_000, 25_100, 3, "e3", "read", how="read", ran=False)],
     ),
-    "exclusive run twice": (
+    "an at-most-once request executed twice": (
         EXECUTED_TWICE,
         lambda: [*clean_recording(), *attempt_events(20_000, 20_001, 3, "e3")],
     ),
-    "exclusive sent again after it may have run": (
+    "an at-most-once request retried after it may have executed": (
         EXECUTED_TWICE,
         lambda: [*clean_recording(), *attempt_events(10_050, 10_060, 9, "e3", how="mishap", ran=False)],
     ),
-    "exclusive sent again after its engine was killed": (
+    "an at-most-once request retried after its engine was killed": (
         EXECUTED_TWICE,
         lambda: [
             *clean_recording(),
@@ -212,18 +212,18 @@
             event_at(10_070, "killed", process="e3", engine="e3"),
         ],
     ),
-    "exclusive dismissed though it may have run": (
+    "an at-most-once request rejected although it may have executed": (
         EXECUTED_TWICE,
         lambda: [
             *without_events(clean_recording(), "answer", "first", "end"),
             *answer_events(20_001, "dismissed"),
         ],
     ),
-    "two shots at once": (
+    "two concurrent attempts": (
         EXECUTED_TWICE,
         lambda: [*clean_recording("ask"), *attempt_events(12_000, 15_000, 3, "e3", tariff="ask", ran=False)],
     ),
-    "ticket outside its group": (
+    "a keyed retry outside its deduplication scope": (
         EXECUTED_TWICE,
         lambda: [
             event
@@ -231,22 +231,25 @@
             for event in keyed_retry_recording("e3", 12_500)
         ],
     ),
-    "ticket past its window": (EXECUTED_TWICE, lambda: keyed_retry_recording("e3", 10_110 + 60_000)),
-    "sent after a drain": (
+    "a keyed retry after its deduplication window": (
+        EXECUTED_TWICE,
+        lambda: keyed_retry_recording("e3", 10_110 + 60_000),
+    ),
+    "an attempt after a drain": (
         SENT_AFTER_DRAIN,
         lambda: [
             *clean_recording(),
             *attempt_events(9_000, 9_010, 3, "e1", "read", try_="0.1", how="read", ran=False),
         ],
     ),
-    "sent after a list that no longer names it": (
+    "an attempt after a list without the engine": (
         SENT_AFTER_DRAIN,
         lambda: [
             *clean_recording(),
             event_at(3_000, "told", front="front-0", version=3, whole=True, engines=[["e0", "on", 0]]),
         ],
     ),
-    "cold engine flooded": (
+    "a cold engine overloaded": (
         COLD_OVERLOADED,
         lambda: [
             *clean_recording(),
@@ -260,7 +263,7 @@
             ],
         ],
     ),
-    "state kept": (
+    "a state released too late": (
         STATE_KEPT,
         lambda: [
             event | ({"t": 18_000} if event["what"] == "taken" else {})
@@ -268,7 +271,7 @@
             if event.get("request") != "1.1.2"
         ],
     ),
-    "state kept, its front killed long after": (
+    "a state released too late, its front killed long after": (
         STATE_KEPT,
         lambda: [
             *(
@@ -279,14 +282,14 @@
             event_at(29_000, "killed", process="front-0", front="front-0"),
         ],
     ),
-    "no answer, its front killed long after": (
+    "no final response, its front killed long after": (
         REQUEST_LOST,
         lambda: [
             *without_events(clean_recording(), "answer", "first", "end"),
             event_at(90_000, "killed", process="front-0", front="front-0"),
         ],
     ),
-    "sent after a drain that late news overtook": (
+    "an attempt after a drain that an outdated update followed": (
         SENT_AFTER_DRAIN,
         lambda: [
             *clean_recording(),
@@ -294,7 +297,7 @@
             *attempt_events(9_000, 9_010, 3, "e1", "read", try_="0.1", how="read", ran=False),
         ],
     ),
-    "state never let go": (
+    "a state never released": (
         STATE_KEPT,
         lambda: [
             event for event in without_events(clean_recording(), "taken") if event.get("request") != "1.1.2"
--- a/tests/test_auditor_rejects_forged_recordings.py
+++ b/tests/test_auditor_rejects_forged_recordings.py
@@ -207,46 +207,46 @@
 
 ENGINE_TYPES = ["prefill", "prefill", "decode", "decode"]
 CASES: dict[str, tuple[InstallDefect, str, InjectFault, list[PlannedRequest], dict[str, Any]]] = {
-    "exclusive twice": (
+    "at-most-once request executed twice": (
         treat_executed_attempts_as_not_sent,
         EXECUTED_TWICE,
         reset_by_decode_engines,
         requests(8, BOOK),
         {},
     ),
-    "ticket outside its group": (
+    "keyed retry outside its deduplication scope": (
         treat_executed_attempts_as_not_sent,
         EXECUTED_TWICE,
         reset_by_decode_engines,
         requests(12, MARK),
         {},
     ),
-    "two shots at once": (send_each_attempt_twice, EXECUTED_TWICE, no_fault, requests(6, out=60), {}),
-    "no answer": (send_no_final_response, REQUEST_LOST, no_fault, requests(4, limit=8_000), {}),
-    "late answer": (
+    "two concurrent attempts": (send_each_attempt_twice, EXECUTED_TWICE, no_fault, requests(6, out=60), {}),
+    "no final response": (send_no_final_response, REQUEST_LOST, no_fault, requests(4, limit=8_000), {}),
+    "late final response": (
         send_late_final_responses,
         REQUEST_LOST,
         overloaded_decode_engines,
         requests(4, limit=6_000),
         {},
     ),
-    "speaks after the end": (send_bytes_after_the_response, REQUEST_LOST, no_fault, requests(4), {}),
-    "loses a token": (drop_a_token, REQUEST_LOST, no_fault, requests(4), {}),
-    "sends after a drain": (
+    "bytes after the response": (send_bytes_after_the_response, REQUEST_LOST, no_fault, requests(4), {}),
+    "lost token": (drop_a_token, REQUEST_LOST, no_fault, requests(4), {}),
+    "attempt after a drain": (
         ignore_drains,
         SENT_AFTER_DRAIN,
         drain_first_engine,
         requests(50, gap=300),
         {"drain_grace": 500},
     ),
-    "keeps states": (
+    "states never released": (
         release_no_state,
         STATE_KEPT,
         overloaded_decode_engines,
         requests(6, limit=30_000),
         {"state_release_timeout": 4_000, "held_on": 1.5},
     ),
-    "floods a cold engine": (
+    "cold engine overloaded": (
         ignore_slow_start,
         COLD_OVERLOADED,
         no_fault,
@@ -256,7 +256,7 @@
 }
 
 
-@pytest.mark.parametrize("defective", [False, True], ids=["sound", "doctored"])
+@pytest.mark.parametrize("defective", [False, True], ids=["unmodified", "defective"])
 @pytest.mark.parametrize("case", CASES)
 async def test_only_a_defective_front_violates_the_rule_of_its_case(
     case: str, defective: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
