--- a/tests/node_platform/agent.py
+++ b/tests/node_platform/agent.py
@@ -72,7 +72,7 @@
         self.publish_states(**{engine: "active"})
 
     @asynccontextmanager
-    async def agent(self) -> AsyncIterator[int]:
+    async def run_agent(self) -> AsyncIterator[int]:
         """Run the agent; yield its port."""
         agent = await asyncio.start_server(self._serve_agent, HOST, 0)
         try:
--- a/tests/node_platform/agent_pace.py
+++ b/tests/node_platform/agent_pace.py
@@ -74,9 +74,9 @@
     async def answer(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, make_body: MakeBody
     ) -> float | None:
-        """Answer one call; return the seconds spent on processing and sending, or None without an answer.
+        """Answer one call; return how many seconds that took, or None if the call gets no answer.
 
-        Time spent in outages does not count.
+        The wait for the processing of other calls counts, time spent in outages does not.
         """
         outages = self.outages_begun - self.outages
         await self.reachable.wait()
--- a/tests/node_platform/inspection.py
+++ b/tests/node_platform/inspection.py
@@ -49,11 +49,11 @@
     )
 
 
-async def open_idle_connection(platform: Platform, running: NodeServer) -> tuple[Client, RequestHandler]:
+async def open_idle_connection(platform: Platform, server: NodeServer) -> tuple[Client, RequestHandler]:
     """Return a client with an idle connection after a response, and the node's handler of the connection."""
     client = await platform.client()
     client.send(post("q0"))
     assert (await client.read_response()).complete
-    (handler,) = running.connections.handlers
+    (handler,) = server.connections.handlers
     await wait_until(lambda: handler.idle_since)  # set some event-loop iterations after the response is sent
     return client, handler
--- a/tests/node_platform/platform.py
+++ b/tests/node_platform/platform.py
@@ -94,15 +94,15 @@
         async with self.running_peers():
             config = read_node_config({"BALANCER_CONFIG": str(self.write_config(listen="127.0.0.1:1"))})
             config = replace(config, listen=("127.0.0.1", 0))
-            running, ready = NodeServer(config, lambda: config, self.sockets), _Ready()
-            task = self.node_task = asyncio.ensure_future(running.run(task_status=ready))
+            server, ready = NodeServer(config, lambda: config, self.sockets), _Ready()
+            task = self.node_task = asyncio.ensure_future(server.run(task_status=ready))
             if wait:
                 await ready.wait()
-            while not running.port:
+            while not server.port:
                 await asyncio.sleep(0)
-            self.port = running.port
+            self.port = server.port
             try:
-                yield running
+                yield server
             finally:
                 task.cancel()
                 await asyncio.gather(task, return_exceptions=True)
@@ -110,7 +110,7 @@
     @asynccontextmanager
     async def running_peers(self) -> AsyncIterator[None]:
         """Run engines and agent; close connections to the node that the test left open at the end."""
-        async with self.agent() as self.agent_port:
+        async with self.run_agent() as self.agent_port:
             for engine in self.engines.values():
                 await engine.start()
             try:
@@ -127,7 +127,7 @@
         await self._start_process()
         logging = asyncio.ensure_future(self._collect_log())
         try:
-            await (self._until_ready() if ready else self.until_accepting_connections())
+            await (self._wait_until_ready() if ready else self.wait_until_accepting_connections())
             yield
             expected = (None, -signal.SIGKILL, 0) if self.killed else (None, 0)
             assert self.process.returncode in expected, self.log.decode()
@@ -151,10 +151,10 @@
             env=os.environ | {"BALANCER_CONFIG": str(file), "RUNSPOOL_LOG": "debug"},
         )
 
-    async def _until_ready(self) -> None:
+    async def _wait_until_ready(self) -> None:
         """Wait until the node reports that it is healthy and watches the endpoint list."""
         if self.redirection:
-            await self.until_accepting_connections()
+            await self.wait_until_accepting_connections()
         else:
             await self.wait_for_log_event("node_listening")
         client = await self.client()
@@ -166,7 +166,7 @@
             or bool(self.scripted_list_responses)
         )
 
-    async def until_accepting_connections(self) -> None:
+    async def wait_until_accepting_connections(self) -> None:
         """Wait until the node accepts connections, without use of its log."""
         async with asyncio.timeout(WAIT_TIMEOUT):
             while True:
--- a/tests/test_admission_decisions.py
+++ b/tests/test_admission_decisions.py
@@ -87,8 +87,8 @@
 
 
 def test_thirty_waiting_requests_cost_less_than_six_times_the_engine_selections_of_one() -> None:
-    def selections(waiting_requests: int) -> int:
-        """Return how many engine selections one second takes while this many requests wait."""
+    def count_selections(waiting_requests: int) -> int:
+        """Return how many engine count_selections one second takes while this many requests wait."""
         host = FakeSchedulerHost([PREFILL, DECODE], routing_settings(max_attempts=5))
         scheduler = host.driver.scheduler
         select_engine = scheduler.select_engine
@@ -109,6 +109,6 @@
         host.advance(SECOND - 100)
         return count - count_before
 
-    with_one, with_many = selections(1), selections(30)
+    with_one, with_many = count_selections(1), count_selections(30)
     assert with_one > 0
     assert with_many < 6 * with_one
--- a/tests/test_auditor_rejects_forged_recordings.py
+++ b/tests/test_auditor_rejects_forged_recordings.py
@@ -46,7 +46,7 @@
 def requests(
     count: int, request_class: int = ASK, gap: int = 50, limit: int = 20_000, out: int = 6
 ) -> list[PlannedRequest]:
-    """Return requests `gap` tenths of a millisecond apart, each with `limit` tenths to be served in."""
+    """Return requests `gap` apart with the time limit `limit`, both in tenths of a millisecond."""
     return [
         PlannedRequest(
             f"i{at}",
@@ -77,13 +77,13 @@
 # Faults of the engines and of the endpoint list.
 
 
-async def reset_by_decode_engines(fleet: SmallFleet) -> None:
+async def reset_decode_attempts(fleet: SmallFleet) -> None:
     for engine in fleet.engines:
         if engine.spec.role == "writer":
             engine.set_fault("row", row="reset_after", share=0.7)
 
 
-async def overloaded_decode_engines(fleet: SmallFleet) -> None:
+async def overload_decode_engines(fleet: SmallFleet) -> None:
     for engine in fleet.engines:
         if engine.spec.role == "writer":
             engine.set_fault("row", row="full_503", share=1.0)
@@ -101,7 +101,7 @@
             await anyio.sleep(0.01)
 
 
-# Defects of a front.
+# Defects of a front, each installed by a function that patches it.
 
 
 def treat_executed_attempts_as_not_sent(patch: pytest.MonkeyPatch) -> None:
@@ -210,14 +210,14 @@
     "at-most-once request executed twice": (
         treat_executed_attempts_as_not_sent,
         EXECUTED_TWICE,
-        reset_by_decode_engines,
+        reset_decode_attempts,
         requests(8, BOOK),
         {},
     ),
     "keyed retry outside its deduplication scope": (
         treat_executed_attempts_as_not_sent,
         EXECUTED_TWICE,
-        reset_by_decode_engines,
+        reset_decode_attempts,
         requests(12, MARK),
         {},
     ),
@@ -226,7 +226,7 @@
     "late final response": (
         send_late_final_responses,
         REQUEST_LOST,
-        overloaded_decode_engines,
+        overload_decode_engines,
         requests(4, limit=6_000),
         {},
     ),
@@ -242,7 +242,7 @@
     "states never released": (
         release_no_state,
         STATE_KEPT,
-        overloaded_decode_engines,
+        overload_decode_engines,
         requests(6, limit=30_000),
         {"state_release_timeout": 4_000, "held_on": 1.5},
     ),
--- a/tests/test_client_connections.py
+++ b/tests/test_client_connections.py
@@ -50,14 +50,14 @@
 async def test_a_client_that_sends_excess_data_before_its_response_still_gets_it(tmp_path: Path) -> None:
     proceed = asyncio.Event()
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.open_in_process() as running:
+    async with platform.open_in_process() as server:
         platform.engines["r"].scripts = [responds(PREFILL_RESPONSE, proceed)]
         client = await platform.client()
         client.send(post("q1"))
         await platform.wait_until(lambda: len(platform.attempts("q1")) == 1)
         client.send(b"x" * 400_000)
         await asyncio.wait_for(client.writer.drain(), WAIT_TIMEOUT)
-        (handler,) = running.connections.handlers
+        (handler,) = server.connections.handlers
         await wait_until(lambda: handler.tcp.discarded_bytes)
         proceed.set()
         response = await client.read_response()
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -41,7 +41,7 @@
     bytes_ahead: int, tmp_path: Path
 ) -> None:
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.open_in_process() as running:
+    async with platform.open_in_process() as server:
         platform.engines["r"].scripts = [never_responds]
         client = await platform.client()
         client.send(post("q1"))
@@ -52,19 +52,19 @@
             await asyncio.wait_for(client.writer.drain(), WAIT_TIMEOUT)
         client.writer.close()
         await platform.wait_until(lambda: len(platform.release_calls("q1")) == 1)
-        await assert_released(platform, running.executor, "q1", 1)
+        await assert_released(platform, server.executor, "q1", 1)
 
 
 async def test_a_queued_request_whose_client_disconnects_is_never_sent(tmp_path: Path) -> None:
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.open_in_process() as running:
+    async with platform.open_in_process() as server:
         platform.publish_states(r="leaving")
-        await wait_until_listed(running.executor, "draining", "r")
+        await wait_until_listed(server.executor, "draining", "r")
         client = await platform.client()
         client.send(post("q1"))
-        await wait_until(lambda: running.executor.requests)
+        await wait_until(lambda: server.executor.requests)
         client.close()
-        await assert_released(platform, running.executor, "q1", 0)
+        await assert_released(platform, server.executor, "q1", 0)
 
 
 async def test_a_client_that_disconnects_between_prefill_and_decode_has_its_state_released(
@@ -74,21 +74,21 @@
     platform.settings = changed_settings(
         lambda settings: settings["family-info"].update({"release-within-us": 60_000_000})
     )
-    async with platform.open_in_process() as running:
+    async with platform.open_in_process() as server:
         proceed = asyncio.Event()
         platform.engines["r"].scripts = [responds(PREFILL_RESPONSE, proceed)]
         client = await platform.client()
         client.send(post("q1"))
         await platform.wait_until(lambda: len(platform.attempts("q1")) == 1)
         platform.publish_states(w="leaving")
-        await wait_until_listed(running.executor, "draining", "w")
+        await wait_until_listed(server.executor, "draining", "w")
         proceed.set()
         await wait_until(
-            lambda: any(pending.prefill_endpoint for pending in running.executor.requests.values())
+            lambda: any(pending.prefill_endpoint for pending in server.executor.requests.values())
         )
         client.close()
         await platform.wait_until(lambda: len(platform.release_calls("q1")) == 1)
-        await assert_released(platform, running.executor, "q1", 1)
+        await assert_released(platform, server.executor, "q1", 1)
 
 
 async def test_a_request_whose_client_disconnects_while_the_node_connects_to_its_engine_is_not_sent(
@@ -103,17 +103,15 @@
         return await connect(address, source)
 
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.open_in_process() as running:
+    async with platform.open_in_process() as server:
         monkeypatch.setattr("runspool.engines.connection_pool.connect", delayed_connect)
         client = await platform.client()
         client.send(post("q1"))
         await asyncio.wait_for(connecting.wait(), WAIT_TIMEOUT)
         client.close()
-        await wait_until(
-            lambda: all(pending.final_response for pending in running.executor.requests.values())
-        )
+        await wait_until(lambda: all(pending.final_response for pending in server.executor.requests.values()))
         proceed.set()
-        await assert_released(platform, running.executor, "q1", 0)
+        await assert_released(platform, server.executor, "q1", 0)
 
 
 @pytest.mark.parametrize(
@@ -126,15 +124,15 @@
 ) -> None:
     async def connect_and_disconnect_client(address: tuple[str, int], source: str | None) -> TcpConnection:
         connection = await connect(address, source)
-        for pending in list(running.executor.requests.values()):
+        for pending in list(server.executor.requests.values()):
             if pending.id == "q1":
-                running.executor.client_disconnected(pending)
+                server.executor.client_disconnected(pending)
         return connection
 
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.open_in_process() as running:
+    async with platform.open_in_process() as server:
         monkeypatch.setattr("runspool.engines.connection_pool.connect", connect_and_disconnect_client)
         client = await platform.client()
         client.send(post("q1"))
         assert await client.read_to_close() == b""
-        await assert_released(platform, running.executor, "q1", 0)
+        await assert_released(platform, server.executor, "q1", 0)
--- a/tests/test_connection_reuse.py
+++ b/tests/test_connection_reuse.py
@@ -52,9 +52,9 @@
     classes = [row | {"aim-us": 5_000_000} for row in SETTINGS["classes"]]
     limits = SETTINGS["limits"] | {"dial-timeout-us": 5_000_000}
     platform.settings = SETTINGS | {"limits": limits, "classes": classes}
-    async with platform.open_in_process() as running:
+    async with platform.open_in_process() as server:
         # Without a quiet time, the idle connection is used however recently it served a request.
-        running.executor.engine_client.pool.quiet_time = 0
+        server.executor.engine_client.pool.quiet_time = 0
         platform.engines["w"].scripts = [responds_then_resets]
         assert (await platform.send_request(post("q1"))).complete
         assert (await platform.send_request(post("q2", "book", req_deadline="9000m"))).complete
@@ -71,9 +71,9 @@
         await request.wait_until_closed()
 
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.open_in_process() as running:
+    async with platform.open_in_process() as server:
         # With so long a quiet time, the connection counts as just used on a machine of any speed.
-        running.executor.engine_client.pool.quiet_time = 600_000
+        server.executor.engine_client.pool.quiet_time = 600_000
         platform.engines["r"].scripts = [responds_twice]
         assert (await platform.send_request(post("q1"))).complete
         assert (await platform.send_request(post("q2"))).complete
@@ -85,8 +85,8 @@
     tmp_path: Path,
 ) -> None:
     platform = Platform(tmp_path, PREFILL_AND_DECODE)
-    async with platform.open_in_process() as running:
-        pool = running.executor.engine_client.pool
+    async with platform.open_in_process() as server:
+        pool = server.executor.engine_client.pool
         assert (await platform.send_request(post("q1"))).complete
         observation_times: list[float] = []
         for idle in pool.idle.values():
--- a/tests/test_endpoint_watch_faults.py
+++ b/tests/test_endpoint_watch_faults.py
@@ -76,19 +76,19 @@
     platform = Platform(tmp_path, PREFILL_AND_DECODE | {"s": "prefill"})
     platform.states["s"] = "leaving"  # in the agent's list from the start
     platform.list_gate.clear()
-    async with platform.open_in_process(wait=False) as running:
+    async with platform.open_in_process(wait=False) as server:
         # The node restores the list of an earlier run, in which the other prefill engine was draining.
         last_entries = [
             replace(entry, state={"r": "draining"}.get(entry.engine, "on"))
-            for entry in running.config.last_known_endpoints.engines
+            for entry in server.config.last_known_endpoints.engines
         ]
-        running.executor.endpoints_changed(running.executor.endpoint_tracker.restore(last_entries))
+        server.executor.endpoints_changed(server.executor.endpoint_tracker.restore(last_entries))
         await platform.wait_until(lambda: bool(platform.list_requests))
         client = await platform.client()
         client.send(post("q1"))
         for _ in range(100):  # long enough for a wrongly accepted request to reach an engine
             await asyncio.sleep(0.001)
-        assert not running.connections.handlers and not platform.attempts("q1")
+        assert not server.connections.handlers and not platform.attempts("q1")
         platform.list_gate.set()
         assert (await client.read_response()).complete
         assert [attempt.engine for attempt in platform.attempts("q1")] == ["r", "w"]
@@ -110,28 +110,28 @@
     monkeypatch.setattr(search_backoff, "MIN_INTERVAL", ms_to_tenths(600_000))
     monkeypatch.setattr(search_backoff, "MAX_INTERVAL", ms_to_tenths(600_000))
     platform = Platform(tmp_path, PREFILL_AND_DECODE | {"s": "prefill"})
-    async with platform.open_in_process() as running:
+    async with platform.open_in_process() as server:
         await platform.wait_until(lambda: any("after=" in target for target in platform.list_requests))
         # The watch has been open for as long as the minimum interval between two calls.
-        running.discovery.planner._last_made_at = now() - ms_to_tenths(600_000)
+        server.discovery.planner._last_made_at = now() - ms_to_tenths(600_000)
         await reset_connections(platform)
         platform.publish_states(s="leaving")  # changed while no watch is open
         await platform.wait_until(lambda: any("after=2" in target for target in platform.list_requests))
-        assert running.executor.engine_records["s"].state == EngineState.DRAINING
+        assert server.executor.engine_records["s"].state == EngineState.DRAINING
 
 
 async def test_calls_that_an_agent_lost_in_an_outage_are_made_again(
     tmp_path: Path,
 ) -> None:
     platform = Platform(tmp_path, PREFILL_AND_DECODE | {"s": "prefill"})
-    async with platform.open_in_process() as running:
+    async with platform.open_in_process() as server:
         await platform.wait_until(lambda: any("after=" in target for target in platform.list_requests))
         await reset_connections(platform)
         platform.scripted_list_responses = [None, None]
         platform.publish_states(s="leaving")
         await platform.wait_until(lambda: any("after=2" in target for target in platform.list_requests))
-        assert running.executor.engine_records["s"].state == EngineState.DRAINING
-        await wait_until(lambda: list(running.discovery.pool.open_counts.values()) == [1])
+        assert server.executor.engine_records["s"].state == EngineState.DRAINING
+        await wait_until(lambda: list(server.discovery.pool.open_counts.values()) == [1])
 
 
 async def test_silence_of_the_agent_is_detected_within_the_time_the_platform_allows() -> None:
--- a/tests/test_engine_accounting.py
+++ b/tests/test_engine_accounting.py
@@ -178,10 +178,10 @@
 
     for engine in platform.engines.values():
         engine.scripts = [count_while_open] * MORE_THAN_ALL_ATTEMPTS
-    async with platform.open_in_process() as running:
+    async with platform.open_in_process() as server:
 
         def counts_agree() -> bool:
-            return _open_attempt_counts(running) == {name: open_at[name] for name in ENGINE_KINDS}
+            return _open_attempt_counts(server) == {name: open_at[name] for name in ENGINE_KINDS}
 
         requests = [asyncio.ensure_future(platform.send_request(post(f"q{index}"))) for index in range(12)]
         await platform.wait_until(lambda: sum(open_at.values()) == 12 and open_streams() == 12)
@@ -197,14 +197,14 @@
         await _wait_until(counts_agree)
 
 
-def _open_attempt_counts(running: NodeServer) -> dict[str, int]:
+def _open_attempt_counts(server: NodeServer) -> dict[str, int]:
     """Return the number of open attempts that the scheduler counts at each engine."""
-    engines = running.executor.scheduler.driver.scheduler.engines
+    engines = server.executor.scheduler.driver.scheduler.engines
     return {
         endpoint.name: len(
             engines[index].prefills if endpoint.role is Role.PREFILL else engines[index].streams
         )
-        for index, endpoint in running.executor.endpoints.items()
+        for index, endpoint in server.executor.endpoints.items()
     }
 
 
--- a/tests/test_engine_responses.py
+++ b/tests/test_engine_responses.py
@@ -38,7 +38,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_parsing_of_load_reports_and_error_codes_raises_for_no_bytes(raw: bytes) -> None:
+def test_parsing_load_reports_and_error_codes_never_raises(raw: bytes) -> None:
     messages.parse_load_report("JSON " + raw.decode("latin-1"))
     assert isinstance(messages.parse_error_code(raw), str)
 
--- a/tests/test_exchange_timer.py
+++ b/tests/test_exchange_timer.py
@@ -11,7 +11,7 @@
 
 
 async def test_a_limit_that_has_expired_is_not_removed() -> None:
-    """A stream that starts then would be cancelled at its first await, after its client received its head."""
+    """Once expired, it would cancel a stream at its first await, after the stream was promised to the client."""
     has_begun = False
     with pytest.raises(ExchangeAbortedError) as aborted, ExchangeTimer(10_000) as timer:
         timer.timeout_cause = FailureCause.TIMED_OUT_BEFORE_RESPONSE
--- a/tests/test_fleet_soak.py
+++ b/tests/test_fleet_soak.py
@@ -37,7 +37,7 @@
 
 @pytest.fixture(scope="module")
 def violating_trials() -> Iterator[dict[str, Future[Verdict]]]:
-    """Return the trials of nodes that break a rule, which run in parallel."""
+    """Yield the trials of nodes that break a rule, which run in parallel."""
     with ThreadPoolExecutor(len(VIOLATED_RULES)) as pool:
         yield {rule: pool.submit(run_violating_trial, rule) for rule in VIOLATED_RULES}
 
--- a/tests/test_front_cells.py
+++ b/tests/test_front_cells.py
@@ -24,7 +24,7 @@
             await anyio.sleep(0.005)
 
 
-async def until_event(fleet: SmallFleet, what: str, mark: str) -> None:
+async def wait_for_event(fleet: SmallFleet, what: str, mark: str) -> None:
     """Wait for an event of the request with this mark."""
     fields: dict[str, Any] = {"try": mark}
     await fleet.wait_for_events(what, **fields)
@@ -85,13 +85,13 @@
             assert response.status == 200
 
         tasks.start_soon(long_request)
-        await until_event(fleet, "arrived", "old")
+        await wait_for_event(fleet, "arrived", "old")
         await adopt(fleet, map_with_move())
         assert (await fleet.send_request(runspool_tenant="one", runspool_mark="new")).status == 200
         assert engines_reached(fleet, "new") == {"e2", "e3"}
         moves = fleet.front_server.front.status_page()["moves"]
         assert [(move["stage"], move["out"]) for move in moves] in ([("settling", 1)], [("settled", 0)])
-        await until_event(fleet, "ran", "old")
+        await wait_for_event(fleet, "ran", "old")
         (turned_back,) = map_with_move(step="turned_back", turned_unix_ms=2).moves
         await adopt(
             fleet,
@@ -164,14 +164,14 @@
             ).status == 200
 
         tasks.start_soon(open_request)
-        await until_event(fleet, "arrived", "held")
+        await wait_for_event(fleet, "arrived", "held")
         cells = {name: cell for name, cell in CELL_MAP.cells.items() if name != "a"}
         await adopt(
             fleet, CELL_MAP.model_copy(update={"version": 2, "cells": cells, "tenants": {"two": "b"}})
         )
         assert (await fleet.send_request(runspool_tenant="one", runspool_mark="now")).status == 200
         assert engines_reached(fleet, "now") == {"e2", "e3"}
-        await until_event(fleet, "ran", "held")
+        await wait_for_event(fleet, "ran", "held")
         with anyio.fail_after(10):
             while "a" in fleet.front_server.front.cell_schedulers:
                 await anyio.sleep(0.005)
--- a/tests/test_front_endpoint_list.py
+++ b/tests/test_front_endpoint_list.py
@@ -49,7 +49,7 @@
                 tasks.start_soon(fleet.send_request)
         assert {event["stage"] for event in fleet.recorded_events("arrived", engine="e1")} <= {"read"}
         assert len(fleet.recorded_events("ran", engine="e2")) == 8
-        # The front does not know this type, so the engine must not be ready, whatever its listed state.
+        # The front does not know this type, so it cannot tell what the engine can do and uses it no longer.
         fleet.plan.engines[1].engine_type = "novel"
         fleet.publish_state(1, "draining")
         with anyio.fail_after(10):
--- a/tests/test_list_after_outage.py
+++ b/tests/test_list_after_outage.py
@@ -54,7 +54,7 @@
 
 
 def test_calls_abandoned_in_an_outage_do_not_delay_changes_after_it() -> None:
-    # The agents once answered all calls that the fleet had abandoned in the outage before its new watches.
+    # Agents once answered the calls that the fleet had abandoned in the outage ahead of its new watches.
     verdict = run_outage_trial(LARGE_FLEET, Backlog.ALL, 0.1, 1.6)
     assert not verdict.violation_counts, verdict
 
--- a/tests/test_node_configuration.py
+++ b/tests/test_node_configuration.py
@@ -31,7 +31,7 @@
         await platform.wait_for_log_event("config_unusable")
         assert (await platform.send_request(post("q1"))).complete
         second = Platform(tmp_path, {"x": "mixed"})
-        async with second.agent() as port:
+        async with second.run_agent() as port:
             await second.engines["x"].start()
             platform.write_config(discovery=f"127.0.0.1:{port}")
             platform.signal(signal.SIGHUP)
@@ -73,7 +73,7 @@
 async def test_a_half_written_configuration_is_read_again(tmp_path: Path) -> None:
     async with Platform(tmp_path, PAIR).open() as platform:
         second = Platform(tmp_path, {})
-        async with second.agent() as port:
+        async with second.run_agent() as port:
             file = platform.write_config(discovery=f"127.0.0.1:{port}")
             written = file.read_bytes()
             file.write_bytes(written[:100])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -56,8 +56,8 @@
         return json.dumps(message).encode()
 
     @asynccontextmanager
-    async def agent(self) -> AsyncIterator[int]:
-        async with super().agent() as self.real_agent_port:
+    async def run_agent(self) -> AsyncIterator[int]:
+        async with super().run_agent() as self.real_agent_port:
             await self.proxy.start()
             try:
                 yield self.proxy.port
@@ -100,7 +100,7 @@
             process = await start_node(platform)
             await asyncio.sleep(1.0)
             assert process.returncode is None
-        await platform.until_accepting_connections()
+        await platform.wait_until_accepting_connections()
         assert (await platform.send_request(post("q1"))).complete
         process.terminate()
         assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT) == 0
@@ -116,7 +116,7 @@
         process = await start_node(platform, write_config=False)
         await asyncio.sleep(0.8)
         file.write_bytes(complete)
-        await platform.until_accepting_connections()
+        await platform.wait_until_accepting_connections()
         assert (await platform.send_request(post("q1"))).complete
         process.terminate()
         assert await asyncio.wait_for(process.wait(), WAIT_TIMEOUT) == 0
--- a/tests/test_slow_discovery_agent.py
+++ b/tests/test_slow_discovery_agent.py
@@ -161,7 +161,7 @@
 
 async def test_node_adopts_the_list_of_a_late_agent_after_several_quick_reloads(tmp_path: Path) -> None:
     platform = Platform(tmp_path, ENGINES)
-    async with platform.open(), platform.agent() as second_port, platform.agent() as third_port:
+    async with platform.open(), platform.run_agent() as second_port, platform.run_agent() as third_port:
         platform.pace.delay = 1.0
         for port in (second_port, third_port, second_port):
             platform.write_config(discovery=f"127.0.0.1:{port}")
