--- a/tests/test_exchange_timer.py
+++ b/tests/test_exchange_timer.py
@@ -11,7 +11,7 @@
 
 
 async def test_a_limit_that_has_expired_is_not_removed() -> None:
-    """Once expired, it would cancel a stream at its first await, after the stream was promised to the client."""
+    """After its expiry it would cancel a stream at its first await, although the client was promised one."""
     has_begun = False
     with pytest.raises(ExchangeAbortedError) as aborted, ExchangeTimer(10_000) as timer:
         timer.timeout_cause = FailureCause.TIMED_OUT_BEFORE_RESPONSE
