--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -20,12 +20,12 @@
 
 
 class FaultInjector:
-    """An injector of faults, which takes the kinds in turn while the history runs."""
+    """An injector of faults, which takes the fault types in turn while the history runs."""
 
     def __init__(self, context: SimulationContext, cluster: SimulatedCluster) -> None:
         self.context = context
         self.cluster = cluster
-        self.kinds = (
+        self.fault_types = (
             self.drain_engine,
             self.replace_engine,
             self.crash_engine,
@@ -41,7 +41,7 @@
         gap = settings.duration / (settings.fault_count + 1)
         for number in range(settings.fault_count):
             await sleep(gap)
-            inject = self.kinds[number % len(self.kinds)]
+            inject = self.fault_types[number % len(self.fault_types)]
             target = targets[number % len(targets)]
             self.context.spawn(inject, target, random.uniform(*DURATION_SHARE_OF_GAP) * gap)
 
--- a/tests/simulation/replay.py
+++ b/tests/simulation/replay.py
@@ -17,10 +17,10 @@
 from tests.simulation.simulation import Simulation
 
 START_SECONDS = 0.001  # from the start of the fronts to the first recorded event
-LONG_STREAM_SECONDS = 10  # added at the end, as recorded streams are longer than those from a seed
+LAST_STREAM_SECONDS = 10  # added at the end, as recorded streams are longer than those from a seed
 
 
-class RecordedSimulation(Simulation):
+class ReplaySimulation(Simulation):
     """A simulation that replays a recording.
 
     Requests, disconnects, messages of the endpoint list, starts and ends of engines and fronts occur at their
@@ -42,7 +42,7 @@
             if event["what"] == "answer" and event["kind"] == values.ANSWER_CLIENT_DISCONNECTED
         }
 
-    async def _play(self) -> None:
+    async def _generate_events(self) -> None:
         start = now()
         recorded_start = next(event["at"] for event in self.recording if event["what"] == "begin")
         self.cluster.start_fronts(with_list=False)
@@ -52,7 +52,7 @@
             if remaining > 0:
                 await sleep(remaining)
             self._replay(event)
-        await anyio.sleep(LONG_STREAM_SECONDS)
+        await anyio.sleep(LAST_STREAM_SECONDS)
 
     def _replay(self, event: Event) -> None:
         match event["what"]:
--- a/tests/simulation/simulation.py
+++ b/tests/simulation/simulation.py
@@ -45,14 +45,14 @@
         """Run the whole history."""
         self.context.record("day", plan=msgspec.to_builtins(self.context.plan))
         async with anyio.create_task_group() as self.context.tasks:
-            await self._play()
+            await self._generate_events()
             await anyio.sleep(SETTLING_SECONDS)
             self.context.record("over")
             for front in self.cluster.fronts:
                 self.context.unexpected_errors += leaked_state(front.front)
             self.context.tasks.cancel_scope.cancel()
 
-    async def _play(self) -> None:
+    async def _generate_events(self) -> None:
         """Start engines, fronts and faults, then send requests for the history's duration."""
         for engine in self.cluster.engines:
             engine.start(cold=False)
--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -93,7 +93,7 @@
         assert [attempt.engine for attempt in platform.attempts("q1")] == ["r", "w", "r", "w"]
 
 
-async def test_an_at_most_once_request_declined_by_all_is_rejected_at_once_with_retry_after(
+async def test_an_at_most_once_request_declined_by_all_is_rejected_immediately_with_retry_after(
     tmp_path: Path,
 ) -> None:
     async with Platform(tmp_path, PAIR).open() as platform:
@@ -105,20 +105,20 @@
         await platform.until(lambda: len(platform.release_calls("q1")) >= 1)
 
 
-def drains(platform: Platform) -> None:
+def engine_drains(platform: Platform) -> None:
     platform.tell(w="leaving")
 
 
-def prefills_only(platform: Platform) -> None:
+def engine_becomes_prefill(platform: Platform) -> None:
     platform.tell_kind("w", "prefill")
 
 
-def has_another_address(platform: Platform) -> None:
+def engine_changes_address(platform: Platform) -> None:
     platform.engines["w"].announced_port = 1
     platform.tell(w="active")
 
 
-@pytest.mark.parametrize("change", [drains, prefills_only, has_another_address])
+@pytest.mark.parametrize("change", [engine_drains, engine_becomes_prefill, engine_changes_address])
 async def test_a_list_change_received_while_connecting_prevents_the_attempt(
     change: Callable[[Platform], None], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_node_configuration.py
+++ b/tests/test_node_configuration.py
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("path", setting_paths(SETTINGS), ids=lambda path: ".".join(map(str, path)))
-async def test_any_setting_absent_null_zero_or_extreme_is_named_or_works(
+async def test_every_setting_with_an_unusual_value_works_or_is_named_in_the_error(
     path: tuple[Any, ...], tmp_path: Path
 ) -> None:
     for value in SETTING_VALUES:
--- a/tests/test_scheduler_driver.py
+++ b/tests/test_scheduler_driver.py
@@ -201,7 +201,7 @@
 # Repeated and late notifications.
 
 
-def test_stream_that_starts_twice_is_one_stream() -> None:
+def test_repeated_start_of_a_stream_is_ignored() -> None:
     host = FakeSchedulerHost([PREFILL, DECODE])
     request = host.submit()
     host.end_attempt(request, AttemptStatus.PREFILL_COMPLETE)
@@ -244,7 +244,7 @@
     assert leaked_accounts(host) == []
 
 
-def test_request_submitted_twice_is_one_request() -> None:
+def test_repeated_submission_of_a_request_is_ignored() -> None:
     host = FakeSchedulerHost([PREFILL, DECODE])
     request = host.submit()
     host.driver.submit(host.now, Request(request, 0, None, None, None, 50, 0, 10, 5, SECOND, False, False))
--- a/tests/test_simulated_histories.py
+++ b/tests/test_simulated_histories.py
@@ -22,7 +22,7 @@
 from runspool.service.timer_queue import DeadlineGuardTimer
 from tests import simulated_clock
 from tests.conftest import JUDGED_CASES
-from tests.simulation.replay import RecordedSimulation
+from tests.simulation.replay import ReplaySimulation
 from tests.simulation.settings import SimulationSettings
 from tests.simulation.simulation import Simulation
 from tests.test_auditor_rejects_forged_recordings import (
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("file", sorted(RECORDINGS.glob("*.xz")), ids=lambda file: str(file.name))
-def test_recorded_day_keeps_every_rule_and_so_does_its_replay(
+def test_recording_keeps_every_rule_and_so_does_its_replay(
     file: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Check a recording made on sockets, and a replay of its external events to the current fronts."""
@@ -77,7 +77,7 @@
     recorded_verdicts = audit(recording)
     assert all(verdict.cases and not verdict.violation_count for verdict in recorded_verdicts.values())
     simulated_clock.install(monkeypatch)
-    simulation = RecordedSimulation(1, recording)
+    simulation = ReplaySimulation(1, recording)
     simulated_clock.run(simulation.run())
     assert violations(simulation) == {}
     assert simulation.leaks == []
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -19,7 +19,7 @@
     return output.getvalue().decode()
 
 
-def test_batch_is_answered_and_unknown_words_are_ignored() -> None:
+def test_batch_is_answered_and_unknown_commands_are_ignored() -> None:
     output = output_for(
         "tick time-us=100 seq=4",
         ATTACH,
--- a/tests/test_tenant_migration.py
+++ b/tests/test_tenant_migration.py
@@ -26,7 +26,7 @@
 )
 
 
-def test_move_begins_at_its_time_and_settles_when_nothing_binds_the_old_cell() -> None:
+def test_move_starts_on_time_and_settles_when_no_request_is_bound_to_the_old_cell() -> None:
     migrations = TenantMigrations(MAP_WITH_MOVE)
     planned_move = migrations.cell_map.moves[0]
     assert migrations.home_cell(MOVE_START_MS - 1, "t", None) == "a"
@@ -75,7 +75,7 @@
     assert visited > 50_000
 
 
-def test_exploration_finds_a_protocol_that_ignores_tickets() -> None:
+def test_exploration_detects_a_protocol_that_ignores_tickets() -> None:
     def ignore_tickets(
         migrations: TenantMigrations, now: int, unix_ms: int, tenant: str | None, *_: Any
     ) -> CellChoice:
--- a/tests/test_undelivered_attempts.py
+++ b/tests/test_undelivered_attempts.py
@@ -176,7 +176,7 @@
         assert (await asyncio.wait_for(client.read_response(), WAIT)).complete
 
 
-async def test_a_state_that_a_later_attempt_took_over_is_released_once_more(tmp_path: Path) -> None:
+async def test_a_state_that_a_later_attempt_took_over_is_released_again(tmp_path: Path) -> None:
     """An earlier release may have left the state to an attempt that was given up since (found by a soak)."""
     platform = Platform(tmp_path, {"r": "prefill", "w": "decode", "m": "mixed"})
     for name in "wm":
--- a/tests/test_wall_clock.py
+++ b/tests/test_wall_clock.py
@@ -14,7 +14,9 @@
 
 @pytest.mark.parametrize("step", [-HOUR_MS, 0, HOUR_MS])
 @pytest.mark.parametrize("engine_clock_stepped", [False, True])
-def test_start_a_second_ago_is_recognized_by_either_clock(step: int, engine_clock_stepped: bool) -> None:
+def test_recent_start_is_recognized_after_a_step_of_the_wall_clock(
+    step: int, engine_clock_stepped: bool
+) -> None:
     offset = UNIX_MS_AT_ZERO
     converter = StartTimeConverter(lambda: offset)
     assert converter.to_monotonic(NOW_UNIX_MS - 20_000, NOW) == NOW - 200_000
@@ -25,11 +27,11 @@
     assert started_at == NOW - 10_000 or is_taken_for_later
 
 
-def test_start_in_the_future_by_every_clock_is_now() -> None:
+def test_start_time_in_the_future_by_every_clock_is_converted_to_now() -> None:
     assert StartTimeConverter(lambda: UNIX_MS_AT_ZERO).to_monotonic(NOW_UNIX_MS + HOUR_MS, NOW) == NOW
 
 
-def test_start_long_ago_stays_long_ago() -> None:
+def test_start_time_of_long_ago_is_kept() -> None:
     assert StartTimeConverter(lambda: UNIX_MS_AT_ZERO).to_monotonic(0, NOW) == 0
 
 
