--- a/tests/soak/environment.py
+++ b/tests/soak/environment.py
@@ -37,7 +37,22 @@
 
 @dataclass
 class Recording:
-    """The observed events in order, each with its time `t` in seconds of the event loop's monotonic clock."""
+    """The observed events in order, each with its time `t` in seconds of the event loop's monotonic clock.
+
+    The kinds of events are
+
+    - of clients: `asked` (request sent), `begun` (head of a response with status 200 received), `answered`,
+      `left` (client disconnected) and `bad` (malformed request sent);
+    - of the proxies between nodes and engines: `sent` (the node began to send a request), `sent_whole`,
+      `node_got` (first bytes of the response) and `node_closed` (connection closed before a response);
+    - of engines: `arrived`, `ran`, `declined` (state missing), `over` (the attempt ended), `held` and `taken`
+      (a state is held, or not any more) and `released` (a release call arrived);
+    - of agents: `agent_call`, `told` (answer written), `agent_pace`, `agent_down`, `agent_up`, `agent_reset`
+      and `agent_moved`;
+    - of node processes: `started`, `ready`, `not_started`, `told_to_end` (signal sent), `killed_late`,
+      `ended`, `crashed`, `node_fault` (logged by the node) and `hung`;
+    - of the soak itself: `fault`, `status` (change of the endpoint list) and `lag`.
+    """
 
     events: list[Event] = field(default_factory=list)
 
@@ -100,8 +115,8 @@
         """Listen on the engine's port."""
         self.server = await asyncio.start_server(self._serve, HOST, self.port)
 
-    async def restart(self, down: float) -> None:
-        """Drop all connections and states, and listen again after `down` seconds.
+    async def restart(self, downtime: float) -> None:
+        """Drop all connections and states, and listen again after `downtime` seconds.
 
         The endpoint list is not changed. Do nothing if a restart is in progress already.
         """
@@ -110,8 +125,8 @@
         self.server.close()
         for writer in list(self.writers):
             writer.transport.abort()
-        self.environment.lose_states(self.name)
-        await asyncio.sleep(down)
+        self.environment.drop_states(self.name)
+        await asyncio.sleep(downtime)
         self.started_unix_ms = max(int(time.time() * 1000), self.started_unix_ms + 1)
         await self.start()
 
@@ -265,7 +280,7 @@
         self.states[request] = State(engine)
         self.record("held", engine=engine, request=request)
 
-    def lose_states(self, engine: str) -> None:
+    def drop_states(self, engine: str) -> None:
         """Drop all states of an engine whose process has ended."""
         for request in [name for name, state in self.states.items() if state.engine == engine]:
             self.drop_state(request)
--- a/tests/soak/rules.py
+++ b/tests/soak/rules.py
@@ -252,9 +252,9 @@
             self.add_violation("twice", "sent again after its deduplication window")
 
     def _check_held(self) -> None:
-        """Check how long the request's state was held.
+        """Check that the request's state is not held for longer than RELEASE_TIMEOUT without being used.
 
-        The time counts while no attempt that has arrived at an engine is unanswered.
+        The time does not count while an attempt that has arrived at an engine is unanswered.
         """
         since: float | None = None
         unanswered: dict[str, bool] = {}  # by engine: whether the unanswered attempt has arrived there
