--- a/runspool/cells/cell_map.py
+++ b/runspool/cells/cell_map.py
@@ -19,12 +19,12 @@
 Fraction = Annotated[float, Field(ge=0, le=1)]
 Milliseconds = Annotated[float, Field(ge=0, le=86_400_000)]
 
-# Limits on the size of a map
-MAX_CELLS = 256
-MAX_TENANTS = 100_000
-MAX_MOVES = 1_000
+MAX_CELLS = 256  # maximum number of cells, or of shards, in a map
+MAX_TENANTS = 100_000  # maximum number of tenants in a map
+MAX_MOVES = 1_000  # maximum number of moves in a map
 WHOLE_FLEET = "whole"  # the name of the single cell that a map without cells stands for
-SPREAD = "*"  # in place of a tenant's cell: its sessions are spread over all cells, each session in one cell
+# Stands in place of a tenant's cell: its sessions are spread over all cells, each session in one cell.
+ALL_CELLS = "*"
 
 AssignmentMethod = Literal["fixed", "shuffle", "rendezvous"]
 MoveStep = Literal["planned", "done", "turned_back"]
@@ -131,7 +131,8 @@
         overflow: limits on the requests that overflow to the reserve.
         panic_under: a cell that has fewer than this fraction of its engines left sends all requests to the
             reserve.
-        poison_after: a request is rejected once it has brought down this many engines.
+        poison_after: once this many engines went down while they executed the same request, the request
+            counts as poisonous and is not sent to any engine again.
         moves: migrations of tenants that are planned, finished or undone.
     """
 
@@ -164,7 +165,7 @@
         return [
             f"tenants.{tenant}: there is no cell {home!r}"
             for tenant, home in self.tenants.items()
-            if home != SPREAD and home not in known_cells
+            if home != ALL_CELLS and home not in known_cells
         ]
 
     def _check_reserve(self) -> list[str]:
--- a/runspool/scheduling/front_state.py
+++ b/runspool/scheduling/front_state.py
@@ -1,4 +1,4 @@
-"""State of one front: its settings, its engines, and what it has learned about them and about its traffic.
+"""State of one front for one cell: its settings, its engines, and what it has learned about them.
 
 The modules of this package are functions that operate on a `FrontState`. Only the scheduler driver sets its
 clock. Times are tenths of a millisecond.
@@ -31,7 +31,8 @@
     is_over_share: bool
     """Whether the request's tenant sends more than its share of the traffic."""
     priority_time: int
-    """Sort key: arrival time plus the time until the first token is due divided by the priority weight."""
+    """The arrival time plus a delay, which is the time until the first token is due divided by the priority
+    weight."""
     request_index: int
 
 
@@ -52,7 +53,7 @@
 
 
 class FrontState:
-    """The state that all scheduling decisions of one front share."""
+    """The state that all scheduling decisions of one front for one cell share."""
 
     def __init__(self, settings: RoutingSettings, seed: int) -> None:
         """Create the state; `seed`, unique to this front, seeds its random draws and engine samples."""
--- a/runspool/scheduling/request_progress.py
+++ b/runspool/scheduling/request_progress.py
@@ -21,9 +21,11 @@
     deadline: int
     """The client's time limit less a margin; nothing is started after it."""
     first_token_due: int
+    """Time after which the first token is too late to be useful."""
     max_wait_fraction: float
-    """Fraction of the time until `first_token_due` that a predicted wait may take."""
-    queued_until: int
+    """Fraction of the time until `first_token_due`, less the request's own prefill, that a predicted wait may
+    take."""
+    selection_skipped_until: int
     """Until this time the request waits behind those ahead of it without evaluating engines."""
     queue_limit: int
     """Duration of a prefill engine's queue above which the request waits at the front."""
@@ -35,7 +37,7 @@
     reservation_start: int = 0  # start of the state's time limit, which an attempt on an engine restarts
     attempts: int = 0
     unsent_attempt_duration: int = 0
-    """Duration of the last decode attempt if it was not sent in full, else 0."""
+    """Duration of the last failed attempt if its status is in `retry_policy.UNSENT_STATUSES`, else 0."""
     needs_retry_budget: bool = False
     """Whether the next prefill counts against the retry budget, because one timed out or was refused."""
     first_execution_engine: Engine | None = None
@@ -46,7 +48,7 @@
     """Ids of the engines that failed in the current stage, prefill or decode."""
     unresponsive_engine_ids: list[int] = field(default_factory=list)
     """Ids of the engines that did not respond to an attempt."""
-    is_given_up: bool = False
+    cannot_start_in_time: bool = False
     """Whether no engine can start the request in time."""
 
     def reservation_expires_before(self, time: int) -> bool:
--- a/tests/simulation/clients.py
+++ b/tests/simulation/clients.py
@@ -1,4 +1,4 @@
-"""Simulated clients: each sends a request, reads its response, and may disconnect or retry."""
+"""Simulated clients, which send requests, read the responses, and may disconnect or retry."""
 
 from __future__ import annotations
 
@@ -15,25 +15,30 @@
 from runspool.service.pending_request import RequestNotAcceptedError, ResponseKind
 from runspool.wire.completions import CompletionRequest, parse_completion_request
 from tests.simulated_clock import TICKS_PER_MILLISECOND, now
-from tests.simulation import recorded_words as words
+from tests.simulation import recorded_values as values
 from tests.simulation.context import SimulationContext, TokenCounts
 from tests.simulation.fronts import SimulatedFront
 from tests.simulation.settings import TENANTS
 
-MAX_ATTEMPTS = 2
-MIN_TIME_FOR_RETRY = 3_000
-MAX_RETRY_DELAY_SECONDS = 0.2
-SESSION_COUNT = 50
+# Durations are in tenths of a millisecond unless a name says otherwise.
+MAX_ATTEMPTS = 2  # of one request
+MIN_TIME_FOR_RETRY = 3_000  # a client does not retry if less of its time limit is left
+MAX_RETRY_DELAY_SECONDS = 0.2  # upper bound of the random delay before a retry
+SESSION_COUNT = 50  # number of sessions over which all requests are spread
 MAX_OUTPUT_TOKENS = 500
-LATE_RESPONSE_WINDOW = SECOND  # a response that comes this long after the time limit is recorded as late
+# A client still receives a response up to this long after the time limit; it is recorded as late.
+LATE_RESPONSE_WINDOW = SECOND
 
-PROMPT_TOKENS = (50, 900)
-STREAMING_SHARE = 0.7
-MAX_EARLY_DISCONNECT = 3_000
+PROMPT_TOKENS = (50, 900)  # range of the prompt's length
+STREAMING_SHARE = 0.7  # fraction of requests whose response is streamed
+MAX_EARLY_DISCONNECT = 3_000  # upper bound of the time after which a client disconnects early
 
 
 class RequestShape(NamedTuple):
-    """What one attempt asks for; `disconnects_after` tenths of a millisecond its client goes, 0 for never."""
+    """The properties of one attempt.
+
+    `disconnects_after` is the time after which its client disconnects, in tenths of a millisecond; 0: never.
+    """
 
     tokens: TokenCounts
     is_streaming: bool
@@ -42,7 +47,7 @@
 
 
 class ClientAttempt(NamedTuple):
-    """One attempt of a client at one front; `item` names the client's request over all its attempts."""
+    """One attempt of a client at one front; `item` names the request that all its attempts share."""
 
     name: str
     item: str
@@ -52,9 +57,9 @@
 
 
 class ResponseReader:
-    """A client's end of a response: records the first token, lost tokens, and what comes after the end.
+    """The client's side of a response, which records the first token, missing tokens and data after the end.
 
-    `time_limit` is cancelled with the first token that the client can see.
+    `time_limit` ends with the first token that the client receives.
     """
 
     def __init__(self, context: SimulationContext, client_attempt: str, is_streaming: bool) -> None:
@@ -89,7 +94,7 @@
 
 
 class SimulatedClients:
-    """All clients of a simulation."""
+    """The clients of a simulation."""
 
     def __init__(self, context: SimulationContext) -> None:
         self.context = context
@@ -97,9 +102,9 @@
     async def send_with_retries(
         self, fronts: list[SimulatedFront], item: str, request_class: RequestClassPlan
     ) -> None:
-        """Send a request, and once more where it was rejected with time left.
+        """Send a request, and retry it if it was rejected and enough time is left.
 
-        `fronts` are the processes that run now; one that restarts is replaced in the list.
+        `fronts` holds the current process of each front; a restart replaces the process in this list.
         """
         first_sent_at, time_limit = now(), request_class.time_limit
         for number in range(1, MAX_ATTEMPTS + 1):
@@ -108,7 +113,7 @@
             shape = self._draw_shape(request_class, remaining)
             attempt = ClientAttempt(f"{item}.{number}", item, request_class, remaining, shape)
             answer = await self.send(front, attempt)
-            may_retry = answer in (words.ANSWER_REJECTED, words.ANSWER_NOT_ACCEPTED)
+            may_retry = answer in (values.ANSWER_REJECTED, values.ANSWER_NOT_ACCEPTED)
             if not may_retry or now() - first_sent_at > time_limit - MIN_TIME_FOR_RETRY:
                 return
             await anyio.sleep(self.context.random.uniform(0, MAX_RETRY_DELAY_SECONDS))
@@ -129,13 +134,13 @@
         )
 
     async def send(self, front: SimulatedFront, attempt: ClientAttempt) -> str:
-        """Send one attempt and read its response; returns how it was answered."""
+        """Send one attempt, read its response and return how it was answered."""
         context, shape = self.context, attempt.shape
         context.token_counts[attempt.name] = shape.tokens
         self._record_request(front, attempt)
         if not front.is_up:
-            self._record_answer(attempt, words.ANSWER_UNREACHABLE)
-            return words.ANSWER_UNREACHABLE
+            self._record_answer(attempt, values.ANSWER_UNREACHABLE)
+            return values.ANSWER_UNREACHABLE
         context.record_for_attempt("sent", attempt.name)
         reader = ResponseReader(context, attempt.name, shape.is_streaming)
         request = _completion_request(front, attempt)
@@ -143,12 +148,12 @@
             pending = front.front.submit(request, reader, now())
         except RequestNotAcceptedError as error:
             is_rejected = error.kind is ResponseKind.REJECTED
-            answer = words.ANSWER_NOT_ACCEPTED if is_rejected else words.ANSWER_INDETERMINATE
+            answer = values.ANSWER_NOT_ACCEPTED if is_rejected else values.ANSWER_INDETERMINATE
             code = error.code
         else:
             answer, code = await self._wait_for_answer(front, attempt, pending, reader)
         reader.is_finished = True
-        if answer == words.ANSWER_SUCCEEDED:
+        if answer == values.ANSWER_SUCCEEDED:
             self._record_end(attempt, reader.token_count)
         self._record_answer(attempt, answer, code)
         return answer
@@ -160,7 +165,7 @@
         pending: PendingCompletion,
         reader: ResponseReader,
     ) -> tuple[str, str]:
-        """Wait for the final response as long as the client does; returns the answer and its code."""
+        """Wait for the final response until the client gives up; return the answer and its error code."""
         disconnects_after = attempt.shape.disconnects_after
         patience = disconnects_after or attempt.time_limit + LATE_RESPONSE_WINDOW
         with anyio.move_on_after(patience / SECOND) as time_limit:
@@ -171,11 +176,11 @@
                 tasks.cancel_scope.cancel()
         response = pending.final_response
         if response is not None:
-            return words.ANSWER_BY_RESPONSE_KIND[response.kind], response.code
+            return values.ANSWER_BY_RESPONSE_KIND[response.kind], response.code
         if not front.is_up:
-            return words.ANSWER_FRONT_KILLED, ""
+            return values.ANSWER_FRONT_KILLED, ""
         front.front.client_disconnected(pending)
-        return words.ANSWER_CLIENT_DISCONNECTED if disconnects_after else words.ANSWER_NONE, ""
+        return values.ANSWER_CLIENT_DISCONNECTED if disconnects_after else values.ANSWER_NONE, ""
 
     # Recording.
 
@@ -208,7 +213,7 @@
 
 
 def _completion_request(front: SimulatedFront, attempt: ClientAttempt) -> CompletionRequest:
-    """The attempt as the front's HTTP server would have parsed it."""
+    """Return the attempt as the front's HTTP server would have parsed it."""
     shape = attempt.shape
     headers = {
         "runspool-tariff": attempt.request_class.name,
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""The simulated fronts and engines, and the endpoint list between them."""
+"""The simulated fronts and engines, and the endpoint list that the fronts receive."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from runspool.wire.endpoint_list import EndpointEntry, EndpointListMessage
 from tests.simulated_clock import TICKS_PER_MILLISECOND, UNIX_MS_AT_ZERO
-from tests.simulation import recorded_words as words
+from tests.simulation import recorded_values as values
 from tests.simulation.context import SimulationContext, sleep
 from tests.simulation.engines import SimulatedEngine
 from tests.simulation.fronts import SimulatedFront
 
-EPOCH = "epoch"
-MAX_NOTIFICATION_DELAY = 4_000
-REPEATED_NOTIFICATION_SHARE = 0.2
+EPOCH = "epoch"  # of the endpoint list, which never restarts in a simulation
+MAX_NOTIFICATION_DELAY = 4_000  # from a list change to its arrival at a front, in tenths of a millisecond
+REPEATED_NOTIFICATION_SHARE = 0.2  # fraction of the notifications that arrive twice
 
 
 class SimulatedCluster:
-    """Engines by the plan, the front processes that run now, and each engine's state on the endpoint list."""
+    """The engines of the plan, the current process of each front, and the state of the endpoint list."""
 
     def __init__(self, context: SimulationContext) -> None:
         self.context = context
@@ -26,12 +26,12 @@
         self.engines = [SimulatedEngine(context, index) for index in range(len(context.plan.engines))]
         self.fronts: list[SimulatedFront] = []
         self.list_version = 0
-        self.listed_states = [words.LISTED_READY] * len(self.engines)
+        self.listed_states = [values.LISTED_READY] * len(self.engines)
 
     # Fronts.
 
     def start_fronts(self, with_list: bool) -> None:
-        """Start all fronts; `with_list`: each gets the whole endpoint list as it starts."""
+        """Start all fronts; `with_list` gives each a snapshot of the endpoint list when it starts."""
         self.fronts = [
             self._new_front(index, index, with_list) for index in range(len(self.context.plan.fronts))
         ]
@@ -39,7 +39,7 @@
             self.context.spawn(front.run)
 
     def restart_front(self, index: int, with_list: bool = True) -> None:
-        """Start a new process of a front that has been killed."""
+        """Start a new process for a front that has been killed."""
         front = self._new_front(index, len(self.context.events), with_list)
         self.fronts[index] = front
         self.context.spawn(front.run)
@@ -51,7 +51,7 @@
     # The endpoint list.
 
     def list_entry(self, index: int) -> EndpointEntry:
-        """An engine's entry, as the list has it now."""
+        """Return an engine's current entry on the list."""
         engine = self.engines[index]
         started = round(UNIX_MS_AT_ZERO + engine.started_at / TICKS_PER_MILLISECOND)
         return EndpointEntry(
@@ -65,18 +65,18 @@
         )
 
     def list_snapshot(self) -> EndpointListMessage:
-        """The whole list."""
+        """Return a snapshot of the whole list."""
         entries = [
             self.list_entry(index)
             for index, state in enumerate(self.listed_states)
-            if state != words.LISTED_REMOVED
+            if state != values.LISTED_REMOVED
         ]
         return EndpointListMessage(self.list_version, EPOCH, is_snapshot=True, engines=entries)
 
     def set_listed_state(self, index: int, state: str) -> None:
         """Change an engine's state on the list and notify the fronts.
 
-        Each front is notified at its own time; some are notified twice or after a newer message.
+        Each front receives the message after its own delay; a message may arrive twice or after a newer one.
         """
         self.listed_states[index] = state
         self.list_version += 1
--- a/tests/test_malformed_requests.py
+++ b/tests/test_malformed_requests.py
@@ -1,4 +1,4 @@
-"""Malformed requests, and JSON nested too deep: they end at most themselves and hide no other request."""
+"""Malformed requests and deeply nested JSON fail without affecting or smuggling other requests."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 }
 
 
-async def test_malformed_requests_get_an_error_and_nothing_of_them_is_passed_on(tmp_path: Path) -> None:
+async def test_malformed_requests_get_an_error_and_are_not_forwarded(tmp_path: Path) -> None:
     async with Platform(tmp_path, PAIR).open() as platform:
         for fault, data in MALFORMED_REQUESTS.items():
             hidden = post("hidden") if b"chunked" in data else b""
@@ -60,12 +60,14 @@
             response = await client.read_head()
             assert 400 <= response.status < 600, fault
             client.close()
-        assert (await platform.ask(post("q1"))).status == 200
+        assert (await platform.send_request(post("q1"))).status == 200
         assert {request.headers.get("req-id") for request in platform.received} == {"q1"}
 
 
 @pytest.mark.parametrize("order", ["length first", "coding first"])
-async def test_two_lengths_hide_no_second_request_however_they_are_split(order: str, tmp_path: Path) -> None:
+async def test_conflicting_lengths_smuggle_no_second_request_wherever_the_bytes_are_split(
+    order: str, tmp_path: Path
+) -> None:
     fields = ["content-length: 5", "transfer-encoding: chunked"]
     lines = "\r\n".join(fields if order == "length first" else fields[::-1])
     data = (
@@ -85,10 +87,10 @@
 
 
 @pytest.mark.parametrize("where", ["body", "event", "prefill"])
-async def test_deeply_nested_json_ends_at_most_its_request(where: str, tmp_path: Path) -> None:
+async def test_deeply_nested_json_fails_at_most_its_own_request(where: str, tmp_path: Path) -> None:
     deep = b'{"a":' + b"[" * 100_000 + b"]" * 100_000 + b"}"
     platform = Platform(tmp_path, PAIR)
-    async with platform.inside() as running:
+    async with platform.open_in_process() as server:
         scripts = {
             "event": ("w", STREAM_HEAD + chunked(b'data: {"choices":' + b"[" * 20_000 + b"\n\n")),
             "prefill": ("r", http_response(202, deep[:30_000])),
@@ -96,7 +98,7 @@
         if where in scripts:
             engine, data = scripts[where]
             platform.engines[engine].scripts = [responds(data)]
-        response = await platform.ask(post("q1", "book", body=deep if where == "body" else BODY))
+        response = await platform.send_request(post("q1", "book", body=deep if where == "body" else BODY))
         assert response.status == {"body": 400, "event": 500, "prefill": 200}[where]
-        assert (await platform.ask(post("q2"))).complete
-        assert not platform.run.done() and not running.executor.requests
+        assert (await platform.send_request(post("q2"))).complete
+        assert not platform.node_task.done() and not server.executor.requests
--- a/tests/test_simulated_histories.py
+++ b/tests/test_simulated_histories.py
@@ -1,4 +1,4 @@
-"""Simulated histories of real fronts keep every rule of the auditor; each rule's violation is found."""
+"""Simulated histories of real fronts keep all rules of the auditor, which detects a violation of each."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from runspool.service.pending_request import ResponseKind
 from runspool.service.timer_queue import DeadlineGuardTimer
 from tests import simulated_clock
-from tests.conftest import JUDGED
+from tests.conftest import JUDGED_CASES
 from tests.simulation.replay import RecordedSimulation
 from tests.simulation.settings import SimulationSettings
 from tests.simulation.simulation import Simulation
 from tests.test_auditor_rejects_forged_recordings import (
-    does_not_hear_of_drains,
-    forgets_that_it_may_have_run,
-    takes_cold_for_warm,
+    ignore_drains,
+    ignore_slow_start,
+    treat_executed_attempts_as_not_sent,
 )
 
 NO_REQUEST_LOST, NO_EFFECT_TWICE, DRAINS_RESPECTED, SLOW_START_RESPECTED, STATES_RELEASED = RULES
@@ -37,7 +37,7 @@
 
 
 def simulate(seed: int, settings: SimulationSettings, monkeypatch: pytest.MonkeyPatch) -> Simulation:
-    """Run a history on the simulated clock."""
+    """Run a history on the simulated clock and return it."""
     simulated_clock.install(monkeypatch)
     simulation = Simulation(seed, settings)
     simulated_clock.run(simulation.run())
@@ -45,11 +45,11 @@
 
 
 def violations(simulation: Simulation) -> dict[str, list[str]]:
-    """Examples by the rules that a history breaks; every rule must have been at stake."""
+    """Return examples of violations by broken rule; assert that the history has cases for every rule."""
     verdicts = audit(simulation.events, EXACT_TOLERANCE)
     for rule, verdict in verdicts.items():
-        JUDGED[rule] += verdict.cases
-        assert verdict.cases, f"{rule} was never at stake"
+        JUDGED_CASES[rule] += verdict.cases
+        assert verdict.cases, f"{rule} had no cases"
     return {rule: verdict.examples for rule, verdict in verdicts.items() if verdict.violation_count}
 
 
@@ -70,7 +70,7 @@
 def test_recorded_day_keeps_every_rule_and_so_does_its_replay(
     file: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Recorded on sockets; then what happened around the fronts happens again to the code of today."""
+    """Check a recording made on sockets, and a replay of its external events to the current fronts."""
     recording: list[Event] = [
         msgspec.json.decode(line) for line in lzma.decompress(file.read_bytes()).splitlines()
     ]
@@ -97,12 +97,12 @@
 
 
 def digest(simulation: Simulation) -> str:
-    """A hash of the whole recording."""
+    """Return a hash of the whole recording."""
     return sha256(msgspec.json.encode(simulation.events)).hexdigest()
 
 
 def test_same_seed_gives_the_same_history_in_every_process() -> None:
-    """Whatever order the interpreter gives its sets, by hash or by address."""
+    """The history must not depend on the iteration order of sets, which follows from hashes or addresses."""
     runs = [
         subprocess.run(
             [sys.executable, "-c", PRINT_DIGEST],
@@ -116,11 +116,12 @@
     assert len({run.stdout.splitlines()[-1] for run in runs}) == 1
 
 
-# One violation for each rule, put into the real code. The same history without it is sound: see the test.
+# For each rule, a patch of the real code that violates it. The test first checks that the history keeps every
+# rule without the patch.
 
 
 def give_no_final_response_on_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Break the rule that no request is lost."""
+    """Patch the front to violate the rule that no request is lost."""
     timer_fired, finish = Front.timer_fired, Front.finish
     not_given = (ResponseKind.REJECTED, ResponseKind.INDETERMINATE)
     monkeypatch.setattr(
@@ -136,7 +137,7 @@
 
 
 def release_no_state(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Break the rule that states are released."""
+    """Patch the front to violate the rule that states are released."""
 
     async def release(front: Front, *arguments: Any) -> None:
         return
@@ -146,10 +147,10 @@
 
 VIOLATIONS: dict[str, tuple[Callable[[pytest.MonkeyPatch], None], SimulationSettings]] = {
     NO_REQUEST_LOST: (give_no_final_response_on_failure, SimulationSettings()),
-    NO_EFFECT_TWICE: (forgets_that_it_may_have_run, SimulationSettings()),
-    DRAINS_RESPECTED: (does_not_hear_of_drains, SimulationSettings()),
+    NO_EFFECT_TWICE: (treat_executed_attempts_as_not_sent, SimulationSettings()),
+    DRAINS_RESPECTED: (ignore_drains, SimulationSettings()),
     SLOW_START_RESPECTED: (
-        takes_cold_for_warm,
+        ignore_slow_start,
         SimulationSettings(slow_start_overload_multiple=0.4, requests_per_second=70.0),
     ),
     STATES_RELEASED: (release_no_state, SimulationSettings()),
