--- a/tests/soak/agent_rules.py
+++ b/tests/soak/agent_rules.py
@@ -24,11 +24,12 @@
 DROPPED_WATCH_REPLACED = 3.0
 # Seconds that a node may need, after an outage whose calls were dropped, to call the agent again.
 RECOVERY_DETECTION = 1.0
-# Seconds that a node may need to follow its agent at another address after it was told to reload.
+# Seconds that a node may need to follow its agent at another address after it was signalled to reload.
 AFTER_RELOAD = 4.0
 # Seconds before and after a change within which the slowest answer determines how fast the agent is.
 PACE_WINDOW = 6.0
-NEW_STARTS = ("started", "agent_reset", "agent_moved")  # events after which a node follows its agent anew
+# Events after which a node starts to follow its agent again.
+NEW_STARTS = ("started", "agent_reset", "agent_moved")
 RESET_DURATION = 0.001  # seconds for which the agent counts as unreachable at a reset of its connections
 MAX_CALLS_PER_SECOND = 25  # calls of one node within any second
 # Calls of one node that may remain unanswered at the end of an outage: the watches and one more call. One
@@ -48,14 +49,14 @@
         breaks: periods in which the agent could not answer, which are outages and resets of its connections.
         drops: beginnings of the outages whose calls the agent dropped.
         drop_ends: ends of those outages.
-        reloads: times at which the node was told to reload another address of its agent.
+        reloads: times at which the node was signalled to reload the address of its agent.
         ready: times at which a process of the node became ready.
         answers: for each answer, when it was written and how many seconds the agent's pace made it take.
         paces: for each change of the agent's pace, its time and the seconds that an answer then takes.
         calls: times of the calls that the agent received.
         outages: periods in which the agent answered nothing.
-        new_starts: times at which the node began to follow the agent anew.
-        crowded: periods in which the agent refused connections above a limit.
+        new_starts: times at which the node started to follow the agent again.
+        refusing_periods: periods in which the agent refused connections above a limit.
         most_connections: the largest number of simultaneous connections.
         down_since: the beginning of the present outage; None if there is none.
     """
@@ -70,7 +71,7 @@
     calls: list[float] = field(default_factory=list)
     outages: list[tuple[float, float]] = field(default_factory=list)
     new_starts: list[float] = field(default_factory=list)
-    crowded: list[tuple[float, float]] = field(default_factory=list)
+    refusing_periods: list[tuple[float, float]] = field(default_factory=list)
     most_connections: int = 0
     down_since: float | None = None
 
@@ -152,7 +153,7 @@
             agents[event["node"]].new_starts.append(event["t"])
         if event["what"] == "fault" and event["kind"] == "agent_crowded":
             for index in event["nodes"]:
-                agents[f"n{index}"].crowded.append((event["t"], event["t"] + event["lasts"]))
+                agents[f"n{index}"].refusing_periods.append((event["t"], event["t"] + event["lasts"]))
     for agent in agents.values():
         if agent.down_since is not None:
             agent.breaks.append((agent.down_since, inf))
@@ -204,7 +205,7 @@
 
 def _check_unanswered_calls(node: str, agent: _Agent, verdict: RuleVerdict) -> None:
     for began, ended in agent.outages:
-        if any(since < ended and until > began for since, until in agent.crowded):
+        if any(since < ended and until > began for since, until in agent.refusing_periods):
             continue  # a refused call is soon repeated, and the agent does not have to answer it
         unanswered = sum(began <= at < ended for at in agent.calls)
         starts = sum(began <= at < ended for at in agent.new_starts)
