--- a/tests/test_node_attempts.py
+++ b/tests/test_node_attempts.py
@@ -122,7 +122,7 @@
 async def test_a_list_change_received_while_connecting_prevents_the_attempt(
     change: Callable[[Platform], None], tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # An attempt at a draining engine is a fault as soon as its first byte is sent.
+    # The first byte sent already counts as an attempt at a draining engine, so no byte may be sent.
     sent: list[bytes] = []
     connecting, proceed = asyncio.Event(), asyncio.Event()
 
