--- a/tests/congestion_simulation.py
+++ b/tests/congestion_simulation.py
@@ -219,10 +219,10 @@
             CongestedFront(self, index, _front_settings(index, front_count)) for index in range(front_count)
         ]
 
-    def schedule(self, at: int, act: Callable[[], None]) -> None:
+    def schedule(self, at: int, callback: Callable[[], None]) -> None:
         """Schedule a call; calls for the same time run in the order in which they were scheduled."""
         self.event_count += 1
-        heapq.heappush(self.events, (at, self.event_count, act))
+        heapq.heappush(self.events, (at, self.event_count, callback))
 
     def submit_turn(
         self, session: int, prompt_tokens: int, prefix: int, prefix_tokens: int, turns: int, zone: int
@@ -260,8 +260,8 @@
                 self._schedule_session(at, prefix_weights, zone_weights)
         end = START + (len(session_rates) + DRAIN_WINDOWS) * WINDOW
         while self.events and self.now < end:
-            self.now, _, act = heapq.heappop(self.events)
-            act()
+            self.now, _, callback = heapq.heappop(self.events)
+            callback()
         return [
             self.answered_in_time[window] / max(1, self.submitted[window])
             for window in range(len(session_rates) + 2)
--- a/tests/fault_proxy.py
+++ b/tests/fault_proxy.py
@@ -57,10 +57,13 @@
 
 
 class FaultProxy:
-    """A proxy that forwards connections to a local port; a subclass may observe their traffic."""
+    """A proxy that forwards connections to the local port that `target_port` returns.
 
-    def __init__(self, target: Callable[[], int]) -> None:
-        self.target = target
+    A subclass may observe the traffic.
+    """
+
+    def __init__(self, target_port: Callable[[], int]) -> None:
+        self.target_port = target_port
         self.to_engine, self.from_engine = Direction(), Direction()
         self.server: asyncio.Server
         self.port = 0
@@ -124,7 +127,7 @@
         engine_writer: asyncio.StreamWriter | None = None
         try:
             with suppress(OSError, asyncio.CancelledError):
-                engine_reader, engine_writer = await asyncio.open_connection(HOST, self.target())
+                engine_reader, engine_writer = await asyncio.open_connection(HOST, self.target_port())
                 self.writers.add(engine_writer)
                 await self._forward_both_ways(number, reader, writer, engine_reader, engine_writer)
         finally:
