--- a/tests/test_discovery_call_planner.py
+++ b/tests/test_discovery_call_planner.py
@@ -25,7 +25,8 @@
 # Upper bound, in tenths of a millisecond, of the time from the end of an outage to the first answer, for an
 # agent that then answers the calls that it received during the outage.
 MAX_DETECTION_TIME = 1_000
-# The same bound for an agent that never answers the calls that it received during the outage.
+# Upper bound, in tenths of a millisecond, of the time from the end of an outage to the first answer, for an
+# agent that never answers the calls that it received during the outage.
 MAX_DETECTION_TIME_IF_DROPPED = 6 * TENTHS_PER_SECOND
 CALLS_AT_ANY_OUTAGE = 3  # calls open in an outage of any length: the watches and one more
 STEP = 50  # of the simulated clock, in tenths of a millisecond
