--- a/runspool/engines/connection_pool.py
+++ b/runspool/engines/connection_pool.py
@@ -39,11 +39,11 @@
 
     @property
     def read_answer_bytes(self) -> int:
-        """The maximum size of a response body that is not streamed."""
+        """The maximum size of a response body that is not streamed, in bytes."""
 
     @property
     def line_bytes(self) -> int:
-        """The maximum size of one event of a stream."""
+        """The maximum size of one event of a stream, in bytes."""
 
     @property
     def source_address(self) -> str | None:
@@ -75,9 +75,12 @@
         self.idle_since = 0  # tenths of a millisecond; 0 until the first exchange has ended
         self.exchange_count = 0
 
-    def has_unsolicited_data(self) -> bool:
-        """Return whether the peer has closed, reset or sent data; if so, no request may be sent."""
-        return self.tcp.has_unsolicited_data()
+    def has_unread_input(self) -> bool:
+        """Return whether the peer has sent data, or has closed or reset the connection.
+
+        In each of these cases no request may be sent on the connection.
+        """
+        return self.tcp.has_unread_input()
 
 
 class ConnectionPool:
@@ -97,7 +100,8 @@
             now: Returns the current time in tenths of a millisecond.
             max_connections: Maximum number of connections to all engines together; 0 for no limit.
             quiet_time: Time after an exchange, in tenths of a millisecond, during which its connection is
-                reused only if no other connection is available and none may be opened.
+                reused only if no other connection is available and none may be opened. The peer may still
+                send surplus bytes in this time, which would be taken for the next response.
         """
         self.settings = settings
         self.max_connections = max_connections
@@ -147,7 +151,7 @@
         connection.tcp.close()
         connection.response.detach_parser()
 
-    def close_idle(self) -> None:
+    def close_expired(self) -> None:
         """Close all connections that have been idle for longer than `idle_ms`."""
         oldest = self.now() - ms_to_tenths(self.settings.idle_ms)
         for address, idle in list(self.idle.items()):
@@ -157,7 +161,7 @@
                 self.idle.pop(address, None)
 
     def close(self) -> None:
-        """Close all idle connections."""
+        """Close all idle connections, even recently used ones. Connections in use stay open."""
         for idle in self.idle.values():
             while idle:
                 self.discard(idle.popleft())
@@ -184,7 +188,7 @@
         """Remove a connection from `idle`; if it is not usable, close it and return False."""
         self.idle[connection.address].remove(connection)
         if (
-            not connection.has_unsolicited_data()
+            not connection.has_unread_input()
             and self.now() - connection.idle_since < self.settings.idle_ms * TENTHS_PER_MS
         ):
             return True
@@ -192,7 +196,7 @@
         return False
 
     async def _open(self, address: Address, connect_ms: float) -> PooledConnection:
-        # Counted before it is open, so that concurrent calls cannot exceed the limit.
+        # The connection is counted before it is open, so that concurrent calls cannot exceed the limit.
         self.open_counts[address] = self.open_counts.get(address, 0) + 1
         started = self.now()
         try:
--- a/runspool/service/front_server.py
+++ b/runspool/service/front_server.py
@@ -74,7 +74,7 @@
         """Serve requests until stop() is called, then shut down gracefully.
 
         `task_status` receives the listening port once the front accepts connections. If cancelled, the front
-        ends at once. Raises OSError if the address cannot be bound.
+        ends at once. Raise OSError if the address cannot be bound.
         """
         try:
             await self._run(task_status)
@@ -211,7 +211,7 @@
     async def _close_idle_connections(self) -> None:
         while True:
             await anyio.sleep(IDLE_SWEEP_INTERVAL)
-            self.front.engine_client.pool.close_idle()
+            self.front.engine_client.pool.close_expired()
 
     def _log_error(self, event: str, error: Exception) -> None:
         """Log an expected error without a traceback."""
--- a/tests/small_fleet.py
+++ b/tests/small_fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet in one event loop: stand-in engines, an endpoint list and a real front, on loopback."""
+"""A small fleet in one event loop on loopback: stand-in engines, an endpoint list and a real front."""
 
 from __future__ import annotations
 
@@ -33,8 +33,9 @@
     RequestClassPlan("book", 0.5, "exclusive", 1, 20_000, 0, 60_000, 1_000, 200, 20, 1.0, 0.0, 0),
     RequestClassPlan("mark", 0.5, "ticketed", 1, 20_000, 0, 60_000, 1_000, 200, 20, 1.0, 0.0, 0, 0.1, "zone"),
 ]
-ENGINE_TYPES = {"reader": "prefill", "writer": "decode", "mixed": "mixed"}  # by role
-WAIT_LIMIT = 20.0  # seconds that an event may be waited for
+# The type of stand-in engine by role.
+ENGINE_TYPES = {"reader": "prefill", "writer": "decode", "mixed": "mixed"}
+WAIT_LIMIT = 20.0  # maximum number of seconds to wait for a recorded event
 
 
 def small_plan(engine_types: list[str]) -> ScenarioPlan:
@@ -65,7 +66,7 @@
 
 @dataclass
 class ReceivedResponse:
-    """A front's whole response."""
+    """A complete response of a front."""
 
     status: int
     headers: dict[str, str]
@@ -73,13 +74,13 @@
 
     @property
     def error(self) -> dict[str, Any]:
-        """The error of a response with another status than 200."""
+        """The error object in the body of a response whose status is not 200."""
         found: dict[str, Any] = msgspec.json.decode(self.body)["error"]
         return found
 
     @property
     def text(self) -> str:
-        """The text of a streamed response, up to its end."""
+        """The concatenated text of a streamed response."""
         texts = []
         for event in self.body.split(b"\n\n"):
             if event.startswith(b"data: {"):
@@ -89,10 +90,14 @@
 
 
 class SmallFleet:
-    """Engines, list and one front. `bounds` override the front's; `cells` is the map that it starts with."""
+    """Stand-in engines, an endpoint list service and one front.
+
+    `bounds_overrides` replace entries of the front's `bounds` configuration. `cells` is the cell map that the
+    front loads when it starts, if any.
+    """
 
     def __init__(
-        self, folder: Path, engine_types: list[str], cells: CellMap | None = None, **bounds: Any
+        self, folder: Path, engine_types: list[str], cells: CellMap | None = None, **bounds_overrides: Any
     ) -> None:
         self.folder = folder
         self.plan = small_plan(engine_types)
@@ -100,51 +105,51 @@
             self.plan.cells = cells.model_dump()
             self.map_file = folder / "front-0.map"
             cell_store.write_with_checksum(self.map_file, cell_store.encode_map(cells))
-        self.file = folder / "small-fleet.jsonl"
-        self.recorder = Recorder(self.file)
-        self.listing = EndpointListService(self.recorder, 0)
+        self.recording_file = folder / "small-fleet.jsonl"
+        self.recorder = Recorder(self.recording_file)
+        self.endpoint_list = EndpointListService(self.recorder, 0)
         self.engines = [
             StandInEngine(planned.spec, self.recorder, False, index)
             for index, planned in enumerate(self.plan.engines)
         ]
-        self.started = [0] * len(self.engines)  # Unix milliseconds, 0 for long ago
-        self.lives: dict[int, anyio.CancelScope] = {}
-        self.bounds = bounds
-        self.running: FrontServer
+        self.start_times = [0] * len(self.engines)  # in Unix milliseconds; 0: started long ago
+        self.engine_scopes: dict[int, anyio.CancelScope] = {}
+        self.bounds_overrides = bounds_overrides
+        self.front_server: FrontServer
         self.port = 0
 
     @asynccontextmanager
-    async def open(self, tape: Path | None = None) -> AsyncIterator[SmallFleet]:
-        """Run all of it; what still runs at the end is cancelled."""
+    async def open(self, event_recording: Path | None = None) -> AsyncIterator[SmallFleet]:
+        """Run the whole fleet; on exit, stop the front and cancel everything that still runs."""
         async with anyio.create_task_group() as tasks:
-            await tasks.start(self.listing.run, "127.0.0.1", 0)
-            for at in range(len(self.engines)):
-                self.plan.engines[at].port = await tasks.start(self._engine, at)
-                self.tell(at, "on")
-            configuration = front_configuration(self.plan, 0, self.listing.port, self.folder)
-            configuration["front"]["bounds"] |= self.bounds
-            self.running = FrontServer(parse_config(configuration), tape)
-            self.port = await tasks.start(self.running.run)
-            while len(self.running.front.endpoints) < len(self.engines):
+            await tasks.start(self.endpoint_list.run, "127.0.0.1", 0)
+            for index in range(len(self.engines)):
+                self.plan.engines[index].port = await tasks.start(self._run_engine, index)
+                self.publish_state(index, "on")
+            configuration = front_configuration(self.plan, 0, self.endpoint_list.port, self.folder)
+            configuration["front"]["bounds"] |= self.bounds_overrides
+            self.front_server = FrontServer(parse_config(configuration), event_recording)
+            self.port = await tasks.start(self.front_server.run)
+            while len(self.front_server.front.endpoints) < len(self.engines):
                 await anyio.sleep(0.005)
             yield self
-            self.running.stop()
+            self.front_server.stop()
             tasks.cancel_scope.cancel()
 
-    async def _engine(self, at: int, *, task_status: TaskStatus[int]) -> None:
-        with anyio.CancelScope() as self.lives[at]:
-            await self.engines[at].run("127.0.0.1", 0, task_status=task_status)
+    async def _run_engine(self, index: int, *, task_status: TaskStatus[int]) -> None:
+        with anyio.CancelScope() as self.engine_scopes[index]:
+            await self.engines[index].run("127.0.0.1", 0, task_status=task_status)
 
-    def kill(self, at: int) -> None:
+    def kill(self, index: int) -> None:
         """Kill an engine, with all its connections and states."""
-        self.recorder.record_event("killed", process=f"e{at}", engine=f"e{at}")
-        self.engines[at].model.held_states.clear()
-        self.lives[at].cancel()
-
-    def tell(self, at: int, state: str) -> None:
-        """Publish an engine's state in the endpoint list."""
-        planned = self.plan.engines[at]
-        self.listing.update(
+        self.recorder.record_event("killed", process=f"e{index}", engine=f"e{index}")
+        self.engines[index].model.held_states.clear()
+        self.engine_scopes[index].cancel()
+
+    def publish_state(self, index: int, state: str) -> None:
+        """Publish an engine's state in the endpoint list without delay."""
+        planned = self.plan.engines[index]
+        self.endpoint_list.update(
             msgspec.convert(
                 {
                     "engine": planned.spec.name,
@@ -153,69 +158,73 @@
                     "zone": planned.spec.zone,
                     "rack": planned.spec.rack,
                     "state": state,
-                    "started_unix_ms": self.started[at],
+                    "started_unix_ms": self.start_times[index],
                 },
                 EndpointEntry,
             ),
             at_once=True,
         )
 
-    async def ask(
+    async def send_request(
         self,
-        tariff: str = "ask",
-        tokens: int = 50,
-        out: int = 10,
+        request_class: str = "ask",
+        prompt_tokens: int = 50,
+        output_tokens: int = 10,
         stream: bool = True,
         body: bytes | None = None,
         poison: bool = False,
         **headers: str,
     ) -> ReceivedResponse:
-        """Send one request on a connection of its own."""
+        """Send one completion request on a new connection and return the response."""
         raw = (
             body
             if body is not None
             else msgspec.json.encode(
                 {
-                    "prompt": "abcd" * tokens,
+                    "prompt": "abcd" * prompt_tokens,
                     "max_tokens": 500,
                     "stream": stream,
-                    "standin": {"try": headers.get("runspool_mark", "t"), "out": out, "poison": poison},
+                    "standin": {
+                        "try": headers.get("runspool_mark", "t"),
+                        "out": output_tokens,
+                        "poison": poison,
+                    },
                 }
             )
         )
         fields = {
-            "Runspool-Tariff": tariff,
+            "Runspool-Tariff": request_class,
             "Content-Length": str(len(raw)),
             "Host": "x",
             "Connection": "close",
             **{name.replace("_", "-"): value for name, value in headers.items()},
         }
         lines = "".join(f"{name}: {value}\r\n" for name, value in fields.items() if value)
-        return await self.say(f"POST /v1/completions HTTP/1.1\r\n{lines}\r\n".encode() + raw)
+        return await self.send_raw(f"POST /v1/completions HTTP/1.1\r\n{lines}\r\n".encode() + raw)
 
-    async def say(self, raw: bytes) -> ReceivedResponse:
-        """Send these bytes on a connection of their own and return the response."""
+    async def send_raw(self, raw: bytes) -> ReceivedResponse:
+        """Send raw bytes on a new connection and return the response."""
         async with await anyio.connect_tcp("127.0.0.1", self.port) as stream:
             await stream.send(raw)
             return await receive_response(stream)
 
-    def seen(self, what: str, **fields: Any) -> list[Event]:
-        """Return the recorded events of a kind that have these fields."""
+    def recorded_events(self, what: str, **fields: Any) -> list[Event]:
+        """Return the recorded events of a kind whose fields have the given values."""
         return [
             event
-            for event in recording.read_recording(self.file)
+            for event in recording.read_recording(self.recording_file)
             if event["what"] == what and all(event.get(name) == value for name, value in fields.items())
         ]
 
-    async def until(self, what: str, count: Any = 1, **fields: Any) -> None:
-        """Wait until events are recorded, rather than for a time."""
+    async def wait_for_events(self, what: str, count: Any = 1, **fields: Any) -> None:
+        """Wait until at least `count` matching events are recorded; raise TimeoutError after WAIT_LIMIT."""
         with anyio.fail_after(WAIT_LIMIT):
-            while len(self.seen(what, **fields)) < count:
+            while len(self.recorded_events(what, **fields)) < count:
                 await anyio.sleep(0.01)
 
 
 async def receive_response(stream: anyio.abc.SocketStream) -> ReceivedResponse:
-    """Receive one response up to its end or the connection's."""
+    """Receive one response; raise an error where the connection ends before the response is complete."""
     protocol = h11.Connection(h11.CLIENT)
     protocol.send(h11.Request(method="GET", target="/", headers=[("Host", "x")]))
     protocol.send(h11.EndOfMessage())
@@ -237,4 +246,4 @@
             headers = {key.decode(): value.decode() for key, value in head.headers}
             return ReceivedResponse(head.status_code, headers, bytes(body))
         elif not isinstance(event, h11.InformationalResponse):
-            raise AssertionError(f"no answer, {event}")
+            raise AssertionError(f"expected a response, received {event}")
--- a/tests/test_front_recordings.py
+++ b/tests/test_front_recordings.py
@@ -1,4 +1,4 @@
-"""Recordings of a real front at work: they replay to the same actions, and the audit finds no violation."""
+"""Recordings of a real front under load: they replay to the same actions and pass the audit."""
 
 from __future__ import annotations
 
@@ -25,34 +25,34 @@
         async with anyio.create_task_group() as tasks:
             for number in range(40):
                 tasks.start_soon(
-                    lambda index=number: fleet.ask(  # type: ignore[misc]
+                    lambda index=number: fleet.send_request(  # type: ignore[misc]
                         REQUEST_CLASSES[index % 2],
-                        out=5,
+                        output_tokens=5,
                         runspool_mark=f"m{index}",
                         runspool_session=f"s{index % 7}",
                     )
                 )
-        fleet.running.front.cell_scheduler("whole").recorder.close()
+        fleet.front_server.front.cell_scheduler("whole").recorder.close()
     replayed = replay(recording)
     assert replayed.first_difference == ""
     assert replayed.events > 100
     assert replayed.actions > 100
-    # A changed recording is found to differ.
+    # A difference is reported for an altered recording.
     recording.write_bytes(recording.read_bytes().replace(b'"send",5,', b'"send",6,', 1))
     assert "replayed action" in replay(recording).first_difference
 
 
-async def test_a_fleet_at_work_keeps_every_rule(tmp_path: Path) -> None:
+async def test_a_fleet_under_load_violates_no_rule(tmp_path: Path) -> None:
     fleet = SmallFleet(tmp_path, FOUR_ENGINES)
     fleet.recorder.record_event("day", plan=msgspec.to_builtins(fleet.plan))
     async with fleet.open():
         async with anyio.create_task_group() as tasks:
             for number in range(30):
                 tasks.start_soon(
-                    lambda index=number: fleet.ask(  # type: ignore[misc]
-                        "book", out=5, runspool_mark=f"m{index}"
+                    lambda index=number: fleet.send_request(  # type: ignore[misc]
+                        "book", output_tokens=5, runspool_mark=f"m{index}"
                     )
                 )
-        assert len(fleet.seen("ran")) == 30
-        events = [msgspec.json.decode(line) for line in fleet.file.read_bytes().splitlines()]
-        assert all(rule.broken == 0 for rule in audit(events).values())
+        assert len(fleet.recorded_events("ran")) == 30
+        events = [msgspec.json.decode(line) for line in fleet.recording_file.read_bytes().splitlines()]
+        assert all(rule.violation_count == 0 for rule in audit(events).values())
--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request's lifecycle under all events in all orders, against a model that knows what really happened."""
+"""A request's lifecycle under random sequences of events, checked against a model of what really happened."""
 
 from __future__ import annotations
 
@@ -26,6 +26,7 @@
     Role,
 )
 
+# Times are in tenths of a millisecond.
 STATE_RELEASE_TIMEOUT = 3_000
 START = 10_000
 DEADLINE = 60_000
@@ -73,11 +74,11 @@
 
 
 class LifecycleMachine(RuleBasedStateMachine):
-    """The caller does only what the lifecycle permits; the model knows what the engines hold at worst.
+    """A caller that does only what the lifecycle permits, and a model of what the engines may hold at worst.
 
-    `executed_at` are the engines at which an attempt with an effect may have been executed.
-    `reserved_since` is when a state was last reserved, at worst; None where none can be.
-    `release_calls` are those in progress, by what `release_started` returned.
+    `executed_at` lists the engines at which an attempt with an effect may have been executed.
+    `reserved_since` is the latest time at which a state may have been reserved, or None if no state can be.
+    `release_calls` holds the return value of `release_started` for each release call in progress.
     """
 
     @initialize(
@@ -97,7 +98,7 @@
     def time_passes(self, duration: int) -> None:
         due = self.lifecycle.release_due_at()
         if due is not None and self.lifecycle.release_is_due(max(due, self.now)):
-            duration = min(duration, max(0, due - self.now))  # the caller has set a timer
+            duration = min(duration, max(0, due - self.now))  # the caller's timer fires no later than this
         self.now += duration
         self.timer_fires()
 
@@ -126,7 +127,7 @@
     @precondition(attempt_in_progress)
     @rule()
     def engine_sends_a_byte(self) -> None:
-        self.lifecycle.attempt_received()
+        self.lifecycle.engine_responded()
 
     @precondition(attempt_in_progress)
     @rule(draw=st.data())
@@ -135,7 +136,7 @@
         assert attempt is not None
         status = draw.draw(st.sampled_from(PREFILL_STATUSES if attempt.is_prefill else DECODE_STATUSES))
         if status in SENT_BY_THE_ENGINE:
-            self.lifecycle.attempt_received()
+            self.lifecycle.engine_responded()
         if not attempt.is_prefill and status not in NOT_EXECUTED:
             self.executed_at.append(attempt.target)
         self._update_reservation(status, attempt.is_prefill, reached_engine=attempt.stage.name == "RECEIVED")
@@ -145,7 +146,7 @@
             self.lifecycle.mark_answered()
 
     def _update_reservation(self, status: AttemptStatus, is_prefill: bool, reached_engine: bool) -> None:
-        """What the engines may hold after an attempt has ended."""
+        """Update what the engines may hold after an attempt has ended."""
         if status is AttemptStatus.PREFILL_COMPLETE:
             self.reserved_since = self.now
         elif is_prefill and status in MAY_HAVE_COMPLETED_A_PREFILL:
@@ -168,7 +169,7 @@
     @precondition(lambda self: not self.lifecycle.answered)
     @rule(skip=st.integers(0, 9))
     def request_is_rejected(self, skip: int) -> None:
-        """Seldom, as it ends the request: long lives are to be seen."""
+        """Run in one case of ten: it ends the request, and long lifecycles are to be tested."""
         if not skip and self.lifecycle.deny_rejection() is None:
             self.lifecycle.mark_answered()
             policy = self.lifecycle.policy
@@ -180,7 +181,7 @@
 
     @rule(skip=st.integers(0, 9))
     def client_disconnects(self, skip: int) -> None:
-        """Seldom, as it ends the request."""
+        """Run in one case of ten, as it ends the request."""
         if skip:
             return
         self.lifecycle.mark_client_disconnected()
@@ -197,7 +198,7 @@
 
     @invariant()
     def no_reserved_state_is_forgotten(self) -> None:
-        """Its release is due in time or in progress, or an attempt that reached its engine waits for it."""
+        """The release is due in time or in progress, or an attempt that reached its engine uses the state."""
         if self.reserved_since is None:
             return
         attempt = self.lifecycle.last_attempt
@@ -227,7 +228,7 @@
 def test_decode_that_has_not_reached_its_engine_does_not_stop_the_release_timeout() -> None:
     lifecycle = RequestLifecycle(AttemptPolicy(state_release_timeout=STATE_RELEASE_TIMEOUT))
     lifecycle.attempt_started(0, PREFILL_ENGINE)
-    lifecycle.attempt_received()
+    lifecycle.engine_responded()
     lifecycle.attempt_ended(100, AttemptStatus.PREFILL_COMPLETE)
     lifecycle.attempt_started(101, DECODE_ENGINE)
     lifecycle.attempt_written()
@@ -235,7 +236,7 @@
     assert due == 100 + max_reservation_time(STATE_RELEASE_TIMEOUT, 0)
     assert lifecycle.release_is_due(due)
     assert not lifecycle.release_is_due(due - 1)
-    lifecycle.attempt_received()
+    lifecycle.engine_responded()
     assert not lifecycle.release_is_due(due)
 
 
@@ -277,7 +278,7 @@
         ("answered", False, True, None),
     ],
 )
-def test_what_may_stay_open_as_the_process_may_be_killed(
+def test_only_certain_requests_may_stay_open_when_the_process_may_be_killed(
     stage: str, can_resume: bool, process_ends: bool, denial: DenialReason | None
 ) -> None:
     lifecycle = RequestLifecycle(AttemptPolicy(stream_can_resume=can_resume))
