--- a/tests/node_platform/agent.py
+++ b/tests/node_platform/agent.py
@@ -15,6 +15,9 @@
 from tests.node_platform.http_messages import ReceivedRequest, http_response, read_request
 from tests.node_platform.observed_peers import ObservedPeers
 
+# Iterations of the event loop that suffice to hand an accepted connection to the task that serves it.
+ACCEPT_ITERATIONS = 8
+
 
 class ScriptedAgent(ObservedPeers):
     """Scripted engines, their endpoint list, and the agent that serves the list."""
@@ -78,7 +81,7 @@
         try:
             yield int(agent.sockets[0].getsockname()[1])
         finally:
-            agent.close()
+            await _close(agent)
             for task in list(self.tasks):
                 task.cancel()
             await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -118,3 +121,16 @@
                 await asyncio.wait_for(
                     self.change.wait_for(lambda: self.version != known_version), wait_seconds
                 )
+
+
+async def _close(server: asyncio.Server) -> None:
+    """Close a server, but first let the connections that it is accepting reach the tasks that serve them.
+
+    asyncio leaves a connection open whose server is closed while it is being accepted.
+    """
+    loop = asyncio.get_running_loop()
+    for listener in server.sockets:
+        loop.remove_reader(listener.fileno())
+    for _ in range(ACCEPT_ITERATIONS):
+        await asyncio.sleep(0)
+    server.close()
