--- a/tests/test_request_lifecycle.py
+++ b/tests/test_request_lifecycle.py
@@ -198,7 +198,7 @@
 
     @invariant()
     def no_reserved_state_is_forgotten(self) -> None:
-        """The release is due in time or in progress, or an attempt that reached its engine uses the state."""
+        """Check that the release is due in time or in progress, or that a received attempt uses the state."""
         if self.reserved_since is None:
             return
         attempt = self.lifecycle.last_attempt
