--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands do all on a fresh machine: `make day` plays a bad night, `make test` passes the tests.
+# Two commands do all on a fresh machine: `make day` plays the scenario bad-night, `make test` runs the tests.
 PYTHON ?= python3
 BIN := .venv/bin
 SEED ?= 1
